--- a/src/main/java/mastdrift/routing/RouteTable.java
+++ b/src/main/java/mastdrift/routing/RouteTable.java
@@ -5,7 +5,8 @@
 import mastdrift.routing.Route.Target;
 
 /**
- * Routes in their order; the first that matches decides.
+ * Routes in their order; the first that matches decides. Immutable, and pure to make: a big one is made off the loop and handed
+ * over. {@link RouteIndex} finds the route.
  *
  * <p>Among a route's pools a key chooses by weighted rendezvous hashing: each pool draws u in (0,1) from a hash of key and
  * pool, and the lowest -ln(u)/weight wins, which gives every pool its part of the keys. A changed weight moves only keys
@@ -15,11 +16,19 @@
  */
 public final class RouteTable {
 
+    /** Routes of one table: twice what the largest fleet that this is made for has (docs/CAPACITY.md). */
+    public static final int ROUTES_MOST = 56_000;
+
     private final List<Route> routes;
+    private final RouteIndex index;
 
-    /** An empty table matches nothing. */
+    /** An empty table matches nothing. Throws IllegalArgumentException for more than {@value #ROUTES_MOST} routes. */
     public RouteTable(List<Route> routes) {
+        if (routes.size() > ROUTES_MOST) {
+            throw new IllegalArgumentException("expected at most " + ROUTES_MOST + " routes, found " + routes.size());
+        }
         this.routes = List.copyOf(routes);
+        index = new RouteIndex(this.routes);
     }
 
     /** In their order. */
@@ -29,12 +38,7 @@
 
     /** The first route that matches, or null. */
     public Route route(Traits request) {
-        for (Route route : routes) {
-            if (route.match().fits(request)) {
-                return route;
-            }
-        }
-        return null;
+        return index.first(request);
     }
 
     /** The pool for a request, or null where no route matches. {@code somebody} tells whether a pool has a host that may be
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -274,7 +274,8 @@
             if (gateway == null && next.peers() != null) {
                 peers = new PeerService(file, next, secrets::get, seeds.nextLong(), events);
             }
-            loop.submit(() -> configure(next, ready, toldAt)).syncUninterruptibly();
+            RouteTable routes = new RouteTable(next.routes());  // here, since a big one takes longer than the loop may
+            loop.submit(() -> configure(next, routes, ready, toldAt)).syncUninterruptibly();
             Map<String, String> versions = next.versions();
             events.event(Level.INFO, "in_force", "in force: " + next.pools().keySet().stream()
                     .map(pool -> pool + " " + versions.get(pool)).toList() + ", " + next.routes().size()
@@ -296,7 +297,7 @@
     }
 
     /** One event of the loop: all of a change is in force once it returns, and nothing of it before. */
-    private void configure(Configuration next, Map<String, Ready> changed, long toldAt) {
+    private void configure(Configuration next, RouteTable routes, Map<String, Ready> changed, long toldAt) {
         if (gateway == null) {
             started = next;
             gateway = next.gateway();
@@ -328,7 +329,7 @@
             }
         });
         changed.forEach((name, list) -> learn(pools.get(name), list, toldAt));
-        router.swap(new RouteTable(next.routes()));
+        router.swap(routes);
     }
 
     private void zones(Configuration next) {
