--- a/src/test/java/mastdrift/ArchitectureTest.java
+++ b/src/test/java/mastdrift/ArchitectureTest.java
@@ -22,8 +22,8 @@
     /** From the ground up; those on one floor don't import each other. */
     private static final List<List<String>> FLOORS = List.of(List.of("mastdrift"), List.of("mastdrift.settings", "mastdrift.events", "mastdrift.tally"),
             List.of("mastdrift.membership", "mastdrift.radius", "mastdrift.routing",
-                    "mastdrift.lateness", "mastdrift.limits", "mastdrift.lab.draw", "mastdrift.zones", "mastdrift.peers", "mastdrift.agreed"), List.of("mastdrift.config"), List.of("mastdrift.engine"),
-            List.of("mastdrift.net", "mastdrift.files", "mastdrift.wire", "mastdrift.radius.edge", "mastdrift.zones.edge", "mastdrift.peers.edge", "mastdrift.agreed.edge", "mastdrift.lab.model", "mastdrift.logging"), List.of("mastdrift.serve", "mastdrift.standin", "mastdrift.lab.load"),
+                    "mastdrift.lateness", "mastdrift.limits", "mastdrift.lab.draw", "mastdrift.zones", "mastdrift.peers", "mastdrift.agreed", "mastdrift.distribution"), List.of("mastdrift.config"), List.of("mastdrift.engine"),
+            List.of("mastdrift.net", "mastdrift.files", "mastdrift.wire", "mastdrift.radius.edge", "mastdrift.zones.edge", "mastdrift.peers.edge", "mastdrift.agreed.edge", "mastdrift.distribution.edge", "mastdrift.lab.model", "mastdrift.logging"), List.of("mastdrift.serve", "mastdrift.standin", "mastdrift.lab.load"),
             List.of("mastdrift.lab"), List.of("mastdrift.lab.report"), List.of("mastdrift.lab.rig"), List.of("mastdrift.cli", "mastdrift.measure"));
 
     private static final JavaClasses CLASSES = new ClassFileImporter()
@@ -47,7 +47,7 @@
     @Test
     void whoDecidesDoesNoIo() {
         noClasses().that().resideInAnyPackage("mastdrift", "mastdrift.settings", "mastdrift.membership", "mastdrift.routing",
-                "mastdrift.radius", "mastdrift.config", "mastdrift.lateness", "mastdrift.limits", "mastdrift.lab.draw", "mastdrift.zones", "mastdrift.peers", "mastdrift.agreed").should().dependOnClassesThat().resideInAnyPackage("java.net..",
+                "mastdrift.radius", "mastdrift.config", "mastdrift.lateness", "mastdrift.limits", "mastdrift.lab.draw", "mastdrift.zones", "mastdrift.peers", "mastdrift.agreed", "mastdrift.distribution").should().dependOnClassesThat().resideInAnyPackage("java.net..",
                 "java.io..", "java.nio.channels..", "java.nio.file..", "io.netty..", "java.util.concurrent..").check(CLASSES);
     }
 
