--- a/src/main/java/mastdrift/distribution/ChangeCheck.java
+++ b/src/main/java/mastdrift/distribution/ChangeCheck.java
@@ -94,8 +94,13 @@
         if (name.isEmpty() || name.length() > Resource.NAME_MOST) {
             return "expected 1 to " + Resource.NAME_MOST + " characters, found " + name.length();
         }
-        if (!StandardCharsets.UTF_8.newEncoder().canEncode(name) || name.chars().anyMatch(Character::isISOControl)) {
-            return "expected text without control characters, found some";
+        for (int i = 0; i < name.length(); i++) {
+            char each = name.charAt(i);
+            boolean pair = Character.isHighSurrogate(each) && i + 1 < name.length() && Character.isLowSurrogate(name.charAt(i + 1));
+            if (Character.isISOControl(each) || Character.isSurrogate(each) && !pair) {
+                return "expected text without control characters, found " + String.format("\\u%04x", (int) each);
+            }
+            i += pair ? 1 : 0;
         }
         return null;
     }
--- a/src/main/java/mastdrift/distribution/Table.java
+++ b/src/main/java/mastdrift/distribution/Table.java
@@ -338,7 +338,7 @@
         private final long[] lows;
         private final SetHash hash = new SetHash();
         private Revision revision;
-        private String problem = "expected pieces, found none";
+        private String problem;
         private int taken;
 
         private Assembly(Table base) {
--- /dev/null
+++ b/src/test/java/mastdrift/distribution/StoreTest.java
@@ -0,0 +1,159 @@
+package mastdrift.distribution;
+
+import static mastdrift.distribution.Changes.bytes;
+import static mastdrift.distribution.Changes.put;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import mastdrift.agreed.AgreedLog;
+import mastdrift.agreed.Decisions;
+import mastdrift.distribution.Store.Fate;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import org.junit.jupiter.api.Test;
+
+class StoreTest {
+
+    /** Notes what a store wants, and that its tables only go forward, each by what was told. */
+    private static final class Noted implements Store.Out {
+        private final List<String> events = new ArrayList<>();
+        private Table table;
+        private int jumps;
+
+        @Override
+        public void table(Table next, List<Delta> deltas) {
+            if (table != null) {
+                assertTrue(next.revision().after(table.revision()));
+                if (!deltas.isEmpty()) {
+                    Table by = table;
+                    for (Delta each : deltas) {
+                        by = by.with(each);
+                    }
+                    assertEquals(next.revision(), by.revision());
+                }
+            }
+            jumps += deltas.isEmpty() ? 1 : 0;
+            table = next;
+        }
+
+        @Override
+        public void event(String name, String text) {
+            events.add(name + " " + text);
+        }
+    }
+
+    /** The writer doesn't know what became of it and asks again: the log has it in once, and so has the table. */
+    @Test
+    void aChangeAskedTwiceUnderOneIdIsInOnce() {
+        Decisions log = new Decisions();
+        Store store = new Store(Table.empty(1), new Noted());
+        Map<String, Change> asked = Map.of("one", Changes.of("one", new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("1"), Edit.NONE)), "two", Changes.of("two", put("s", "1")));
+        long index = 0;
+        for (String id : List.of("one", "two", "one", "one", "two")) {
+            long before = log.count();
+            assertInstanceOf(AgreedLog.Fate.In.class, log.apply(++index, Decisions.append(id, bytes(id))));
+            if (log.count() > before) {
+                assertInstanceOf(Fate.In.class, store.decided(log.count(), id, asked.get(id)));
+            }
+        }
+        assertEquals(2, store.table().revision().number());
+        assertEquals(1, store.table().get(ResourceKind.ROUTE, "r").version());
+        assertEquals(new Fate.In(store.table().revision()), store.fate("two"), "told to who asks again");
+        assertEquals(store.fate("one"), store.decided(1, "one", asked.get("one")), "read once more");
+        assertEquals(2, store.table().size());
+    }
+
+    /** Writers in two regions that were apart both believe the resource to be as it was: the first in the agreed order is in, the other is told what there is. */
+    @Test
+    void ofTwoChangesToOneResourceOfRegionsThatWereApartOneConflictIsTold() {
+        Store store = new Store(Table.empty(1), new Noted());
+        store.decided(1, "before", Changes.of("before", put("r", "0")));
+        Fate first = store.decided(2, "east", Changes.of("east", new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("east"), 1)));
+        Fate second = store.decided(3, "west", Changes.of("west", put("also", "1"), new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("west"), 1)));
+        assertInstanceOf(Fate.In.class, first);
+        assertEquals(new Fate.Conflict("edits[1] (route r): expected version 1, found version 2"), second);
+        assertEquals("east", new String(store.table().get(ResourceKind.ROUTE, "r").value(), StandardCharsets.UTF_8));
+        assertNull(store.table().get(ResourceKind.ROUTE, "also"), "nothing of it");
+        assertEquals(3, store.table().revision().number(), "the place of what was decided");
+        assertEquals(new Fate.Conflict("expected a change, found what this build can't read"), store.decided(4, "newer", null));
+        assertEquals(4, store.table().revision().number());
+    }
+
+    /** Whoever hears the log late, twice, with gaps, from an older table or by another's: the same state at the same number, and never back. */
+    @Property(tries = 300)
+    void allWhoHearTheLogHaveTheSameHoweverTheyHeardIt(@ForAll long seed) {
+        Random random = new Random(seed);
+        Store whole = new Store(Table.empty(1), new Noted());
+        List<Table> tables = new ArrayList<>(List.of(whole.table()));
+        List<Change> log = new ArrayList<>();
+        for (int i = 1; i <= 80; i++) {
+            Change change = random.nextInt(15) == 0 ? null : Changes.drawn(random, "c" + i);
+            log.add(change);
+            whole.decided(i, "c" + i, change);
+            tables.add(whole.table());
+        }
+        Noted noted = new Noted();
+        Store store = new Store(tables.get(random.nextInt(20)), noted);
+        Map<String, Fate> fates = new HashMap<>();
+        for (int at = 1; at <= 80; at++) {
+            if (random.nextInt(12) == 0) {
+                at = Math.min(80, at + random.nextInt(10));  // a gap
+            }
+            if (random.nextInt(10) == 0) {
+                at = Math.max(1, at - random.nextInt(10));  // again
+            }
+            Fate fate = store.decided(at, "c" + at, log.get(at - 1));
+            if (fate != null && !(fate instanceof Fate.Waiting)) {
+                fates.put("c" + at, fate);
+            }
+            if (store.missing() != 0 && random.nextInt(4) == 0) {
+                store.take(tables.get(Math.min(80, random.nextInt(at + 20))));
+            }
+            assertEquals(tables.get((int) store.table().revision().number()).revision(), store.table().revision());
+        }
+        while (store.missing() != 0) {
+            assertTrue(store.take(tables.get((int) store.missing())), "one that has all that is missing");
+        }
+        store.decided(80, "c80", log.get(79));
+        assertEquals(tables.get(80).revision(), store.table().revision());
+        fates.forEach((id, fate) -> assertEquals(whole.fate(id), fate));
+        assertFalse(store.take(tables.get(79)), "never back");
+    }
+
+    @Test
+    void whatWaitsAndWhatIsRememberedIsBounded() {
+        Noted noted = new Noted();
+        Store store = new Store(Table.empty(1), noted);
+        Store other = new Store(Table.empty(1), new Noted());
+        for (int i = 1; i <= 9_000; i++) {
+            Change change = Changes.of("c" + i, put("r", "" + i));
+            other.decided(i, "c" + i, change);
+            if (i > 10) {
+                assertInstanceOf(Fate.Waiting.class, store.decided(i, "c" + i, change));
+            }
+        }
+        assertEquals(Store.WAITING_MOST, store.waiting());
+        assertEquals(9_000 - Store.WAITING_MOST, store.missing());
+        assertEquals(List.of("config_gap expected decision 1, found 11: waits for another voter's table"), noted.events);
+        assertTrue(store.take(other.table()));
+        assertEquals(0, store.missing());
+        assertEquals(0, store.waiting());
+        assertEquals(1, noted.jumps);
+        assertNull(other.fate("c" + (9_000 - Store.FATES_MOST)));
+        assertInstanceOf(Fate.In.class, other.fate("c" + (9_001 - Store.FATES_MOST)));
+        Store large = new Store(Table.empty(1), noted);
+        for (int i = 2; i < 1_000; i++) {
+            large.decided(i, "c" + i, Changes.of("c" + i, new Edit.Upsert(ResourceKind.POOL, "p", new byte[60_000], Edit.ANY)));
+        }
+        assertTrue(large.waiting() < 290 && large.waiting() > 250, large.waiting() + " of 60 kB wait");
+    }
+}
