--- a/src/main/java/mastdrift/peers/edge/PeerLinks.java
+++ b/src/main/java/mastdrift/peers/edge/PeerLinks.java
@@ -12,6 +12,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
+import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
@@ -33,16 +34,22 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
+import java.util.function.LongSupplier;
 
 /**
- * Connections between gateways, one a direction and pair: what A tells B goes on the one that A opened. Each message is signed.
+ * Connections between gateways, one a direction and pair: what A tells B goes on the one that A opened. Each message is signed. Who accepted a connection may {@link #reply}
+ * on it, so that one who opens connections only hears too.
  *
  * <p>Who accepts sends a nonce; who connects answers with who it is, whom it means, a nonce of its own and a signature over all; who accepts signs that. From
  * then on both sign by a key derived from the nonces, each message with its number: what is replayed, left out, swapped or changed fails, and ends the
  * connection. Nothing is secret but the key.
  *
- * <p>Who accepts says now and then how much it has read. A connection on which that doesn't move on for {@value #SILENT_MILLIS} ms is closed: the other may have vanished
- * without a word, and what is written would only pile up.
+ * <p>Replies are signed by the same key with another label and have numbers of their own, so that neither direction's bytes pass in the other. A build from before replies
+ * refuses the first one as an unknown frame and ends the connection; it gets none, since it sends no message that is answered so.
+ *
+ * <p>Who accepts says now and then how much it has read, and so does who opened, where there are replies. A connection on which that doesn't move on for
+ * {@value #SILENT_MILLIS} ms is closed: the other may have vanished without a word, and what is written would only pile up. A reply that arrives shows that the other is
+ * there, but what was sent has to be read within {@value #UNREAD_MILLIS} ms all the same: one direction may be cut alone.
  *
  * <p>A message to who can't be reached is dropped, and {@link #send} says so where it is known; whoever sends has to bear that any message may be lost. What is bounded: connections in each direction, those
  * not yet known ({@value #UNKNOWN_MOST}, for {@value #HELLO_MILLIS} ms), a message ({@value #MESSAGE_MOST} bytes), messages read a second from one ({@value #RATE}; then it is read no faster), bytes that wait for a slow
@@ -60,7 +67,9 @@
     public static final int RATE = 4_000;
     static final int HELLO_MILLIS = 2_000;
     static final int SILENT_MILLIS = 3_000;
-    static final int WAITING_MOST = 2 << 20;
+    static final int UNREAD_MILLIS = 4 * SILENT_MILLIS;
+    /** Bytes that wait for a slow one, at most, but for the message that goes over it. */
+    public static final int WAITING_MOST = 2 << 20;
     private static final int CONNECT_MILLIS = 1_000;
     private static final int RETRY_MILLIS = 200;
     private static final int SWEEP_MILLIS = 250;
@@ -76,18 +85,29 @@
     private static final byte WELCOME = 3;
     private static final byte MESSAGE = 4;
     private static final byte SEEN = 5;
+    private static final byte REPLY = 6;
+    private static final byte HEARD = 7;
     private static final byte[] OF_HELLO = {HELLO};
     private static final byte[] OF_WELCOME = {WELCOME};
     private static final byte[] OF_SESSION = {'s'};
+    private static final byte[] OF_REPLY = {'r'};
     private static final JSON CBOR = JSON.builder(new CBORFactory()).build();
 
     /** Who hears. */
     public interface Ears {
-        /** A message of a gateway, in one of its lives. */
+        /** A message of a gateway, in one of its lives; 0 for a reply, since who accepts a connection doesn't tell its life. */
         void heard(String from, long life, byte kind, byte[] message);
 
         /** Something is wrong with a connection: a stable word for what, the other's name or address, and more for a person. */
         void refused(String what, String who, String text);
+
+        /** The connection that was opened to a gateway has ended, or could not be made: what was sent last may be lost, and no more replies come by it. Called in
+            the turn in which it ends; not for those that {@link #leave} or {@link #close} ends. */
+        default void ended(String to) { }
+
+        /** The connection that a gateway opened has ended: no reply reaches it until it opens another, which is told of first. Not for those that {@link #drop} or
+            {@link #close} ends. */
+        default void gone(String from) { }
     }
 
     /** Counts since the start. */
@@ -98,6 +118,7 @@
     private final String own;
     private final int most;
     private final Ears ears;
+    private final LongSupplier clock;
     private final SecureRandom random = new SecureRandom();
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private final Map<String, Out> out = new HashMap<>();
@@ -119,7 +140,13 @@
 
     /** Of a gateway of an installation, with so many connections in each direction. */
     public PeerLinks(EventLoop loop, String installation, String own, int most, Ears ears) {
+        this(loop, installation, own, most, ears, () -> System.nanoTime() / 1_000_000);
+    }
+
+    /** With a clock in milliseconds, which tests move. */
+    PeerLinks(EventLoop loop, String installation, String own, int most, Ears ears, LongSupplier clock) {
         this.loop = loop;
+        this.clock = clock;
         this.installation = installation;
         this.own = own;
         this.most = most;
@@ -172,6 +199,11 @@
         return new Counts(sent, sentBytes, received, receivedBytes, dropped, refused);
     }
 
+    /** Messages and replies on their way: the other ends haven't said yet that they have read them. */
+    long unread() {
+        return out.values().stream().mapToLong(each -> each.number - each.seen).sum() + in.values().stream().mapToLong(each -> each.replies - each.heard).sum();
+    }
+
     /** Gateways that messages go to now, by name. */
     public Map<String, Boolean> links() {
         Map<String, Boolean> links = new TreeMap<>();
@@ -201,8 +233,8 @@
         return nonce;
     }
 
-    private static long millis() {
-        return System.nanoTime() / 1_000_000;
+    private long millis() {
+        return clock.getAsLong();
     }
 
     private static byte[] eight(long number) {
@@ -224,6 +256,46 @@
         return true;
     }
 
+    /** Sends a message back on the connection that a gateway opened. False where there is none, where more than {@link #WAITING_MOST} bytes wait on it already, or the
+        message is too large: it isn't sent then, and whoever sends decides. It may be lost all the same, with its connection. */
+    public boolean reply(String to, byte kind, byte[] message) {
+        In link = message.length > MESSAGE_MOST || closed ? null : in.get(to);
+        if (link == null || !link.reply(new byte[] {kind}, message)) {
+            dropped++;
+            return false;
+        }
+        return true;
+    }
+
+    /** Ends the connection that a gateway opened, where there is one. */
+    public void drop(String from) {
+        In link = in.get(from);
+        if (link != null) {
+            link.over = true;
+            in.remove(from, link);
+            link.channel.close();
+        }
+    }
+
+    /** Ends the connection that was opened to a gateway, where there is one; the next message to it opens another at once. */
+    public void leave(String to) {
+        Out link = out.remove(to);
+        if (link != null) {
+            link.end("left");
+        }
+    }
+
+    /** Whether more waits in a channel than may. */
+    private static boolean full(Channel channel) {
+        return waiting(channel) > WAITING_MOST;
+    }
+
+    /** Bytes that wait in a channel for the other end to read; what a closed one held counts as endless. */
+    private static long waiting(Channel channel) {
+        ChannelOutboundBuffer buffer = channel.unsafe().outboundBuffer();
+        return buffer == null ? Long.MAX_VALUE : buffer.totalPendingWriteBytes();
+    }
+
     private Out open(String to) {
         InetSocketAddress at = addresses.get(to);
         if (at == null || keys.isEmpty() || millis() < retryAt.getOrDefault(to, Long.MIN_VALUE)) {
@@ -237,6 +309,9 @@
             if (oldest != null) {
                 oldest.end("room for another");
             }
+            if (out.size() >= most || out.containsKey(to)) {
+                return out.get(to);  // whoever heard of the end has opened one
+            }
         }
         Out link = new Out(to, at);
         out.put(to, link);
@@ -244,9 +319,11 @@
         return link;
     }
 
-    private void sweep() {
+    /** Ends what is silent; runs every {@value #SWEEP_MILLIS} ms. */
+    void sweep() {
         long now = millis();
         List.copyOf(out.values()).forEach(each -> each.sweep(now));
+        List.copyOf(in.values()).forEach(each -> each.sweep(now));
         retryAt.values().removeIf(at -> at < now);
     }
 
@@ -266,6 +343,10 @@
         private long seen;
         private long movedAt;
         private long usedAt = openedAt;
+        private long replies;
+        private long repliesAt = openedAt;
+        private boolean telling;
+        private final Pace pace = new Pace();
         private boolean over;
 
         Out(String to, InetSocketAddress at) {
@@ -300,7 +381,7 @@
                 }
                 return queued.add(new byte[][] {kind, message});
             }
-            if (channel.unsafe().outboundBuffer() == null || channel.unsafe().outboundBuffer().totalPendingWriteBytes() > WAITING_MOST) {
+            if (full(channel)) {
                 return false;
             }
             if (number == seen) {
@@ -326,6 +407,7 @@
             } else if (type == WELCOME && session == null && challenge != null && Seal.same(body, key.sign(OF_WELCOME, challenge, nonce))) {
                 session = key.derived(OF_SESSION, challenge, nonce);
                 movedAt = millis();
+                channel.pipeline().replace(LengthFieldBasedFrameDecoder.class, "frames", frames(MESSAGE_MOST));
                 for (byte[][] each = queued.poll(); each != null; each = queued.poll()) {
                     send(each[0], each[1]);
                 }
@@ -336,14 +418,45 @@
                     seen = until;
                     movedAt = millis();
                 }
-            } else {
+            } else if (type == REPLY && session != null && body.length > Seal.BYTES && !over) {
+                reply(body);
+            } else if (!over) {
                 refuse("peer_unknown", to, "expected a gateway that knows the key, found another answer");
                 end("another answer");
             }
         }
 
+        private void reply(byte[] body) {
+            byte[] kind = {body[0]};
+            byte[] message = Arrays.copyOfRange(body, 1, body.length - Seal.BYTES);
+            if (!Seal.same(Arrays.copyOfRange(body, body.length - Seal.BYTES, body.length), session.sign(++replies, OF_REPLY, kind, message))) {
+                refuse("peer_signature", to, "expected the signature of reply " + replies + ", found another");
+                end("another signature");
+                return;
+            }
+            received++;
+            receivedBytes += Integer.BYTES + 1 + body.length;
+            repliesAt = millis();
+            usedAt = repliesAt;
+            if (!telling) {
+                telling = true;
+                loop.schedule(this::tell, SWEEP_MILLIS / 2, TimeUnit.MILLISECONDS);
+            }
+            pace.read(channel);
+            ears.heard(to, 0, kind[0], message);
+        }
+
+        private void tell() {
+            telling = false;
+            if (!over) {
+                byte[] count = eight(replies);
+                channel.writeAndFlush(frame(channel, HEARD, count, session.sign(-1, OF_REPLY, count)));
+            }
+        }
+
         void sweep(long now) {
-            if (session == null ? now - openedAt > HELLO_MILLIS : number > seen && now - movedAt > SILENT_MILLIS) {
+            if (session == null ? now - openedAt > HELLO_MILLIS
+                    : number > seen && (now - Math.max(movedAt, repliesAt) > SILENT_MILLIS || now - movedAt > UNREAD_MILLIS)) {
                 end("silent");
             } else if (now - usedAt > IDLE_MILLIS) {
                 end("idle");
@@ -355,10 +468,14 @@
                 over = true;
                 dropped += queued.size();
                 queued.clear();
-                if (out.remove(to, this) && !why.equals("idle")) {
+                boolean held = out.remove(to, this);
+                if (held && !why.equals("idle")) {
                     retryAt.put(to, millis() + RETRY_MILLIS);
                 }
                 channel.close();
+                if (held && !closed) {
+                    ears.ended(to);
+                }
             }
         }
 
@@ -378,6 +495,25 @@
         ears.refused(what, who, text);
     }
 
+    /** Who says more than its rate is read again in the next second. */
+    private final class Pace {
+
+        private long second;
+        private int inSecond;
+
+        void read(Channel channel) {
+            long now = millis();
+            if (now / 1_000 != second) {
+                second = now / 1_000;
+                inSecond = 0;
+            }
+            if (++inSecond >= RATE) {
+                channel.config().setAutoRead(false);
+                loop.schedule(() -> channel.config().setAutoRead(true), 1_000 - now % 1_000, TimeUnit.MILLISECONDS);
+            }
+        }
+    }
+
     // ---- hearing
 
     /** What comes from one gateway. */
@@ -391,8 +527,13 @@
         private long number;
         private long told;
         private boolean telling;
-        private long second;
-        private int inSecond;
+        private final Pace pace = new Pace();
+        private long replies;
+        private long heard;
+        private long movedAt;
+        private long waited;  // at the last sweep
+        private long since;  // bytes written since then
+        private boolean over;
 
         In(Channel channel) {
             this.channel = channel;
@@ -420,6 +561,8 @@
             byte[] body = ByteBufUtil.getBytes(frame);
             if (from == null) {
                 hello(type, body);
+            } else if (type == HEARD && body.length == Long.BYTES + Seal.BYTES) {
+                heard(body);
             } else if (type != MESSAGE || body.length < 1 + Seal.BYTES) {
                 fails("peer_malformed", "expected a message, found type " + type + " of " + body.length + " bytes");
             } else {
@@ -441,20 +584,49 @@
                 telling = true;
                 loop.schedule(this::tell, SWEEP_MILLIS / 2, TimeUnit.MILLISECONDS);
             }
-            paced();
-            ears.heard(from, itsLife, kind[0], message);
+            pace.read(channel);
+            if (!over) {
+                ears.heard(from, itsLife, kind[0], message);
+            }
         }
 
-        /** Who says more than its rate is read again in the next second. */
-        private void paced() {
-            long now = millis();
-            if (now / 1_000 != second) {
-                second = now / 1_000;
-                inSecond = 0;
+        private void heard(byte[] body) {
+            byte[] count = Arrays.copyOf(body, Long.BYTES);
+            long until = ByteBuffer.wrap(count).getLong();
+            if (!Seal.same(Arrays.copyOfRange(body, Long.BYTES, body.length), session.sign(-1, OF_REPLY, count)) || until > replies) {
+                fails("peer_signature", "expected the signature of how many of " + replies + " replies were heard, found another");
+            } else if (until > heard) {
+                heard = until;
+                movedAt = millis();
             }
-            if (++inSecond >= RATE) {
-                channel.config().setAutoRead(false);
-                loop.schedule(() -> channel.config().setAutoRead(true), 1_000 - now % 1_000, TimeUnit.MILLISECONDS);
+        }
+
+        boolean reply(byte[] kind, byte[] message) {
+            if (full(channel)) {
+                return false;
+            }
+            if (replies == heard) {
+                movedAt = millis();
+            }
+            byte[] signature = session.sign(++replies, OF_REPLY, kind, message);
+            channel.writeAndFlush(frame(channel, REPLY, kind, message, signature));
+            int bytes = Integer.BYTES + 2 + message.length + Seal.BYTES;
+            since += bytes;
+            sent++;
+            sentBytes += bytes;
+            return true;
+        }
+
+        /** A large reply on a slow way is heard late, but the bytes before it move: what waits grows less than what is written. */
+        void sweep(long now) {
+            long waiting = waiting(channel);
+            if (waited > 0 && waiting < waited + since) {
+                movedAt = now;
+            }
+            waited = waiting;
+            since = 0;
+            if (replies > heard && now - movedAt > SILENT_MILLIS) {
+                channel.close();
             }
         }
 
@@ -506,10 +678,12 @@
             itsLife = started.longValue();
             unknown--;
             session = by.derived(OF_SESSION, challenge, nonce);
-            In before = in.put(from, this);
+            In before = in.get(from);
             if (before != null) {
+                before.gone();
                 before.channel.close();
             }
+            in.put(from, this);
             channel.pipeline().replace(LengthFieldBasedFrameDecoder.class, "frames", frames(MESSAGE_MOST));
             channel.writeAndFlush(frame(channel, WELCOME, by.sign(OF_WELCOME, challenge, nonce)));
         }
@@ -525,7 +699,15 @@
                 unknown--;
             }
             if (from != null) {
-                in.remove(from, this);
+                gone();
+            }
+        }
+
+        private void gone() {
+            in.remove(from, this);
+            if (!over && !closed) {
+                over = true;
+                ears.gone(from);
             }
         }
 
