--- a/src/main/java/mastdrift/measure/AgreedMeasurement.java
+++ b/src/main/java/mastdrift/measure/AgreedMeasurement.java
@@ -4,6 +4,7 @@
 import java.lang.management.ManagementFactory;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -19,10 +20,10 @@
 import mastdrift.agreed.edge.RaftLog;
 import mastdrift.agreed.edge.Wires;
 
-/** The agreed log of three members in one process: threads and heap while it is idle, and the time from an append to its being known, with fsync. Words: a folder (a disk's, or memory's) and appends (200). */
+/** The agreed log of some members in one process: threads and heap while it is idle, the time from an append to its being known, with fsync, and all members' processor time for
+    one. Words: a folder (a disk's, or memory's), appends (200), members (3; 5 and 7 are allowed, too). */
 public final class AgreedMeasurement {
 
-    private static final int MEMBERS = 3;
     private static final long WAIT_SECONDS = 60;
 
     private AgreedMeasurement() { }
@@ -31,11 +32,12 @@
     public static void main(String[] args) throws Exception {
         Path folder = Files.createDirectories(Path.of(args.length > 0 ? args[0] : "agreed-measurement"));
         int appends = args.length > 1 ? Integer.parseInt(args[1]) : 200;
+        int members = args.length > 2 ? Integer.parseInt(args[2]) : 3;
         Map<String, BiConsumer<String, byte[]>> ears = new ConcurrentHashMap<>();
         ExecutorService network = Executors.newSingleThreadExecutor();
         int threads = Thread.activeCount();
         double heap = Heap.used();
-        List<String> names = List.of("a", "b", "c");
+        List<String> names = List.of("a", "b", "c", "d", "e", "f", "g").subList(0, members);
         List<RaftLog> logs = new ArrayList<>();
         for (String name : names) {
             logs.add(new RaftLog(new RaftLog.Settings(name, "measured", "begin", names, folder.resolve(name), 3_600_000_000L), new Wires() {
@@ -51,16 +53,19 @@
             }, decision -> { }, List::of, (bad, what, text, fields) -> { }));
         }
         append(logs.get(0), "first");
-        System.out.printf(Locale.ROOT, "idle: %.1f threads and %.0f KiB of heap a member%n", (ManagementFactory.getThreadMXBean().getThreadCount() - threads - 1) / (double) MEMBERS,
-                (Heap.used() - heap) / 1024 / MEMBERS);
+        System.out.printf(Locale.ROOT, "idle: %.1f threads and %.0f KiB of heap a member%n", (ManagementFactory.getThreadMXBean().getThreadCount() - threads - 1) / (double) members,
+                (Heap.used() - heap) / 1024 / members);
+        Duration used = ProcessHandle.current().info().totalCpuDuration().orElse(Duration.ZERO);
         double[] micros = new double[appends];
         for (int i = 0; i < appends; i++) {
             long began = System.nanoTime();
-            append(logs.get(i % MEMBERS), "append-" + i);
+            append(logs.get(i % members), "append-" + i);
             micros[i] = (System.nanoTime() - began) / 1e3;
         }
+        Duration after = ProcessHandle.current().info().totalCpuDuration().orElse(Duration.ZERO);
         Arrays.sort(micros);
-        System.out.printf(Locale.ROOT, "append to known, one at a time: half within %.1f ms, 99%% within %.1f ms%n", micros[appends / 2] / 1e3, micros[appends * 99 / 100] / 1e3);
+        System.out.printf(Locale.ROOT, "append to known, one at a time, %d members: half within %.1f ms, 99%% within %.1f ms; %.2f ms of processor time an append, all members together%n",
+                members, micros[appends / 2] / 1e3, micros[appends * 99 / 100] / 1e3, after.minus(used).toNanos() / 1e6 / appends);
         logs.forEach(RaftLog::close);
         network.shutdownNow();
         System.exit(0);
--- a/src/main/java/mastdrift/measure/RosterMeasurement.java
+++ b/src/main/java/mastdrift/measure/RosterMeasurement.java
@@ -1,5 +1,7 @@
 package mastdrift.measure;
 
+import java.lang.management.ManagementFactory;
+import java.lang.management.ThreadMXBean;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -16,7 +18,7 @@
 import mastdrift.peers.Word;
 import mastdrift.peers.edge.WordCodec;
 
-/** What membership costs and how soon it knows, among 100 and 1,000 gateways, by the model. Words: seeds of each figure (3). */
+/** What membership costs and how soon it knows, among 100 and 1,000 gateways, by the model. Words: seeds of each figure (3), and sizes (then only what each costs there). */
 public final class RosterMeasurement {
 
     private static final long SECOND = 1_000_000;
@@ -34,18 +36,25 @@
         Rumor rumor = new Rumor(new Card("gateway-bilbao-17", 1_767_225_600_000_000L, "bilbao", "0.1.0", "0123456789ab"), 3, Standing.ALIVE, "gateway-bilbao-17");
         double empty = WordCodec.bytes(new Word.Ping(1_000_000, List.of())).length + FRAME;
         double each = WordCodec.bytes(new Word.Ping(1_000_000, List.of(rumor))).length + FRAME - empty;
-        for (int gateways : new int[] {100, 1_000}) {
+        int[] sizes = args.length > 1 ? Arrays.stream(args).skip(1).mapToInt(Integer::parseInt).toArray() : new int[] {100, 1_000};
+        for (int gateways : sizes) {
             for (long seed = 1; seed <= seeds; seed++) {
                 PeerRun begin = play(gateways, 30, 2 * SECOND, seed);
-                long began = System.nanoTime();
+                ThreadMXBean own = ManagementFactory.getThreadMXBean();
+                long began = own.getCurrentThreadCpuTime();
                 PeerRun run = play(gateways, 60, 2 * SECOND, seed);
-                double micros = (System.nanoTime() - began) / 1e3;
+                double micros = (own.getCurrentThreadCpuTime() - began) / 1e3;
                 double words = (run.words() - begin.words()) / 30.0 / gateways;
                 double rumors = (run.rumors() - begin.rumors()) / 30.0 / gateways;
-                System.out.printf(Locale.ROOT, "%d gateways, seed %d: %.1f words a second each, %.0f bytes a second each, %.0f us of the model's time a second each%n", gateways, seed,
+                System.out.printf(Locale.ROOT, "%d gateways, seed %d: %.1f words a second each, %.0f bytes a second each, %.0f us of the model's processor time a second each%n", gateways, seed,
                         words, words * empty + rumors * each, micros / 60 / gateways);
             }
-            deaths(gateways, seeds);
+            if (args.length < 2) {
+                deaths(gateways, seeds);
+            }
+        }
+        if (args.length > 1) {
+            return;
         }
         for (long seed = 1; seed <= seeds; seed++) {
             List<PeerFault> faults = new ArrayList<>(List.of(new PeerFault(Kind.LOSS, 0, 3_600 * SECOND, 0, -1, 0.05)));
