--- a/src/main/java/mastdrift/net/ClientSide.java
+++ b/src/main/java/mastdrift/net/ClientSide.java
@@ -69,14 +69,17 @@
     // Connections that are taken from the system's queue in one turn: more would hold up everybody else.
     private static final int ACCEPTED_MOST = 16;
     // Behind the current request so many are kept, and so many more are counted, to be refused in their turn. Reading goes on all the while, or
-    // the end of a connection would not be heard while its requests wait to be sent on.
+    // the end of a connection would not be heard while its requests wait to be sent on. Where it has to pause, all that stands unread is refused.
     private static final int PIPELINED_MOST = 8;
     static final int COUNTED_MOST = 1_024;
     // Stands for one of those that were only counted.
     private static final FullHttpRequest COUNTED = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "", Unpooled.EMPTY_BUFFER);
-    // What may have waited for longer than this before it was read may have a client that has left since, whose end stands behind it and would be read
-    // one turn later: then that is looked for first. Twice the loop's longest wait, so that it costs nothing while the loop keeps up.
-    private static final long LOOK_AFTER = 100_000;
+    // No attempt may begin more than 0.1 s after its client has left. An end that may stand unread for longer than this is looked for ahead of each: longer
+    // than the loop ever waits, so that it costs nothing while the loop keeps up, and short enough to leave 40 ms for the ways from the client and to the host.
+    private static final long LOOK_AFTER = 60_000;
+    // Where reading had to pause, an end stands behind all that is unread: it is looked for by so many reads of 64 KiB at the most, and whoever has sent more
+    // counts as gone.
+    private static final int PAUSED_LOOKS = 16;
     // At a stop, new connections go on coming for a while before the front has noticed.
     private static final long STOP_ACCEPTING_MILLIS = 500;
     // For so long clients are served on the connections that they have, since other gateways may be away as well; and
@@ -343,10 +346,12 @@
         private StrictDecoder decoder;  // null while there is none
         private ArrayDeque<Arrived> waiting;  // requests behind the current one, null until there is one
         private int counted;  // behind those
+        private boolean flooded;  // reading had to pause: what is read may stand far ahead of its client's end, until all has been read
         private FullHttpRequest current;
         private Exchange exchange;
         private String id;
         private boolean read;
+        private boolean reading;  // what was read is being handled, within the event that read it
         private boolean finished;  // its last answer is out
         private long openedIn;  // the turn
         private long openedSince;  // the earliest moment at which it may have been there
@@ -424,7 +429,12 @@
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             if (message instanceof FullHttpRequest request) {
-                arrived(request);
+                reading = true;
+                try {
+                    arrived(request);
+                } finally {
+                    reading = false;
+                }
             } else {
                 decoder = new StrictDecoder();
                 channel.pipeline().addFirst(decoder, new HttpResponseEncoder(), new Requests());
@@ -449,13 +459,14 @@
             if (waiting == null) {
                 waiting = new ArrayDeque<>(2);
             }
-            if (counted == 0 && waiting.size() < PIPELINED_MOST) {
+            if (!flooded && counted == 0 && waiting.size() < PIPELINED_MOST) {
                 waiting.add(arrived);
                 return;
             }
             message.release();
             if (++counted >= COUNTED_MOST) {  // an end would be heard no more: then nothing of this connection may wait to be sent on
                 channel.config().setAutoRead(false);
+                flooded = true;
                 counted += waiting.size();
                 dropWaiting();
             }
@@ -502,7 +513,12 @@
             current = arrived.message;
             // Since it was read, an end has been heard in the turn in which it came.
             long unheard = arrived.turn == ledger.turn() ? Math.max(ledger.now() - arrived.at, ledger.unseen()) : ledger.unseen();
-            if (unheard > LOOK_AFTER) {
+            if (flooded && current != COUNTED) {
+                loop.execute(() -> {  // where all behind it has been read, it is as good as any
+                    flooded = !Look.through(channel, PAUSED_LOOKS);
+                    beginNow(arrived);
+                });
+            } else if (unheard > LOOK_AFTER) {
                 loop.execute(() -> {  // not within the read that brought it
                     Look.at(channel);
                     beginNow(arrived);
@@ -524,7 +540,7 @@
 
         private void begin(Arrived arrived) {
             FullHttpRequest message = arrived.message;
-            if (message == COUNTED) {
+            if (message == COUNTED || flooded) {
                 refused(0);
                 return;
             }
@@ -611,8 +627,18 @@
             return hash;
         }
 
+        /** Its end may stand unread: it is looked for where that may have come too long ago, or isn't read by itself. */
         @Override
         public boolean there() {
+            if (reading) {
+                return channel.isActive();  // as of a moment ago, and nothing more can be read from here
+            }
+            if (!channel.config().isAutoRead()) {
+                return Look.through(channel, PAUSED_LOOKS) && channel.isActive();
+            }
+            if (ledger.unseen() > LOOK_AFTER) {
+                Look.at(channel);
+            }
             return channel.isActive();
         }
 
--- a/src/main/java/mastdrift/net/Look.java
+++ b/src/main/java/mastdrift/net/Look.java
@@ -16,4 +16,15 @@
             socket.read();
         }
     }
+
+    /** Likewise, until nothing is left to be read, by {@code most} looks; false where more may stand there. */
+    static boolean through(Channel channel, int most) {
+        for (int i = 0; i < most && channel.isActive(); i++) {
+            at(channel);
+            if (channel.unsafe().recvBufAllocHandle().lastBytesRead() <= 0) {
+                return true;
+            }
+        }
+        return !channel.isActive();
+    }
 }
--- a/src/test/java/mastdrift/RulesTest.java
+++ b/src/test/java/mastdrift/RulesTest.java
@@ -11,6 +11,7 @@
 import mastdrift.Balancer.Repeat;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -152,6 +153,7 @@
         private final Random random;
         private final Gateway gateway = new Gateway();
         private final Map<Long, Map<Integer, Outcome>> ended = new HashMap<>();
+        private final Set<Long> asked = new LinkedHashSet<>();
         private final Set<Long> finished = new HashSet<>();
         private final Set<String> shut = new HashSet<>();
         private int seen;
@@ -173,11 +175,13 @@
         }
 
         void step() {
-            int kind = random.nextInt(10);
+            int kind = random.nextInt(11);
             if (kind < 4) {
-                gateway.request("read", null, (long) random.nextInt(30), 200_000 + random.nextInt(800_000));
+                asked.add(gateway.request("read", null, (long) random.nextInt(30), 200_000 + random.nextInt(800_000)));
             } else if (kind < 8) {
                 endOne();
+            } else if (kind == 10) {
+                leaveOne();
             } else if (kind == 8) {
                 gateway.advance(random.nextInt(100_000));
             } else {
@@ -210,6 +214,16 @@
                     gateway.now - send.at(), over || outcome == Outcome.DELIVERED, Gateway.NO_REPORT);
         }
 
+        /** A client goes: from then on nothing of its request may be sent. */
+        private void leaveOne() {
+            List<Long> open = asked.stream().filter(id -> !finished.contains(id)).toList();
+            if (!open.isEmpty()) {
+                long id = open.get(random.nextInt(open.size()));
+                finished.add(id);
+                gateway.module.departed(gateway.now, id);
+            }
+        }
+
         private void check() {
             for (; seen < gateway.sent.size(); seen++) {
                 Gateway.Sent send = gateway.sent.get(seen);
@@ -224,6 +238,9 @@
             assertEquals(gateway.refused.size() + gateway.failed.size(), answers.size(), "answered twice");
             gateway.failed.forEach(id -> finished.add(Long.valueOf(id)));
             gateway.refused.forEach(id -> checkRefusal(Long.parseLong(id)));
+            Set<Long> out = new HashSet<>();
+            gateway.sent.stream().filter(s -> !ended.getOrDefault(s.id(), Map.of()).containsKey(s.attempt())).forEach(s -> out.add(s.id()));
+            asked.forEach(id -> assertTrue(out.contains(id) || finished.contains(id), "a request waits in the module with no attempt out"));
         }
 
         private void checkRepeat(Gateway.Sent send) {
--- a/src/test/java/mastdrift/net/ClientGoneTest.java
+++ b/src/test/java/mastdrift/net/ClientGoneTest.java
@@ -16,17 +16,21 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.io.OutputStream;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.stream.Stream;
 import mastdrift.Balancer;
 import mastdrift.engine.Ask;
 import mastdrift.engine.Call;
@@ -39,10 +43,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A client that leaves while its request waits: however that crosses with what it waits for, nothing of it is sent on. What came is counted at the
-    host, up to a marker that is sent last. */
+/** A client that leaves while its request waits: from 0.1 s later on no attempt of it begins, neither the first nor a further one, however its end crosses
+    with what it waits for. What lets an attempt begin is let go once that time is over, however late the gateway's loop was meanwhile; what came is counted
+    at the hosts, up to markers that are sent last. */
 class ClientGoneTest {
 
+    private static final long TERM = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final int FILLING = 2;  // the system holds one more than it is told
+
     @TempDir
     private Path folder;
 
@@ -59,16 +67,87 @@
         return request.replace("9b1f", id);
     }
 
+    /** Ends a client's connection, orderly, by a reset, or its half. */
+    private static void leave(Socket client, String how) throws IOException {
+        if (how.equals("half")) {
+            client.shutdownOutput();
+        } else {
+            client.setSoLinger(how.equals("reset"), 0);
+            client.close();
+        }
+    }
+
+    /** From here on nothing of a client that has left may begin. */
+    private static void passTerm() {
+        long until = System.nanoTime() + TERM;
+        while (System.nanoTime() < until) {  // that it goes by is the case itself
+            Thread.onSpinWait();
+        }
+    }
+
+    private static void leaveForGood(Socket client, String how) throws IOException {
+        leave(client, how);
+        passTerm();
+    }
+
+    /** A client that the gateway has met. */
+    private static Socket met(Node node) throws IOException {
+        Socket client = node.connect();
+        write(client, "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
+        assertEquals(200, Loopback.read(client).status());
+        return client;
+    }
+
+    /** Has the loop stand still at each request that it takes, from reading it until the latch is let go: what it has found ready besides is handled behind
+        that, and what comes meanwhile is unread by then. */
+    private static CountDownLatch holdAtNextRequest(Node node, CountDownLatch go) {
+        CountDownLatch held = new CountDownLatch(1);
+        node.gateway.ledger().witness(new Witness() {
+            @Override
+            public void taken(Call call, Ask ask) {
+                held.countDown();
+                awaitGo(go);
+            }
+
+            @Override
+            public void ended(Call call, End end, Balancer.Why why) { }
+        });
+        return held;
+    }
+
+    private static void awaitGo(CountDownLatch go) {
+        try {
+            go.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
+        } catch (InterruptedException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    /** Whether a connection to the port is being dialled: SYN_SENT, by the system's own table (proc(5)). */
+    private static boolean dialling(int port) throws IOException {
+        String to = String.format("0100007F:%04X 02 ", port);
+        for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
+            try (Stream<String> lines = Files.lines(Path.of(table))) {
+                if (lines.anyMatch(line -> line.contains(to))) {
+                    return true;
+                }
+            }
+        }
+        return false;
+    }
+
     private static void awaitNobody(Node node) throws Exception {
         eventually(() -> node.loop.submit(() -> node.clients.connections()).get() == 0);
     }
 
-    /** The ids that a host has had once it gets two requests more, one after the other. */
-    private static Set<String> seen(Node node, Server host) throws Exception {
-        assertEquals(200, node.ask(id(read(20_000), "marker")).status());
+    /** The ids that hosts have had beside those taken out before, once two requests more have been served, one after the other. */
+    private static Set<String> seen(Node node, Server... hosts) throws Exception {
+        eventually(() -> node.ask(id(read(20_000), "marker")).status() == 200);
         assertEquals(200, node.ask(id(read(20_000), "marker")).status());
         Set<String> ids = new HashSet<>();
-        host.received.forEach(message -> ids.add(message.header("X-Trace-Id")));
+        for (Server host : hosts) {
+            host.received.forEach(message -> ids.add(message.header("X-Trace-Id")));
+        }
         assertTrue(ids.remove("marker"));
         return ids;
     }
@@ -79,11 +158,7 @@
         CountDownLatch go = new CountDownLatch(1);
         node.loop.execute(() -> {
             begun.countDown();
-            try {
-                go.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
-            } catch (InterruptedException e) {
-                throw new IllegalStateException(e);
-            }
+            awaitGo(go);
         });
         assertTrue(begun.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
         return go;
@@ -107,9 +182,9 @@
                 write(client, id(read(60_000), "id" + i));
             }
             await(host.received);
-            client.close();
-            awaitNobody(node);
+            leaveForGood(client, "close");
             answers.countDown();
+            awaitNobody(node);
             assertEquals(Set.of(), seen(node, host));
         }
     }
@@ -154,55 +229,181 @@
         }
     }
 
-    /** The connection to the host comes up after the client has left: a host whose queue of new connections is full lets it wait. */
+    /** So much stands unread behind its request that reading has paused, and its end behind that: it is looked for ahead of a further attempt, and where there
+        is too much to look through, none begins. */
     @ParameterizedTest
-    @CsvSource({"true,true", "true,false", "false,true", "false,false"})
-    void whileItsConnectionIsDialled(boolean cancel, boolean copies) throws Exception {
-        List<Socket> filling = new ArrayList<>();
-        List<Socket> accepted = new ArrayList<>();
-        try (Server discovery = discovery();
-                ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            for (int i = 0; i < 2; i++) {  // the system holds one more than it is told
-                filling.add(new Socket(full.getInetAddress(), full.getLocalPort()));
+    @CsvSource({"close,3000", "half,3000", "reset,3000", "close,40000", "half,40000", "reset,40000"})
+    void pausedBehindPipelinedRequestsBeforeItsRepeat(String how, int requests) throws Exception {
+        CountDownLatch left = new CountDownLatch(1);
+        try (Server discovery = discovery(); Server other = host("x"); Server host = turnsAway(left);
+                Node node = node(discovery, false, true, up("s1", host.address()))) {
+            Socket client = node.connect();
+            write(client, id(read(60_000), "gone"));
+            await(host.received);
+            Loopback.tell(await(discovery.received).socket(), list(2, true, up("s1", host.address()), up("s2", other.address())));
+            flood(client, requests);
+            eventually(() -> node.loop.submit(() -> node.clients.counted()).get() >= ClientSide.COUNTED_MOST);
+            leaveForGood(client, how);
+            left.countDown();
+            awaitNobody(node);
+            assertEquals(Set.of(), seen(node, host, other));
+        }
+    }
+
+    /** Likewise while the connection to the host is dialled. */
+    @ParameterizedTest
+    @ValueSource(strings = {"close", "half", "reset"})
+    void pausedBehindPipelinedRequestsWhileItsConnectionIsDialled(String how) throws Exception {
+        try (Server discovery = discovery(); Full full = new Full(); Node node = node(discovery, false, true, up("s1", full.address()))) {
+            Socket client = node.connect();
+            write(client, id(read(60_000), "gone"));
+            eventually(() -> dialling(full.port()));
+            flood(client, 3_000);
+            eventually(() -> node.loop.submit(() -> node.clients.counted()).get() >= ClientSide.COUNTED_MOST);
+            leaveForGood(client, how);
+            assertEquals(Set.of(), seen(node, full, true));
+        }
+    }
+
+    /** Writes that many requests, and lets their answers go, until the end. */
+    private static void flood(Socket client, int requests) {
+        run(() -> {
+            for (int i = 0; i < requests; i++) {
+                write(client, id(read(60_000), "id" + i));
             }
-            try (Node node = node(discovery, cancel, copies, up("s1", "127.0.0.1:" + full.getLocalPort()))) {
-                Socket client = node.connect();
-                write(client, id(read(60_000), "gone"));
-                eventually(() -> node.loop.submit(() -> node.gateway.ledger().open()).get() == 1);
-                client.close();
-                awaitNobody(node);
-                full.setSoTimeout(Loopback.WAIT_SECONDS * 1000);
-                for (int i = 0; i < filling.size(); i++) {
-                    accepted.add(full.accept());
-                }
-                // What is dialled and can't be cancelled comes up all the same: for nobody, and kept for the marker, which finds it there.
-                Socket came = cancel ? null : full.accept();
-                Socket marker = node.connect();
-                write(marker, id(read(60_000), "marker"));
-                came = cancel ? full.accept() : came;
-                accepted.add(came);
-                came.setSoTimeout(Loopback.WAIT_SECONDS * 1000);
-                Message first = Loopback.read(came);
-                assertEquals("marker", first.header("X-Trace-Id"));
+        });
+        run(() -> client.getInputStream().transferTo(OutputStream.nullOutputStream()));
+    }
+
+    /** A host that answers markers, and turns others away once the latch is let go. */
+    private static Server turnsAway(CountDownLatch once) throws IOException {
+        return new Server(message -> {
+            if (message.header("X-Trace-Id").equals("marker")) {
+                write(message.socket(), answer("200 OK", "x"));
+            } else {
+                once.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
+                write(message.socket(), "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
             }
-        } finally {
-            for (Socket each : accepted) {
-                each.close();
+        });
+    }
+
+    /** A host whose queue of new connections is full: who comes waits until there is room, and is answered from then on. */
+    private static final class Full implements AutoCloseable {
+
+        private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
+        private final List<Socket> sockets = new CopyOnWriteArrayList<>();
+        private final List<String> received = new CopyOnWriteArrayList<>();
+
+        Full() throws IOException {
+            for (int i = 0; i < FILLING; i++) {
+                sockets.add(new Socket(listener.getInetAddress(), port()));
             }
-            for (Socket each : filling) {
+        }
+
+        int port() {
+            return listener.getLocalPort();
+        }
+
+        String address() {
+            return "127.0.0.1:" + port();
+        }
+
+        /** Connections that have come beside those that filled it. */
+        int came() {
+            return Math.max(0, sockets.size() - 2 * FILLING);
+        }
+
+        void room() {
+            run(() -> {
+                while (true) {
+                    Socket came = listener.accept();
+                    sockets.add(came);
+                    run(() -> {
+                        for (Message next = Loopback.read(came); next != null; next = Loopback.read(came)) {
+                            received.add(next.header("X-Trace-Id"));
+                            write(came, answer("200 OK", "x"));
+                        }
+                    });
+                }
+            });
+        }
+
+        @Override
+        public void close() throws IOException {
+            listener.close();
+            for (Socket each : sockets) {
                 each.close();
             }
         }
     }
 
+    private interface Body {
+        void run() throws IOException;
+    }
+
+    private static void run(Body body) {
+        Thread thread = new Thread(() -> {
+            try {
+                body.run();
+            } catch (IOException e) {
+                return;  // the other side has left, or the test's end closed it
+            }
+        });
+        thread.setDaemon(true);
+        thread.start();
+    }
+
+    /** The ids that a host had which had no room, once it has it, beside the markers that it is asked for then. */
+    private static Set<String> seen(Node node, Full full, boolean comesUp) throws Exception {
+        full.room();
+        eventually(() -> full.came() > 0 || !comesUp);
+        awaitNobody(node);
+        eventually(() -> node.ask(id(read(20_000), "marker")).status() == 200);
+        // What is dialled and can't be cancelled comes up all the same: for nobody, and is kept for the marker, which finds it there.
+        assertTrue(!comesUp || full.came() == 1, "connections to the host: " + full.came());
+        assertEquals(200, node.ask(id(read(20_000), "marker")).status());
+        Set<String> ids = new HashSet<>(full.received);
+        assertTrue(ids.remove("marker"));
+        return ids;
+    }
+
+    /** The connection to the host comes up after the client has left, for its first attempt or for a further one. */
+    @ParameterizedTest
+    @CsvSource({"true,true,first", "true,false,first", "false,true,first", "false,false,first",
+        "true,true,further", "false,true,further", "true,false,further", "false,false,further"})
+    void whileItsConnectionIsDialled(boolean cancel, boolean copies, String which) throws Exception {
+        CountDownLatch told = new CountDownLatch(1);
+        try (Server discovery = discovery(); Full full = new Full(); Server refuses = turnsAway(told)) {
+            String entry = up("s2", full.address());
+            String other = up("s1", refuses.address());
+            boolean further = which.equals("further");
+            try (Node node = node(discovery, cancel, copies, further ? other : entry)) {
+                Socket client = node.connect();
+                Socket watch = await(discovery.received).socket();
+                write(client, id(read(60_000), "gone"));
+                if (further) {
+                    await(refuses.received);
+                    Loopback.tell(watch, list(2, true, other, entry));
+                    eventually(() -> node.log.toString(StandardCharsets.UTF_8).contains("list 2"));
+                    told.countDown();
+                }
+                eventually(() -> dialling(full.port()));
+                if (further) {
+                    Loopback.tell(watch, list(3, true, entry));
+                    eventually(() -> node.log.toString(StandardCharsets.UTF_8).contains("list 3"));
+                }
+                leaveForGood(client, "close");
+                assertEquals(Set.of(), seen(node, full, !cancel));
+            }
+        }
+    }
+
     /** The module has chosen a host and its connection is being dialled; client's end and connection come up in the same turn. */
     @ParameterizedTest
     @CsvSource({"true,true", "true,false", "false,true", "false,false"})
     void inTheTurnInWhichItsConnectionComesUp(boolean cancel, boolean copies) throws Exception {
         try (Server discovery = discovery(); Server host = host("x"); Node node = node(discovery, cancel, copies, up("s1", host.address()))) {
-            Socket client = node.connect();
-            write(client, "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
-            assertEquals(200, Loopback.read(client).status());
+            Socket client = met(node);
             CountDownLatch dialled = new CountDownLatch(1);
             CountDownLatch left = new CountDownLatch(1);
             node.gateway.ledger().witness(new Witness() {
@@ -211,11 +412,7 @@
                     // Behind the event that dials, and what that leaves to the loop, in the same turn.
                     node.loop.execute(() -> node.loop.execute(() -> node.loop.execute(() -> {
                         dialled.countDown();
-                        try {
-                            left.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
-                        } catch (InterruptedException e) {
-                            throw new IllegalStateException(e);
-                        }
+                        awaitGo(left);
                     })));
                 }
 
@@ -226,60 +423,145 @@
             assertTrue(dialled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
             node.gateway.ledger().witness(null);
             eventually(() -> !host.accepted.isEmpty());
-            client.close();
+            leaveForGood(client, "close");
             left.countDown();
             awaitNobody(node);
             assertEquals(Set.of(), seen(node, host));
         }
     }
 
-    /** The request and its client's end came while the loop was held for longer than the term: read together, nothing is sent. */
+    /** Likewise, but the loop stands still once it has found that the connection is up, for longer than the term: the client's end is not among what
+        it found. */
     @ParameterizedTest
-    @CsvSource({"close,true", "close,false", "half,true", "half,false", "reset,true", "reset,false"})
-    void whileTheLoopWasHeld(String how, boolean cancel) throws Exception {
-        try (Server discovery = discovery(); Server host = host("x"); Node node = node(discovery, cancel, true, up("s1", host.address()))) {
-            assertEquals(200, node.ask(id(read(20_000), "marker")).status());  // a connection to the host stands
-            Socket client = node.connect();
-            write(client, "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
-            assertEquals(200, Loopback.read(client).status());
-            CountDownLatch go = hold(node);
+    @CsvSource({"close,true,true", "close,true,false", "close,false,true", "close,false,false", "half,true,true", "half,false,true", "reset,true,true",
+        "reset,false,true"})
+    void onALateLoopWhoseTurnFoundItsConnectionUp(String how, boolean cancel, boolean copies) throws Exception {
+        CountDownLatch go = new CountDownLatch(1);
+        try (Server discovery = discovery(); Server host = host("x"); Node node = node(discovery, cancel, copies, up("s1", host.address()))) {
+            Socket client = met(node);
+            Socket holder = met(node);
+            CountDownLatch dialled = new CountDownLatch(1);
+            CountDownLatch ready = new CountDownLatch(1);
+            node.gateway.ledger().witness(new Witness() {
+                @Override
+                public void taken(Call call, Ask ask) {
+                    // Behind the event that dials, and what that leaves to the loop, in the same turn.
+                    node.loop.execute(() -> node.loop.execute(() -> node.loop.execute(() -> {
+                        dialled.countDown();
+                        awaitGo(ready);
+                    })));
+                }
+
+                @Override
+                public void ended(Call call, End end, Balancer.Why why) { }
+            });
             write(client, id(read(60_000), "gone"));
-            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(350);
-            while (System.nanoTime() < until) {  // how late the loop is, is the case itself
-                Thread.onSpinWait();
-            }
-            if (how.equals("half")) {
-                client.shutdownOutput();
-            } else {
-                client.setSoLinger(how.equals("reset"), 0);
-                client.close();
-            }
+            assertTrue(dialled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+            CountDownLatch held = holdAtNextRequest(node, go);
+            eventually(() -> !host.accepted.isEmpty());
+            write(holder, id(read(60_000), "holder"));
+            ready.countDown();
+            assertTrue(held.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+            leaveForGood(client, how);
+            node.gateway.ledger().witness(null);
             go.countDown();
-            assertEquals(Set.of(), seen(node, host));
-            assertFalse(node.log.toString(StandardCharsets.UTF_8).contains("fault"), node.log.toString(StandardCharsets.UTF_8));
+            assertEquals(200, Loopback.read(holder).status());
+            Set<String> ids = seen(node, host);
+            ids.remove("holder");
+            assertEquals(Set.of(), ids);
         }
     }
 
-    /** The host turns the request away after its client has left: it is not tried elsewhere. */
+    /** The host's refusal was found in the turn in which the loop stands still for longer than the term. */
     @ParameterizedTest
-    @CsvSource({"true,true", "true,false", "false,true", "false,false"})
-    void beforeItsRepeat(boolean cancel, boolean copies) throws Exception {
-        CountDownLatch left = new CountDownLatch(1);
+    @CsvSource({"close,true,true", "close,true,false", "close,false,true", "close,false,false", "half,false,true", "reset,false,true"})
+    void onALateLoopWhoseTurnFoundItsRefusal(String how, boolean cancel, boolean copies) throws Exception {
+        CountDownLatch refused = new CountDownLatch(1);
+        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch rest = new CountDownLatch(1);
         try (Server discovery = discovery(); Server other = host("x");
                 Server host = new Server(message -> {
-                    left.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
-                    write(message.socket(), "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
+                    if (message.header("X-Trace-Id").equals("gone")) {
+                        // Its rest comes once the loop stands still, so that nothing can come of it before.
+                        refused.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
+                        write(message.socket(), "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\n");
+                        rest.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
+                        write(message.socket(), "Content-Length: 0\r\n\r\n");
+                        go.countDown();
+                    } else {
+                        write(message.socket(), answer("200 OK", "x"));
+                    }
                 });
                 Node node = node(discovery, cancel, copies, up("s1", host.address()))) {
+            Socket client = met(node);
+            Socket holder = met(node);
+            write(client, id(read(60_000), "gone"));
+            await(host.received);
+            Loopback.tell(await(discovery.received).socket(), list(2, true, up("s1", host.address()), up("s2", other.address())));
+            eventually(() -> node.log.toString(StandardCharsets.UTF_8).contains("list 2"));
+            CountDownLatch turn = hold(node);
+            CountDownLatch held = holdAtNextRequest(node, go);
+            write(holder, id(read(60_000), "holder"));
+            refused.countDown();
+            turn.countDown();
+            assertTrue(held.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+            leaveForGood(client, how);
+            node.gateway.ledger().witness(null);
+            rest.countDown();
+            assertEquals(200, Loopback.read(holder).status());
+            Set<String> ids = seen(node, host, other);
+            ids.remove("holder");
+            assertEquals(Set.of(), ids);
+        }
+    }
+
+    /** The request came while the loop was held, and its client left longer ago than the term when the loop goes on, or in the last moment: read together with
+        its end, which stands behind it, nothing is sent; nor where there is no host yet, one that has just started, or one to be dialled. */
+    @ParameterizedTest
+    @CsvSource({"close,true,after", "close,false,after", "half,true,after", "half,false,after", "reset,true,after", "reset,false,after",
+        "close,true,before", "close,false,before", "half,false,before", "reset,false,before", "close,false,cold", "close,false,dialled"})
+    void whileTheLoopWasHeld(String how, boolean cancel, String when) throws Exception {
+        try (Server discovery = discovery(); Server host = host("x")) {
+            String entry = up("s1", host.address()).replace("\"boot_ms\":0", "\"boot_ms\":" + (when.equals("cold") ? System.currentTimeMillis() : 0));
+            try (Node node = node(discovery, cancel, true, entry)) {
+                if (!when.equals("dialled") && !when.equals("cold")) {
+                    assertEquals(200, node.ask(id(read(20_000), "marker")).status());  // a connection to the host stands
+                }
+                Socket client = met(node);
+                CountDownLatch go = hold(node);
+                write(client, id(read(60_000), "gone"));
+                if (when.equals("before")) {
+                    passTerm();
+                    leave(client, how);
+                } else {
+                    leaveForGood(client, how);
+                }
+                go.countDown();
+                if (when.equals("cold")) {
+                    Loopback.tell(await(discovery.received).socket(), list(2, true, up("s2", host.address())));  // so that markers needn't wait for it
+                }
+                assertEquals(Set.of(), seen(node, host));
+                assertFalse(node.log.toString(StandardCharsets.UTF_8).contains("fault"), node.log.toString(StandardCharsets.UTF_8));
+            }
+        }
+    }
+
+    /** The host turns the request away after its client has left, or breaks it off unbegun: it is not tried elsewhere. */
+    @ParameterizedTest
+    @CsvSource({"close,true,true", "close,true,false", "close,false,true", "close,false,false", "half,false,true", "reset,false,true"})
+    void betweenTwoTries(String how, boolean cancel, boolean copies) throws Exception {
+        CountDownLatch left = new CountDownLatch(1);
+        try (Server discovery = discovery(); Server other = host("x"); Server host = turnsAway(left);
+                Node node = node(discovery, cancel, copies, up("s1", host.address()))) {
             Socket client = node.connect();
             write(client, id(read(60_000), "gone"));
             await(host.received);
             Loopback.tell(await(discovery.received).socket(), list(2, true, up("s1", host.address()), up("s2", other.address())));
-            client.close();
-            awaitNobody(node);
+            eventually(() -> node.log.toString(StandardCharsets.UTF_8).contains("list 2"));
+            leaveForGood(client, how);
             left.countDown();
-            eventually(() -> node.ask(id(read(20_000), "marker")).status() == 200);
-            assertEquals(Set.of(), seen(node, other));
+            awaitNobody(node);
+            assertEquals(Set.of(), seen(node, host, other));
         }
     }
 }
