--- a/src/main/java/mastdrift/net/HostPool.java
+++ b/src/main/java/mastdrift/net/HostPool.java
@@ -429,9 +429,10 @@
             boolean wanted = next.ended.wanted();
             if (!good || !wanted || now >= next.leaveBy) {
                 next.end(Outcome.UNUSED, null);
-                if (good && !wanted && channel.isActive()) {
+                // It was paid for, and carried nothing that could still be answered; but who leaves has lost its idle ones, and nobody looks for more.
+                if (good && !wanted && peer.sendUntil == Long.MAX_VALUE && channel.isActive()) {
                     idleSince = now;
-                    rest();  // it was paid for, and carried nothing that could still be answered
+                    rest();
                 } else {
                     channel.close();
                 }
--- a/src/test/java/mastdrift/net/HostPoolTest.java
+++ b/src/test/java/mastdrift/net/HostPoolTest.java
@@ -14,6 +14,7 @@
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.concurrent.BlockingQueue;
@@ -174,6 +175,34 @@
         assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
     }
 
+    /** Guards against a connection that nobody looks at any more: it came up for nobody, within the grace of a host that leaves or is off the list, which has
+        lost its idle ones by then. */
+    @ParameterizedTest
+    @ValueSource(strings = {"terminating", "off the list"})
+    void aConnectionThatComesUpForNobodyIsNotKeptForAHostThatLeaves(String how) throws Exception {
+        HostPool pool = pool(10);
+        onLoop(() -> {
+            FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api");
+            pool.send("s1", message, LONG, LEAVE, new HostPool.Ended() {
+                @Override
+                public void ended(Outcome outcome, FullHttpResponse answer) {
+                    outcomes.add(outcome);
+                }
+
+                @Override
+                public boolean wanted() {
+                    return false;
+                }
+            });
+            update(pool, how.equals("terminating") ? list(2, false, entry("s1", one.address(), "a", "terminating"))
+                    : list(2, true, entry("s2", two.address(), "a", "in_service")));
+            return null;
+        });
+        assertEquals(Outcome.UNUSED, await(outcomes));
+        assertNotNull(await(one.ended));
+        assertTrue(one.received.isEmpty());
+    }
+
     @Test
     void aHostThatIsGoneGetsNothing() throws Exception {
         HostPool pool = pool(10);
