--- a/src/main/java/mastdrift/engine/Ledger.java
+++ b/src/main/java/mastdrift/engine/Ledger.java
@@ -153,7 +153,8 @@
     private void turnedAway(Pool pool, Client client, Call call, Ask ask) {
         over(call, Witness.End.REFUSED, Why.GATEWAY);
         count.refused(ask.className(), Why.GATEWAY);
-        client.refused(pool.settings().limits().maxRetryAfter());
+        Balancer.Limits limits = pool.settings().limits();
+        client.refused(limits.retryAfter() ? limits.maxRetryAfter() : 0);
     }
 
     private void over(Call call, Witness.End end, Why why) {
--- a/src/main/java/mastdrift/net/ClientSide.java
+++ b/src/main/java/mastdrift/net/ClientSide.java
@@ -654,11 +654,13 @@
             write(response, false);
         }
 
-        /** Whole seconds, as HTTP has them. */
+        /** Whole seconds, as HTTP has them; no word of when to come back where none is to be given. */
         @Override
         public void refused(long retryAfter) {
             FullHttpResponse response = empty(HttpResponseStatus.SERVICE_UNAVAILABLE);
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, Math.max(1, (retryAfter + 999_999) / 1_000_000));
+            if (retryAfter > 0) {
+                response.headers().set(HttpHeaderNames.RETRY_AFTER, (retryAfter + 999_999) / 1_000_000);
+            }
             write(response, false);
         }
 
--- a/src/test/java/mastdrift/net/LifeTest.java
+++ b/src/test/java/mastdrift/net/LifeTest.java
@@ -159,16 +159,18 @@
         }
     }
 
-    @Test
-    void beyondTheMostOpenRequestsOneIsRefused() throws Exception {
+    @ParameterizedTest
+    @CsvSource({"true, 2", "false,"})
+    void beyondTheMostOpenRequestsOneIsRefused(boolean allowed, String told) throws Exception {
         try (Server discovery = discovery(); Server silent = new Server(message -> { });
                 Node node = new Node(environment(folder, discovery, list(1, true, up("s1", silent)),
-                        SETTINGS.replace("\"max_open\":20000", "\"max_open\":1")))) {
+                        SETTINGS.replace("\"max_open\":20000", "\"max_open\":1")
+                                .replace("\"retry_after\":false", "\"retry_after\":" + allowed)))) {
             write(node.connect(), read(60_000));
             await(silent.received);
             Message answer = node.ask(read(60_000).replace("9b1f", "9b20"));
             assertEquals(503, answer.status());
-            assertEquals("2", answer.header("Retry-After"));
+            assertEquals(told, answer.header("Retry-After"));
         }
     }
 
--- a/src/test/java/mastdrift/net/ServingTest.java
+++ b/src/test/java/mastdrift/net/ServingTest.java
@@ -135,12 +135,16 @@
         }
     }
 
-    @Test
-    void withNoHostARequestIsRefusedAtOnceAndToldWhenToComeBack() throws Exception {
-        try (Server discovery = discovery(); Node node = node(discovery)) {
+    /** Told when to come back where the settings allow it, by the module's figure, in whole seconds; else without a word of that. */
+    @ParameterizedTest
+    @CsvSource({"true, 2000000, 2", "true, 500000, 1", "false, 2000000,"})
+    void withNoHostARequestIsRefusedAtOnceAndToldWhenToComeBack(boolean allowed, long most, String told) throws Exception {
+        String settings = SETTINGS.replace("\"retry_after\":false", "\"retry_after\":" + allowed)
+                .replace("\"max_retry_after\":2000000", "\"max_retry_after\":" + most);
+        try (Server discovery = discovery(); Node node = new Node(environment(folder, discovery, list(1, true), settings))) {
             Message answer = node.ask(read(20_000));
             assertEquals(503, answer.status());
-            assertEquals("1", answer.header("Retry-After"));
+            assertEquals(told, answer.header("Retry-After"));
         }
     }
 
