--- a/src/main/java/mastdrift/net/ClientSide.java
+++ b/src/main/java/mastdrift/net/ClientSide.java
@@ -86,6 +86,8 @@
     // all is answered so long after the longest deadline, before the program may be killed.
     private static final long STOP_SERVING_MILLIS = 1500;
     private static final long STOP_ANSWERED = 400_000;
+    // Who connects as the listener closes has that long at the least, with deadlines however short.
+    private static final long STOP_LAST = 50_000;
     private static final long STOP_SAID = 50_000;
     private static final int STOP_NAMED = 20;
     // Connections that have been in their phase for too long are looked for so often, and so many closed at a time: closing ten
@@ -188,8 +190,8 @@
         that is killed answers nobody. */
     public void stop(long longest, Runnable then) {
         stopping = true;
-        answerBy = ledger.now() + STOP_ANSWERED
-                + Math.min(longest, classes.values().stream().mapToLong(RequestClass::deadline).max().orElse(0));
+        long deadline = Math.min(longest, classes.values().stream().mapToLong(RequestClass::deadline).max().orElse(0));
+        answerBy = ledger.now() + Math.max(deadline + STOP_ANSWERED, STOP_ACCEPTING_MILLIS * 1_000 + STOP_LAST);
         stopped = then;
         if (server == null) {  // told so before it listened: now it never will
             closing = true;
@@ -214,6 +216,7 @@
         boolean empty = ledger.turn() > since && acceptedIn < ledger.turn() && queueEmpty() && server.config().isAutoRead();
         if (empty || ledger.turn() == 0 || ledger.now() >= answerBy) {
             server.close();
+            checkStopped();
         } else {
             loop.schedule(() -> closeServer(since), 1, TimeUnit.MILLISECONDS);
         }
@@ -311,8 +314,9 @@
         return holder;
     }
 
+    /** Over only once nobody can connect any more, or who did in between would be reset. */
     private void checkStopped() {
-        if (closing && stopped != null && connections.size() == 0) {
+        if (closing && stopped != null && connections.size() == 0 && (server == null || !server.isOpen())) {
             stopped.run();
         }
     }
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -451,7 +451,7 @@
     // ---- the end
 
     /** Stops as a gateway does at SIGTERM: serves on for a moment, answers what it has taken, then ends; waits at most so
-        long, 1 s or more, and what is open 0.6 s before that has its answer. Returns whether all was answered. */
+        long, 1 s or more, and what is open 0.6 s before that (0.45 s of 1 s) has its answer. Returns whether all was answered. */
     public boolean stop(long seconds) throws InterruptedException {
         watcher.close();
         CountDownLatch answered = new CountDownLatch(1);
--- a/src/test/java/mastdrift/net/StopCrossingTest.java
+++ b/src/test/java/mastdrift/net/StopCrossingTest.java
@@ -157,6 +157,18 @@
         }
     }
 
+    /** By deadlines of 0.05 s all could be answered before the listener closes: the stop, behind which the program ends, is over only then. */
+    @Test
+    void aStopIsNotOverBeforeItsListenerIsClosed() throws Exception {
+        String settings = SETTINGS.replace("\"deadline\":60000000", "\"deadline\":50000").replace("\"target\":10000000", "\"target\":20000");
+        CompletableFuture<Boolean> closed = new CompletableFuture<>();
+        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, host, settings)) {
+            assertEquals(200, ready(node.connect()).status());
+            node.loop.submit(() -> node.clients.stop(3_000_000, () -> closed.complete(node.clients.closed()))).sync();
+            assertTrue(closed.get(Loopback.WAIT_SECONDS, TimeUnit.SECONDS), "the listener is closed as the stop is over");
+        }
+    }
+
     /** A stop ahead of listening: nobody is let in, and the stop is over at once. */
     @Test
     void aStopAheadOfListening() throws Exception {
