--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -23,6 +23,8 @@
     private final Ledger ledger;
     private final Discovery discovery;
     private final CompletableFuture<Void> told = new CompletableFuture<>();
+    private boolean held;  // whether calls to discovery wait for the first one's moment
+    private boolean asked;  // whether one does
 
     /** Starts the module; on the loop's thread. */
     Gateway(Config config, TimedLoop timed, Balancer module, int hostConnections, int openMost, boolean tally, PrintStream out) {
@@ -33,7 +35,10 @@
         Source source = new Source() {
             @Override
             public void watch(boolean active) {
-                discovery.watch(active);
+                asked = active;
+                if (!held) {
+                    discovery.watch(active);
+                }
             }
 
             @Override
@@ -70,6 +75,20 @@
         return told;
     }
 
+    /** The module's watch begins only once {@link #ask} allows it; on the loop's thread, ahead of its first call. */
+    void hold() {
+        held = true;
+    }
+
+    /** Discovery may be called from now on, and is where the module has asked for it; on the loop's thread, any number of times. */
+    void ask() {
+        boolean waited = held && asked;
+        held = false;
+        if (waited) {
+            discovery.watch(true);
+        }
+    }
+
     /** Discovery is to be asked at another address. */
     void discoverAt(InetSocketAddress at) {
         log("discovery at " + NetUtil.toSocketAddressString(at));
--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -19,6 +19,7 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import mastdrift.Balance;
+import mastdrift.Balancer.Settings;
 
 /** One real gateway: wires its parts, reads its configuration again at SIGHUP, and ends them at SIGTERM. */
 public final class Main {
@@ -29,8 +30,10 @@
     // After SIGTERM the platform waits for the longest deadline, but 3 s at most, and 0.7 s more, before it kills (PROTOCOL, Figures).
     private static final long STOP_LONGEST = 3_000_000;
     private static final int STOP_SECONDS = 4;
-    // For so long a start waits for discovery, beside what it has to do anyway: a call that waits for its turn, and one more.
-    private static final int TOLD_SECONDS = 5;
+    // So long after its first moment a start goes by the list that was known: all that had been listed before it counts as told by then,
+    // heard or not (PROTOCOL), so that waiting on protects from nothing, and its clients may have nobody else meanwhile.
+    private static final long TOLD_MILLIS = 6_000;
+    private static final double GOLDEN = (Math.sqrt(5) - 1) / 2;
 
     // Kept, since a logger that nobody holds forgets its level.
     private static final Logger LIBRARY_LOG = Logger.getLogger("io.netty");
@@ -40,6 +43,7 @@
     /** Runs until SIGTERM; exits with status 2 where the configuration can't be run with. One word, {@value #TALLY}, has it write
         what it counts to its log, a line a second. */
     public static void main(String[] args) {
+        long began = System.nanoTime();
         boolean tally = args.length == 1 && args[0].equals(TALLY);
         if (args.length > 0 && !tally) {
             System.err.println("can't start: expected " + TALLY + " or nothing, found " + String.join(" ", args));
@@ -53,9 +57,7 @@
         onHangUp(() -> started.thenAccept(gateway -> reload(gateway, loop)));
         try {
             Config config = Config.read(System.getenv());
-            Started now = prepare(config, timed, tally, System.out);  // asks discovery, whose answer takes its time
-            rehearse(config, TimedLoop.start(), () -> !now.gateway().told().isDone(), System.out::println);
-            awaitList(now.gateway(), System.out);
+            Started now = open(config, timed, TimedLoop.start(), began, tally, System.out);
             // Ahead of the first client: a signal between the two would end the program, and with it what had been taken.
             ClientSide clients = now.clients();
             Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(loop, clients)));
@@ -77,6 +79,25 @@
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     }
 
+    /** What comes ahead of the first client: a gateway that has been told of the hosts, or has waited for that in vain since
+        {@code began}, by {@link System#nanoTime}; meanwhile the path of a request is {@code rehearsed}, on a loop that this ends. */
+    static Started open(Config config, TimedLoop timed, TimedLoop rehearsed, long began, boolean tally, PrintStream out) {
+        Started now = prepare(config, timed, askMillis(config.settings()), tally, out);  // asks discovery, whose answer takes its time
+        rehearse(config, rehearsed, () -> !now.gateway().told().isDone(), out::println);
+        timed.loop().execute(now.gateway()::ask);
+        awaitList(now.gateway(), began, out);
+        return now;
+    }
+
+    /** When this gateway calls discovery first, in milliseconds from its start. Where calls wait for their turn and many gateways start at
+        once, those that call last wait for all others, and a call that is refused after its wait has cost discovery as much as any.
+        Nothing is lost by calling late while a rehearsal plays. Multiples of the golden ratio leave even gaps for any run of gateways'
+        numbers, and nearly even ones for any part of them. */
+    static long askMillis(Settings settings) {
+        double part = settings.site().me() * GOLDEN;
+        return settings.registryOnRequest() ? (long) ((part - Math.floor(part)) * Rehearsal.LONG_MILLIS) : 0;
+    }
+
     static void rehearse(Config config, TimedLoop on, BooleanSupplier waits, Consumer<String> log) {
         PrintStream silent = new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8);
         Rehearsal.play((hosts, at) -> Started.with(new Config(at, at, config.sockets(), new HostList(0, true, hosts),
@@ -114,19 +135,31 @@
         }
     }
 
-    /** Starts a gateway on the loop, not yet listening; throws IllegalArgumentException for a configuration it can't run with. */
-    static Started prepare(Config config, TimedLoop loop, boolean tally, PrintStream out) {
+    /** Starts a gateway on the loop, not yet listening; throws IllegalArgumentException for a configuration it can't run with. It calls
+        discovery after {@code askMillis} at the earliest, or once it is told to. */
+    static Started prepare(Config config, TimedLoop loop, long askMillis, boolean tally, PrintStream out) {
         // Of the clients' half, an eighth is for answering those that come beyond the requests held.
         int most = Math.max(8, (Math.min(config.sockets(), 1 << 16) - RESERVED) / 2);
-        return CompletableFuture.supplyAsync(
-                () -> Started.with(config, loop, most, most - most / 8, most, tally, out), loop.loop()).join();
+        return CompletableFuture.supplyAsync(() -> {
+            Started started = Started.with(config, loop, most, most - most / 8, most, tally, out);
+            if (askMillis > 0) {
+                started.gateway().hold();
+                loop.loop().schedule(started.gateway()::ask, askMillis, TimeUnit.MILLISECONDS);
+            }
+            return started;
+        }, loop.loop()).join();
+    }
+
+    /** Likewise, with no call to discovery held back. */
+    static Started prepare(Config config, TimedLoop loop, boolean tally, PrintStream out) {
+        return prepare(config, loop, 0, tally, out);
     }
 
     /** What a gateway knew when it ended may be long over, hosts that have drained since among it: clients come to one that has
-        been told what there is now, or that has waited for that in vain. */
-    static void awaitList(Gateway gateway, PrintStream out) {
+        been told what there is now, or that has waited for that in vain since {@code began}, by {@link System#nanoTime}. */
+    static void awaitList(Gateway gateway, long began, PrintStream out) {
         try {
-            gateway.told().get(TOLD_SECONDS, TimeUnit.SECONDS);
+            gateway.told().get(TimeUnit.MILLISECONDS.toNanos(TOLD_MILLIS) - (System.nanoTime() - began), TimeUnit.NANOSECONDS);
         } catch (TimeoutException e) {
             out.println("discovery tells nothing: going by the list that was known");
         } catch (InterruptedException | ExecutionException e) {
--- a/src/main/java/mastdrift/net/Rehearsal.java
+++ b/src/main/java/mastdrift/net/Rehearsal.java
@@ -55,7 +55,7 @@
     private static final int PATIENCE_MILLIS = 3000;  // with one answer: the first takes half a second of a whole core
     // With all of them, where nothing else is waited for. What is learned after that costs a gateway in service less than being
     // away for longer does, since where one starts others often start too and those that are left have their clients.
-    private static final long LONG_MILLIS = 2000;
+    static final long LONG_MILLIS = 2000;
     private static final long LONGEST_MILLIS = 4000;
 
     private Rehearsal() { }
