--- a/src/main/java/mastdrift/config/Configuration.java
+++ b/src/main/java/mastdrift/config/Configuration.java
@@ -19,14 +19,18 @@
         Map<String, PoolSettings> pools, List<RadiusSettings> radius, List<Route> routes, List<Override> overrides,
         Map<String, List<Node>> nodes, ZoneSettings zones, PeerSettings peers, AgreedSettings agreed) {
 
-    /** Node lists that one gateway's file includes. */
-    public static final int FILES_MOST = 64;
-    /** Pools of one gateway. */
-    public static final int POOLS_MOST = 64;
-    /** Routes of one gateway. */
-    public static final int ROUTES_MOST = 1000;
-    /** Nodes in all lists together. */
-    public static final int NODES_MOST = 20_000;
+    /** Gateways that send to the same hosts: twice what the largest fleet that this is made for has (docs/CAPACITY.md). */
+    public static final int GATEWAYS_MOST = 8_200;
+    /** Pools of one gateway, likewise. */
+    public static final int POOLS_MOST = 1_620;
+    /** Node lists that one gateway's file includes, likewise: one a pool. */
+    public static final int FILES_MOST = 1_620;
+    /** Nodes in all lists together, likewise. */
+    public static final int NODES_MOST = 94_000;
+    /** Nodes of one list. What reading takes goes by the largest file: a list of this many does not fit a heap of 256 MiB. */
+    public static final int LIST_NODES_MOST = 20_000;
+    /** Routes of one gateway's file; a {@link mastdrift.routing.RouteTable} of another source holds more. */
+    public static final int ROUTES_MOST = 1_000;
 
     /** What the files say of each pool. */
     public Map<String, Filed> filed() {
--- a/src/main/java/mastdrift/config/ConfigurationReader.java
+++ b/src/main/java/mastdrift/config/ConfigurationReader.java
@@ -103,7 +103,7 @@
         } else if (!zones.contains(zone)) {
             section.problem("zone", Tables.expectedOne("zones", zones, zone));
         }
-        int gateways = (int) section.whole("gateways", 1, 1, 1000);
+        int gateways = (int) section.whole("gateways", 1, 1, Configuration.GATEWAYS_MOST);
         GatewaySettings gateway = new GatewaySettings(Tables.word(section, "name", section.text("name", "gateway")),
                 Tables.endpoint(section, "listen", section.requiredText("listen")), zone, zones,
                 (int) section.whole("number", 0, 0, gateways - 1), gateways,
@@ -254,6 +254,7 @@
         Set<String> met = Section.met();
         List<String> classNames = classes.stream().map(RequestClass::name).toList();
         List<String> tenantNames = tenants.stream().map(Tenant::name).toList();
+        List<String> poolNames = List.copyOf(pools);
         List<Section> sections = root.sections("route", Configuration.ROUTES_MOST);
         for (Section section : sections) {
             String name = Tables.word(section, "name", section.requiredText("name"));
@@ -264,7 +265,7 @@
                     path(section), byHeader ? Tables.word(header, "name", header.requiredText("name")) : null,
                     byHeader ? header.text("value") : null, Tables.among(section, "zone", zones));
             header.noMore();
-            String fallback = Tables.among(section, "fallback", List.copyOf(pools));
+            String fallback = Tables.among(section, "fallback", poolNames);
             List<Route.Target> targets = Tables.targets(section, pools);
             if (targets.stream().noneMatch(target -> target.weight() > 0)) {
                 section.problem("pools", "expected a pool with a weight above 0, found none");
@@ -347,7 +348,7 @@
             Closing.present(file, text, problems);
             return;
         }
-        List<Section> sections = root.sections("node", Configuration.NODES_MOST);
+        List<Section> sections = root.sections("node", Configuration.LIST_NODES_MOST);
         root.noMore();
         Closing.check(file, text, sections.size(), problems);
         for (Section section : sections) {
--- a/src/main/java/mastdrift/config/Section.java
+++ b/src/main/java/mastdrift/config/Section.java
@@ -26,6 +26,8 @@
 
     private static final Pattern BYTES = Pattern.compile("(\\d{1,12}(?:\\.\\d{1,6})?)(B|KiB|MiB|GiB|TiB)");
     private static final List<String> UNITS = List.of("B", "KiB", "MiB", "GiB", "TiB");
+    // Stands for a table that is not there; parsed once, since each route of a file may lack one.
+    private static final TomlTable EMPTY = Toml.parse("");
 
     private final String file;
     private final String name;
@@ -224,7 +226,7 @@
     public Section section(String key) {
         TomlTable below = value(key, "a table", null, value -> value instanceof TomlTable found ? found : null);
         return new Section(file, name.isEmpty() ? key : name + "." + key,
-                below == null ? Toml.parse("") : below,
+                below == null ? EMPTY : below,
                 below == null ? place : table.inputPositionOf(List.of(key)), problems);
     }
 
@@ -253,11 +255,23 @@
         return sections;
     }
 
+    /** The keys that are there; none is a known one by that. */
+    Set<String> keys() {
+        return table.keySet();
+    }
+
     /** Whatever was not asked for is a problem; call it last. */
     public void noMore() {
+        noMore(Set.of());
+    }
+
+    /** Likewise for whatever is not among these either. */
+    void noMore(Set<String> also) {
         for (String key : table.keySet()) {
-            if (!known.contains(key)) {
-                String nearest = nearest(key, known);
+            if (!known.contains(key) && !also.contains(key)) {
+                Set<String> all = new TreeSet<>(known);
+                all.addAll(also);
+                String nearest = nearest(key, all);
                 problem(key, "expected one of the known keys, found " + key
                         + (nearest == null ? "" : "; did you mean " + nearest + "?"));
             }
--- a/src/main/java/mastdrift/config/Tables.java
+++ b/src/main/java/mastdrift/config/Tables.java
@@ -1,9 +1,7 @@
 package mastdrift.config;
 
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -85,14 +83,11 @@
     /** Pools and their weights, {@code pools = { a = 1 }}. */
     public static List<Route.Target> targets(Section route, Set<String> pools) {
         Section weights = route.section("pools");
-        Map<String, Route.Target> targets = new LinkedHashMap<>();
-        for (String pool : pools) {
-            if (weights.has(pool)) {
-                targets.put(pool, new Route.Target(pool, weights.real(pool, 0, 0, 1e6)));
-            }
-        }
-        weights.noMore();
-        return List.copyOf(targets.values());
+        Set<String> given = weights.keys();
+        List<Route.Target> targets = pools.stream().filter(given::contains)
+                .map(pool -> new Route.Target(pool, weights.real(pool, 0, 0, 1e6))).toList();
+        weights.noMore(pools);
+        return targets;
     }
 
     /** A range of addresses; null, and a problem, where there is none. */
