--- a/src/main/java/mastdrift/routing/Match.java
+++ b/src/main/java/mastdrift/routing/Match.java
@@ -16,7 +16,8 @@
     /** Fits every request. */
     public static final Match ANY = new Match(null, null, null, null, null, null);
 
-    boolean fits(Traits request) {
+    /** Whether a request is all of this; a path that is compared is not null. */
+    public boolean fits(Traits request) {
         return is(className, request.className()) && is(tenant, request.tenant()) && is(zone, request.zone())
                 && (pathPrefix == null || under(pathPrefix, request.path()))
                 && (headerName == null || request.headers().values(headerName).stream()
--- a/src/main/java/mastdrift/routing/RouteTable.java
+++ b/src/main/java/mastdrift/routing/RouteTable.java
@@ -6,7 +6,8 @@
 
 /**
  * Routes in their order; the first that matches decides. Immutable, and pure to make: a big one is made off the loop and handed
- * over. {@link RouteIndex} finds the route.
+ * over. {@link RouteIndex} finds the route among many; a few are looked at one by one, which is faster for them
+ * (docs/measurements/tables.md).
  *
  * <p>Among a route's pools a key chooses by weighted rendezvous hashing: each pool draws u in (0,1) from a hash of key and
  * pool, and the lowest -ln(u)/weight wins, which gives every pool its part of the keys. A changed weight moves only keys
@@ -19,8 +20,11 @@
     /** Routes of one table: twice what the largest fleet that this is made for has (docs/CAPACITY.md). */
     public static final int ROUTES_MOST = 56_000;
 
+    /** Routes that are looked at one by one. */
+    static final int LINEAR_MOST = 16;
+
     private final List<Route> routes;
-    private final RouteIndex index;
+    private final RouteIndex index;  // null where the routes are looked at one by one
 
     /** An empty table matches nothing. Throws IllegalArgumentException for more than {@value #ROUTES_MOST} routes. */
     public RouteTable(List<Route> routes) {
@@ -28,7 +32,7 @@
             throw new IllegalArgumentException("expected at most " + ROUTES_MOST + " routes, found " + routes.size());
         }
         this.routes = List.copyOf(routes);
-        index = new RouteIndex(this.routes);
+        index = routes.size() > LINEAR_MOST ? new RouteIndex(this.routes) : null;
     }
 
     /** In their order. */
@@ -38,7 +42,16 @@
 
     /** The first route that matches, or null. */
     public Route route(Traits request) {
-        return index.first(request);
+        return index != null ? index.first(request) : linear(request);
+    }
+
+    private Route linear(Traits request) {
+        for (Route route : routes) {
+            if (route.match().fits(request)) {
+                return route;
+            }
+        }
+        return null;
     }
 
     /** The pool for a request, or null where no route matches. {@code somebody} tells whether a pool has a host that may be
--- a/src/test/java/mastdrift/routing/RouteIndexTest.java
+++ b/src/test/java/mastdrift/routing/RouteIndexTest.java
@@ -91,8 +91,10 @@
         SplittableRandom random = new SplittableRandom(seed);
         List<Route> routes = routes(random, count);
         RouteTable table = new RouteTable(routes);
+        RouteIndex index = new RouteIndex(routes);  // also of few, for which a table has none
         for (int i = 0; i < 40; i++) {
             Traits request = request(random);
+            assertSame(linear(routes, request), index.first(request), () -> request + " among " + routes);
             assertSame(linear(routes, request), table.route(request), () -> request + " among " + routes);
         }
     }
@@ -130,7 +132,7 @@
         List<Route> routes = List.of(route(1, new Match(null, null, prefix, null, null, null)));
         Traits request = new Traits("read", null, path, "bilbao", 1, name -> List.of());
         assertEquals(fits, linear(routes, request) != null, "one by one");
-        assertEquals(fits, new RouteTable(routes).route(request) != null, "by the index");
+        assertEquals(fits, new RouteIndex(routes).first(request) != null, "by the index");
     }
 
     /** Guards against a look at all routes: who is asked for a header is a candidate. */
@@ -153,14 +155,19 @@
     /** A path as long as a front lets one be ends where the table does. */
     @Test
     void aPathOfManySegmentsIsWalkedNoFurtherThanTheTable() {
-        RouteTable table = new RouteTable(List.of(route(1, new Match(null, null, "////a", null, null, null))));
-        assertNull(table.route(new Traits("read", null, "/".repeat(100_000), "bilbao", 1, name -> List.of())));
-        assertEquals("r1", table.route(new Traits("read", null, "////a" + "/".repeat(100_000), "bilbao", 1, name -> List.of())).name());
+        RouteIndex index = new RouteIndex(List.of(route(1, new Match(null, null, "////a", null, null, null))));
+        assertNull(index.first(new Traits("read", null, "/".repeat(100_000), "bilbao", 1, name -> List.of())));
+        assertEquals("r1", index.first(new Traits("read", null, "////a" + "/".repeat(100_000), "bilbao", 1, name -> List.of())).name());
     }
 
     @Test
     void aTableStaysAsItWasMade() {
-        List<Route> routes = new ArrayList<>(List.of(route(1, Match.ANY)));
+        aTableStaysAsItWasMadeOf(1);
+        aTableStaysAsItWasMadeOf(RouteTable.LINEAR_MOST + 1);
+    }
+
+    private static void aTableStaysAsItWasMadeOf(int count) {
+        List<Route> routes = new ArrayList<>(Collections.nCopies(count, route(1, Match.ANY)));
         RouteTable table = new RouteTable(routes);
         routes.set(0, route(2, Match.ANY));
         assertEquals("r1", table.route(new Traits("read", null, "/", "bilbao", 1, name -> List.of())).name());
