--- a/src/main/java/mastdrift/distribution/Subscriber.java
+++ b/src/main/java/mastdrift/distribution/Subscriber.java
@@ -27,6 +27,7 @@
     private static final int TRIES = 3;  // of a snapshot at one machine
     private static final int ENDED_SHIFT_MOST = 2;
     private static final int REASON_MOST = 200;
+    private static final int ACK_BYTES = 256 << 10;  // of deltas since the last acknowledgement: the next one is told at once
 
     /** What it wants done. Called in the middle of an event: what it leads to comes as another. */
     public interface Out {
@@ -73,6 +74,7 @@
     private Revision inForce;
     private Message.Nack nack;
     private long ackAt = Long.MAX_VALUE;
+    private long unacked;  // bytes of deltas, about
     private long wanted = Long.MAX_VALUE;
 
     /** Of this name, from the table that it has; {@code seed} is for when it comes again. */
@@ -201,6 +203,7 @@
         }
         if (now >= ackAt) {
             ackAt = now + settings.alive();
+            unacked = 0;
             out.send(at, nack != null ? nack : new Message.Ack(inForce == null ? Revision.none(table.revision().epoch()) : inForce));
         }
     }
@@ -342,6 +345,7 @@
                 break;
             }
             applied.add(each);
+            unacked += History.bytes(each);
         }
         if (!applied.isEmpty()) {
             agrees();
@@ -454,8 +458,8 @@
     public void inForce(long now, Revision revision) {
         inForce = revision;
         nack = null;
-        ackAt = Math.min(ackAt, now + settings.ack());
-        wants(now);
+        ackAt = Math.min(ackAt, unacked >= ACK_BYTES ? now : now + settings.ack());
+        tick(now);
     }
 
     /** A revision can't be put in force, for a reason; the one before stays, and later ones come all the same. */
