--- a/src/main/java/mastdrift/distribution/Subscriber.java
+++ b/src/main/java/mastdrift/distribution/Subscriber.java
@@ -472,9 +472,9 @@
         wants(now);
     }
 
-    /** One that passes on tells how its own subscribers do; it gets lost where no machine is heard. */
+    /** One that passes on tells how its own subscribers do, also that there are none; it gets lost where no machine is heard. */
     public void summary(List<Message.ZoneSummary> zones) {
-        if (at != null && !zones.isEmpty()) {
+        if (at != null) {
             out.send(at, new Message.Summary(zones));
         }
     }
--- a/src/test/java/mastdrift/distribution/PublisherTest.java
+++ b/src/test/java/mastdrift/distribution/PublisherTest.java
@@ -246,6 +246,13 @@
         machine.heard(lines.now, "relay", new Message.Summary(List.of(new ZoneSummary("z-1", 300, low, 2, List.of("p", "q")), new ZoneSummary("z-2", 10, null, 0, List.of()))));
         machine.heard(lines.now, "gateway", new Message.Ack(machine.table().revision()));
         assertEquals(List.of(new ZoneSummary("z-1", 301, low, 2, List.of("p", "q")), new ZoneSummary("z-2", 10, null, 0, List.of())), machine.summary());
+        machine.heard(lines.now, "relay", new Message.Summary(List.of()));
+        assertEquals(1, machine.summary().get(0).subscribers(), "one that passes on to nobody is nobody's gateway itself");
+        Subscriber relay = lines.gateway("other", machine.table(), "a");
+        relay.summary(List.of());
+        lines.run(SECOND);
+        assertEquals(new Message.Summary(List.of()), lines.to("a", Message.Summary.class).get(0));
+        assertEquals(1, machine.summary().get(0).subscribers());
         machine.gone(lines.now, "relay");
         assertEquals(List.of(new ZoneSummary("z-1", 1, machine.table().revision(), 0, List.of())), machine.summary());
         Summaries all = new Summaries();
