--- a/src/main/java/mastdrift/distribution/edge/MessageCodec.java
+++ b/src/main/java/mastdrift/distribution/edge/MessageCodec.java
@@ -18,6 +18,8 @@
 import mastdrift.distribution.Resource;
 import mastdrift.distribution.ResourceKind;
 import mastdrift.distribution.Revision;
+import mastdrift.distribution.Summaries;
+import mastdrift.distribution.Table;
 
 /**
  * Messages, deltas and changes as bytes: a version, a form, then nested arrays in CBOR (RFC 8949), which are deflated (RFC 1951) where that makes a large one smaller. What a later
@@ -41,8 +43,7 @@
     /** Characters of a reason, at most. */
     public static final int REASON_MOST = 1_024;
     /** Zones of a summary, at most. */
-    public static final int ZONES_MOST = 64;
-    private static final int SHARDS_MOST = 1_024;
+    public static final int ZONES_MOST = Summaries.ZONES_MOST;
     private static final int DEFLATED_LEAST = 1_024;
     private static final int HEAD = 2;
     private static final byte PLAIN = 0;
@@ -164,7 +165,7 @@
             text(to, "zone", subscribe.zone(), 0, NAME_MOST);
         } else if (message instanceof Message.Fetch fetch) {
             to.writeNumber(FETCH);
-            ByteBuffer digests = ByteBuffer.allocate(bounded("digests", fetch.digests().length, SHARDS_MOST) * Long.BYTES);
+            ByteBuffer digests = ByteBuffer.allocate(bounded("digests", fetch.digests().length, Table.SHARDS) * Long.BYTES);
             digests.asLongBuffer().put(fetch.digests());
             to.writeBinary(digests.array());
             number(to, "credit", fetch.credit(), 0);
@@ -203,10 +204,10 @@
         } else if (message instanceof Message.Piece piece) {
             to.writeNumber(PIECE);
             write(piece.revision(), to);
-            to.writeStartArray(null, bounded("shards", piece.shards().size(), SHARDS_MOST));
+            to.writeStartArray(null, bounded("shards", piece.shards().size(), Table.SHARDS));
             for (Message.Shard shard : piece.shards()) {
                 to.writeStartArray(null, 2);
-                to.writeNumber(bounded("shard", shard.number(), SHARDS_MOST - 1));
+                to.writeNumber(bounded("shard", shard.number(), Table.SHARDS - 1));
                 write(shard.resources(), to);
                 to.writeEndArray();
             }
@@ -405,7 +406,7 @@
     }
 
     private static long[] digests(CborReader from) {
-        byte[] bytes = from.bytes("digests", SHARDS_MOST * Long.BYTES);
+        byte[] bytes = from.bytes("digests", Table.SHARDS * Long.BYTES);
         if (bytes.length % Long.BYTES != 0) {
             throw new IllegalArgumentException("digests: expected " + Long.BYTES + " bytes each, found " + bytes.length + " in all");
         }
@@ -462,9 +463,9 @@
     private static List<Message.Shard> shards(CborReader from) {
         List<Message.Shard> shards = new ArrayList<>();
         from.list("shards");
-        while (from.next(SHARDS_MOST)) {
+        while (from.next(Table.SHARDS)) {
             from.open("shard");
-            shards.add(new Message.Shard((int) from.whole("number", 0, SHARDS_MOST - 1), resources(from, "resources")));
+            shards.add(new Message.Shard((int) from.whole("number", 0, Table.SHARDS - 1), resources(from, "resources")));
             from.close();
         }
         return shards;
