--- /dev/null
+++ b/src/main/java/mastdrift/distribution/edge/Subscription.java
@@ -0,0 +1,146 @@
+package mastdrift.distribution.edge;
+
+import io.netty.channel.EventLoop;
+import java.util.List;
+import java.util.function.BiConsumer;
+import mastdrift.distribution.Delta;
+import mastdrift.distribution.Machine;
+import mastdrift.distribution.Message;
+import mastdrift.distribution.Revision;
+import mastdrift.distribution.Subscriber;
+import mastdrift.distribution.SubscriberSettings;
+import mastdrift.distribution.Table;
+import mastdrift.events.Events;
+
+/**
+ * Runs a {@link Subscriber} on an event loop: its messages over the links to control machines, its time by the loop's timer. Decides nothing. All methods are called on the
+ * loop's thread but the constructor, and so is whoever takes the tables, which must not wait.
+ *
+ * <p>A message that can't be read changes nothing and is said; a machine of which no other comes is left by the decider as a silent one.
+ */
+public final class Subscription implements AutoCloseable {
+
+    private final EventLoop loop;
+    private final Wires wires;
+    private final Notices notices;
+    private final BiConsumer<Table, List<Delta>> tables;
+    private final Subscriber subscriber;
+    private final Alarm alarm;
+    private boolean closed;
+
+    /** Of a process by its name and zone, from the table that it has; {@code tables} takes each next one, with what led there from the one before (nothing for a jump). */
+    public Subscription(EventLoop loop, Wires wires, String name, String zone, Table have, SubscriberSettings settings, long seed, Events events,
+            BiConsumer<Table, List<Delta>> tables) {
+        this.loop = loop;
+        this.wires = wires;
+        this.tables = tables;
+        notices = new Notices(events);
+        subscriber = new Subscriber(name, zone, have, settings, seed, new Out());
+        alarm = new Alarm(loop, this::tick);
+    }
+
+    /** What runs; for reading only. */
+    public Subscriber subscriber() {
+        return subscriber;
+    }
+
+    /** Control machines that there are; replaces those before. The first call begins it. */
+    public void machines(List<Machine> machines) {
+        subscriber.machines(Alarm.now(), machines);
+        arm();
+    }
+
+    /** A reply of a control machine, on the connection that was opened to it. */
+    public void heard(String from, byte[] bytes) {
+        Message message;
+        try {
+            message = MessageCodec.message(bytes);
+        } catch (MessageCodec.LaterVersionException e) {
+            notices.fault(Alarm.now(), "config_later", from, e.getMessage());
+            return;
+        } catch (IllegalArgumentException e) {
+            notices.fault(Alarm.now(), "config_malformed", from, e.getMessage());
+            return;
+        }
+        subscriber.heard(Alarm.now(), from, message);
+        arm();
+    }
+
+    /** The connection that was opened to a control machine has ended, or couldn't be made. */
+    public void ended(String to) {
+        subscriber.ended(Alarm.now(), to);
+        arm();
+    }
+
+    /** A table is in force here, or passed on. */
+    public void inForce(Revision revision) {
+        subscriber.inForce(Alarm.now(), revision);
+        arm();
+    }
+
+    /** A table can't be put in force; the one before stays. */
+    public void refused(Revision revision, String reason) {
+        subscriber.refused(Alarm.now(), revision, reason);
+        arm();
+    }
+
+    /** Tells the control machine how those below do, by who passes on. */
+    public void summary(List<Message.ZoneSummary> zones) {
+        subscriber.summary(zones);
+    }
+
+    private void tick() {
+        subscriber.tick(Alarm.now());
+        arm();
+    }
+
+    private void arm() {
+        if (!closed) {
+            alarm.at(subscriber.dueAt());
+        }
+    }
+
+    /** Ends it; the connection goes with it. */
+    @Override
+    public void close() {
+        closed = true;
+        alarm.stop();
+        if (subscriber.machine() != null) {
+            wires.leave(subscriber.machine());
+        }
+    }
+
+    private final class Out implements Subscriber.Out {
+
+        @Override
+        public void send(String to, Message message) {
+            boolean sent = false;
+            try {
+                sent = !closed && wires.send(to, MessageCodec.bytes(message));
+            } catch (IllegalArgumentException e) {
+                notices.fault(Alarm.now(), "config_unwritable", to, e.getMessage());
+            }
+            if (!sent && !closed) {
+                loop.execute(() -> {  // not in the middle of its turn
+                    wires.leave(to);
+                    ended(to);
+                });
+            }
+        }
+
+        @Override
+        public void leave(String machine) {
+            wires.leave(machine);
+        }
+
+        @Override
+        public void table(Table next, List<Delta> deltas) {
+            tables.accept(next, deltas);
+        }
+
+        @Override
+        public void event(String name, String text) {
+            notices.event(name, text);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/mastdrift/distribution/edge/PublicationTest.java
@@ -0,0 +1,210 @@
+package mastdrift.distribution.edge;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotSame;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.channel.EventLoop;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.Callable;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import mastdrift.distribution.Delta;
+import mastdrift.distribution.Machine;
+import mastdrift.distribution.Message;
+import mastdrift.distribution.PublisherSettings;
+import mastdrift.distribution.Revision;
+import mastdrift.distribution.SubscriberSettings;
+import mastdrift.distribution.Table;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+
+/** Both ends over links that are made up: what goes out, what is said once, and what a link that takes nothing leads to. */
+class PublicationTest {
+
+    private static final PublisherSettings AT_ONCE = new PublisherSettings(1, 60_000_000, 8, 4_096, 1 << 20, 60_000_000, 60_000_000, 60_000_000, 64 << 10);
+
+    private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
+
+    private static final class Made implements Wires {
+        private final Map<String, List<byte[]>> out = new HashMap<>();
+        private final List<String> ended = new ArrayList<>();
+        private final List<String> full = new ArrayList<>();
+
+        @Override
+        public boolean send(String to, byte[] message) {
+            return reply(to, message);
+        }
+
+        @Override
+        public boolean reply(String to, byte[] message) {
+            return !full.contains(to) && out.computeIfAbsent(to, name -> new ArrayList<>()).add(message);
+        }
+
+        @Override
+        public void leave(String to) {
+            ended.add("leave " + to);
+        }
+
+        @Override
+        public void drop(String from) {
+            ended.add("drop " + from);
+        }
+
+        private byte[] last(String to) {
+            return out.get(to).get(out.get(to).size() - 1);
+        }
+    }
+
+    private final Made wires = new Made();
+
+    private <T> T on(Callable<T> call) {
+        T result = loop.submit(call).syncUninterruptibly().getNow();
+        loop.submit(() -> { }).syncUninterruptibly();  // what it left for the next turn
+        return result;
+    }
+
+    @AfterEach
+    void close() {
+        loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
+    }
+
+    private Publication publication(Growing tables) {
+        return new Publication(loop, wires, tables.table(), AT_ONCE, (level, name, text, fields) -> events.add(level + " " + name));
+    }
+
+    private static void subscribe(Publication publication, String name, Revision have) {
+        publication.heard(name, MessageCodec.bytes(new Message.Subscribe(have, "z")));
+    }
+
+    /** One change costs one making of bytes, however many hear it. */
+    @Test
+    void whatGoesToManyIsMadeBytesOfOnce() {
+        Growing tables = new Growing(1);
+        on(() -> {
+            Publication publication = publication(tables);
+            for (int i = 0; i < 300; i++) {
+                subscribe(publication, "g" + i, tables.table().revision());
+            }
+            long before = publication.encoded();
+            assertEquals(1, before, "300 times that it is current");
+            for (int change = 1; change <= 3; change++) {
+                Delta delta = tables.change(100);
+                publication.table(tables.table(), List.of(delta));
+                long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(1);
+                while (System.nanoTime() < until) {
+                    Thread.onSpinWait();  // what belongs together is told together
+                }
+                publication.alone(false);
+                byte[] bytes = wires.last("g0");
+                assertEquals(Drawn.said(new Message.Deltas(List.of(delta))), Drawn.said(MessageCodec.message(bytes)));
+                for (int i = 0; i < 300; i++) {
+                    assertSame(bytes, wires.last("g" + i));
+                }
+                assertEquals(before + change, publication.encoded());
+            }
+            return null;
+        });
+        assertTrue(events.isEmpty());
+    }
+
+    /** A link that takes no more: its subscriber is dropped, once, and the others hear on. */
+    @Test
+    void aSubscriberWhoseLinkIsFullIsDropped() {
+        Growing tables = new Growing(2);
+        Publication publication = on(() -> {
+            Publication made = publication(tables);
+            subscribe(made, "a", tables.table().revision());
+            subscribe(made, "slow", tables.table().revision());
+            return made;
+        });
+        wires.full.add("slow");
+        on(() -> {
+            Table old = tables.table();
+            Delta delta = tables.change(100);
+            publication.table(tables.table(), List.of(delta));
+            subscribe(publication, "slow", old.revision());  // tells it again, which fails again
+            return null;
+        });
+        assertEquals(List.of("drop slow"), wires.ended);
+        assertEquals(1, publication.publisher().status().subscribers());
+        assertEquals(List.of("WARN config_subscriber_full"), List.copyOf(events));
+    }
+
+    @Test
+    void whatCannotBeReadDropsItsSenderAndIsSaidOnce() {
+        Growing tables = new Growing(3);
+        on(() -> {
+            Publication publication = publication(tables);
+            subscribe(publication, "a", tables.table().revision());
+            for (int i = 0; i < 5; i++) {
+                publication.heard("bad", new byte[] {1, 0, 7});
+                byte[] later = MessageCodec.bytes(new Message.Credit(1));
+                later[0]++;
+                publication.heard("later", later);
+                publication.heard("turned", MessageCodec.bytes(new Message.Deltas(List.of(new Growing(4).change(10)))));  // not a subscriber's
+            }
+            assertEquals(1, publication.publisher().status().subscribers());
+            assertEquals(0, publication.publisher().table().revision().number());
+            return null;
+        });
+        assertEquals(15, wires.ended.size());
+        assertEquals(List.of("WARN config_malformed", "WARN config_later"), List.copyOf(events));
+    }
+
+    /** A machine that talks nonsense changes nothing here; one that can't be reached is left for the next in the same turn. */
+    @Test
+    void aSubscriptionBearsNonsenseAndGoesOnWhereALinkTakesNothing() {
+        Growing tables = new Growing(5);
+        tables.change(100);
+        List<Table> taken = new ArrayList<>();
+        Subscription subscription = new Subscription(loop, wires, "g", "z", Table.empty(1), new SubscriberSettings(60_000_000, 60_000_000, 1_000, 60_000_000, 1, 60_000_000, 4,
+                600_000_000), 1, (level, name, text, fields) -> events.add(level + " " + name), (table, deltas) -> taken.add(table));
+        on(() -> {
+            subscription.machines(List.of(new Machine("m1", "z"), new Machine("m2", "z")));
+            return null;
+        });
+        String first = subscription.subscriber().machine();
+        String other = first.equals("m1") ? "m2" : "m1";
+        assertArrayEquals(MessageCodec.bytes(new Message.Subscribe(Revision.none(1), "z")), wires.last(first));
+        on(() -> {
+            for (int i = 0; i < 5; i++) {
+                subscription.heard(first, new byte[] {1, 0, 7});
+                subscription.heard(other, MessageCodec.bytes(new Message.Deltas(List.of(new Growing(5).change(100)))));  // nobody asked it
+            }
+            return null;
+        });
+        assertTrue(taken.isEmpty());
+        assertEquals(List.of("WARN config_malformed"), List.copyOf(events));
+        wires.full.add(first);
+        on(() -> {
+            subscription.heard(first, MessageCodec.bytes(new Message.Current(tables.table().revision())));  // it is behind, and asks
+            return null;
+        });
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+        while (!on(() -> wires.out.containsKey(other))) {
+            assertTrue(System.nanoTime() < until, "asks the other");
+        }
+        assertTrue(on(() -> wires.ended).contains("leave " + first));
+        on(() -> {
+            subscription.heard(other, MessageCodec.bytes(new Message.Deltas(List.of(new Growing(5).change(100)))));
+            return null;
+        });
+        assertEquals(1, taken.size());
+        assertEquals(tables.table().revision(), taken.get(0).revision());
+        assertNotSame(Table.empty(1), subscription.subscriber().table());
+        on(() -> {
+            subscription.close();
+            return null;
+        });
+    }
+}
