--- a/src/main/java/mastdrift/peers/edge/PeerLinks.java
+++ b/src/main/java/mastdrift/peers/edge/PeerLinks.java
@@ -50,9 +50,10 @@
  * <p>Who accepts says now and then how much it has read, and so does who opened, where there are replies. A connection on which that doesn't move on for
  * {@value #SILENT_MILLIS} ms is closed: the other may have vanished without a word, and what is written would only pile up. A reply that arrives shows that the other is
  * there, but what was sent has to be read within {@value #UNREAD_MILLIS} ms all the same: one direction may be cut alone.
+ * Time in which this process didn't run isn't held against the others.
  *
  * <p>A message to who can't be reached is dropped, and {@link #send} says so where it is known; whoever sends has to bear that any message may be lost. What is bounded: connections in each direction, those
- * not yet known ({@value #UNKNOWN_MOST}, for {@value #HELLO_MILLIS} ms), a message ({@value #MESSAGE_MOST} bytes), messages read a second from one ({@value #RATE}; then it is read no faster), bytes that wait for a slow
+ * not yet known ({@value #UNKNOWN_MOST} or an eighth of the known ones, for {@value #HELLO_MILLIS} ms), a message ({@value #MESSAGE_MOST} bytes), messages read a second from one ({@value #RATE}; then it is read no faster), bytes that wait for a slow
  * one ({@value #WAITING_MOST}).
  *
  * <p>All methods are called on the loop's thread, and so are the ears.
@@ -61,8 +62,9 @@
 
     /** A message holds at most so many bytes. */
     public static final int MESSAGE_MOST = 512 << 10;
-    /** Connections whose other end isn't known yet, at most. */
+    /** Connections whose other end isn't known yet, at most; an eighth of those that may be known, where that is more: a machine's subscribers may all come back at once. */
     public static final int UNKNOWN_MOST = 64;
+    private static final int UNKNOWN_SHARE = 8;
     /** Messages a second that are read from one gateway. */
     public static final int RATE = 4_000;
     static final int HELLO_MILLIS = 2_000;
@@ -72,7 +74,8 @@
     public static final int WAITING_MOST = 2 << 20;
     private static final int CONNECT_MILLIS = 1_000;
     private static final int RETRY_MILLIS = 200;
-    private static final int SWEEP_MILLIS = 250;
+    static final int SWEEP_MILLIS = 250;
+    private static final int STOPPED_MILLIS = 1_000;
     private static final int IDLE_MILLIS = 60_000;
     private static final int QUEUED_MOST = 64;
     private static final int NONCE = 16;
@@ -117,6 +120,7 @@
     private final String installation;
     private final String own;
     private final int most;
+    private final int unknownMost;
     private final Ears ears;
     private final LongSupplier clock;
     private final SecureRandom random = new SecureRandom();
@@ -128,6 +132,7 @@
     private final Future<?> sweeps;
     private List<Seal> keys = List.of();
     private long life;
+    private long sweptAt;
     private int unknown;
     private Channel server;
     private boolean closed;
@@ -150,7 +155,9 @@
         this.installation = installation;
         this.own = own;
         this.most = most;
+        unknownMost = Math.max(UNKNOWN_MOST, most / UNKNOWN_SHARE);
         this.ears = ears;
+        sweptAt = millis();
         sweeps = loop.scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
     }
 
@@ -177,7 +184,7 @@
     /** Binds; whether that went well is in the future. */
     public ChannelFuture listen(InetSocketAddress at) {
         ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, Math.max(BACKLOG, unknownMost))
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
@@ -322,6 +329,12 @@
     /** Ends what is silent; runs every {@value #SWEEP_MILLIS} ms. */
     void sweep() {
         long now = millis();
+        long late = now - sweptAt - SWEEP_MILLIS;
+        sweptAt = now;
+        if (late > STOPPED_MILLIS) {  // what the others said meanwhile may be lying unread
+            out.values().forEach(each -> each.stopped(now, late));
+            in.values().forEach(each -> each.movedAt = Math.min(now, each.movedAt + late));
+        }
         List.copyOf(out.values()).forEach(each -> each.sweep(now));
         List.copyOf(in.values()).forEach(each -> each.sweep(now));
         retryAt.values().removeIf(at -> at < now);
@@ -332,7 +345,7 @@
 
         private final String to;
         private final InetSocketAddress at;
-        private final long openedAt = millis();
+        private long openedAt = millis();
         private final Deque<byte[][]> queued = new ArrayDeque<>();
         private Channel channel;
         private Seal key;
@@ -454,6 +467,12 @@
             }
         }
 
+        void stopped(long now, long late) {
+            openedAt = Math.min(now, openedAt + late);
+            movedAt = Math.min(now, movedAt + late);
+            repliesAt = Math.min(now, repliesAt + late);
+        }
+
         void sweep(long now) {
             if (session == null ? now - openedAt > HELLO_MILLIS
                     : number > seen && (now - Math.max(movedAt, repliesAt) > SILENT_MILLIS || now - movedAt > UNREAD_MILLIS)) {
@@ -542,8 +561,8 @@
         @Override
         public void channelActive(ChannelHandlerContext context) {
             accepted.add(channel);
-            if (++unknown > UNKNOWN_MOST) {
-                refuse("peer_flood", String.valueOf(channel.remoteAddress()), "expected at most " + UNKNOWN_MOST + " connections that say nothing");
+            if (++unknown > unknownMost) {
+                refuse("peer_flood", String.valueOf(channel.remoteAddress()), "expected at most " + unknownMost + " connections that say nothing");
                 channel.close();
                 return;
             }
--- a/src/test/java/mastdrift/distribution/edge/TableFolderTest.java
+++ b/src/test/java/mastdrift/distribution/edge/TableFolderTest.java
@@ -8,6 +8,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.io.RandomAccessFile;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -336,6 +337,27 @@
         assertThrows(IOException.class, () -> new TableFolder(Files.createFile(folder.resolve("file"))));
     }
 
+    /** Larger than any that is written: not read, whatever is in it. */
+    @Test
+    void aFileBeyondTheBoundIsNotRead(@TempDir Path folder) throws IOException {
+        Growing tables = new Growing(15);
+        TableFolder copy = new TableFolder(folder);
+        append(copy, 1, tables, List.of());
+        append(copy, 2, tables, List.of(tables.change(10)));
+        for (String name : List.of(TableFolder.JOURNAL, TableFolder.SNAPSHOT)) {
+            try (RandomAccessFile file = new RandomAccessFile(folder.resolve(name).toFile(), "rw")) {
+                file.setLength(TableFolder.FILE_MOST + 1);  // a hole, which takes no room
+            }
+            TableFolder.Found found = new TableFolder(folder).read();
+            assertTrue(found.problem().contains("expected at most " + TableFolder.FILE_MOST + " bytes"), found.problem());
+            assertEquals(name.equals(TableFolder.SNAPSHOT), found.table() == null);
+        }
+        append(copy, 3, tables, List.of());
+        same(tables.table(), new TableFolder(folder).read().table());
+        append(copy, 4, tables, List.of(tables.change(10)));
+        assertTrue(Files.size(folder.resolve(TableFolder.JOURNAL)) < 1_000, "cut where it is written on");
+    }
+
     /** As who wrote it would have sealed its head. */
     private static void reseal(byte[] bytes, int head) {
         java.util.zip.CRC32C sum = new java.util.zip.CRC32C();
