--- a/src/main/java/mastdrift/distribution/edge/Subscription.java
+++ b/src/main/java/mastdrift/distribution/edge/Subscription.java
@@ -3,6 +3,7 @@
 import io.netty.channel.EventLoop;
 import java.util.List;
 import java.util.function.BiConsumer;
+import java.util.function.LongConsumer;
 import mastdrift.distribution.Delta;
 import mastdrift.distribution.Machine;
 import mastdrift.distribution.Message;
@@ -26,6 +27,7 @@
     private final BiConsumer<Table, List<Delta>> tables;
     private final Subscriber subscriber;
     private final Alarm alarm;
+    private boolean turning;
     private boolean closed;
 
     /** Of a process by its name and zone, from the table that it has; {@code tables} takes each next one, with what led there from the one before (nothing for a jump). */
@@ -36,7 +38,7 @@
         this.tables = tables;
         notices = new Notices(events);
         subscriber = new Subscriber(name, zone, have, settings, seed, new Out());
-        alarm = new Alarm(loop, this::tick);
+        alarm = new Alarm(loop, () -> turn(subscriber::tick));
     }
 
     /** What runs; for reading only. */
@@ -46,8 +48,7 @@
 
     /** Control machines that there are; replaces those before. The first call begins it. */
     public void machines(List<Machine> machines) {
-        subscriber.machines(Alarm.now(), machines);
-        arm();
+        turn(now -> subscriber.machines(now, machines));
     }
 
     /** A reply of a control machine, on the connection that was opened to it. */
@@ -62,40 +63,40 @@
             notices.fault(Alarm.now(), "config_malformed", from, e.getMessage());
             return;
         }
-        subscriber.heard(Alarm.now(), from, message);
-        arm();
+        turn(now -> subscriber.heard(now, from, message));
     }
 
     /** The connection that was opened to a control machine has ended, or couldn't be made. */
     public void ended(String to) {
-        subscriber.ended(Alarm.now(), to);
-        arm();
+        turn(now -> subscriber.ended(now, to));
     }
 
     /** A table is in force here, or passed on. */
     public void inForce(Revision revision) {
-        subscriber.inForce(Alarm.now(), revision);
-        arm();
+        turn(now -> subscriber.inForce(now, revision));
     }
 
     /** A table can't be put in force; the one before stays. */
     public void refused(Revision revision, String reason) {
-        subscriber.refused(Alarm.now(), revision, reason);
-        arm();
+        turn(now -> subscriber.refused(now, revision, reason));
     }
 
     /** Tells the control machine how those below do, by who passes on. */
     public void summary(List<Message.ZoneSummary> zones) {
-        subscriber.summary(zones);
+        turn(now -> subscriber.summary(zones));
     }
 
-    private void tick() {
-        subscriber.tick(Alarm.now());
-        arm();
-    }
-
-    private void arm() {
-        if (!closed) {
+    /** One event at a time: what comes in the middle of one (a table that is in force at once, a connection that made room for another) comes behind it. */
+    private void turn(LongConsumer event) {
+        if (turning) {
+            loop.execute(() -> turn(event));
+        } else if (!closed) {
+            turning = true;
+            try {
+                event.accept(Alarm.now());
+            } finally {
+                turning = false;
+            }
             alarm.at(subscriber.dueAt());
         }
     }
