--- a/src/main/java/mastdrift/lab/report/Charts.java
+++ b/src/main/java/mastdrift/lab/report/Charts.java
@@ -84,7 +84,7 @@
         return svg(id, plot(lines, x, new NumberAxis(yLabel)));
     }
 
-    private static XYPlot plot(List<Line> lines, org.jfree.chart.axis.ValueAxis x, org.jfree.chart.axis.ValueAxis y) {
+    static XYPlot plot(List<Line> lines, org.jfree.chart.axis.ValueAxis x, org.jfree.chart.axis.ValueAxis y) {
         XYSeriesCollection data = new XYSeriesCollection();
         XYLineAndShapeRenderer renderer = new XYLineAndShapeRenderer(true, false);
         for (int i = 0; i < lines.size(); i++) {
--- a/src/main/java/mastdrift/lab/rig/Signals.java
+++ b/src/main/java/mastdrift/lab/rig/Signals.java
@@ -7,7 +7,7 @@
 
 /** Stops, wakes and kills processes that were handed to it, by a shell that outlives this program by a moment: when its input ends, because this program has ended in whatever way,
     it kills those that are left. */
-final class Signals implements AutoCloseable {
+public final class Signals implements AutoCloseable {
 
     // Words come one a line: add PID, del PID, or a signal and a PID. Only digits are ever written here.
     private static final String SCRIPT = "trap '' INT HUP TERM; set -- ; while read -r what pid; do case $what in add) set -- \"$@\" \"$pid\";; "
@@ -18,23 +18,24 @@
     private final Process shell;
     private final PrintStream words;
 
-    Signals() throws IOException {
+    /** Starts the shell. */
+    public Signals() throws IOException {
         shell = new ProcessBuilder("/bin/sh", "-c", SCRIPT).redirectOutput(ProcessBuilder.Redirect.DISCARD).redirectError(ProcessBuilder.Redirect.DISCARD).start();
         words = new PrintStream(shell.getOutputStream(), true, StandardCharsets.US_ASCII);
     }
 
     /** The process is killed when this ends, until it is let go. */
-    void add(Process process) {
+    public void add(Process process) {
         words.println("add " + process.pid());
     }
 
     /** It has ended: its number may be another's soon. */
-    void letGo(Process process) {
+    public void letGo(Process process) {
         words.println("del " + process.pid());
     }
 
     /** Sends STOP, CONT, TERM or KILL to one that was added. */
-    void send(String signal, Process process) {
+    public void send(String signal, Process process) {
         if (process.isAlive()) {
             words.println(signal + " " + process.pid());
         }
--- a/src/test/java/mastdrift/ArchitectureTest.java
+++ b/src/test/java/mastdrift/ArchitectureTest.java
@@ -24,7 +24,7 @@
             List.of("mastdrift.membership", "mastdrift.radius", "mastdrift.routing",
                     "mastdrift.lateness", "mastdrift.limits", "mastdrift.lab.draw", "mastdrift.zones", "mastdrift.peers", "mastdrift.agreed", "mastdrift.distribution"), List.of("mastdrift.config"), List.of("mastdrift.engine"),
             List.of("mastdrift.net", "mastdrift.files", "mastdrift.wire", "mastdrift.radius.edge", "mastdrift.zones.edge", "mastdrift.peers.edge", "mastdrift.agreed.edge", "mastdrift.distribution.edge", "mastdrift.lab.model", "mastdrift.logging"), List.of("mastdrift.serve", "mastdrift.standin", "mastdrift.lab.load"),
-            List.of("mastdrift.lab"), List.of("mastdrift.lab.report"), List.of("mastdrift.lab.rig"), List.of("mastdrift.cli", "mastdrift.measure"));
+            List.of("mastdrift.lab"), List.of("mastdrift.lab.report"), List.of("mastdrift.lab.rig"), List.of("mastdrift.lab.scale"), List.of("mastdrift.cli", "mastdrift.measure"));
 
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("mastdrift");
--- a/src/test/java/mastdrift/cli/LabCommandsTest.java
+++ b/src/test/java/mastdrift/cli/LabCommandsTest.java
@@ -18,6 +18,7 @@
 import java.util.jar.JarOutputStream;
 import mastdrift.lab.ExperimentReader;
 import mastdrift.lab.rig.ChaosPlan;
+import mastdrift.lab.scale.ScalePlan;
 import mastdrift.lab.Results;
 import mastdrift.standin.Effects;
 import mastdrift.standin.StandInHost;
@@ -76,10 +77,24 @@
             List<Path> all = files.filter(file -> file.toString().endsWith(".toml")).toList();
             assertTrue(all.size() >= 8);
             all.forEach(file -> assertEquals(List.of(), file.getFileName().toString().startsWith("chaos-") ? ChaosPlan.read(file, null).problems()
-                    : ExperimentReader.read(file, null, null).problems(), file.toString()));
+                    : file.getFileName().toString().startsWith("scale-fleet") ? ScalePlan.read(file, null).problems() : ExperimentReader.read(file, null, null).problems(), file.toString()));
         }
     }
 
+    /** What can't be played is refused before anything is started. */
+    @Test
+    void aScaleRunThatCannotBePlayedIsRefused() throws IOException {
+        Path file = folder.resolve("scale.toml");
+        Files.writeString(file, "per_process = 1\n[[size]]\nhollow = 4100\n");
+        assertEquals(2, run("lab", "scale", file.toString()));
+        assertTrue(err.contains("4100 hollow gateways, 100 resources: expected fewer than 200 processes, found that it needs 4119"), err);
+        Files.writeString(file, "[[size]]\nhollow = 0\n");
+        assertEquals(2, run("lab", "scale", file.toString()));
+        assertTrue(err.contains("hollow"), err);
+        assertEquals(2, run("lab", "scale", folder.resolve("none.toml").toString()));
+        assertTrue(err.contains("expected a file that can be read"), err);
+    }
+
     @Test
     void runCompareReplayAndReport() throws IOException {
         String two = "\n[[arm]]\nname = \"module\"\n[[arm]]\nname = \"two\"\npolicy = \"two\"\n";
