--- a/src/main/java/mastdrift/net/Discovery.java
+++ b/src/main/java/mastdrift/net/Discovery.java
@@ -27,79 +27,63 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import mastdrift.engine.Clock;
 import mastdrift.engine.Member;
 import mastdrift.membership.ListGuard;
 
-/** Fetches and watches the list of hosts. A call that fails, or a watch that ends, is told once; the module decides
-    when to ask again. Discovery may move: then what was asked for is asked for at the new address. */
+/** Fetches and watches the list of hosts. That calls fail, or a watch ends, is told; the module decides when to ask again, and
+    {@link CallSchedule} by when at the latest. Discovery may move: then what was asked for is asked for at the new address. */
 public final class Discovery {
 
-    // Calls wait for their turn, for some seconds; a watch that has begun has an empty line every 2 s at least.
-    // What is listed while a watch is silent counts as told 6 s later, so that this and one call after it have to fit in.
-    private static final int TURN_MILLIS = 3500;
-    // An agent of the gateway's own machine has no turns: it answers at once, or is silent while it hears nothing itself.
-    private static final int AGENT_TURN_MILLIS = 1000;
-    private static final int SILENCE_MILLIS = 2500;
-    // After a move, what discovery tells has to be heard within 4 s: for so long a call is repeated soon, and its failure
-    // is one of the move and not told.
-    private static final int MOVE_MILLIS = 4000;
-    private static final int MOVE_TURN_MILLIS = 1500;
-    private static final int MOVE_DIAL_MILLIS = 500;
-    private static final int MOVE_PAUSE_MILLIS = 150;
-    private static final int DIAL_MILLIS = 2000;
     private static final int MOST = 4 << 20;
 
     private final EventLoop loop;
     private InetSocketAddress at;
-    private final int turnMillis;
     private final Consumer<HostList> lists;
     private final Consumer<String> failures;
+    private final Runnable calls;
     private final Clock clock = Clock.system();
     private final ListGuard guard;
-    private Channel watch;
-    private boolean watchWanted;
-    private Channel fetch;
-    private long movedAt = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(MOVE_MILLIS);
+    private final Asked watch;
+    private final Asked fetch;
 
     /** Hears lists and failures on the loop's thread; {@code known} is the list in force already. Calls may have to wait for their turn. */
     public Discovery(EventLoop loop, InetSocketAddress at, HostList known, Consumer<HostList> lists, Consumer<String> failures) {
-        this(loop, at, false, known, lists, failures);
+        this(loop, at, false, known, lists, failures, () -> { });
     }
 
-    /** Likewise, where lists are {@code pushed}: calls are answered at once. */
-    Discovery(EventLoop loop, InetSocketAddress at, boolean pushed, HostList known, Consumer<HostList> lists, Consumer<String> failures) {
+    /** Likewise, where lists are {@code pushed}: calls are answered at once; {@code calls} hears of each that begins. */
+    Discovery(EventLoop loop, InetSocketAddress at, boolean pushed, HostList known, Consumer<HostList> lists, Consumer<String> failures,
+            Runnable calls) {
         this.loop = loop;
-        turnMillis = pushed ? AGENT_TURN_MILLIS : TURN_MILLIS;
+        long turn = pushed ? CallSchedule.AGENT_TURN : CallSchedule.TURN;
+        watch = new Asked(true, turn);
+        fetch = new Asked(false, turn);
         this.at = at;
         guard = new ListGuard(known.rev(), !known.entries().isEmpty());
         this.lists = lists;
         this.failures = failures;
+        this.calls = calls;
     }
 
-    /** Begins anew where there is a watch already: that one ends unheard. */
+    /** Where there is a watch already, that one goes on. */
     public void watch(boolean active) {
-        watchWanted = active;
-        Channel before = watch;
-        watch = null;
-        if (before != null) {
-            before.close();
-        }
         if (active) {
-            watch = call("/v1/endpoints?watch=1&from=" + guard.rev(), true);
+            watch.schedule.ask(now());
+        } else {
+            watch.schedule.end().forEach(Channel::close);
         }
+        watch.step();
     }
 
-    /** Likewise. */
+    /** Likewise: asks for the whole list, where it hasn't been asked for already. */
     void fetch() {
-        Channel before = fetch;
-        fetch = null;
-        if (before != null) {
-            before.close();
-        }
-        fetch = call("/v1/endpoints", false);
+        fetch.schedule.ask(now());
+        fetch.step();
     }
 
     /** From now on nothing counts that the old address says, nor that it ends. */
@@ -108,113 +92,120 @@
             return;
         }
         at = to;
-        movedAt = System.nanoTime();
-        if (watchWanted) {
-            watch(true);
-        }
-        if (fetch != null) {
-            fetch();
+        for (Asked asked : List.of(watch, fetch)) {
+            asked.schedule.moved(now()).forEach(Channel::close);
+            asked.step();
         }
     }
 
-    private boolean moving() {
-        return System.nanoTime() - movedAt < TimeUnit.MILLISECONDS.toNanos(MOVE_MILLIS);
+    private static long now() {
+        return System.nanoTime() / 1_000;
     }
 
-    private Channel call(String path, boolean watching) {
-        ChannelFuture dialled = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, moving() ? MOVE_DIAL_MILLIS : DIAL_MILLIS)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(), new Call(watching));
-                    }
-                }).connect(at);
-        dialled.addListener(done -> {
-            if (done.isSuccess()) {
-                DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
-                request.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(at));
-                dialled.channel().writeAndFlush(request);
-            } else {
-                failed(dialled.channel(), watching, "no connection");
-            }
-        });
-        return dialled.channel();
-    }
+    /** What is asked for, and the calls that are out for it. */
+    private final class Asked {
 
-    private boolean replaced(Channel channel, boolean watching) {
-        return channel != (watching ? watch : fetch);
-    }
+        private final boolean watching;
+        private final CallSchedule<Channel> schedule;
+        private Future<?> due;
+        private long dueAt = Long.MAX_VALUE;
 
-    private void failed(Channel channel, boolean watching, String cause) {
-        if (replaced(channel, watching)) {
-            return;
+        Asked(boolean watching, long turn) {
+            this.watching = watching;
+            schedule = new CallSchedule<>(turn, watching, ThreadLocalRandom.current()::nextLong);
         }
-        ended(watching);
-        if (moving()) {
-            loop.schedule(() -> askAgain(watching), MOVE_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
-        } else {
-            failures.accept(cause);
+
+        /** Does what is due, and comes again when something is. After whatever the schedule was told. */
+        private void step() {
+            long now = now();
+            for (Channel late : schedule.overdue(now)) {
+                Call call = late.pipeline().get(Call.class);
+                failed(late, call == null || !late.isActive() ? "no connection" : call.lacks(schedule.bound(late)));
+                late.close();
+            }
+            if (schedule.begins(now)) {
+                calls.run();
+                ChannelFuture dialled = dial();
+                schedule.began(now, dialled.channel());
+                // Where there is no descriptor left, the library says so on a thread of its own.
+                dialled.addListener(done -> loop.execute(() -> dialled(dialled)));
+            }
+            long next = schedule.due();
+            if (next < dueAt) {  // one that comes too early looks and goes on
+                if (due != null) {
+                    due.cancel(false);
+                }
+                dueAt = next;
+                due = loop.schedule(() -> {
+                    dueAt = Long.MAX_VALUE;
+                    step();
+                }, Math.max(0, next - now), TimeUnit.MICROSECONDS);
+            }
         }
-    }
 
-    private void ended(boolean watching) {
-        if (watching) {
-            watch = null;
-        } else {
-            fetch = null;
+        private ChannelFuture dial() {
+            return new Bootstrap().group(loop).channel(NioSocketChannel.class)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)  // the schedule bounds it
+                    .handler(new ChannelInitializer<Channel>() {
+                        @Override
+                        protected void initChannel(Channel channel) {
+                            channel.pipeline().addLast(new HttpClientCodec(), new Call(Asked.this));
+                        }
+                    }).connect(at);
         }
-    }
 
-    private void askAgain(boolean watching) {
-        if (watching && watchWanted && watch == null) {
-            watch(true);
-        } else if (!watching && fetch == null) {
-            fetch();
+        private void dialled(ChannelFuture dialled) {
+            if (dialled.isSuccess()) {
+                schedule.connected(now(), dialled.channel()).forEach(Channel::close);
+                String path = watching ? "/v1/endpoints?watch=1&from=" + guard.rev() : "/v1/endpoints";
+                DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
+                request.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(at));
+                dialled.channel().writeAndFlush(request);
+            } else {
+                failed(dialled.channel(), "no connection");
+            }
+            step();
+        }
+
+        private void failed(Channel channel, String cause) {
+            if (schedule.failed(now(), channel)) {
+                failures.accept(cause);
+            }
         }
     }
 
     /** One call: its answer is one list, or one a line for as long as it stays open. */
     private final class Call extends SimpleChannelInboundHandler<HttpObject> {
 
+        private final Asked asked;
         private final boolean watching;
         private final JsonLines lines = new JsonLines();
         private ByteBuf text;
         private int looked;  // so many bytes of it are known to hold no end
-        private Future<?> due;  // when the next whole line has to be there: bytes alone are no sign of life
-        private boolean over;
         private String cause = "the connection ended";
 
-        Call(boolean watching) {
-            this.watching = watching;
+        Call(Asked asked) {
+            this.asked = asked;
+            watching = asked.watching;
         }
 
         @Override
         public void handlerAdded(ChannelHandlerContext context) {
             text = context.alloc().heapBuffer();
-            expect(context, moving() ? Math.min(MOVE_TURN_MILLIS, turnMillis) : turnMillis);
         }
 
-        private void expect(ChannelHandlerContext context, long millis) {
-            if (due != null) {
-                due.cancel(false);
-            }
-            due = loop.schedule(() -> {
-                cause = "expected a line within " + millis + " ms, found "
-                        + (text.isReadable() ? text.readableBytes() + " bytes of one" : "none");
-                context.close();
-            }, millis, TimeUnit.MILLISECONDS);
+        private String lacks(long micros) {
+            return "expected a line within " + micros / 1_000 + " ms, found " + (text.isReadable() ? text.readableBytes() + " bytes of one" : "none");
         }
 
         @Override
         public void handlerRemoved(ChannelHandlerContext context) {
-            due.cancel(false);
             text.release();
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) throws IOException {
-            if (over || part.decoderResult().isFailure() || replaced(context.channel(), watching)) {
+            if (part.decoderResult().isFailure() || !asked.schedule.out(context.channel())) {
                 context.close();
                 return;
             }
@@ -234,13 +225,12 @@
                     looked = 0;
                     take(length);
                     text.skipBytes(1);
-                    expect(context, SILENCE_MILLIS);
+                    asked.schedule.heard(now(), context.channel()).forEach(Channel::close);
                 }
             }
             if (last && !watching) {
                 take(text.readableBytes());
-                over = true;
-                ended(false);
+                asked.schedule.answered(context.channel()).forEach(Channel::close);
             }
             if (text.readableBytes() > MOST) {
                 cause = "expected a line of " + MOST + " bytes at most, found no end";
@@ -274,10 +264,8 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            if (!over) {
-                over = true;
-                failed(context.channel(), watching, cause);
-            }
+            asked.failed(context.channel(), cause);
+            asked.step();
         }
 
         @Override
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -43,17 +43,19 @@
         };
         Consumer<HostList> lists = this::learn;
         Consumer<String> failures = this::listFailed;
+        Runnable calls = () -> { };
         if (tally) {
             Tracing tracing = new Tracing(hosts, timed, config.settings(), this::log);
             ledger.witness(tracing);
             Tallying tallying = new Tallying(tracing, timed, config.settings().rules().warmWithin(), ledger, tracing, this::log);
             hosts = tallying;
-            source = tallying.source(source);
+            calls = tallying::called;
             lists = tallying.lists(lists);
             failures = tallying.failures(failures);
         }
         pool = new Pool("hosts", ledger, module, config.settings(), hosts);
-        discovery = new Discovery(loop, config.discovery(), !config.settings().registryOnRequest(), config.known(), lists, failures);
+        discovery = new Discovery(loop, config.discovery(), !config.settings().registryOnRequest(), config.known(), lists, failures,
+                calls);
         pool.start(source, config.known().entries());
         logList(config.known());
         if (!config.settings().registryOnRequest()) {
--- a/src/main/java/mastdrift/net/Tallying.java
+++ b/src/main/java/mastdrift/net/Tallying.java
@@ -14,7 +14,6 @@
 import mastdrift.engine.Ledger;
 import mastdrift.engine.Member;
 import mastdrift.engine.ServiceCount;
-import mastdrift.engine.Source;
 import mastdrift.engine.Timers;
 import mastdrift.engine.Transport;
 import mastdrift.tally.Count;
@@ -83,21 +82,9 @@
         System.arraycopy(now, 0, answers, 0, now.length);
     }
 
-    /** Counts calls to discovery. */
-    Source source(Source of) {
-        return new Source() {
-            @Override
-            public void watch(boolean active) {
-                second.add(Count.CALLS);
-                of.watch(active);
-            }
-
-            @Override
-            public void fetch() {
-                second.add(Count.CALLS);
-                of.fetch();
-            }
-        };
+    /** A call to discovery begins. */
+    void called() {
+        second.add(Count.CALLS);
     }
 
     /** Counts lists that discovery told. */
--- a/src/test/java/mastdrift/net/WatchCrossingTest.java
+++ b/src/test/java/mastdrift/net/WatchCrossingTest.java
@@ -15,11 +15,22 @@
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
 import java.net.Socket;
+import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.concurrent.atomic.AtomicLong;
+import java.util.stream.Stream;
 import mastdrift.net.Loopback.Message;
 import mastdrift.net.Loopback.Node;
 import mastdrift.net.Loopback.Server;
@@ -162,4 +173,114 @@
             assertTrue(two.received.isEmpty());
         }
     }
+
+    // ---- told in 6 s, whatever calls have come to: the table of these is in CallScheduleTest
+
+    /** A watch falls silent behind a line, and the new one is silent too: a third is open before that is given up, and what it tells is in force. */
+    @Test
+    void aSecondSilentWatchIsHedged() throws Exception {
+        try (Server discovery = new Server(message -> { }); Server one = host("one"); Server two = host("two");
+                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one), up("s2", two)), SETTINGS))) {
+            Socket first = await(discovery.received).socket();
+            write(first, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            Loopback.tell(first, list(5, true, up("s1", one), up("s2", two)));
+            Socket second = await(discovery.received).socket();  // says nothing
+            Socket third = await(discovery.received).socket();
+            assertTrue(!discovery.ended.contains(second), "the second had its time ahead of the third");
+            write(third, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            Loopback.tell(third, list(6, false, entry("s1", one.address(), "a", "terminating")));
+            eventually(() -> log(node).contains("list 6"));
+            eventually(() -> discovery.ended.contains(second));  // the first to tell ends the other
+            assertTrue(!discovery.ended.contains(third), log(node));
+            assertEquals("two", node.ask(read(20_000)).text());
+        }
+    }
+
+    private static int dialling(int port) throws IOException {
+        String to = String.format(":%04X 02 ", port);  // SYN_SENT
+        return (int) Stream.concat(Files.readAllLines(Path.of("/proc/net/tcp")).stream(), Files.readAllLines(Path.of("/proc/net/tcp6")).stream())
+                .filter(line -> line.contains(to)).count();
+    }
+
+    /** A dial to discovery never comes up: another one is begun beside it, and the one that does is heard. */
+    @Test
+    void aDialThatNeverComesUpIsHedged() throws Exception {
+        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1")); Server one = host("one"); Server two = host("two");
+                Server unused = discovery()) {
+            List<Socket> fill = new ArrayList<>();
+            for (int i = 0; i < 4; i++) {  // the system's queue takes these, and then drops who comes
+                Socket socket = new Socket();
+                fill.add(socket);
+                try {
+                    socket.connect(full.getLocalSocketAddress(), 200);
+                } catch (SocketTimeoutException e) {
+                    socket.close();
+                }
+            }
+            Map<String, String> environment = new HashMap<>(environment(folder, unused, list(1, true, up("s1", one)), SETTINGS));
+            environment.put("NODE_DISCOVERY", "127.0.0.1:" + full.getLocalPort());
+            try (Node node = new Node(environment)) {
+                eventually(() -> dialling(full.getLocalPort()) >= 2);
+                for (Socket socket : fill) {
+                    socket.close();
+                }
+                Socket watch;
+                do {
+                    watch = full.accept();
+                    fill.add(watch);
+                } while (Loopback.read(watch) == null);  // those that filled the queue have ended
+                write(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                Loopback.tell(watch, list(5, true, up("s2", two)));
+                eventually(() -> log(node).contains("list 5"));
+                assertEquals("two", node.ask(read(20_000)).text());
+            } finally {
+                for (Socket socket : fill) {
+                    socket.close();
+                }
+            }
+        }
+    }
+
+    /** However long the pauses that the settings make of failed calls: the next one comes soon enough for its answer to be in force within 6 s. */
+    @Test
+    void aRefusedCallIsFollowedSoonEnough() throws Exception {
+        String seldom = SETTINGS.replace("\"must_ask_in\":1000000", "\"must_ask_in\":60000000");
+        int refused = 4;
+        AtomicInteger calls = new AtomicInteger();
+        AtomicLong last = new AtomicLong();
+        AtomicLong longest = new AtomicLong();
+        try (Server one = host("one"); Server two = host("two"); Server discovery = new Server(message -> {
+            long before = last.getAndSet(System.nanoTime());
+            longest.accumulateAndGet(before == 0 ? 0 : last.get() - before, Math::max);
+            if (calls.incrementAndGet() <= refused) {
+                write(message.socket(), "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+            } else {
+                write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                Loopback.tell(message.socket(), list(5, true, up("s2", two)));
+            }
+        }); Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), seldom))) {
+            eventually(() -> log(node).contains("list 5"));
+            assertEquals("two", node.ask(read(20_000)).text());
+            long millis = TimeUnit.NANOSECONDS.toMillis(longest.get());
+            assertTrue(millis < 5_000, "from a refusal to the next call: " + millis + " ms");  // 2.25 s; 6 to 18 s by the module's pauses alone
+            assertEquals(refused + 1, calls.get());
+        }
+    }
+
+    /** SIGHUP while the new watch, too, is silent: the new address is asked at once, and the old one's end says nothing. */
+    @Test
+    void aMoveDuringASilentCallIsHeard() throws Exception {
+        try (Server silent = new Server(message -> { }); Server moved = discovery(); Server one = host("one"); Server two = host("two");
+                Node node = new Node(environment(folder, silent, list(1, true, up("s1", one)), SETTINGS))) {
+            await(silent.received);
+            await(silent.received);  // beside the first
+            node.loop.execute(() -> node.gateway.discoverAt(Loopback.at(moved)));
+            Loopback.tell(await(moved.received).socket(), list(5, true, up("s2", two)));
+            eventually(() -> log(node).contains("list 5"));
+            assertEquals("two", node.ask(read(20_000)).text());
+            await(silent.ended);
+            await(silent.ended);
+            assertTrue(moved.ended.isEmpty() && !log(node).contains("failed"), log(node));
+        }
+    }
 }
