--- a/src/main/java/mastdrift/distribution/edge/MessageCodec.java
+++ b/src/main/java/mastdrift/distribution/edge/MessageCodec.java
@@ -22,9 +22,9 @@
 import mastdrift.distribution.Table;
 
 /**
- * Messages, deltas and changes as bytes: a version, a form, then nested arrays in CBOR (RFC 8949), which are deflated (RFC 1951) where that makes a large one smaller. What a later
- * build says, and what is not well-formed, is refused whole, with what was expected and found where. What it writes, it reads; what is beyond a bound is refused when it is
- * written, too.
+ * Messages, deltas and changes as bytes: a version, a form, then nested arrays in CBOR (RFC 8949), which are deflated (RFC 1951) where that makes a large one smaller. What a
+ * later build says, and what is not well-formed, is refused whole, with what was expected and found where. What it writes, it reads; what is beyond a bound is refused when it
+ * is written, too.
  *
  * <p>It writes and reads field by field and makes nothing but the objects that it gives: a snapshot at the target is 245,810 resources.
  */
@@ -379,7 +379,8 @@
             byte[] plain = new byte[length];
             int found = inflater.inflate(plain);
             if (found != length || !inflater.finished() && inflater.inflate(new byte[1]) > 0 || !inflater.finished() || inflater.getRemaining() > 0) {
-                throw new IllegalArgumentException("expected " + length + " bytes when inflated and nothing behind them, found " + (found < length ? String.valueOf(found) : "more"));
+                throw new IllegalArgumentException("expected " + length + " bytes when inflated and nothing behind them, found "
+                        + (found < length ? String.valueOf(found) : "more"));
             }
             return plain;
         } catch (DataFormatException e) {
@@ -476,7 +477,8 @@
         from.list(what);
         while (from.next(ITEMS_MOST)) {
             from.open("resource");
-            resources.add(new Resource(kind(from), from.text("name", 1, Resource.NAME_MOST), from.whole("version", 0, Long.MAX_VALUE), from.bytes("value", Resource.VALUE_MOST)));
+            resources.add(new Resource(kind(from), from.text("name", 1, Resource.NAME_MOST), from.whole("version", 0, Long.MAX_VALUE),
+                    from.bytes("value", Resource.VALUE_MOST)));
             from.close();
         }
         return resources;
--- a/src/main/java/mastdrift/distribution/edge/Publication.java
+++ b/src/main/java/mastdrift/distribution/edge/Publication.java
@@ -17,8 +17,8 @@
  * Runs a {@link Publisher} on an event loop: its messages as replies on the connections that subscribers opened, its time by the loop's timer. Decides nothing. All methods are
  * called on the loop's thread but the constructor.
  *
- * <p>What goes to many is made bytes of once: the last {@value #KEPT_MOST} such messages are kept with their bytes, {@value #KEPT_BYTES_MOST} of them at most. A subscriber on whose
- * connection more waits than a link holds is dropped, and so is one whose message can't be read.
+ * <p>What goes to many is made bytes of once: the last {@value #KEPT_MOST} such messages are kept with their bytes, {@value #KEPT_BYTES_MOST} of them at most. A subscriber on
+ * whose connection more waits than a link holds is dropped, and so is one whose message can't be read.
  */
 public final class Publication implements AutoCloseable {
 
--- a/src/main/java/mastdrift/distribution/edge/TableFolder.java
+++ b/src/main/java/mastdrift/distribution/edge/TableFolder.java
@@ -20,9 +20,10 @@
  * A table's copy on disk: a snapshot and, behind it, a journal of the deltas that came since, as in a database's checkpoint and log. A process that starts has what it last
  * had, without a word from anybody.
  *
- * <p>Each file is a row of records with length and checksum (CRC32C, RFC 3720 appendix B.4). A snapshot is written beside the one that is there and put in its place when it is on disk; only then
- * is the journal emptied, and what a journal of before repeats is passed over. A journal is read up to its first record that isn't whole or doesn't follow, and written on from there. What
- * is read is a table that was written, by the hash in its revision, or none: a kill at any step, a full disk or spoilt bytes cost the newest deltas or the copy, never its truth.
+ * <p>Each file is a row of records with length and checksum (CRC32C, RFC 3720 appendix B.4). A snapshot is written beside the one that is there and put in its place when it
+ * is on disk; only then is the journal emptied, and what a journal of before repeats is passed over. A journal is read up to its first record that isn't whole or doesn't
+ * follow, and written on from there. What is read is a table that was written, by the hash in its revision, or none: a kill at any step, a full disk or spoilt bytes cost the
+ * newest deltas or the copy, never its truth.
  *
  * <p>Bounded: the journal is folded into a new snapshot where it is larger than that and than {@value #FOLD_LEAST} bytes, or than {@value #FOLD_MOST}; a snapshot has what a
  * table has; files of more than {@value #FILE_MOST} bytes aren't read. Waits for the disk: not for an event loop. Not safe for use by several threads.
@@ -270,8 +271,8 @@
         return bytes;
     }
 
-    /** Adds what led to a table from the one that was given or read before; writes the whole table where it has another one, or the journal has grown. On disk once this returns. Throws IOException
-        where it can't be; the next one is written whole then. */
+    /** Adds what led to a table from the one that was given or read before; writes the whole table where it has another one, or the journal has grown. On disk once this
+        returns. Throws IOException where it can't be; the next one is written whole then. */
     public void append(long wall, Table next, List<Delta> deltas) throws IOException {
         List<byte[]> records = follows(next, deltas) ? records(wall, deltas) : null;
         if (records == null) {
