--- a/src/test/java/mastdrift/distribution/DistributionWorld.java
+++ b/src/test/java/mastdrift/distribution/DistributionWorld.java
@@ -221,6 +221,9 @@
             jumps += deltas.isEmpty() ? 1 : 0;
             if (disk.isEmpty() || random.nextInt(10) < 7) {
                 disk.add(next);
+                if (disk.size() > 8) {
+                    disk.remove(random.nextInt(6));
+                }
             }
             if (publisher != null) {
                 then.add(() -> publisher.table(now, next, deltas));
