--- a/src/main/java/mastdrift/distribution/Subscriber.java
+++ b/src/main/java/mastdrift/distribution/Subscriber.java
@@ -59,6 +59,7 @@
     private long nextAt;
     private int ended;
     private long aloneSince;
+    private boolean silenceTold;  // once, until somebody is heard
     private boolean begun;
     private long heardAt;
     private long askedAt;
@@ -162,7 +163,8 @@
         stopped(now);
         if (!machines.isEmpty()) {
             if (at != null && now - heardAt >= settings.silent()) {
-                next(now, "config_silent", "expected a message within " + settings.silent() / 1_000_000 + " s, found none");
+                next(now, silenceTold ? null : "config_silent", "expected a message within " + settings.silent() / 1_000_000 + " s, found none");
+                silenceTold = true;
             } else if (at != null && behindSince != 0 && now - behindSince >= settings.silent()) {
                 next(now, "config_behind", "expected revision " + table.revision().number() + " or a later one, found an earlier one for " + settings.silent() / 1_000_000 + " s");
             } else if (at != null && index != 0 && !fetching && assembly == null && now >= homeAt) {
@@ -252,8 +254,11 @@
         out.leave(left);
     }
 
+    /** {@code event} null where operators know already. */
     private void next(long now, String event, String why) {
-        out.event(event, at + ": " + why);
+        if (event != null) {
+            out.event(event, at + ": " + why);
+        }
         long since = heardAt;
         leave(now);
         aloneSince = Math.max(1, Math.min(aloneSince, since));
@@ -278,8 +283,12 @@
     public void heard(long now, String from, Message message) {
         stopped(now);
         if (from.equals(at)) {
+            if (aloneSince != 0 && now - aloneSince >= settings.silent()) {
+                out.event("config_heard", at + ": after " + (now - aloneSince) / 1_000_000 + " s without any machine");
+            }
             heardAt = now;
             aloneSince = 0;
+            silenceTold = false;
             ended = 0;
             if (message instanceof Message.Deltas deltas) {
                 deltas(now, deltas.deltas());
