--- a/src/main/java/mastdrift/net/HostPool.java
+++ b/src/main/java/mastdrift/net/HostPool.java
@@ -207,8 +207,12 @@
         attempt.channel = dialled.channel();
         dialled.addListener(done -> {
             if (!done.isSuccess()) {
-                connections--;  // here: where no descriptor was left there is no channel that would close
-                attempt.end(Outcome.DIAL_FAILED, null);
+                // Where no descriptor was left there is no channel that would close, and the library says so on a thread of its own.
+                if (loop.inEventLoop()) {
+                    undialled(attempt);
+                } else {
+                    loop.execute(() -> undialled(attempt));
+                }
                 return;
             }
             dialled.channel().closeFuture().addListener(closed -> {
@@ -232,6 +236,11 @@
         });
     }
 
+    private void undialled(Attempt attempt) {
+        connections--;
+        attempt.end(Outcome.DIAL_FAILED, null);
+    }
+
     /** What passed after the last attempt had ended. */
     private void stray(String uid, Channel channel) {
         CountedChannel counted = (CountedChannel) channel;
--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -117,7 +117,8 @@
     /** Starts a gateway on the loop, not yet listening; throws IllegalArgumentException for a configuration it can't run with. */
     static Started prepare(Config config, TimedLoop loop, boolean tally, PrintStream out) {
         // Of the clients' half, an eighth is for answering those that come beyond the requests held.
-        int most = Math.max(8, (Math.min(config.sockets(), 1 << 16) - RESERVED) / 2);
+        int sockets = Math.min(Math.min(config.sockets(), Descriptors.limit()), 1 << 16);
+        int most = Math.max(8, (sockets - RESERVED) / 2);
         return CompletableFuture.supplyAsync(
                 () -> Started.with(config, loop, most, most - most / 8, most, tally, out), loop.loop()).join();
     }
