--- a/src/main/java/mastdrift/net/Discovery.java
+++ b/src/main/java/mastdrift/net/Discovery.java
@@ -265,7 +265,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             asked.failed(context.channel(), cause);
-            asked.step();
+            loop.execute(asked::step);  // once all that this turn found has been read: another call's line may be among it
         }
 
         @Override
