--- a/src/test/java/mastdrift/Gateway.java
+++ b/src/test/java/mastdrift/Gateway.java
@@ -68,6 +68,10 @@
     int me;
     long seed = 42;
     long mustAskIn;
+    double coldFrom = 0.2;
+    long warmWithin = 10_000_000;
+    double fallMultiple = 3;
+    long fallSpan = 2_000_000;
     Weights weights = Weights.OFF;
     List<Tenant> tenants = List.of();
     List<RequestClass> classes;
@@ -80,7 +84,7 @@
         return new Settings(classes == null ? List.of(type("read")) : classes, tenants,
                 new Limits(cancel, probing, parallel, false, maxAttempts, 20_000, retryAfter, 500_000),
                 new Links(100_000, 5_000_000, 1), new Cpu(500_000, 0),
-                new Rules(20_000, 250_000, mustAskIn, 0.2, 10_000_000, 3, 2_000_000),
+                new Rules(20_000, 250_000, mustAskIn, coldFrom, warmWithin, fallMultiple, fallSpan),
                 new Value(new Goal(1, 0, 0, 0), new Prices(0, 0, 0, 0, 0, 0.01, 0, 0, 0, 0, 0), 0.05, false),
                 new Site(me, gateways, "z0", List.of("z0", "z1"), List.of("std"), 0, List.of("servers")),
                 new Habits(true, false, Reports.OFF, List.of(), false), mustAskIn > 0, weights, "proxy",
