--- a/src/main/java/mastdrift/agreed/AgreedLog.java
+++ b/src/main/java/mastdrift/agreed/AgreedLog.java
@@ -23,8 +23,15 @@
         record Unknown(String why) implements Fate { }
     }
 
-    /** A decision as it is read. */
-    record Decision(long index, String id, byte[] command) { }
+    /**
+     * A decision as it is read.
+     *
+     * @param index of its entry in the log; entries between two decisions may have been something else
+     * @param ordinal its place among all decisions: the first is 1 and each follows the one before, so that a reader can tell a gap
+     * @param id the writer's
+     * @param command not to be changed
+     */
+    record Decision(long index, long ordinal, String id, byte[] command) { }
 
     /** Appends a decision. The same id appended again is in once, at its first place. Larger ones than {@link #DECISION_MOST} are out. */
     void append(String id, byte[] command, Consumer<Fate> then);
--- a/src/main/java/mastdrift/agreed/Decisions.java
+++ b/src/main/java/mastdrift/agreed/Decisions.java
@@ -85,8 +85,7 @@
         }
         byte[] command = new byte[in.remaining()];
         in.get(command);
-        count++;
-        keep(new Decision(index, id, command));
+        keep(new Decision(index, ++count, id, command));
         return new Fate.In(index);
     }
 
@@ -130,6 +129,24 @@
         return after;
     }
 
+    /** The first {@code most} decisions behind an index, with their ordinals and no ids but theirs, for who follows from there; all of it where some of them are no longer kept. */
+    public Decisions part(long index, int most) {
+        List<Decision> after = after(index, most);
+        if (after == null) {
+            return restored(snapshot());
+        }
+        Decisions part = new Decisions();
+        if (!after.isEmpty()) {
+            part.last = after.get(after.size() - 1).index();
+            for (Decision each : after) {
+                part.count = each.ordinal();
+                part.remember(each.id(), each.index());
+                part.keep(each);
+            }
+        }
+        return part;
+    }
+
     /** Decisions that are kept, the first first. */
     public List<Decision> kept() {
         return List.copyOf(kept);
@@ -169,16 +186,21 @@
                 throw new IllegalArgumentException("expected a snapshot of version " + VERSION + ", found " + version);
             }
             all.last = in.getLong();
-            all.count = in.getLong();
+            long count = in.getLong();
             for (int i = in.getInt(); i > 0; i--) {
                 all.ids.put(text(in), in.getLong());
             }
-            for (int i = in.getInt(); i > 0; i--) {
+            int held = in.getInt();
+            if (held < 0 || held > KEPT_MOST || held > count) {
+                throw new IllegalArgumentException("expected 0 to " + Math.min(KEPT_MOST, count) + " of " + count + " decisions, found " + held);
+            }
+            all.count = count - held;
+            for (int i = held; i > 0; i--) {
                 long index = in.getLong();
                 String id = text(in);
                 byte[] command = new byte[bounded(in.getInt(), in)];
                 in.get(command);
-                all.keep(new Decision(index, id, command));
+                all.keep(new Decision(index, ++all.count, id, command));  // those that are kept are the last ones, without a gap
             }
             if (in.hasRemaining()) {
                 throw new IllegalArgumentException("expected the end of a snapshot, found " + in.remaining() + " bytes");
--- a/src/main/java/mastdrift/agreed/edge/DecidedMachine.java
+++ b/src/main/java/mastdrift/agreed/edge/DecidedMachine.java
@@ -68,13 +68,9 @@
         return kind == OUT ? new Fate.Out(why) : new Fate.Unknown(why);
     }
 
-    /** Reads something of the decisions, between two entries. */
-    synchronized List<Decision> after(long index, int most) {
-        return decisions.after(index, most);
-    }
-
-    synchronized byte[] snapshot() {
-        return decisions.snapshot();
+    /** What is behind an entry, as bytes, for who follows from there. */
+    synchronized byte[] part(long index, int most) {
+        return decisions.part(index, most).snapshot();
     }
 
     synchronized long last() {
--- a/src/main/java/mastdrift/agreed/edge/RaftLog.java
+++ b/src/main/java/mastdrift/agreed/edge/RaftLog.java
@@ -520,13 +520,8 @@
         if (server == null) {
             throw new IOException("no part in the log");
         }
-        List<Decision> after = machine.after(index, FOLLOW_MOST);
-        Decisions part = after == null ? Decisions.restored(machine.snapshot()) : new Decisions();
-        if (after != null) {
-            after.forEach(each -> part.apply(each.index(), Decisions.append(each.id(), each.command())));
-        }
         byte[] voters = String.join(",", group.keySet()).getBytes(StandardCharsets.UTF_8);
-        byte[] bytes = part.snapshot();
+        byte[] bytes = machine.part(index, FOLLOW_MOST);
         return ByteBuffer.allocate(Integer.BYTES + voters.length + bytes.length).putInt(voters.length).put(voters).put(bytes).array();
     }
 
--- a/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
+++ b/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
@@ -21,6 +21,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.function.BooleanSupplier;
+import java.util.stream.LongStream;
 import java.util.stream.Stream;
 import mastdrift.agreed.AgreedLog;
 import mastdrift.agreed.AgreedLog.Decision;
@@ -117,6 +118,8 @@
             await(() -> new HashSet<>(members.get(name).ids()).containsAll(ids), name + " reads all of " + ids.size());
             assertEquals(members.get(names[0]).ids().subList(0, ids.size()), members.get(name).ids().subList(0, ids.size()), "in one order");
             assertEquals(new HashSet<>(members.get(name).ids()).size(), members.get(name).ids().size(), "each once");
+            List<Long> ordinals = members.get(name).read.stream().map(Decision::ordinal).toList();
+            assertEquals(LongStream.rangeClosed(1, ordinals.size()).boxed().toList(), ordinals, "counted without a gap");
         }
     }
 
