--- a/src/main/java/mastdrift/cli/Commands.java
+++ b/src/main/java/mastdrift/cli/Commands.java
@@ -6,11 +6,14 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
 import mastdrift.config.Configuration;
 import mastdrift.config.ConfigurationReader;
+import mastdrift.config.DistributionReader;
+import mastdrift.config.Problems;
 import mastdrift.events.Events;
 import mastdrift.files.FileTexts;
 import mastdrift.files.StatusFile;
@@ -108,20 +111,30 @@
         }
     }
 
-    @Command(name = "check", description = "Checks a gateway's file and the node lists that it includes.",
+    @Command(name = "check", description = "Checks a gateway's file and the node lists that it includes, or a control machine's file.",
             mixinStandardHelpOptions = true)
     static final class Check implements Callable<Integer> {
 
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
-        @Parameters(paramLabel = "FILE", description = "the gateway's file")
+        @Parameters(paramLabel = "FILE", description = "the gateway's or control machine's file")
         private Path file;
 
         @Override
         public Integer call() {
             PrintWriter out = spec.commandLine().getOut();
             PrintWriter err = spec.commandLine().getErr();
+            String control = new FileTexts(file).text(FileTexts.name(file), new Problems());
+            if (control != null && DistributionReader.isControl(FileTexts.name(file), control)) {
+                DistributionReader.Result result = DistributionReader.control(FileTexts.name(file), control);
+                result.problems().forEach(err::println);
+                if (result.settings() != null) {
+                    out.println("control machine " + result.settings().name() + ": " + result.settings().role().name().toLowerCase(Locale.ROOT) + " in " + result.settings().zone()
+                            + ", one of " + result.settings().machines().size() + ", epoch " + result.settings().epoch());
+                }
+                return result.settings() == null ? REFUSED : 0;
+            }
             Configuration configuration = read(file, err);
             if (configuration == null) {
                 return REFUSED;
--- a/src/main/java/mastdrift/config/Configuration.java
+++ b/src/main/java/mastdrift/config/Configuration.java
@@ -14,10 +14,11 @@
 
 /** A whole set of files, checked: the gateway's own file and the node lists that it includes. Immutable. {@code zones} is null where
     what crosses zones is neither counted nor bounded, {@code peers} where the gateway knows of no other, {@code agreed}
-    where it agrees on nothing with them. */
+    where it agrees on nothing with them, {@code distribution} where its routes are those of the files. */
 public record Configuration(GatewaySettings gateway, List<RequestClass> classes, List<Tenant> tenants,
         Map<String, PoolSettings> pools, List<RadiusSettings> radius, List<Route> routes, List<Override> overrides,
-        Map<String, List<Node>> nodes, ZoneSettings zones, PeerSettings peers, AgreedSettings agreed) {
+        Map<String, List<Node>> nodes, ZoneSettings zones, PeerSettings peers, AgreedSettings agreed,
+        DistributionSettings distribution) {
 
     /** Node lists that one gateway's file includes. */
     public static final int FILES_MOST = 64;
--- a/src/main/java/mastdrift/config/ConfigurationReader.java
+++ b/src/main/java/mastdrift/config/ConfigurationReader.java
@@ -1,9 +1,7 @@
 package mastdrift.config;
 
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Locale;
@@ -86,11 +84,13 @@
         ZoneSettings zones = ZonesReader.read(root, gateway.zone(), gateway.zones(), classes, tenants, pools.keySet());
         PeerSettings peers = PeersReader.read(root, gateway);
         AgreedSettings agreed = PeersReader.agreed(root, gateway, peers);
+        DistributionSettings distribution = DistributionReader.read(root, gateway);
         root.noMore();
         Map<String, List<Node>> nodes = nodes(pools, gateway.zones(), files);
-        fit(root, radius, routes, pools);
-        radius.forEach(each -> alike(root, each, routes));
-        return new Configuration(gateway, classes, tenants, pools, radius, routes, overrides, nodes, zones, peers, agreed);
+        RouteChecks checks = new RouteChecks(radius, pools);
+        routes.forEach(route -> checks.fits(route, wrong -> root.problem("route", wrong)));
+        checks.alike(routes, wrong -> root.problem("route", wrong));
+        return new Configuration(gateway, classes, tenants, pools, radius, routes, overrides, nodes, zones, peers, agreed, distribution);
     }
 
     // ---- the gateway's own file
@@ -172,54 +172,6 @@
         return client;
     }
 
-    /** What RADIUS asks goes to RADIUS servers, and nothing else does. */
-    private static void fit(Section root, List<RadiusSettings> radius, List<Route> routes, Map<String, PoolSettings> pools) {
-        Set<String> classes = new HashSet<>();
-        radius.forEach(each -> classes.addAll(Arrays.asList(each.accessClass(), each.conversationClass(),
-                each.accountingClass())));
-        for (Route route : routes) {
-            boolean asked = classes.contains(route.match().className());
-            List<String> named = new ArrayList<>(route.targets().stream().map(Route.Target::pool).toList());
-            if (route.fallback() != null) {
-                named.add(route.fallback());
-            }
-            for (String name : named) {
-                PoolSettings pool = pools.get(name);
-                if (pool != null && pool.radius() != asked) {
-                    root.problem("route", "route " + route.name() + ": expected " + (asked ? "pools of RADIUS servers for class "
-                            + route.match().className() : "the class of a RADIUS listener, for pool " + name + " has RADIUS servers")
-                            + ", found " + (asked ? "pool " + name + " of HTTP hosts" : "another or none"));
-                }
-            }
-        }
-    }
-
-    /** A conversation is held by the server that its card went to: the routes that may take the one have to lead, in their
-        order and by the same conditions, where those of the other do. */
-    private static void alike(Section root, RadiusSettings radius, List<Route> routes) {
-        List<Route> cards = ways(radius.accessClass(), routes);
-        List<Route> talks = ways(radius.conversationClass(), routes);
-        if (!cards.equals(talks)) {
-            root.problem("route", "radius " + radius.name() + ": expected the routes of class " + radius.conversationClass()
-                    + " to lead where those of class " + radius.accessClass() + " do, or conversations lose their server; found "
-                    + words(talks) + " and " + words(cards));
-        }
-    }
-
-    /** The routes that may take a class, without their names and the class itself. */
-    private static List<Route> ways(String className, List<Route> routes) {
-        return routes.stream().filter(route -> route.match().className() == null
-                || route.match().className().equals(className)).map(route -> new Route("",
-                        new Match(null, route.match().tenant(), route.match().pathPrefix(), route.match().headerName(),
-                                route.match().headerValue(), route.match().zone()), route.targets(), route.fallback())).toList();
-    }
-
-    private static String words(List<Route> routes) {
-        return routes.isEmpty() ? "none" : routes.stream().map(route -> route.targets().stream()
-                .map(target -> target.pool() + " " + Section.shown(target.weight())).toList()
-                + (route.fallback() == null ? "" : " else " + route.fallback())).toList().toString();
-    }
-
     private PoolSettings pool(String name, Section section) {
         Tables.word(section, "", name);
         List<String> files = section.texts("nodes", Configuration.FILES_MOST);
--- a/src/main/java/mastdrift/config/Tables.java
+++ b/src/main/java/mastdrift/config/Tables.java
@@ -106,9 +106,14 @@
         }
     }
 
+    /** Whether a text is a name: up to 64 letters, digits, dots, - and _. */
+    static boolean isWord(String text) {
+        return WORD.matcher(text).matches();
+    }
+
     /** A name: a problem where it is not one word. */
     public static String word(Section section, String key, String word) {
-        if (!word.equals("?") && !WORD.matcher(word).matches()) {
+        if (!word.equals("?") && !isWord(word)) {
             section.problem(key, "expected up to 64 letters, digits, dots, - and _, found \"" + word + "\"");
         }
         return word;
@@ -123,8 +128,8 @@
         return name;
     }
 
-    /** An address and a port in digits: a problem where it is none. */
-    static String endpoint(Section section, String key, String text) {
+    /** Whether a text is an address and a port in digits. */
+    static boolean isEndpoint(String text) {
         Matcher matcher = ENDPOINT.matcher(text);
         boolean fits = matcher.matches() && Integer.parseInt(matcher.group(1)) <= 65_535;
         if (fits && !text.startsWith("[")) {
@@ -132,7 +137,12 @@
                 fits &= Integer.parseInt(part) <= 255;
             }
         }
-        if (!fits && !text.equals("?")) {
+        return fits;
+    }
+
+    /** An address and a port in digits: a problem where it is none. */
+    static String endpoint(Section section, String key, String text) {
+        if (!text.equals("?") && !isEndpoint(text)) {
             section.problem(key, "expected ADDRESS:PORT in digits, found \"" + text + "\"");
         }
         return text;
