--- a/src/main/java/mastdrift/config/Section.java
+++ b/src/main/java/mastdrift/config/Section.java
@@ -1,8 +1,10 @@
 package mastdrift.config;
 
+import com.fasterxml.jackson.jr.ob.JSON;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -228,6 +230,31 @@
                 below == null ? place : table.inputPositionOf(List.of(key)), problems);
     }
 
+    /** The table of a key as one object in JSON, in UTF-8; null where it is not there. Dates and times are texts there. */
+    byte[] json(String key) {
+        TomlTable below = value(key, "a table", null, value -> value instanceof TomlTable found ? found : null);
+        if (below == null) {
+            return null;
+        }
+        try {
+            return JSON.std.asBytes(plain(below));
+        } catch (Exception e) {  // of bytes in memory: there is no stream that could fail
+            throw new IllegalStateException(e);
+        }
+    }
+
+    private static Object plain(Object value) {
+        if (value instanceof TomlTable table) {
+            Map<String, Object> fields = new LinkedHashMap<>();
+            table.keySet().forEach(key -> fields.put(key, plain(table.get(List.of(key)))));
+            return fields;
+        }
+        if (value instanceof TomlArray array) {
+            return array.toList().stream().map(Section::plain).toList();
+        }
+        return value instanceof Long || value instanceof Double || value instanceof Boolean ? value : String.valueOf(value);
+    }
+
     /** The tables of an array, {@code [[key]]}, in their order; none where it is not there. */
     public List<Section> sections(String key, int most) {
         List<Section> sections = new ArrayList<>();
--- /dev/null
+++ b/src/main/java/mastdrift/distribution/ControlMessage.java
@@ -0,0 +1,71 @@
+package mastdrift.distribution;
+
+import java.util.List;
+
+/** What an operator asks a control machine, and what it answers. {@code call} is the asker's number, which the answer repeats. */
+public sealed interface ControlMessage {
+
+    /** Problems of a change that are told, at most. */
+    int PROBLEMS_MOST = 32;
+    /** Characters of a line for a person, at most. */
+    int TEXT_MOST = 1_024;
+
+    /** Of the question that it is or answers. */
+    long call();
+
+    // ---- questions
+
+    /** Have this change agreed on. Asked again under the same id it is in once. */
+    record Apply(long call, Change change) implements ControlMessage { }
+
+    /** What a resource is there. */
+    record Get(long call, ResourceKind kind, String name) implements ControlMessage { }
+
+    /** How the machine and its subscribers do. */
+    record GetStatus(long call) implements ControlMessage { }
+
+    // ---- answers
+
+    /** The change is in; {@code revision} is null where it is known to be in and no longer by which revision. */
+    record Applied(long call, Revision revision) implements ControlMessage { }
+
+    /** The change was agreed on and changed nothing: a resource had another version than the writer expected. */
+    record Conflicted(long call, String reason) implements ControlMessage { }
+
+    /** The change isn't in, and never will be as it is. */
+    record Refused(long call, List<String> problems) implements ControlMessage {
+
+        /** Keeps its own list. */
+        public Refused {
+            problems = List.copyOf(problems);
+        }
+    }
+
+    /** It may be in or may come in: ask again under the same id. */
+    record Unknown(long call, String why) implements ControlMessage { }
+
+    /** This machine passes on and agrees on nothing: ask a voter. */
+    record AskVoter(long call, String why) implements ControlMessage { }
+
+    /** A resource as it stands in the machine's table of that revision; null where there is none. */
+    record Found(long call, Revision revision, Resource resource) implements ControlMessage { }
+
+    /**
+     * How the machine does.
+     *
+     * @param call of the question
+     * @param revision that it has
+     * @param role what it is
+     * @param leader of the agreed log as far as it knows; empty for not known, and at one that passes on
+     * @param subscribers that are connected to it
+     * @param aloneMillis for how long it has heard nobody of whom its table comes; 0 where it hears one
+     * @param zones how subscribers do, at most {@link Summaries#ZONES_MOST}
+     */
+    record Status(long call, Revision revision, String role, String leader, int subscribers, long aloneMillis, List<Message.ZoneSummary> zones) implements ControlMessage {
+
+        /** Keeps its own list. */
+        public Status {
+            zones = List.copyOf(zones);
+        }
+    }
+}
