--- a/src/main/java/mastdrift/cli/Commands.java
+++ b/src/main/java/mastdrift/cli/Commands.java
@@ -29,7 +29,8 @@
 /** The commands and their options. */
 @Command(name = "mastdrift", description = "A gateway that spreads requests over pools of hosts.",
         subcommands = {Commands.Serve.class, Commands.Check.class, Commands.Plan.class, Commands.Demo.class, LoadCommand.class, LabCommand.class,
-            ZonesCommand.class, FleetCommand.class, PeersCommand.class, Commands.Adapter.class}, mixinStandardHelpOptions = true)
+            ZonesCommand.class, FleetCommand.class, PeersCommand.class, ControlCommand.class,
+            ConfigCommand.class, Commands.Adapter.class}, mixinStandardHelpOptions = true)
 final class Commands implements Runnable {
 
     private static final int REFUSED = 1;
--- /dev/null
+++ b/src/main/java/mastdrift/cli/ControlCommand.java
@@ -0,0 +1,55 @@
+package mastdrift.cli;
+
+import java.nio.file.Path;
+import java.util.concurrent.Callable;
+import java.util.concurrent.CountDownLatch;
+import mastdrift.events.Events;
+import mastdrift.logging.LogSetup;
+import mastdrift.serve.ControlMachine;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+
+/** A control machine as a process. */
+@Command(name = "control", description = "Runs a control machine, which distributes configuration to gateways, until SIGTERM.", mixinStandardHelpOptions = true)
+final class ControlCommand implements Callable<Integer> {
+
+    private static final int REFUSED = 1;
+    private static final int WORDS = 2;
+
+    @CommandLine.Spec
+    private CommandLine.Model.CommandSpec spec;
+
+    @Option(names = "--config", required = true, paramLabel = "FILE", description = "the control machine's file")
+    private Path config;
+
+    @Option(names = "--log", paramLabel = "FORM", defaultValue = "text", description = "lines of the log on standard output: text or json (${DEFAULT-VALUE})")
+    private String form;
+
+    @Override
+    public Integer call() throws InterruptedException {
+        LogSetup log;
+        try {
+            log = new LogSetup(System.out, LogSetup.Form.parse(form));
+        } catch (IllegalArgumentException e) {
+            spec.commandLine().getErr().println("--log: " + e.getMessage());
+            return WORDS;
+        }
+        ControlMachine machine;
+        try {
+            machine = ControlMachine.start(config, log.events());
+        } catch (IllegalArgumentException e) {
+            log.close();
+            spec.commandLine().getErr().println(e.getMessage());
+            return REFUSED;
+        }
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
+            machine.close();
+            log.events().event(Events.Level.INFO, "stopped", "stopped");
+            log.close();
+            Runtime.getRuntime().halt(0);
+        }));
+        new CountDownLatch(1).await();
+        return 0;
+    }
+}
--- a/src/main/java/mastdrift/config/DistributionReader.java
+++ b/src/main/java/mastdrift/config/DistributionReader.java
@@ -54,7 +54,7 @@
         }
         voters(section, machines);
         return whole(section, name, own == null ? "?" : own.zone(), role, Tables.endpoint(section, "listen", section.text("listen", own == null ? "?" : own.address())),
-                null, (int) section.whole("connections", 1_024, 8, 8_192), machines);
+                null, (int) section.whole("connections", 4_096, 8, 8_192), machines);
     }
 
     /** The table of a gateway; null where there is none: its routes are those of its file then. */
--- a/src/main/java/mastdrift/serve/Changes.java
+++ b/src/main/java/mastdrift/serve/Changes.java
@@ -48,6 +48,10 @@
         if (!Objects.equals(inForce.agreed(), next.agreed())) {
             bound.add("[agreed]: expected what the gateway started with; start it anew to change it");
         }
+        if (inForce.distribution() != next.distribution()
+                && (inForce.distribution() == null || next.distribution() == null || !inForce.distribution().sameAtStart(next.distribution()))) {
+            bound.add("[distribution]: expected the table, or none, as the gateway started with it but for keys and machines; start it anew to change it");
+        }
         inForce.pools().forEach((name, pool) -> {
             PoolSettings other = next.pools().get(name);
             if (other != null && !pool.sameAtStart(other)) {
--- /dev/null
+++ b/src/main/java/mastdrift/serve/ControlClient.java
@@ -0,0 +1,188 @@
+package mastdrift.serve;
+
+import java.nio.file.Path;
+import java.security.SecureRandom;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.function.LongFunction;
+import mastdrift.config.Configuration;
+import mastdrift.config.ConfigurationReader;
+import mastdrift.config.DistributionReader;
+import mastdrift.config.DistributionSettings;
+import mastdrift.config.DistributionSettings.Machine;
+import mastdrift.config.DistributionSettings.Role;
+import mastdrift.config.Problems;
+import mastdrift.distribution.Change;
+import mastdrift.distribution.ControlMessage;
+import mastdrift.distribution.ResourceKind;
+import mastdrift.distribution.edge.ControlCodec;
+import mastdrift.events.Events;
+import mastdrift.files.FileTexts;
+
+/** Asks control machines for an operator, over signed links, under a name of its own. Waits; each question for a bounded time. */
+public final class ControlClient implements AutoCloseable {
+
+    /** A machine that has not answered by then is away, in milliseconds. */
+    static final long ANSWER_MILLIS = 9_000;
+    private static final long AWAY_MILLIS = 3_000;
+    private static final long AGAIN_MILLIS = 200;
+    private static final int BITS = 40;
+
+    private final DistributionSettings settings;
+    private final ControlLinks links;
+    private final Map<Long, CompletableFuture<ControlMessage>> waiting = new HashMap<>();  // on the loop's thread
+    private final Map<Long, String> askedAt = new HashMap<>();
+    private final Ears ears = new Ears();
+    private long calls;
+
+    /** By the file of a gateway or of a control machine; throws IllegalArgumentException with all that speaks against it, a line each. */
+    public static ControlClient by(Path file) {
+        List<String> problems = new ArrayList<>();
+        DistributionSettings settings = settings(file, problems);
+        Secrets secrets = new Secrets(file, System.getenv());
+        if (settings != null) {
+            problems.addAll(secrets.read(settings.keys()));
+        }
+        if (!problems.isEmpty()) {
+            throw new IllegalArgumentException(String.join("\n", problems));
+        }
+        return new ControlClient(settings, secrets);
+    }
+
+    private static DistributionSettings settings(Path file, List<String> problems) {
+        String text = new FileTexts(file).text(FileTexts.name(file), new Problems());
+        if (text != null && DistributionReader.isControl(FileTexts.name(file), text)) {
+            return ControlMachine.settings(file, problems);
+        }
+        ConfigurationReader.Result result = FileTexts.read(file);
+        problems.addAll(result.problems());
+        Configuration configuration = result.configuration();
+        if (configuration != null && configuration.distribution() == null) {
+            problems.add(FileTexts.name(file) + ": expected a table [distribution], found none");
+        }
+        return configuration == null ? null : configuration.distribution();
+    }
+
+    private ControlClient(DistributionSettings settings, Secrets secrets) {
+        this.settings = settings;
+        String name = "operator-" + Long.toHexString(new SecureRandom().nextLong() >>> 64 - BITS);
+        links = new ControlLinks("operator", settings, name, secrets::get, ears, Events.printing(System.err));
+    }
+
+    private final class Ears implements ControlLinks.Heard {
+
+        @Override
+        public void heard(String from, boolean reply, byte kind, byte[] message) {
+            if (kind == ControlLinks.CONTROL && reply) {
+                ControlMessage answer = ControlCodec.message(message);
+                if (from.equals(askedAt.get(answer.call()))) {
+                    askedAt.remove(answer.call());
+                    waiting.remove(answer.call()).complete(answer);
+                }
+            }
+        }
+
+        @Override
+        public void ended(String to) {
+            for (Map.Entry<Long, String> each : Map.copyOf(askedAt).entrySet()) {
+                if (each.getValue().equals(to)) {
+                    askedAt.remove(each.getKey());
+                    waiting.remove(each.getKey()).complete(new ControlMessage.Unknown(each.getKey(), "no connection"));
+                }
+            }
+        }
+    }
+
+    /** Machines of a role that the file names, in the order of the file. */
+    public List<String> machines(Role role) {
+        return settings.machines(role).stream().map(Machine::name).toList();
+    }
+
+    private CompletableFuture<ControlMessage> ask(String machine, LongFunction<ControlMessage> question, long millis) {
+        CompletableFuture<ControlMessage> answer = new CompletableFuture<>();
+        links.loop().execute(() -> {
+            long call = ++calls;
+            waiting.put(call, answer);
+            askedAt.put(call, machine);
+            if (!links.links().send(machine, ControlLinks.CONTROL, ControlCodec.bytes(question.apply(call)))) {
+                ears.ended(machine);
+            }
+            links.loop().schedule(() -> {
+                askedAt.remove(call);
+                if (waiting.remove(call) != null) {
+                    answer.complete(new ControlMessage.Unknown(call, "no answer"));
+                }
+            }, millis, TimeUnit.MILLISECONDS);
+        });
+        return answer;
+    }
+
+    private static ControlMessage answer(CompletableFuture<ControlMessage> of) throws InterruptedException {
+        try {
+            return of.get();
+        } catch (ExecutionException e) {
+            throw new IllegalStateException(e);  // nobody completes it so
+        }
+    }
+
+    /** Has a change agreed on: asks voters in turn, again and again under the same id, until one of them knows what became of it or the time is up. */
+    public ControlMessage apply(Change change, long millis) throws InterruptedException {
+        List<String> voters = new ArrayList<>(machines(Role.VOTER));
+        if (voters.isEmpty()) {
+            return new ControlMessage.AskVoter(0, "expected a voter among the machines of the file, found none");
+        }
+        Collections.shuffle(voters);
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        ControlMessage last = null;
+        for (int i = 0; last == null || System.nanoTime() < until; i++) {
+            last = answer(ask(voters.get(i % voters.size()), call -> new ControlMessage.Apply(call, change), ANSWER_MILLIS));
+            if (!(last instanceof ControlMessage.Unknown) && !(last instanceof ControlMessage.AskVoter)) {
+                return last;
+            }
+            Thread.sleep(AGAIN_MILLIS);
+        }
+        return last;
+    }
+
+    /** A resource, as the voter has it that has the newest revision, or where none answers a relay; an {@link ControlMessage.Unknown} where nobody answers. */
+    public ControlMessage get(ResourceKind kind, String name) throws InterruptedException {
+        ControlMessage.Found newest = null;
+        for (Role role : List.of(Role.VOTER, Role.RELAY)) {
+            for (ControlMessage each : all(machines(role), call -> new ControlMessage.Get(call, kind, name)).values()) {
+                newest = each instanceof ControlMessage.Found found && (newest == null || found.revision().after(newest.revision())) ? found : newest;
+            }
+            if (newest != null) {
+                return newest;
+            }
+        }
+        return new ControlMessage.Unknown(0, "no machine answers");
+    }
+
+    /** How machines do, by name; an {@link ControlMessage.Unknown} for one that doesn't answer. */
+    public Map<String, ControlMessage> status(List<String> machines) throws InterruptedException {
+        return all(machines, ControlMessage.GetStatus::new);
+    }
+
+    /** All at once. */
+    private Map<String, ControlMessage> all(List<String> machines, LongFunction<ControlMessage> question) throws InterruptedException {
+        Map<String, CompletableFuture<ControlMessage>> asked = new LinkedHashMap<>();
+        machines.forEach(each -> asked.put(each, ask(each, question, AWAY_MILLIS)));
+        Map<String, ControlMessage> answers = new LinkedHashMap<>();
+        for (Map.Entry<String, CompletableFuture<ControlMessage>> each : asked.entrySet()) {
+            answers.put(each.getKey(), answer(each.getValue()));
+        }
+        return answers;
+    }
+
+    @Override
+    public void close() {
+        links.close();
+    }
+}
--- /dev/null
+++ b/src/main/java/mastdrift/serve/ControlLinks.java
@@ -0,0 +1,160 @@
+package mastdrift.serve;
+
+import io.netty.channel.EventLoop;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import io.netty.util.concurrent.DefaultThreadFactory;
+import java.net.InetSocketAddress;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Function;
+import mastdrift.config.DistributionSettings;
+import mastdrift.config.SecretRef;
+import mastdrift.distribution.Machine;
+import mastdrift.distribution.edge.Wires;
+import mastdrift.events.Events;
+import mastdrift.events.Events.Level;
+import mastdrift.net.Addresses;
+import mastdrift.peers.edge.PeerLinks;
+
+/** Signed links to control machines, on an event loop of their own. */
+final class ControlLinks implements AutoCloseable {
+
+    /** Messages of {@link mastdrift.distribution.Message}. */
+    static final byte CONFIG = 4;
+    /** Messages of {@link mastdrift.distribution.ControlMessage}. */
+    static final byte CONTROL = 5;
+    /** Connections that a gateway or an operator opens, at most. */
+    static final int OPENED_MOST = DistributionSettings.MACHINES_MOST;
+    private static final long SAID_EVERY_MILLIS = 5_000;
+    private static final int SAID_MOST = 1_024;
+
+    private final EventLoop loop;
+    private final String name;
+    private final PeerLinks links;
+    private final Events events;
+    private final Map<String, Long> saidAt = new HashMap<>();
+
+    /** Of a process of this name; the ears are told on the loop's thread, and what they throw ends nothing but that message. */
+    ControlLinks(String thread, DistributionSettings settings, String name, Function<SecretRef, byte[]> secrets, Heard heard, Events events) {
+        this.events = events;
+        this.name = name;
+        loop = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory(thread, true), NioIoHandler.newFactory()).next();
+        links = new PeerLinks(loop, settings.installation(), name, Math.max(OPENED_MOST, settings.connections()), new Ears(heard));
+        configure(settings, secrets);
+    }
+
+    /** What composition does with what comes. */
+    interface Heard {
+
+        /** A message; {@code reply} where it came on a connection that was opened here. */
+        void heard(String from, boolean reply, byte kind, byte[] message);
+
+        /** The connection that was opened to a machine has ended. */
+        void ended(String to);
+
+        /** The connection that another opened has ended. */
+        default void gone(String from) { }
+    }
+
+    private final class Ears implements PeerLinks.Ears {
+
+        private final Heard heard;
+
+        Ears(Heard heard) {
+            this.heard = heard;
+        }
+
+        @Override
+        public void heard(String from, long life, byte kind, byte[] message) {
+            try {
+                heard.heard(from, life == 0, kind, message);
+            } catch (IllegalArgumentException e) {
+                refused("peer_malformed", from, e.getMessage());
+            }
+        }
+
+        /** Once in a while for each and each fault. */
+        @Override
+        public void refused(String what, String who, String text) {
+            long now = System.nanoTime() / 1_000_000;
+            String key = what + " " + who.replaceAll(":\\d+$", "");
+            saidAt.values().removeIf(at -> now - at > SAID_EVERY_MILLIS);
+            if (saidAt.size() < SAID_MOST && saidAt.putIfAbsent(key, now) == null) {
+                events.event(Level.WARN, what, "from " + who + ": " + text, "peer", who);
+            }
+        }
+
+        @Override
+        public void ended(String to) {
+            heard.ended(to);
+        }
+
+        @Override
+        public void gone(String from) {
+            heard.gone(from);
+        }
+    }
+
+    EventLoop loop() {
+        return loop;
+    }
+
+    PeerLinks links() {
+        return links;
+    }
+
+    /** The links as configuration goes over them. */
+    Wires config() {
+        return new Wires() {
+            @Override
+            public boolean send(String to, byte[] message) {
+                return links.send(to, CONFIG, message);
+            }
+
+            @Override
+            public boolean reply(String to, byte[] message) {
+                return links.reply(to, CONFIG, message);
+            }
+
+            @Override
+            public void leave(String to) {
+                links.leave(to);
+            }
+
+            @Override
+            public void drop(String from) {
+                links.drop(from);
+            }
+        };
+    }
+
+    /** Keys and machines from now on. From any thread. */
+    void configure(DistributionSettings settings, Function<SecretRef, byte[]> secrets) {
+        List<byte[]> keys = settings.keys().stream().map(secrets).toList();
+        Map<String, InetSocketAddress> addresses = new HashMap<>();
+        settings.machines().forEach(each -> addresses.put(each.name(), Addresses.parse(each.address())));
+        addresses.remove(name);
+        loop.execute(() -> {
+            links.life(1);  // a reply says 0
+            links.keys(keys);
+            links.addresses(addresses);
+        });
+    }
+
+    /** As a subscriber knows them. */
+    static List<Machine> machines(List<DistributionSettings.Machine> of) {
+        return of.stream().map(each -> new Machine(each.name(), each.zone())).toList();
+    }
+
+    /** Ends at once. */
+    @Override
+    public void close() {
+        if (!loop.isShuttingDown()) {
+            loop.submit(links::close).syncUninterruptibly();
+            loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -0,0 +1,457 @@
+package mastdrift.serve;
+
+import io.netty.channel.ChannelFuture;
+import io.netty.util.concurrent.DefaultThreadFactory;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.RejectedExecutionException;
+import java.util.concurrent.ScheduledThreadPoolExecutor;
+import java.util.concurrent.Semaphore;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BiConsumer;
+import java.util.stream.Collectors;
+import mastdrift.agreed.AgreedLog;
+import mastdrift.agreed.AgreedLog.Decision;
+import mastdrift.agreed.Voters;
+import mastdrift.agreed.edge.RaftLog;
+import mastdrift.agreed.edge.Wires;
+import mastdrift.config.DistributionReader;
+import mastdrift.config.DistributionSettings;
+import mastdrift.config.DistributionSettings.Machine;
+import mastdrift.config.DistributionSettings.Role;
+import mastdrift.config.Problems;
+import mastdrift.config.ResourceValues;
+import mastdrift.distribution.Change;
+import mastdrift.distribution.ChangeCheck;
+import mastdrift.distribution.ControlMessage;
+import mastdrift.distribution.Delta;
+import mastdrift.distribution.PublisherSettings;
+import mastdrift.distribution.Revision;
+import mastdrift.distribution.Store;
+import mastdrift.distribution.SubscriberSettings;
+import mastdrift.distribution.Table;
+import mastdrift.distribution.edge.ControlCodec;
+import mastdrift.distribution.edge.MessageCodec;
+import mastdrift.distribution.edge.Publication;
+import mastdrift.distribution.edge.Subscription;
+import mastdrift.events.Events;
+import mastdrift.events.Events.Level;
+import mastdrift.files.FileTexts;
+import mastdrift.net.Addresses;
+
+/**
+ * A control machine: a voter agrees with the others on each change and tells relays, a relay passes on what voters tell. Both keep a copy, and both answer operators; only a voter takes changes.
+ *
+ * <p>On one event loop, but for the agreed log, which has threads of its own, and the disk. Bounded: {@value #ASKED_MOST} changes that wait for their outcome, each for {@value #WITHIN_MILLIS} ms;
+ * {@value #READ_MOST} decisions between the log and the table.
+ */
+public final class ControlMachine implements AutoCloseable {
+
+    static final int ASKED_MOST = 256;
+    static final int READ_MOST = 256;
+    static final long WITHIN_MILLIS = 8_000;
+    private static final byte AGREED = 3;
+    private static final long LOOK_MILLIS = 250;
+    private static final int SUMMARY_LOOKS = 8;  // looks from one summary to the next
+    private static final long REPLACE_NEVER = Long.MAX_VALUE / 4;  // a voter's place is kept: its folder may be lost, and then joins anew
+
+    /** A change that somebody waits for. */
+    private record Asked(String from, long call, long until) { }
+
+    private final DistributionSettings settings;
+    private final Events events;
+    private final ControlLinks links;
+    private final ConfigCopy copy;
+    private final Publication publication;
+    private final Subscription subscription;  // of a relay all the time, of a voter where decisions are missing
+    private final Store store;  // null at a relay, as is the log
+    private final RaftLog log;
+    private final ChangeCheck check = new ChangeCheck(ResourceValues::problem);
+    private final ScheduledThreadPoolExecutor proposer = new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("control-log", true));
+    private final Semaphore reading = new Semaphore(READ_MOST);
+    private final Map<String, List<Asked>> asked = new LinkedHashMap<>();
+    private final Map<String, Long> indices = new HashMap<>();  // of changes that are in and not yet applied here
+    private volatile BiConsumer<String, byte[]> agreed = (from, message) -> { };
+    private int asking;
+    private long readUntil;
+    private boolean catchingUp;
+    private final Alone alone = new Alone();
+    private String leader = "";
+    private long leaderAt = System.nanoTime();
+    private boolean votes;  // it takes part in the log, and has heard a leader once
+    private int looks;
+
+    /** Serves as a file says; throws IllegalArgumentException with all that speaks against it, a line each. */
+    public static ControlMachine start(Path file, Events events) {
+        List<String> problems = new ArrayList<>();
+        DistributionSettings settings = settings(file, problems);
+        Secrets secrets = new Secrets(file, System.getenv());
+        if (settings != null) {
+            problems.addAll(secrets.read(settings.keys()));
+        }
+        if (!problems.isEmpty()) {
+            throw new IllegalArgumentException(String.join("\n", problems));
+        }
+        ControlMachine machine = new ControlMachine(file, settings, secrets, events);
+        try {
+            machine.listen();
+            return machine;
+        } catch (IllegalArgumentException e) {
+            machine.close();
+            throw e;
+        }
+    }
+
+    /** What a control machine's file says; null, and problems, where that can't be used. */
+    static DistributionSettings settings(Path file, List<String> problems) {
+        Problems unread = new Problems();
+        String text = new FileTexts(file).text(FileTexts.name(file), unread);
+        problems.addAll(unread.lines());
+        if (text == null) {
+            return null;
+        }
+        DistributionReader.Result result = DistributionReader.control(FileTexts.name(file), text);
+        problems.addAll(result.problems());
+        return result.settings();
+    }
+
+    private ControlMachine(Path file, DistributionSettings settings, Secrets secrets, Events events) {
+        this.settings = settings;
+        this.events = events;
+        boolean voter = settings.role() == Role.VOTER;
+        Path folder = file.toAbsolutePath().resolveSibling(settings.folder());
+        copy = new ConfigCopy(folder.resolve("table"), settings.epoch(), events);
+        Table had = begun(copy.found());
+        links = new ControlLinks("control-links", settings, settings.name(), secrets::get, new Ears(), events);
+        publication = new Publication(links.loop(), links.config(), had, PublisherSettings.USUAL, events);
+        subscription = new Subscription(links.loop(), links.config(), settings.name(), settings.zone(), had, SubscriberSettings.USUAL, System.nanoTime(), events, this::told);
+        store = voter ? new Store(had, new Decided()) : null;
+        log = voter ? log(folder) : null;
+        if (!voter) {
+            links.loop().execute(() -> {
+                subscription.inForce(had.revision());
+                subscription.machines(ControlLinks.machines(settings.publishers()));
+            });
+        }
+        links.loop().execute(() -> publication.alone(true));  // until it has heard
+        links.loop().scheduleWithFixedDelay(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+    }
+
+    /** A voter whose epoch was raised begins it with what it has. */
+    private Table begun(Table had) {
+        Revision revision = had.revision();
+        if (settings.role() != Role.VOTER || revision.epoch() == settings.epoch()) {
+            return had;
+        }
+        if (revision.epoch() > settings.epoch()) {
+            throw new IllegalArgumentException("distribution.epoch: expected " + revision.epoch() + " or a later one, as its folder has, found " + settings.epoch());
+        }
+        events.event(Level.INFO, "config_epoch", "epoch " + settings.epoch() + " begins with what was there at revision " + revision.number() + " of epoch " + revision.epoch());
+        return had.begun(settings.epoch());
+    }
+
+    private RaftLog log(Path folder) {
+        List<Machine> voters = settings.machines(Role.VOTER);
+        Set<String> names = voters.stream().map(Machine::name).collect(Collectors.toSet());
+        List<Voters.Candidate> candidates = voters.stream().map(each -> new Voters.Candidate(each.name(), each.zone(), 0)).toList();
+        Wires wires = new Wires() {
+            @Override
+            public void send(String to, byte[] message) {
+                if (!links.loop().isShuttingDown()) {
+                    links.loop().execute(() -> links.links().send(to, AGREED, message));
+                }
+            }
+
+            @Override
+            public void ears(BiConsumer<String, byte[]> heard) {
+                agreed = (from, message) -> {
+                    if (names.contains(from)) {
+                        heard.accept(from, message);
+                    }
+                };
+            }
+        };
+        return new RaftLog(new RaftLog.Settings(settings.name(), settings.installation() + "/distribution", "epoch-" + settings.epoch(), voters.stream().map(Machine::name).toList(),
+                folder.resolve("agreed"), REPLACE_NEVER), wires, this::read, () -> candidates, (bad, what, text, fields) -> events.event(bad ? Level.WARN : Level.INFO, what, text, fields));
+    }
+
+    private void listen() {
+        ChannelFuture bound = links.links().listen(Addresses.parse(settings.listen())).awaitUninterruptibly();
+        if (!bound.isSuccess()) {
+            throw new IllegalArgumentException("no listening on " + settings.listen() + ": " + bound.cause().getMessage());
+        }
+        events.event(Level.INFO, "listening", settings.role().name().toLowerCase(Locale.ROOT) + " " + settings.name() + " listening on " + links.links().address(), "protocol", "distribution",
+                "address", links.links().address());
+    }
+
+    private final class Ears implements ControlLinks.Heard {
+
+        @Override
+        public void heard(String from, boolean reply, byte kind, byte[] message) {
+            if (kind == ControlLinks.CONFIG && reply) {
+                subscription.heard(from, message);
+            } else if (kind == ControlLinks.CONFIG) {
+                publication.heard(from, message);
+            } else if (kind == AGREED) {
+                agreed.accept(from, message);
+            } else if (kind == ControlLinks.CONTROL && !reply) {
+                question(from, ControlCodec.message(message));
+            } else {
+                throw new IllegalArgumentException("expected a message of a kind that this build knows, found " + kind);
+            }
+        }
+
+        @Override
+        public void ended(String to) {
+            subscription.ended(to);
+        }
+
+        @Override
+        public void gone(String from) {
+            publication.gone(from);
+        }
+    }
+
+    // ---- a relay, and a voter that has to catch up
+
+    private void told(Table next, List<Delta> deltas) {
+        if (store == null) {
+            copy.write(next, deltas);
+            publication.table(next, deltas);
+        }
+        links.loop().execute(() -> {  // not in the middle of the subscriber's turn
+            if (store != null && store.take(next)) {
+                answerApplied();
+                catchUp();
+            }
+            subscription.inForce(next.revision());  // passed on, or taken: or the publisher would hold back what follows
+        });
+    }
+
+    /** A voter to which decisions are missing follows another one until it has what they made. */
+    private void catchUp() {
+        boolean missing = store.missing() != 0;
+        if (missing != catchingUp) {
+            catchingUp = missing;
+            List<Machine> others = settings.machines(Role.VOTER).stream().filter(each -> !each.name().equals(settings.name())).toList();
+            subscription.machines(missing ? ControlLinks.machines(others) : List.of());
+            events.event(missing ? Level.WARN : Level.INFO, missing ? "config_catches_up" : "config_caught_up", missing ? "decisions up to " + store.missing()
+                    + " are missing: another voter's table is asked for" : "no decision is missing any more, revision " + store.table().revision().number());
+        }
+    }
+
+    // ---- a voter
+
+    private final class Decided implements Store.Out {
+
+        @Override
+        public void table(Table next, List<Delta> deltas) {
+            copy.write(next, deltas);
+            publication.table(next, deltas);
+        }
+
+        @Override
+        public void event(String name, String text) {
+            events.event(name.equals("config_gap") ? Level.WARN : Level.INFO, name, text);
+        }
+    }
+
+    /** On a thread of the log, which waits while the loop has enough to do. */
+    private void read(Decision decision) {
+        reading.acquireUninterruptibly();
+        try {
+            links.loop().execute(() -> {
+                reading.release();
+                decided(decision);
+            });
+        } catch (RejectedExecutionException e) {
+            return;  // it is being closed
+        }
+    }
+
+    private void decided(Decision decision) {
+        Change change = null;
+        try {
+            change = MessageCodec.change(decision.command());
+        } catch (IllegalArgumentException e) {
+            events.event(Level.WARN, "config_unreadable", "decision " + decision.ordinal() + " is none that this build can read, and changes nothing: " + e.getMessage());
+        }
+        boolean anew = decision.ordinal() > store.table().revision().number();
+        Store.Fate fate = store.decided(decision.ordinal(), decision.id(), change);
+        readUntil = decision.index();
+        if (anew && fate instanceof Store.Fate.In in) {
+            events.event(Level.INFO, "config_decided", "change " + decision.id() + " is in, revision " + in.revision().number(), "id", decision.id(), "number", in.revision().number());
+        } else if (anew && fate instanceof Store.Fate.Conflict conflict) {
+            events.event(Level.INFO, "config_conflict", "change " + decision.id() + " changed nothing: " + conflict.reason(), "id", decision.id(), "number", decision.ordinal());
+        }
+        answerApplied();
+        catchUp();
+    }
+
+    private void apply(String from, ControlMessage.Apply apply) {
+        Change change = apply.change();
+        List<String> problems = check.problems(change);
+        if (!problems.isEmpty()) {
+            reply(from, new ControlMessage.Refused(apply.call(), problems));
+        } else if (store.fate(change.id()) != null && answer(from, apply.call(), store.fate(change.id()))) {
+            return;  // asked again
+        } else if (asking >= ASKED_MOST) {
+            reply(from, new ControlMessage.Unknown(apply.call(), "expected at most " + ASKED_MOST + " changes that wait, ask again"));
+        } else {
+            asking++;
+            asked.computeIfAbsent(change.id(), id -> new ArrayList<>()).add(new Asked(from, apply.call(), System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WITHIN_MILLIS)));
+            byte[] command = MessageCodec.bytes(change);
+            proposer.execute(() -> log.append(change.id(), command, fate -> {
+                if (!links.loop().isShuttingDown()) {
+                    links.loop().execute(() -> appended(change.id(), fate));
+                }
+            }));
+        }
+    }
+
+    private void appended(String id, AgreedLog.Fate fate) {
+        if (fate instanceof AgreedLog.Fate.In in) {
+            if (asked.containsKey(id)) {
+                indices.put(id, in.index());
+                answerApplied();
+            }
+        } else if (fate instanceof AgreedLog.Fate.Out out) {
+            end(id, call -> new ControlMessage.Refused(call, List.of(out.why())));
+        } else if (fate instanceof AgreedLog.Fate.Unknown unknown) {
+            end(id, call -> new ControlMessage.Unknown(call, unknown.why()));
+        }
+    }
+
+    /** Those who wait for what is applied by now. */
+    private void answerApplied() {
+        for (String id : List.copyOf(asked.keySet())) {
+            Store.Fate fate = store.fate(id);
+            if (fate instanceof Store.Fate.In in) {
+                end(id, call -> new ControlMessage.Applied(call, in.revision()));
+            } else if (fate instanceof Store.Fate.Conflict conflict) {
+                end(id, call -> new ControlMessage.Conflicted(call, conflict.reason()));
+            } else if (store.missing() == 0 && indices.getOrDefault(id, Long.MAX_VALUE) <= readUntil) {
+                end(id, call -> new ControlMessage.Applied(call, null));  // decided on before what is remembered here
+            }
+        }
+    }
+
+    private boolean answer(String from, long call, Store.Fate fate) {
+        if (fate instanceof Store.Fate.In in) {
+            reply(from, new ControlMessage.Applied(call, in.revision()));
+        } else if (fate instanceof Store.Fate.Conflict conflict) {
+            reply(from, new ControlMessage.Conflicted(call, conflict.reason()));
+        }
+        return !(fate instanceof Store.Fate.Waiting);
+    }
+
+    /** Makes an answer of the asker's number. */
+    private interface Answer {
+        ControlMessage to(long call);
+    }
+
+    private void end(String id, Answer answer) {
+        indices.remove(id);
+        List<Asked> all = asked.remove(id);
+        if (all != null) {
+            asking -= all.size();
+            all.forEach(each -> reply(each.from(), answer.to(each.call())));
+        }
+    }
+
+    // ---- operators
+
+    private void reply(String to, ControlMessage message) {
+        links.links().reply(to, ControlLinks.CONTROL, ControlCodec.bytes(message));
+    }
+
+    private void question(String from, ControlMessage question) {
+        if (question instanceof ControlMessage.Apply apply) {
+            if (store == null) {
+                reply(from, new ControlMessage.AskVoter(apply.call(), settings.name() + " passes on and agrees on nothing: ask a voter"));
+            } else {
+                apply(from, apply);
+            }
+        } else if (question instanceof ControlMessage.Get get) {
+            Table table = table();
+            reply(from, new ControlMessage.Found(get.call(), table.revision(), table.get(get.kind(), get.name())));
+        } else if (question instanceof ControlMessage.GetStatus status) {
+            reply(from, new ControlMessage.Status(status.call(), table().revision(), settings.role().name().toLowerCase(Locale.ROOT), leader, publication.publisher().status().subscribers(), alone.millis(),
+                    publication.publisher().summary()));
+        } else {
+            throw new IllegalArgumentException("expected a question, found " + question.getClass().getSimpleName());
+        }
+    }
+
+    private Table table() {
+        return store == null ? subscription.subscriber().table() : store.table();
+    }
+
+    // ---- how it does
+
+    /** Whether it can't hear where its table comes from: then it says of itself no more that it is current. */
+    private boolean hearsNobody() {
+        if (store != null) {
+            return !votes || store.missing() != 0 || System.nanoTime() - leaderAt > TimeUnit.MILLISECONDS.toNanos(Alone.MILLIS);
+        }
+        return !subscription.subscriber().ready() || subscription.subscriber().aloneSince() != 0;
+    }
+
+    private void look() {
+        if (store != null) {
+            proposer.execute(() -> {
+                RaftLog.Status now = log.status();
+                if (!links.loop().isShuttingDown()) {
+                    links.loop().execute(() -> ledBy(now));
+                }
+            });
+            long time = System.nanoTime();
+            for (Map.Entry<String, List<Asked>> each : List.copyOf(asked.entrySet())) {
+                if (each.getValue().get(0).until() - time < 0) {
+                    end(each.getKey(), call -> new ControlMessage.Unknown(call, "not known in time, ask again under the same id"));
+                }
+            }
+        } else if (++looks % SUMMARY_LOOKS == 0) {
+            subscription.summary(publication.publisher().summary());
+        }
+        boolean nobody = hearsNobody();
+        if (alone.now(nobody)) {
+            boolean bad = alone.millis() > 0;
+            events.event(bad ? Level.WARN : Level.INFO, bad ? "config_alone" : "config_heard", bad ? "it hears nobody of whom its table comes: serves what it has, and says so"
+                    : "it hears again of whom its table comes");
+        }
+        publication.alone(nobody);
+    }
+
+    private void ledBy(RaftLog.Status now) {
+        leader = now.leader();
+        if (!leader.isEmpty() && now.part().equals("voter")) {
+            votes = true;
+            leaderAt = System.nanoTime();
+        }
+    }
+
+    /** Ends; the copy is written as far as it was told. */
+    @Override
+    public void close() {
+        proposer.shutdownNow();
+        reading.release(READ_MOST * READ_MOST);  // nobody of the log waits for the loop any more
+        if (log != null) {
+            log.close();
+        }
+        if (!links.loop().isShuttingDown()) {
+            links.loop().submit(() -> {
+                subscription.close();
+                publication.close();
+            }).syncUninterruptibly();
+        }
+        links.close();
+        copy.close();
+    }
+}
--- a/src/main/java/mastdrift/serve/Secrets.java
+++ b/src/main/java/mastdrift/serve/Secrets.java
@@ -7,6 +7,7 @@
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
@@ -41,6 +42,14 @@
         if (configuration.peers() != null) {
             wanted.addAll(configuration.peers().keys());
         }
+        if (configuration.distribution() != null) {
+            wanted.addAll(configuration.distribution().keys());
+        }
+        return read(wanted);
+    }
+
+    /** Reads those that were not read yet; returns what is wrong with them. */
+    List<String> read(Collection<SecretRef> wanted) {
         List<String> problems = new ArrayList<>();
         for (SecretRef ref : wanted) {
             if (!secrets.containsKey(ref)) {
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -107,6 +107,7 @@
     private PeerService peers;  // null where it knows of no other gateway
     private PeerWork peerWork;
     private AgreedService agreed;  // null where it agrees on nothing
+    private DistributionService distribution;  // null where its routes are those of the file
     private GatewaySettings gateway;
     private List<RadiusSettings> listeners = List.of();
     private volatile StatusFile status;
@@ -122,6 +123,7 @@
             @Override
             public List<String> take(Configuration configuration) {
                 List<String> missing = secrets.read(configuration);
+                missing = missing.isEmpty() && distribution != null ? distribution.problems(configuration) : missing;
                 return missing.isEmpty() ? control.offer(configuration) : missing;
             }
 
@@ -150,6 +152,9 @@
             if (rehearsed) {
                 service.rehearse();
             }
+            if (service.distribution != null) {
+                service.distribution.await();
+            }
             service.listen();
             service.meet();
             service.watcher.start();
@@ -157,6 +162,10 @@
         } catch (IllegalArgumentException e) {
             service.close();
             throw e;
+        } catch (InterruptedException e) {
+            service.close();
+            Thread.currentThread().interrupt();
+            throw new IllegalArgumentException("interrupted while it waited for its configuration", e);
         }
     }
 
@@ -274,7 +283,13 @@
             if (gateway == null && next.peers() != null) {
                 peers = new PeerService(file, next, secrets::get, seeds.nextLong(), events);
             }
+            if (gateway == null && next.distribution() != null) {
+                distribution = new DistributionService(file, next, secrets::get, seeds.nextLong(), loop, router::swap, events);
+            }
             loop.submit(() -> configure(next, ready, toldAt)).syncUninterruptibly();
+            if (distribution != null) {
+                distribution.configure(next, secrets::get);
+            }
             Map<String, String> versions = next.versions();
             events.event(Level.INFO, "in_force", "in force: " + next.pools().keySet().stream()
                     .map(pool -> pool + " " + versions.get(pool)).toList() + ", " + next.routes().size()
@@ -328,7 +343,7 @@
             }
         });
         changed.forEach((name, list) -> learn(pools.get(name), list, toldAt));
-        router.swap(new RouteTable(next.routes()));
+        router.swap(distribution == null ? new RouteTable(next.routes()) : distribution.table(next));
     }
 
     private void zones(Configuration next) {
@@ -472,6 +487,9 @@
         if (agreed != null) {
             agreed.close();
         }
+        if (distribution != null) {
+            distribution.close();
+        }
         if (peers != null) {
             peers.close();
         }
--- a/src/test/java/mastdrift/cli/CommandsTest.java
+++ b/src/test/java/mastdrift/cli/CommandsTest.java
@@ -57,6 +57,9 @@
         assertTrue(out.contains("pool cards: version "), out);
         assertEquals(0, run("check", "deploy/gateway-zones.toml"), () -> err);
         assertEquals(0, run("check", "deploy/gateway-fleet.toml"), () -> err);
+        assertEquals(0, run("check", "deploy/gateway-distribution.toml"), () -> err);
+        assertEquals(0, run("check", "deploy/control.toml"), () -> err);
+        assertTrue(out.contains("control machine control-1: voter in bilbao, one of 3, epoch 1"), out);
     }
 
     /** What a gateway wrote of the others, and files that have none of it. */
