--- a/src/main/java/mastdrift/engine/Client.java
+++ b/src/main/java/mastdrift/engine/Client.java
@@ -9,6 +9,11 @@
         return true;
     }
 
+    /** Whether it is known to have left, though the event that tells so may be still to come: nothing more is tried for it. */
+    default boolean left() {
+        return false;
+    }
+
     /** With a host's answer, which the caller releases. */
     void served(Answer answer);
 
--- a/src/main/java/mastdrift/engine/Pool.java
+++ b/src/main/java/mastdrift/engine/Pool.java
@@ -187,6 +187,8 @@
             exchange.late = outcome == Outcome.EXPIRED;
             if (outcome == Outcome.DELIVERED && !exchange.ended) {
                 ledger.served(exchange, answer);
+            } else if (exchange.client.left()) {
+                ledger.departed(exchange);  // ahead of what would have the module try again
             }
             Outcome told = own > UNSURE && 2 * own > all ? unblamed(outcome) : outcome;
             if (leg != null) {
--- a/src/main/java/mastdrift/net/ClientSide.java
+++ b/src/main/java/mastdrift/net/ClientSide.java
@@ -646,6 +646,11 @@
             return channel.isActive();
         }
 
+        @Override
+        public boolean left() {
+            return !channel.isActive();
+        }
+
         @Override
         public void served(Answer given) {
             FullHttpResponse answer = ((HttpAnswer) given).message();
--- a/src/test/java/mastdrift/net/ClientGoneTest.java
+++ b/src/test/java/mastdrift/net/ClientGoneTest.java
@@ -469,6 +469,7 @@
             Set<String> ids = seen(node, host);
             ids.remove("holder");
             assertEquals(Set.of(), ids);
+            assertEquals(0, node.loop.submit(() -> node.gateway.ledger().count().of("read").refused()).get(), "known to have left, it is answered by nobody");
         }
     }
 
