--- a/src/main/java/mastdrift/serve/DiscoverySource.java
+++ b/src/main/java/mastdrift/serve/DiscoverySource.java
@@ -15,7 +15,7 @@
 import mastdrift.net.HostList;
 
 /** A pool's discovery service, watched for as long as the pool is: a watch that ends is begun anew after a pause that grows
-    from a quarter of a second to four seconds, by halves at random. All on the loop's thread. */
+    from a quarter of a second to four seconds, by halves at random, where {@link Discovery} doesn't do so earlier. All on the loop's thread. */
 final class DiscoverySource {
 
     private static final long PAUSE_LEAST = 250;
