--- a/src/main/java/mastdrift/cli/ControlCommand.java
+++ b/src/main/java/mastdrift/cli/ControlCommand.java
@@ -35,16 +35,16 @@
             spec.commandLine().getErr().println("--log: " + e.getMessage());
             return WORDS;
         }
-        ControlMachine machine;
+        Runnable end;  // and no machine that a lambda's signature would have loaded with every command
         try {
-            machine = ControlMachine.start(config, log.events());
+            end = ControlMachine.start(config, log.events())::close;
         } catch (IllegalArgumentException e) {
             log.close();
             spec.commandLine().getErr().println(e.getMessage());
             return REFUSED;
         }
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            machine.close();
+            end.run();
             log.events().event(Events.Level.INFO, "stopped", "stopped");
             log.close();
             Runtime.getRuntime().halt(0);
--- a/src/main/java/mastdrift/config/ResourceRoutes.java
+++ b/src/main/java/mastdrift/config/ResourceRoutes.java
@@ -1,13 +1,13 @@
 package mastdrift.config;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import java.util.stream.Collectors;
 import mastdrift.distribution.Delta;
 import mastdrift.distribution.Resource;
 import mastdrift.distribution.ResourceKind;
@@ -25,6 +25,7 @@
 
     private final Map<String, RouteValue> byName = new HashMap<>();
     private final TreeSet<RouteValue> inOrder = new TreeSet<>();
+    private final Map<String, Integer> pools = new TreeMap<>();  // and how often routes in force name them
     private final Map<String, String> heldBack = new TreeMap<>();  // by name of the resource, with the reason
     private RouteChecks checks;
     private List<Route> routes = List.of();
@@ -49,9 +50,9 @@
         return heldBack.isEmpty() ? null : heldBack.values().iterator().next() + (heldBack.size() == 1 ? "" : "; " + heldBack.size() + " routes are held back");
     }
 
-    /** Pools that routes in force name. */
+    /** Pools that routes in force name; not to be changed, and not for keeping. */
     public Set<String> pools() {
-        return byName.values().stream().flatMap(each -> each.pools().stream()).collect(Collectors.toCollection(TreeSet::new));
+        return Collections.unmodifiableSet(pools.keySet());
     }
 
     /** One change; whether the routes in force are others by it. */
@@ -163,6 +164,7 @@
             if (!each.getValue().equals(had)) {
                 remove(each.getKey());
                 byName.put(each.getKey(), each.getValue());
+                each.getValue().pools().forEach(pool -> pools.merge(pool, 1, Integer::sum));
                 inOrder.add(each.getValue());
                 changed = true;
             }
@@ -177,6 +179,9 @@
 
     private boolean remove(String name) {
         RouteValue had = byName.remove(name);
+        if (had != null) {
+            had.pools().forEach(pool -> pools.computeIfPresent(pool, (key, routes) -> routes == 1 ? null : routes - 1));
+        }
         return had != null && inOrder.remove(had);
     }
 
--- a/src/main/java/mastdrift/serve/ConfigCopy.java
+++ b/src/main/java/mastdrift/serve/ConfigCopy.java
@@ -16,6 +16,7 @@
 final class ConfigCopy implements AutoCloseable {
 
     private final Table found;
+    private final boolean there;
     private final TableWriter writer;  // null where there can be no folder
 
     /** Reads what is there, and says what it is; waits for the disk. */
@@ -39,6 +40,7 @@
             events.event(Level.INFO, "config_copy", "a copy of the configuration is there: revision " + revision.number() + " of epoch " + revision.epoch() + ", " + read.table().size()
                     + " resources, written " + age / 1_000 + " s ago", "number", revision.number(), "epoch", revision.epoch(), "age_ms", age);
         }
+        there = read.table() != null;
         found = read.table() == null ? Table.empty(epoch) : read.table();
         writer = folder == null ? null : new TableWriter(folder, read.table(), Clock.systemUTC(), events);
     }
@@ -48,6 +50,11 @@
         return found;
     }
 
+    /** Whether there was one: at the beginning of an epoch its revision has number 0 like that of an empty table. */
+    boolean there() {
+        return there;
+    }
+
     /** A later table, and what led there from the one before; no deltas where that isn't known. Waits for nothing. */
     void write(Table next, List<Delta> deltas) {
         if (writer != null) {
--- a/src/main/java/mastdrift/serve/ControlMachine.java
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -153,7 +153,9 @@
             throw new IllegalArgumentException("distribution.epoch: expected " + revision.epoch() + " or a later one, as its folder has, found " + settings.epoch());
         }
         events.event(Level.INFO, "config_epoch", "epoch " + settings.epoch() + " begins with what was there at revision " + revision.number() + " of epoch " + revision.epoch());
-        return had.begun(settings.epoch());
+        Table next = had.begun(settings.epoch());
+        copy.write(next, List.of());  // so that it can't go back
+        return next;
     }
 
     private RaftLog log(Path folder) {
@@ -423,7 +425,7 @@
         boolean nobody = hearsNobody();
         if (alone.now(nobody)) {
             boolean bad = alone.millis() > 0;
-            events.event(bad ? Level.WARN : Level.INFO, bad ? "config_alone" : "config_heard", bad ? "it hears nobody of whom its table comes: serves what it has, and says so"
+            events.event(bad ? Level.WARN : Level.INFO, bad ? "config_alone" : "config_alone_over", bad ? "it hears nobody of whom its table comes: serves what it has, and says so"
                     : "it hears again of whom its table comes");
         }
         publication.alone(nobody);
--- a/src/main/java/mastdrift/serve/DistributionService.java
+++ b/src/main/java/mastdrift/serve/DistributionService.java
@@ -75,7 +75,7 @@
         routes = new ResourceRoutes(new RouteChecks(configuration.radius(), configuration.pools()));
         copy = new ConfigCopy(file.toAbsolutePath().resolveSibling(settings.folder()), settings.epoch(), events);
         Table had = copy.found();
-        if (had.revision().number() > 0) {
+        if (copy.there()) {
             routes.all(routesOf(had));
             pools = new TreeSet<>(routes.pools());
             distributed = tableOf(routes.routes());
@@ -83,7 +83,7 @@
         links = new ControlLinks("distribution", settings, settings.name(), secrets, new Ears(), events);
         subscription = new Subscription(links.loop(), links.config(), settings.name(), settings.zone(), had, SubscriberSettings.USUAL, seed, events, this::take);
         links.loop().execute(() -> {
-            if (had.revision().number() > 0) {
+            if (copy.there()) {
                 acknowledge(had.revision(), routes.problem());
             }
             subscription.machines(ControlLinks.machines(settings.publishers()));
@@ -212,7 +212,7 @@
             if (aloneSince != null) {
                 events.event(Level.WARN, "config_alone", "no control machine is heard since " + aloneSince + ": serves on by what it has");
             } else {
-                events.event(Level.INFO, "config_heard", "a control machine is heard again: " + subscription.subscriber().machine());
+                events.event(Level.INFO, "config_alone_over", "a control machine is heard again: " + subscription.subscriber().machine());
             }
         }
         if (status != null && !writer.isShutdown()) {
--- a/src/test/java/mastdrift/config/ResourceRoutesTest.java
+++ b/src/test/java/mastdrift/config/ResourceRoutesTest.java
@@ -173,6 +173,7 @@
                 model.putAll(upserts);
             }
             assertEquals(expected(model), routes.routes());
+            assertEquals(routes.routes().stream().map(each -> each.targets().get(0).pool()).collect(Collectors.toSet()), routes.pools());
         }
         Set<Long> bad = table.values().stream().filter(each -> new String(each.value(), StandardCharsets.UTF_8).contains("nowhere")).map(Resource::version).collect(Collectors.toSet());
         ResourceRoutes fresh = new ResourceRoutes(checks(FILE));
--- a/src/test/java/mastdrift/net/AbsentTest.java
+++ b/src/test/java/mastdrift/net/AbsentTest.java
@@ -33,8 +33,12 @@
     private Path folder;
 
     private Process start(Map<String, String> environment, String main, String... words) throws IOException {
+        return start(Loopback.classPath(), environment, main, words);
+    }
+
+    private Process start(String classPath, Map<String, String> environment, String main, String... words) throws IOException {
         ProcessBuilder builder = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-Xlog:class+load",
-                "-cp", Loopback.classPath(), main);
+                "-cp", classPath, main);
         builder.command().addAll(List.of(words));
         builder.environment().keySet().removeIf(name -> name.startsWith("NODE_"));
         builder.environment().putAll(environment);
@@ -82,6 +86,25 @@
         }
     }
 
+    /** A gateway from files without the tables of what gateways share: it reads that they aren't there, and loads nothing more. */
+    @Test
+    void aGatewayFromFilesLoadsNothingOfOtherGatewaysAndControlMachines() throws Exception {
+        Files.writeString(folder.resolve("main.toml"), "[[node]]\nuid = \"n\"\nendpoint = \"127.0.0.1:9\"\nzone = \"a\"\n# end of 1 nodes\n");
+        Files.writeString(folder.resolve("gateway.toml"), "[gateway]\nlisten = \"127.0.0.1:0\"\nzone = \"a\"\nzones = [\"a\"]\n[[class]]\nname = \"read\"\neffect = \"safe\"\naim = \"1s\"\n"
+                + "deadline = \"2s\"\n[pool.main]\nnodes = [\"main.toml\"]\n# end\n");
+        Process process = start(System.getProperty("java.class.path"), Map.of(), "mastdrift.cli.Main", "serve", "--cold", "--config", folder.resolve("gateway.toml").toString());
+        try {
+            for (int i = 0; !Files.readString(folder.resolve("log"), StandardCharsets.ISO_8859_1).contains("listening on /"); i++) {
+                assertTrue(i < Loopback.WAIT_SECONDS * 100 && process.isAlive(), "it listens");
+                Thread.sleep(10);
+            }
+            String absent = "(mastdrift\\.(peers|agreed|distribution|serve\\.(Peer|Agreed|Distribution|ControlMachine|ControlLinks|ControlClient|ConfigCopy|Alone))|org\\.apache\\.ratis).*";
+            assertEquals(List.of(), loaded().stream().filter(name -> name.matches(absent)).toList());
+        } finally {
+            process.destroyForcibly().waitFor();
+        }
+    }
+
     @Test
     void theAdapterLoadsNothingOfIt() throws Exception {
         Process process = start(Map.of(), "mastdrift.cli.Main", "adapter");
--- a/src/test/java/mastdrift/serve/DistributionServiceTest.java
+++ b/src/test/java/mastdrift/serve/DistributionServiceTest.java
@@ -43,6 +43,7 @@
     private Path folder;
     private Path control;
     private int test;
+    private int epoch = 1;
 
     private final List<String> said = new CopyOnWriteArrayList<>();
     private String address;
@@ -57,10 +58,14 @@
         address = "127." + (64 + ProcessHandle.current().pid() % 128) + ".252.1:7500";
         control = own;
         Files.writeString(control.resolve("key"), "a key of this test");
-        new GatewayFiles(control).save("control.toml", "[distribution]\nname = \"control-1\"\nrole = \"voter\"\nfolder = \"control\"\n" + machines());
+        controlFile();
         control();
     }
 
+    private void controlFile() throws IOException {
+        new GatewayFiles(control).save("control.toml", "[distribution]\nname = \"control-1\"\nrole = \"voter\"\nfolder = \"control\"\n" + machines());
+    }
+
     @BeforeEach
     void files() throws Exception {
         test++;
@@ -74,7 +79,7 @@
     }
 
     private String machines() {
-        return "epoch = 1\ninstallation = \"test\"\n[[distribution.key]]\nsecret_file = \"key\"\n[[distribution.machine]]\nname = \"control-1\"\naddress = \"" + address
+        return "epoch = " + epoch + "\ninstallation = \"test\"\n[[distribution.key]]\nsecret_file = \"key\"\n[[distribution.machine]]\nname = \"control-1\"\naddress = \"" + address
                 + "\"\nzone = \"bilbao\"\nrole = \"voter\"\n# end\n";
     }
 
@@ -115,7 +120,7 @@
     }
 
     private void inForce(long number) throws InterruptedException {
-        rig.awaitLog("revision " + number + " of epoch 1 is in force");
+        rig.awaitLog("revision " + number + " of epoch " + epoch + " is in force");
     }
 
     private String who(StandInClient client, String key) {
@@ -208,7 +213,7 @@
         rig.log.reset();
         rig.start();
         assertEquals("b", rig.answering(3), "by its copy");
-        assertTrue(rig.log().contains("a copy of the configuration is there: revision " + number + " of epoch 1, 1 resources, written "), rig.log());
+        assertTrue(rig.log().contains("a copy of the configuration is there: revision " + number + " of epoch " + epoch + ", 1 resources, written "), rig.log());
         control();
         inForce(in("two", route("all", "main", "")));
         assertEquals("a", rig.answering(3));
@@ -243,6 +248,40 @@
         assertEquals(number + 2, in("four", route("all", "main", "")), "a conflict has its place, a refused change has none");
     }
 
+    /** The log begins anew under a raised epoch: what was there stays in force, also at a gateway that starts by its copy before the first change; an epoch that goes back is refused. */
+    @Test
+    void aRaisedEpochGoesOnWithWhatWasThere() throws Exception {
+        rig.start();
+        long before = in("one", route("all", "spare", ""));
+        inForce(before);
+        machine.close();
+        epoch++;
+        controlFile();
+        control();
+        inForce(0);
+        assertEquals("b", rig.answering(3));
+        rig.await(() -> status().contains("\"epoch\" : " + epoch) && status().contains("\"copy\" : 0"), "the copy is of the new epoch");
+        machine.close();
+        rig.service.close();
+        rig.log.reset();
+        rig.start();
+        assertEquals("b", rig.answering(3), "by its copy");
+        epoch--;
+        controlFile();
+        try {
+            control();
+            throw new AssertionError("an epoch that goes back is taken");
+        } catch (IllegalArgumentException e) {
+            assertTrue(e.getMessage().contains("distribution.epoch: expected " + (epoch + 1) + " or a later one, as its folder has, found " + epoch), e.getMessage());
+        }
+        epoch++;
+        controlFile();
+        control();
+        assertEquals(1, in("two", route("all", "main", "")));
+        inForce(1);
+        assertEquals("a", rig.answering(3));
+    }
+
     private static boolean found(ControlClient client, List<String> values) {
         try {
             if (client.get(ResourceKind.ROUTE, "all") instanceof ControlMessage.Found found && found.resource() != null) {
