--- a/src/test/java/mastdrift/cli/DistributionProcessesTest.java
+++ b/src/test/java/mastdrift/cli/DistributionProcessesTest.java
@@ -283,23 +283,32 @@
         await(this::allInForce, "in force");
     }
 
-    /** A relay is frozen: its gateways go to the other one within the bound; woken, it takes nobody back. */
+    /** The relay of a gateway is frozen: it goes to the other one within the bound; woken, the relay takes nobody back. */
     @Test
     @Order(4)
     void aRelayIsFrozenAndWoken() throws Exception {
-        signal("c4", "STOP");
+        await(() -> machine() != null, "it is at a relay");
+        String relay = machine();
+        signal(relay, "STOP");
         route("red");
         long since = System.nanoTime();
         await(() -> answering(1).equals("red") && answering(2).equals("red"), "by the other relay");
         long took = (System.nanoTime() - since) / 1_000_000;
         assertTrue(took < 12_000, "in force everywhere within 12 s, took " + took + " ms");
+        await(() -> machine() != null && !relay.equals(machine()), "it went to the other one");
         long number = newest();
-        signal("c4", "CONT");
-        await(() -> newest() == number && Pattern.compile("c4 +relay +revision " + number).matcher(out).find(), "it has caught up");
+        signal(relay, "CONT");
+        await(() -> newest() == number && Pattern.compile(relay + " +relay +revision " + number).matcher(out).find(), "it has caught up");
         await(this::allInForce, "nobody went back");
         assertEquals("red red", answering(1) + " " + answering(2));
     }
 
+    /** The relay that the second gateway is at, by its status file; null while it is at none. */
+    private String machine() throws IOException {
+        Matcher matcher = Pattern.compile("\"machine\" : \"(c\\d)\"").matcher(Files.readString(folder.resolve("g2/config.status")));
+        return matcher.find() ? matcher.group(1) : null;
+    }
+
     /** No control machine is there: gateways serve on, one that starts with its copy serves by it, one without a copy isn't ready until they are back. */
     @Test
     @Order(5)
