--- a/src/test/java/mastdrift/net/LatenessTest.java
+++ b/src/test/java/mastdrift/net/LatenessTest.java
@@ -199,12 +199,16 @@
     void afterAHoldNobodyWaitsInVain() throws Exception {
         try (Server discovery = discovery(); Server host = new Server(message -> { });
                 Held gateway = new Held(discovery, up("s1", host))) {
+            Socket first = gateway.connect();  // loads classes, which takes longer than the other's whole time
+            write(first, read(60_000));
+            await(host.received);
             Socket out = gateway.connect();
             Socket coming = gateway.connect();
-            write(out, read((int) HOLD / 3_000).replace("9b1f", "out"));
+            long hold = 5 * HOLD;  // the time until the first send may not be a part of it that counts
+            write(out, read((int) hold / 3_000).replace("9b1f", "out"));
             await(host.received);
-            CountDownLatch over = gateway.hold(HOLD);
-            write(coming, read((int) HOLD / 3_000).replace("9b1f", "coming"));
+            CountDownLatch over = gateway.hold(hold);
+            write(coming, read((int) hold / 3_000).replace("9b1f", "coming"));
             assertTrue(over.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
             assertEquals(503, Loopback.read(out).status());
             assertEquals(503, Loopback.read(coming).status());
--- a/src/test/java/mastdrift/net/StopCrossingTest.java
+++ b/src/test/java/mastdrift/net/StopCrossingTest.java
@@ -22,6 +22,7 @@
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.Socket;
+import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -35,11 +36,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
+import org.junit.jupiter.params.provider.CsvSource;
 
 /** What may cross with a stop: requests that come just then, in parts or behind others, connections that wait, short deadlines, a stop ahead of the first client. */
 class StopCrossingTest {
 
+    private static final String SHORT = SETTINGS.replace("\"deadline\":60000000", "\"deadline\":300000").replace("\"target\":10000000", "\"target\":100000");
+
     @TempDir
     private Path folder;
 
@@ -55,10 +58,10 @@
     /** Idle connections close at a moment at which a request stands unread on one: on one that was used, on one that said nothing so far, and
         the rest of one of which a part had come. Each has its answer, and its connection ends behind it. */
     @ParameterizedTest
-    @ValueSource(strings = {"used", "silent", "part", "silent part", "dormant"})
-    void whatStandsUnreadAtTheEndOfServingIsAnswered(String how) throws Exception {
+    @CsvSource({"used,false", "silent,false", "part,false", "silent part,false", "dormant,false", "used,true", "silent,true"})
+    void whatStandsUnreadAtTheEndOfServingIsAnswered(String how, boolean shortDeadlines) throws Exception {
         String request = post("once", 20_000, "body");
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, host, SETTINGS)) {
+        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, host, shortDeadlines ? SHORT : SETTINGS)) {
             Socket client = node.connect();
             if (!how.startsWith("silent")) {
                 assertEquals(200, ready(client).status());
@@ -133,12 +136,12 @@
     }
 
     /** By deadlines of 0.3 s the platform may kill from 1 s on: nobody has a connection by then, so that nothing can come and stay unanswered. The moment
-        is looked at on the gateway's own loop, and a client asks all the while. */
+        is looked at on the gateway's own loop, and a client asks all the while: each answer is whole, and its connection ends with one that says so or, where
+        it is between two requests just then, with none. What stands unread in that moment is the test above. */
     @Test
     void withShortDeadlinesServingEndsBeforeTheKill() throws Exception {
-        String settings = SETTINGS.replace("\"deadline\":60000000", "\"deadline\":300000").replace("\"target\":10000000", "\"target\":100000");
         CompletableFuture<Integer> left = new CompletableFuture<>();
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, host, settings)) {
+        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, host, SHORT)) {
             Socket client = node.connect();
             Socket idle = node.connect();
             assertEquals(200, ready(client).status());
@@ -147,12 +150,17 @@
                 node.clients.stop(3_000_000, () -> { });
                 node.loop.schedule(() -> left.complete(node.clients.connections()), 1_000, TimeUnit.MILLISECONDS);
             }).sync();
-            Message last = null;
-            for (Message answer = ready(client); answer != null; answer = "close".equals(answer.header("Connection")) ? null : ready(client)) {
-                last = answer;
+            int answers = 0;
+            try {
+                for (Message answer = ready(client); answer != null; answer = "close".equals(answer.header("Connection")) ? null : ready(client)) {
+                    assertEquals(503, answer.status(), "a gateway that stops isn't ready");
+                    answers++;
+                }
+            } catch (SocketException e) {
+                client.close();  // what it asked crossed with the end of its connection, unread: clients ask that elsewhere
             }
-            assertNotNull(last);
-            assertEquals("close", last.header("Connection"), "a client that is asking all the while is told when to go");
+            assertTrue(answers > 0);
+            assertNull(Loopback.read(idle), "an end, and no reset");
             assertEquals(0, left.get(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
         }
     }
