--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -53,16 +53,17 @@
         TimedLoop timed = TimedLoop.start();
         EventLoop loop = timed.loop();
         CompletableFuture<Gateway> started = new CompletableFuture<>();
-        // First of all, or the signal would end the program. One that comes during the start is heard after it.
+        // First of all, or the signal would end the program. One that comes ahead of the gateway is heard once there is one.
         onHangUp(() -> started.thenAccept(gateway -> reload(gateway, loop)));
         try {
             Config config = Config.read(System.getenv());
-            Started now = open(config, timed, TimedLoop.start(), began, tally, System.out);
+            Started now = prepare(config, timed, askMillis(config.settings()), tally, System.out);  // asks discovery, whose answer takes its time
             // Ahead of the first client: a signal between the two would end the program, and with it what had been taken.
             ClientSide clients = now.clients();
             Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(loop, clients)));
+            started.complete(now.gateway());  // discovery may move while it is waited for
+            open(now, loop, config, TimedLoop.start(), began, System.out);
             listen(now, config, System.out);
-            started.complete(now.gateway());
         } catch (IllegalArgumentException | CompletionException e) {
             Throwable cause = e instanceof CompletionException ? e.getCause() : e;
             System.err.println("can't start: " + cause.getMessage());
@@ -79,14 +80,12 @@
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     }
 
-    /** What comes ahead of the first client: a gateway that has been told of the hosts, or has waited for that in vain since
-        {@code began}, by {@link System#nanoTime}; meanwhile the path of a request is {@code rehearsed}, on a loop that this ends. */
-    static Started open(Config config, TimedLoop timed, TimedLoop rehearsed, long began, boolean tally, PrintStream out) {
-        Started now = prepare(config, timed, askMillis(config.settings()), tally, out);  // asks discovery, whose answer takes its time
+    /** What comes ahead of the first client: the gateway has been told of the hosts, or has waited for that in vain since {@code began},
+        by {@link System#nanoTime}; meanwhile the path of a request is {@code rehearsed}, on a loop that this ends. */
+    static void open(Started now, EventLoop loop, Config config, TimedLoop rehearsed, long began, PrintStream out) {
         rehearse(config, rehearsed, () -> !now.gateway().told().isDone(), out::println);
-        timed.loop().execute(now.gateway()::ask);
+        loop.execute(now.gateway()::ask);
         awaitList(now.gateway(), began, out);
-        return now;
     }
 
     /** When this gateway calls discovery first, in milliseconds from its start. Where calls wait for their turn and many gateways start at
--- a/src/test/java/mastdrift/net/LifeTest.java
+++ b/src/test/java/mastdrift/net/LifeTest.java
@@ -312,6 +312,25 @@
         }
     }
 
+    /** Guards against a gateway that starts, waits for a discovery that has gone, and serves by the list that was known: it hears of the move while it waits. */
+    @Test
+    void sighupMovesDiscoveryDuringTheStart() throws Exception {
+        try (Server silent = new Server(message -> { }); Server moved = discovery(); Server one = host("one")) {
+            Process process = start(environment(folder, silent, list(1, true, up("s1", one)), SETTINGS));
+            try {
+                await(silent.received);
+                signalHup(process, "{\"discovery\":\"" + moved.address() + "\"}");
+                Message asked = await(moved.received);
+                assertFalse(log().contains("listening"), log());
+                tell(asked.socket(), list(5, false));
+                awaitLog("listening");
+                assertFalse(log().contains("going by the list that was known"), log());
+            } finally {
+                process.destroyForcibly();
+            }
+        }
+    }
+
     /** Guards against an old list in the place of a newer one, and against a move that the module takes for a failure:
         what the old address says late counts for nothing, and an address that isn't up yet is asked again. */
     @Test
--- a/src/test/java/mastdrift/net/StartTest.java
+++ b/src/test/java/mastdrift/net/StartTest.java
@@ -90,7 +90,8 @@
         try (Server discovery = discovery(how); Server one = host("one")) {
             long began = System.nanoTime();
             Config config = Config.read(environment(own, discovery, known(one), SETTINGS));
-            Main.Started started = Main.open(config, timed, slow, began, false, out);
+            Main.Started started = Main.prepare(config, timed, Main.askMillis(config.settings()), false, out);
+            Main.open(started, timed.loop(), config, slow, began, out);
             Main.listen(started, config, out);
             long took = millis(began);
             String said = log.toString(StandardCharsets.UTF_8);
