--- a/src/main/java/mastdrift/lab/scale/Member.java
+++ b/src/main/java/mastdrift/lab/scale/Member.java
@@ -36,7 +36,7 @@
     private final EventLoop loop;
     private final PeerLinks links;
     private final BiConsumer<Table, List<Delta>> taken;
-    private final List<String> above;
+    private final Map<String, InetSocketAddress> above;
     private final Events events;
     private Subscription subscription;  // null for a voter
     private Publication publication;  // null for a hollow gateway
@@ -46,13 +46,13 @@
     private Member(EventLoop loop, String name, int connections, List<Above> above, Table have, BiConsumer<Table, List<Delta>> taken) {
         this.loop = loop;
         this.taken = taken;
-        this.above = above.stream().map(Above::name).toList();
+        this.above = above.stream().collect(Collectors.toMap(Above::name, Above::address));
         events = (level, event, text, fields) -> System.err.println(name + ": " + event + ": " + text);
         table = have;
         links = new PeerLinks(loop, INSTALLATION, name, connections, this);
         links.keys(KEYS);
         links.life(System.nanoTime());
-        links.addresses(above.stream().collect(Collectors.toMap(Above::name, Above::address)));
+        links.addresses(this.above);
     }
 
     /** A gateway of a name and zone, with the table that it has; {@code taken} hears of each that comes, and what led there. */
@@ -99,6 +99,11 @@
         publication.table(next, deltas);
     }
 
+    /** Reaches nobody that it follows, or all of them again. */
+    void cut(boolean cut) {
+        links.addresses(cut ? Map.of() : above);
+    }
+
     /** Where it listens, from then on. */
     io.netty.channel.ChannelFuture listen() {
         return links.listen(new InetSocketAddress("127.0.0.1", 0));
@@ -118,7 +123,7 @@
         if (kind != CONFIG) {
             return;
         }
-        if (above.contains(from)) {
+        if (above.containsKey(from)) {
             subscription.heard(from, message);
             alone();
         } else if (publication != null) {
--- a/src/main/java/mastdrift/lab/scale/Node.java
+++ b/src/main/java/mastdrift/lab/scale/Node.java
@@ -13,8 +13,10 @@
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.EnumMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.concurrent.Callable;
 import mastdrift.distribution.Change;
 import mastdrift.distribution.Delta;
@@ -31,6 +33,7 @@
     private final List<Member> members = new ArrayList<>();
     private final Map<ResourceKind, Integer> counts = new EnumMap<>(ResourceKind.class);
     private final Histogram times = new Histogram(3);
+    private final Set<Integer> returning = new HashSet<>();
     private Map<String, Object> begin = Map.of();
     private List<Member.Above> above = List.of();
     private long seed;
@@ -83,6 +86,8 @@
                 return Map.of("bytes", Math.max(0, live() - before));
             case "return":
                 return onLoop(() -> returns(((Number) what.get("count")).intValue(), Boolean.TRUE.equals(what.get("keep"))));
+            case "cut":
+                return onLoop(() -> cut(Boolean.TRUE.equals(what.get("on"))));
             default:
                 throw new IllegalArgumentException("expected something that a process of a scale run does, found " + what.get("do"));
         }
@@ -126,7 +131,6 @@
     private Member hollow(int number, Table have) {
         int own = number("first") + number;
         long[] last = {have.revision().number()};
-        boolean[] returns = {lives > 0};
         return Member.hollow(loop, "gateway-" + own, zone(own), above, have, seed + own + 10_000L * lives, (next, deltas) -> {
             long now = System.nanoTime();
             if (deltas.isEmpty()) {
@@ -135,8 +139,7 @@
             if (last[0] > 0) {
                 seen(now, last[0], next, deltas);
             }
-            if (returns[0]) {
-                returns[0] = false;
+            if (returning.remove(number)) {
                 returnedAt = now;
             }
             last[0] = next.revision().number();
@@ -182,11 +185,25 @@
         for (int i = 0; i < Math.min(count, members.size()); i++) {
             Member old = members.get(i);
             old.close();
+            returning.add(i);
             members.set(i, hollow(i, keep ? old.table() : Table.empty(1)));
         }
         return Map.of();
     }
 
+    /** The gateways of the first region reach nobody, or everybody again. */
+    private Map<String, Object> cut(boolean cut) {
+        for (int i = 0; i < members.size(); i++) {
+            if (zone(number("first") + i).startsWith(zone(0).replaceAll("-.*", "-"))) {
+                members.get(i).cut(cut);
+                if (!cut) {
+                    returning.add(i);
+                }
+            }
+        }
+        return Map.of();
+    }
+
     // ---- a voter
 
     private Map<String, Object> change(int number, long at) {
--- a/src/main/java/mastdrift/lab/scale/Scale.java
+++ b/src/main/java/mastdrift/lab/scale/Scale.java
@@ -177,18 +177,22 @@
             long began = System.nanoTime();
             long until = began + phase.seconds() * 1_000_000_000L;
             long fault = began + phase.seconds() * 1_000_000_000L / 4;
-            boolean done = false;
+            long again = began + phase.seconds() * 1_000_000_000L * 3 / 4;
             long back = 0;
+            long whole = 0;
             for (int i = 0; phase.kind() == Kind.BURST && i < phase.count(); i++) {
                 change();
             }
             double next = began;
             while (System.nanoTime() < until) {
-                if (!done && System.nanoTime() >= fault) {
-                    done = true;
+                if (back == 0 && System.nanoTime() >= fault) {
                     back = System.nanoTime();
                     fault(phase);
                 }
+                if (whole == 0 && phase.kind() == Kind.CUT && System.nanoTime() >= again) {
+                    whole = System.nanoTime();
+                    Child.ask(of(HOLLOW), Map.of("do", "cut", "on", false));
+                }
                 if (phase.rate() > 0 && System.nanoTime() >= next) {
                     change();
                     next += 1e9 / phase.rate();
@@ -205,7 +209,7 @@
                 figures.shortfall(phase.name() + " at " + (long) at + ": " + late);
             }
             record(phase.name(), all, before, after, true);
-            times(phase, back);
+            times(phase, whole == 0 ? back : whole);
             says.accept(String.format(Locale.ROOT, "%s: done%s", phase.name(), late.isEmpty() ? "" : ", " + late + " after " + took + " s"));
         }
 
@@ -215,6 +219,8 @@
                 if (victims.size() > 1) {
                     victims.get(0).end();
                 }
+            } else if (phase.kind() == Kind.CUT) {
+                Child.ask(of(HOLLOW), Map.of("do", "cut", "on", true));
             } else if (phase.kind() == Kind.RETURN || phase.kind() == Kind.RETURN_WITH) {
                 List<Child> holders = of(HOLLOW);
                 int left = Math.min(phase.count(), size.hollow());
@@ -304,7 +310,7 @@
                 figures.add(at, phase.name(), HOLLOW, "in force, counted", times.getTotalCount());
             }
             figures.add(at, phase.name(), HOLLOW, "snapshots", unseen);
-            if (phase.kind() == Kind.RETURN || phase.kind() == Kind.RETURN_WITH) {
+            if (phase.kind() == Kind.RETURN || phase.kind() == Kind.RETURN_WITH || phase.kind() == Kind.CUT) {
                 figures.add(at, phase.name(), HOLLOW, "the last has returned, s", last == 0 ? Double.NaN : (last - back) / 1e9);
             }
         }
--- a/src/main/java/mastdrift/lab/scale/ScalePlan.java
+++ b/src/main/java/mastdrift/lab/scale/ScalePlan.java
@@ -22,11 +22,10 @@
  * @param perProcess hollow gateways of a process, at most
  * @param zones that gateways and machines are dealt out to
  * @param valueBytes of a resource's value
- * @param copies whether hollow gateways keep a copy of their table on disk
  * @param sizes one or more, played one after the other, in ascending order
  * @param phases of each size, in their order, behind the start
  */
-public record ScalePlan(String name, long seed, int voters, int relays, int perProcess, int zones, int valueBytes, boolean copies, List<Size> sizes, List<Phase> phases) {
+public record ScalePlan(String name, long seed, int voters, int relays, int perProcess, int zones, int valueBytes, List<Size> sizes, List<Phase> phases) {
 
     /** Control machines of a kind, at most. */
     public static final int MACHINES_MOST = 20;
@@ -64,6 +63,8 @@
         KILL_RELAY,
         /** Likewise with the first voter, for good. */
         KILL_VOTER,
+        /** Changes at a steady rate, and the gateways of one region reach nobody from a quarter to three quarters of the time. */
+        CUT,
         /** Changes at a steady rate, and some gateways end and come back at once, having kept nothing. */
         RETURN,
         /** Likewise, with the table that they had. */
@@ -135,7 +136,7 @@
         }
         ScalePlan plan = new ScalePlan(root.text("name", "scale"), given == null ? seed : given, (int) root.whole("voters", 5, 1, MACHINES_MOST),
                 (int) root.whole("relays", 12, 0, MACHINES_MOST), (int) root.whole("per_process", 400, 1, HOLLOW_MOST), (int) root.whole("zones", 11, 1, 64),
-                (int) root.whole("value_bytes", 120, 64, 4_096), root.flag("copies", false), List.copyOf(sizes), List.copyOf(phases));
+                (int) root.whole("value_bytes", 120, 64, 4_096), List.copyOf(sizes), List.copyOf(phases));
         root.noMore();
         return plan;
     }
--- a/src/test/java/mastdrift/lab/scale/ScaleTest.java
+++ b/src/test/java/mastdrift/lab/scale/ScaleTest.java
@@ -38,6 +38,10 @@
                 count = 25
                 for = "2s"
                 [[phase]]
+                what = "cut"
+                rate = 5.0
+                for = "3s"
+                [[phase]]
                 what = "return"
                 count = 3
                 for = "2s"
@@ -50,8 +54,11 @@
         assertTrue(value(figures, "burst", "hollow", "in force, the last, ms") < 30_000);
         assertTrue(value(figures, "burst", "hollow", "bytes in/s") > 25 * 100 / 3.0, "changes come over sockets");
         assertEquals(1 + 8 + 1 + 1, value(figures, "burst", "relay", "sockets"), "a listener, a link to each gateway, one to the voter, and one that Java keeps to end others by");
+        assertEquals(0, value(figures, "cut", "hollow", "snapshots"), "what was missed comes as changes");
+        assertTrue(value(figures, "cut", "hollow", "in force, the last, ms") > 300, "half of the gateways hear nothing for 1.5 s");
+        assertTrue(value(figures, "cut", "hollow", "the last has returned, s") < 30);
         assertEquals(3, value(figures, "return", "hollow", "snapshots"));
-        assertEquals(3, said.size(), said::toString);
+        assertEquals(4, said.size(), said::toString);
         assertTrue(figures.csv().startsWith("resources,phase,role,quantity,value\n24,start,relay,"), figures.csv());
         assertTrue(figures.json().contains("\"foretold\""));
         assertTrue(figures.html().contains("<svg"));
