--- a/src/main/java/mastdrift/lab/scale/Child.java
+++ b/src/main/java/mastdrift/lab/scale/Child.java
@@ -13,9 +13,10 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.stream.Stream;
 import mastdrift.lab.rig.Signals;
 
-/** A process of a run, which is told what to do in lines of JSON, one answer a line. It ends when its input does, and {@link Signals} sees to it where it doesn't. */
+/** A process of a run: one of hollow gateways, which is told what to do in lines of JSON, one answer a line, or this program itself. {@link Signals} sees to it that it ends with this one. */
 final class Child {
 
     private static final int START_SECONDS = 120;
@@ -38,11 +39,23 @@
         reader.start();
     }
 
-    /** Starts one with so many MiB of heap; what it says beside answers goes into a file of a folder. */
-    static Child start(String name, String role, int heap, Path folder, Signals signals) throws IOException {
-        List<String> command = List.of(System.getProperty("java.home") + "/bin/java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xmx" + heap + "m",
-                "-XX:MaxDirectMemorySize=" + Math.max(64, heap / 4) + "m", "-cp", System.getProperty("java.class.path"), Node.class.getName());
-        Process process = new ProcessBuilder(command).redirectError(folder.resolve(name + ".log").toFile()).start();
+    /** Starts a process of hollow gateways with so many MiB of heap; what it says beside answers goes into a file of a folder. */
+    static Child hollow(String name, int heap, Path folder, Signals signals) throws IOException {
+        return start(name, Scale.HOLLOW, heap, folder, signals, false, Node.class.getName());
+    }
+
+    /** Starts this program with such words; all that it says goes into a file of a folder. */
+    static Child program(String name, String role, int heap, Path folder, Signals signals, String... words) throws IOException {
+        return start(name, role, heap, folder, signals, true, Stream.concat(Stream.of("mastdrift.cli.Main"), Stream.of(words)).toArray(String[]::new));
+    }
+
+    private static Child start(String name, String role, int heap, Path folder, Signals signals, boolean silent, String... words) throws IOException {
+        List<String> command = new ArrayList<>(List.of(System.getProperty("java.home") + "/bin/java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx" + heap + "m",
+                "-XX:MaxDirectMemorySize=" + Math.max(64, heap / 4) + "m", "-cp", System.getProperty("java.class.path")));
+        command.addAll(List.of(words));
+        Path log = folder.resolve(name + ".log");
+        ProcessBuilder builder = new ProcessBuilder(command).redirectError(log.toFile());
+        Process process = (silent ? builder.redirectErrorStream(true).redirectOutput(log.toFile()) : builder).start();
         signals.add(process);
         return new Child(name, role, process, signals);
     }
--- a/src/main/java/mastdrift/lab/scale/Figures.java
+++ b/src/main/java/mastdrift/lab/scale/Figures.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
@@ -27,7 +28,7 @@
     private final String by;
     private final Map<String, Object> about;
     private final List<Figure> all = new ArrayList<>();
-    private final List<String> shortfalls = new ArrayList<>();
+    private final List<String> shortfalls = Collections.synchronizedList(new ArrayList<>());  // by whoever writes changes, too
 
     /** Of a run of this name whose sizes are counts of {@code by}; {@code about} says what it was. */
     public Figures(String name, String by, Map<String, Object> about) {
--- a/src/main/java/mastdrift/lab/scale/Meter.java
+++ b/src/main/java/mastdrift/lab/scale/Meter.java
@@ -1,6 +1,7 @@
 package mastdrift.lab.scale;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.stream.Stream;
@@ -56,6 +57,25 @@
         return counts;
     }
 
+    /** Bytes of live objects of a process of Java, by its own diagnostic command, which collects garbage first. */
+    static long live(long pid) throws IOException, InterruptedException {
+        Process jcmd = new ProcessBuilder(System.getProperty("java.home") + "/bin/jcmd", Long.toString(pid), "GC.class_histogram").redirectErrorStream(true).start();
+        String text = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        jcmd.waitFor();
+        return text.lines().filter(line -> line.startsWith("Total")).mapToLong(line -> Long.parseLong(line.strip().split("\\s+")[2])).findFirst()
+                .orElseThrow(() -> new IOException("expected a histogram, found " + text.lines().limit(3).toList()));
+    }
+
+    /** Bytes of all files of a folder. */
+    static long disk(Path folder) throws IOException {
+        if (!Files.exists(folder)) {
+            return 0;
+        }
+        try (Stream<Path> all = Files.walk(folder)) {
+            return all.mapToLong(each -> Files.isRegularFile(each) ? each.toFile().length() : 0).sum();
+        }
+    }
+
     private static long number(String file, String key) {
         try {
             return Files.readAllLines(Path.of(file)).stream().filter(line -> line.startsWith(key)).mapToLong(line -> Long.parseLong(line.replaceAll("\\D", ""))).findFirst().orElse(0);
