--- a/src/main/java/mastdrift/agreed/edge/DecidedMachine.java
+++ b/src/main/java/mastdrift/agreed/edge/DecidedMachine.java
@@ -68,13 +68,9 @@
         return kind == OUT ? new Fate.Out(why) : new Fate.Unknown(why);
     }
 
-    /** Reads something of the decisions, between two entries. */
-    synchronized List<Decision> after(long index, int most) {
-        return decisions.after(index, most);
-    }
-
-    synchronized byte[] snapshot() {
-        return decisions.snapshot();
+    /** What is behind an entry, as bytes, for who follows from there. */
+    synchronized byte[] part(long index, int most) {
+        return decisions.part(index, most).snapshot();
     }
 
     synchronized long last() {
@@ -109,10 +105,13 @@
         }
     }
 
+    /** The library pauses it again with each piece of a snapshot that it is given. */
     @Override
     public void pause() {
-        getLifeCycle().transition(LifeCycle.State.PAUSING);
-        getLifeCycle().transition(LifeCycle.State.PAUSED);
+        if (getLifeCycleState() != LifeCycle.State.PAUSED) {
+            getLifeCycle().transition(LifeCycle.State.PAUSING);
+            getLifeCycle().transition(LifeCycle.State.PAUSED);
+        }
     }
 
     @Override
--- a/src/main/java/mastdrift/config/Section.java
+++ b/src/main/java/mastdrift/config/Section.java
@@ -1,8 +1,10 @@
 package mastdrift.config;
 
+import com.fasterxml.jackson.jr.ob.JSON;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -26,6 +28,8 @@
 
     private static final Pattern BYTES = Pattern.compile("(\\d{1,12}(?:\\.\\d{1,6})?)(B|KiB|MiB|GiB|TiB)");
     private static final List<String> UNITS = List.of("B", "KiB", "MiB", "GiB", "TiB");
+    // Stands for a table that is not there; parsed once, since each route of a file may lack one.
+    private static final TomlTable EMPTY = Toml.parse("");
 
     private final String file;
     private final String name;
@@ -224,10 +228,35 @@
     public Section section(String key) {
         TomlTable below = value(key, "a table", null, value -> value instanceof TomlTable found ? found : null);
         return new Section(file, name.isEmpty() ? key : name + "." + key,
-                below == null ? Toml.parse("") : below,
+                below == null ? EMPTY : below,
                 below == null ? place : table.inputPositionOf(List.of(key)), problems);
     }
 
+    /** The table of a key as one object in JSON, in UTF-8; null where it is not there. Dates and times are texts there. */
+    byte[] json(String key) {
+        TomlTable below = value(key, "a table", null, value -> value instanceof TomlTable found ? found : null);
+        if (below == null) {
+            return null;
+        }
+        try {
+            return JSON.std.asBytes(plain(below));
+        } catch (Exception e) {  // of bytes in memory: there is no stream that could fail
+            throw new IllegalStateException(e);
+        }
+    }
+
+    private static Object plain(Object value) {
+        if (value instanceof TomlTable table) {
+            Map<String, Object> fields = new LinkedHashMap<>();
+            table.keySet().forEach(key -> fields.put(key, plain(table.get(List.of(key)))));
+            return fields;
+        }
+        if (value instanceof TomlArray array) {
+            return array.toList().stream().map(Section::plain).toList();
+        }
+        return value instanceof Long || value instanceof Double || value instanceof Boolean ? value : String.valueOf(value);
+    }
+
     /** The tables of an array, {@code [[key]]}, in their order; none where it is not there. */
     public List<Section> sections(String key, int most) {
         List<Section> sections = new ArrayList<>();
@@ -253,11 +282,23 @@
         return sections;
     }
 
+    /** The keys that are there; none is a known one by that. */
+    Set<String> keys() {
+        return table.keySet();
+    }
+
     /** Whatever was not asked for is a problem; call it last. */
     public void noMore() {
+        noMore(Set.of());
+    }
+
+    /** Likewise for whatever is not among these either. */
+    void noMore(Set<String> also) {
         for (String key : table.keySet()) {
-            if (!known.contains(key)) {
-                String nearest = nearest(key, known);
+            if (!known.contains(key) && !also.contains(key)) {
+                Set<String> all = new TreeSet<>(known);
+                all.addAll(also);
+                String nearest = nearest(key, all);
                 problem(key, "expected one of the known keys, found " + key
                         + (nearest == null ? "" : "; did you mean " + nearest + "?"));
             }
--- a/src/main/java/mastdrift/config/Tables.java
+++ b/src/main/java/mastdrift/config/Tables.java
@@ -1,9 +1,7 @@
 package mastdrift.config;
 
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -85,14 +83,11 @@
     /** Pools and their weights, {@code pools = { a = 1 }}. */
     public static List<Route.Target> targets(Section route, Set<String> pools) {
         Section weights = route.section("pools");
-        Map<String, Route.Target> targets = new LinkedHashMap<>();
-        for (String pool : pools) {
-            if (weights.has(pool)) {
-                targets.put(pool, new Route.Target(pool, weights.real(pool, 0, 0, 1e6)));
-            }
-        }
-        weights.noMore();
-        return List.copyOf(targets.values());
+        Set<String> given = weights.keys();
+        List<Route.Target> targets = pools.stream().filter(given::contains)
+                .map(pool -> new Route.Target(pool, weights.real(pool, 0, 0, 1e6))).toList();
+        weights.noMore(pools);
+        return targets;
     }
 
     /** A range of addresses; null, and a problem, where there is none. */
@@ -106,9 +101,14 @@
         }
     }
 
+    /** Whether a text is a name: up to 64 letters, digits, dots, - and _. */
+    static boolean isWord(String text) {
+        return WORD.matcher(text).matches();
+    }
+
     /** A name: a problem where it is not one word. */
     public static String word(Section section, String key, String word) {
-        if (!word.equals("?") && !WORD.matcher(word).matches()) {
+        if (!word.equals("?") && !isWord(word)) {
             section.problem(key, "expected up to 64 letters, digits, dots, - and _, found \"" + word + "\"");
         }
         return word;
@@ -123,8 +123,8 @@
         return name;
     }
 
-    /** An address and a port in digits: a problem where it is none. */
-    static String endpoint(Section section, String key, String text) {
+    /** Whether a text is an address and a port in digits. */
+    static boolean isEndpoint(String text) {
         Matcher matcher = ENDPOINT.matcher(text);
         boolean fits = matcher.matches() && Integer.parseInt(matcher.group(1)) <= 65_535;
         if (fits && !text.startsWith("[")) {
@@ -132,7 +132,12 @@
                 fits &= Integer.parseInt(part) <= 255;
             }
         }
-        if (!fits && !text.equals("?")) {
+        return fits;
+    }
+
+    /** An address and a port in digits: a problem where it is none. */
+    static String endpoint(Section section, String key, String text) {
+        if (!text.equals("?") && !isEndpoint(text)) {
             section.problem(key, "expected ADDRESS:PORT in digits, found \"" + text + "\"");
         }
         return text;
--- a/src/main/java/mastdrift/distribution/Subscriber.java
+++ b/src/main/java/mastdrift/distribution/Subscriber.java
@@ -27,6 +27,7 @@
     private static final int TRIES = 3;  // of a snapshot at one machine
     private static final int ENDED_SHIFT_MOST = 2;
     private static final int REASON_MOST = 200;
+    private static final int ACK_BYTES = 256 << 10;  // of deltas since the last acknowledgement: the next one is told at once
 
     /** What it wants done. Called in the middle of an event: what it leads to comes as another. */
     public interface Out {
@@ -58,6 +59,7 @@
     private long nextAt;
     private int ended;
     private long aloneSince;
+    private boolean silenceTold;  // once, until somebody is heard
     private boolean begun;
     private long heardAt;
     private long askedAt;
@@ -73,6 +75,7 @@
     private Revision inForce;
     private Message.Nack nack;
     private long ackAt = Long.MAX_VALUE;
+    private long unacked;  // bytes of deltas, about
     private long wanted = Long.MAX_VALUE;
 
     /** Of this name, from the table that it has; {@code seed} is for when it comes again. */
@@ -160,7 +163,8 @@
         stopped(now);
         if (!machines.isEmpty()) {
             if (at != null && now - heardAt >= settings.silent()) {
-                next(now, "config_silent", "expected a message within " + settings.silent() / 1_000_000 + " s, found none");
+                next(now, silenceTold ? null : "config_silent", "expected a message within " + settings.silent() / 1_000_000 + " s, found none");
+                silenceTold = true;
             } else if (at != null && behindSince != 0 && now - behindSince >= settings.silent()) {
                 next(now, "config_behind", "expected revision " + table.revision().number() + " or a later one, found an earlier one for " + settings.silent() / 1_000_000 + " s");
             } else if (at != null && index != 0 && !fetching && assembly == null && now >= homeAt) {
@@ -201,6 +205,7 @@
         }
         if (now >= ackAt) {
             ackAt = now + settings.alive();
+            unacked = 0;
             out.send(at, nack != null ? nack : new Message.Ack(inForce == null ? Revision.none(table.revision().epoch()) : inForce));
         }
     }
@@ -249,8 +254,11 @@
         out.leave(left);
     }
 
+    /** {@code event} null where operators know already. */
     private void next(long now, String event, String why) {
-        out.event(event, at + ": " + why);
+        if (event != null) {
+            out.event(event, at + ": " + why);
+        }
         long since = heardAt;
         leave(now);
         aloneSince = Math.max(1, Math.min(aloneSince, since));
@@ -275,8 +283,12 @@
     public void heard(long now, String from, Message message) {
         stopped(now);
         if (from.equals(at)) {
+            if (aloneSince != 0 && now - aloneSince >= settings.silent()) {
+                out.event("config_heard", at + ": after " + (now - aloneSince) / 1_000_000 + " s without any machine");
+            }
             heardAt = now;
             aloneSince = 0;
+            silenceTold = false;
             ended = 0;
             if (message instanceof Message.Deltas deltas) {
                 deltas(now, deltas.deltas());
@@ -342,6 +354,7 @@
                 break;
             }
             applied.add(each);
+            unacked += History.bytes(each);
         }
         if (!applied.isEmpty()) {
             agrees();
@@ -454,8 +467,8 @@
     public void inForce(long now, Revision revision) {
         inForce = revision;
         nack = null;
-        ackAt = Math.min(ackAt, now + settings.ack());
-        wants(now);
+        ackAt = Math.min(ackAt, unacked >= ACK_BYTES ? now : now + settings.ack());
+        tick(now);
     }
 
     /** A revision can't be put in force, for a reason; the one before stays, and later ones come all the same. */
@@ -468,9 +481,9 @@
         wants(now);
     }
 
-    /** One that passes on tells how its own subscribers do; it gets lost where no machine is heard. */
+    /** One that passes on tells how its own subscribers do, also that there are none; it gets lost where no machine is heard. */
     public void summary(List<Message.ZoneSummary> zones) {
-        if (at != null && !zones.isEmpty()) {
+        if (at != null) {
             out.send(at, new Message.Summary(zones));
         }
     }
--- /dev/null
+++ b/src/main/java/mastdrift/lab/scale/Member.java
@@ -0,0 +1,105 @@
+package mastdrift.lab.scale;
+
+import io.netty.channel.EventLoop;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BiConsumer;
+import java.util.stream.Collectors;
+import mastdrift.distribution.Delta;
+import mastdrift.distribution.Machine;
+import mastdrift.distribution.SubscriberSettings;
+import mastdrift.distribution.Table;
+import mastdrift.distribution.edge.Subscription;
+import mastdrift.distribution.edge.Wires;
+import mastdrift.peers.edge.PeerLinks;
+
+/** A hollow gateway: the program's own links, codec and subscriber, and nothing else; what comes is in force as soon as it is there. On the loop's thread alone, the beginning too. */
+final class Member implements PeerLinks.Ears, Wires, AutoCloseable {
+
+    private static final byte CONFIG = 4;  // of messages on links
+    private static final int MACHINES = 64;
+
+    /** One that may be followed: its name, its zone and where it listens. */
+    record Above(String name, String zone, InetSocketAddress address) { }
+
+    private final BiConsumer<Table, List<Delta>> taken;
+    private final PeerLinks links;
+    private final Map<String, InetSocketAddress> above;
+    private final Subscription subscription;
+    private Table table;
+
+    /** Of a name and zone, with the table that it has; {@code taken} hears of each that comes, and what led there. */
+    Member(EventLoop loop, String name, String zone, List<Above> above, Table have, long seed, BiConsumer<Table, List<Delta>> taken) {
+        this.taken = taken;
+        this.above = above.stream().collect(Collectors.toMap(Above::name, Above::address));
+        table = have;
+        links = new PeerLinks(loop, Layout.INSTALLATION, name, MACHINES, this);
+        links.keys(List.of(Layout.KEY.getBytes(StandardCharsets.UTF_8)));
+        links.life(System.nanoTime());
+        links.addresses(this.above);
+        subscription = new Subscription(loop, this, name, zone, have, SubscriberSettings.USUAL, seed, (level, event, text, fields) -> System.err.println(name + ": " + event + ": " + text),
+                this::take);
+        subscription.machines(above.stream().map(each -> new Machine(each.name, each.zone)).toList());
+    }
+
+    private void take(Table next, List<Delta> deltas) {
+        taken.accept(next, deltas);
+        table = next;
+        subscription.inForce(next.revision());
+    }
+
+    /** Reaches nobody that it follows, or all of them again. */
+    void cut(boolean cut) {
+        links.addresses(cut ? Map.of() : above);
+    }
+
+    /** What is in force. */
+    Table table() {
+        return table;
+    }
+
+    @Override
+    public void heard(String from, long life, byte kind, byte[] message) {
+        if (kind == CONFIG) {
+            subscription.heard(from, message);
+        }
+    }
+
+    @Override
+    public void ended(String to) {
+        subscription.ended(to);
+    }
+
+    @Override
+    public void refused(String what, String who, String text) {
+        System.err.println(what + " " + who + ": " + text);
+    }
+
+    @Override
+    public boolean send(String to, byte[] message) {
+        return links.send(to, CONFIG, message);
+    }
+
+    @Override
+    public boolean reply(String to, byte[] message) {
+        throw new UnsupportedOperationException("a gateway publishes nothing");
+    }
+
+    @Override
+    public void leave(String to) {
+        links.leave(to);
+    }
+
+    @Override
+    public void drop(String from) {
+        throw new UnsupportedOperationException("a gateway has no subscribers");
+    }
+
+    @Override
+    public void close() {
+        subscription.close();
+        links.close();
+    }
+}
--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -138,7 +138,8 @@
         discovery after {@code askMillis} at the earliest, or once it is told to. */
     static Started prepare(Config config, TimedLoop loop, long askMillis, boolean tally, PrintStream out) {
         // Of the clients' half, an eighth is for answering those that come beyond the requests held.
-        int most = Math.max(8, (Math.min(config.sockets(), 1 << 16) - RESERVED) / 2);
+        int sockets = Math.min(Math.min(config.sockets(), Descriptors.limit()), 1 << 16);
+        int most = Math.max(8, (sockets - RESERVED) / 2);
         return CompletableFuture.supplyAsync(() -> {
             Started started = Started.with(config, loop, most, most - most / 8, most, tally, out);
             if (askMillis > 0) {
