--- a/src/main/java/mastdrift/agreed/edge/RaftLog.java
+++ b/src/main/java/mastdrift/agreed/edge/RaftLog.java
@@ -73,6 +73,7 @@
     private static final long ASK_MILLIS = 1_000;
     private static final long AGAIN_MILLIS = 100;
     private static final int FOLLOW_MOST = 64;
+    private static final long BEHIND_MILLIS = 2_000;
     private static final SizeInBytes PIECE = SizeInBytes.valueOf("128KB");
 
     /**
@@ -119,6 +120,8 @@
     private final long openedAt = System.nanoTime();
     private String saidLeader = "";
     private long lastRead;
+    private long lastSeen = -1;  // the last entry of the own log, a while ago
+    private boolean behind;  // it was said that the own log stands still
     private boolean changing;
     private boolean confirmed;  // it is in the log's configuration, as the log itself says
     private boolean closed;
@@ -166,6 +169,7 @@
         if (voter()) {
             meet();
             every(TIDE_MILLIS, this::tide);
+            every(BEHIND_MILLIS, this::readBehind);
         } else {
             part = "following";
             every(FOLLOW_MILLIS, this::follow);
@@ -525,6 +529,46 @@
         return ByteBuffer.allocate(Integer.BYTES + voters.length + bytes.length).putInt(voters.length).put(voters).put(bytes).array();
     }
 
+    /** A voter whose own log stands still asks another one what was decided meanwhile, and reads that: its library may take no entry any more, though it votes and hears a leader. What comes of its own
+        log later was read already. */
+    private void readBehind() {
+        if (server == null || !part.equals("voter")) {
+            return;
+        }
+        long last = machine.last();
+        boolean still = last == lastSeen;
+        lastSeen = last;
+        List<String> others = group.keySet().stream().filter(each -> !each.equals(settings.name())).toList();
+        if (!still || others.isEmpty()) {
+            behind &= still;
+            return;
+        }
+        byte[] from = ByteBuffer.allocate(Long.BYTES).putLong(readUpTo()).array();
+        calls.ask(others.get(random.nextInt(others.size())), FOLLOW, from, ASK_MILLIS).thenAccept(answer -> after(0, () -> {
+            List<Decision> missed = decisions(answer).kept().stream().filter(each -> each.index() > readUpTo()).toList();
+            if (machine.last() != last || missed.isEmpty()) {
+                return;
+            }
+            if (!behind) {
+                says.event(true, "agreed_behind", "the own log stands still at entry " + last + ": decisions are read behind another voter", "index", last);
+            }
+            behind = true;
+            missed.forEach(this::read);
+        }));
+    }
+
+    private synchronized long readUpTo() {
+        return lastRead;
+    }
+
+    private static Decisions decisions(byte[] answer) {
+        ByteBuffer in = ByteBuffer.wrap(answer);
+        in.position(Integer.BYTES + in.getInt());
+        byte[] bytes = new byte[in.remaining()];
+        in.get(bytes);
+        return Decisions.restored(bytes);
+    }
+
     private void follow() {
         if (server != null) {
             return;
@@ -536,9 +580,7 @@
             ByteBuffer in = ByteBuffer.wrap(answer);
             byte[] names = new byte[in.getInt()];
             in.get(names);
-            byte[] bytes = new byte[in.remaining()];
-            in.get(bytes);
-            Decisions read = Decisions.restored(bytes);
+            Decisions read = decisions(answer);
             long before = followed.last();
             if (read.last() > before) {
                 followed = read;
--- a/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
+++ b/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
@@ -42,6 +42,7 @@
 
     private final Map<String, BiConsumer<String, byte[]>> ears = new ConcurrentHashMap<>();
     private final Set<String> cut = ConcurrentHashMap.newKeySet();
+    private final Set<String> noEntries = ConcurrentHashMap.newKeySet();  // who is asked to append nothing, and hears all else
     private final Map<String, Member> members = new ConcurrentHashMap<>();
     private final ExecutorService network = Executors.newSingleThreadExecutor();
     private long longAway = 3_600_000_000L;
@@ -59,7 +60,8 @@
                 public void send(String gateway, byte[] message) {
                     network.execute(() -> {
                         BiConsumer<String, byte[]> to = ears.get(gateway);
-                        if (to != null && !cut.contains(name) && !cut.contains(gateway)) {
+                        if (to != null && !cut.contains(name) && !cut.contains(gateway)
+                                && !(noEntries.contains(gateway) && message[0] == PeerRpc.APPEND)) {
                             to.accept(name, message);
                         }
                     });
@@ -191,6 +193,29 @@
         awaitAll(ids, "a", "b", "c", "d");
     }
 
+    /** Guards against a voter that stays behind without knowing it: its own log takes no entry, and it reads what the others have decided behind one of them, each once; and goes on by itself later. */
+    @Test
+    void aVoterWhoseLogStandsStillReadsBehindAnother() throws Exception {
+        List<String> voters = List.of("a", "b", "c");
+        start("one", voters, "a", "b", "c");
+        List<String> ids = new ArrayList<>(List.of("first"));
+        members.get("a").in("first");
+        awaitAll(ids, "a", "b", "c");
+        String leader = members.get("a").log.status().leader();
+        String stuck = voters.stream().filter(each -> !each.equals(leader)).findFirst().orElseThrow();
+        noEntries.add(stuck);
+        for (int i = 0; i < 4; i++) {
+            ids.add("second-" + i);
+            members.get(leader).in("second-" + i);
+        }
+        awaitAll(ids, "a", "b", "c");
+        await(() -> members.get(stuck).said.stream().anyMatch(each -> each.startsWith("agreed_behind")), "it says so");
+        noEntries.clear();
+        ids.add("third");
+        members.get(leader).in("third");
+        awaitAll(ids, "a", "b", "c");
+    }
+
     private Fate settle(String at, String id) throws Exception {
         CompletableFuture<Fate> fate = new CompletableFuture<>();
         members.get(at).log.settle(id, fate::complete);
