--- a/src/main/java/mastdrift/config/DistributionReader.java
+++ b/src/main/java/mastdrift/config/DistributionReader.java
@@ -75,24 +75,12 @@
     }
 
     private static DistributionSettings whole(Section section, String name, String zone, Role role, String listen, String statusFile, int connections, List<Machine> machines) {
-        List<SecretRef> keys = new ArrayList<>();
-        for (Section each : section.sections("key", PeerSettings.KEYS_MOST)) {
-            SecretRef key = Tables.secret(each);
-            if (key == null) {
-                each.problem("expected secret_file or secret_variable, found neither");
-            } else {
-                keys.add(key);
-            }
-            each.noMore();
-        }
-        if (keys.isEmpty()) {
-            section.problem("key", "expected at least one key, [[distribution.key]], found none");
-        }
+        List<SecretRef> keys = Tables.keys(section, "distribution");
         if (!section.has("epoch")) {
             section.problem("epoch", "expected a whole number from 1 to " + DistributionSettings.EPOCH_MOST + ", found nothing");
         }
         DistributionSettings settings = new DistributionSettings(section.whole("epoch", 1, 1, DistributionSettings.EPOCH_MOST),
-                Tables.word(section, "installation", section.requiredText("installation")), List.copyOf(keys), name, zone, role, listen,
+                Tables.word(section, "installation", section.requiredText("installation")), keys, name, zone, role, listen,
                 section.requiredText("folder"), statusFile, connections, machines);
         section.noMore();
         return settings;
--- a/src/main/java/mastdrift/config/PeersReader.java
+++ b/src/main/java/mastdrift/config/PeersReader.java
@@ -18,19 +18,7 @@
             return null;
         }
         Section section = root.section("peers");
-        List<SecretRef> keys = new ArrayList<>();
-        for (Section each : section.sections("key", PeerSettings.KEYS_MOST)) {
-            SecretRef key = Tables.secret(each);
-            if (key == null) {
-                each.problem("expected secret_file or secret_variable, found neither");
-            } else {
-                keys.add(key);
-            }
-            each.noMore();
-        }
-        if (keys.isEmpty()) {
-            section.problem("key", "expected at least one key, [[peers.key]], found none");
-        }
+        List<SecretRef> keys = Tables.keys(section, "peers");
         Map<String, String> gateways = new TreeMap<>();
         Set<String> names = Section.met();
         Set<String> addresses = Section.met();
--- a/src/main/java/mastdrift/config/Tables.java
+++ b/src/main/java/mastdrift/config/Tables.java
@@ -153,6 +153,24 @@
         return file != null ? new SecretRef(true, file) : variable != null ? new SecretRef(false, variable) : null;
     }
 
+    /** Keys that are good at a time, the first one to sign by: the tables {@code key} of the one that operators call {@code table}. */
+    static List<SecretRef> keys(Section section, String table) {
+        List<SecretRef> keys = new ArrayList<>();
+        for (Section each : section.sections("key", PeerSettings.KEYS_MOST)) {
+            SecretRef key = secret(each);
+            if (key == null) {
+                each.problem("expected secret_file or secret_variable, found neither");
+            } else {
+                keys.add(key);
+            }
+            each.noMore();
+        }
+        if (keys.isEmpty()) {
+            section.problem("key", "expected at least one key, [[" + table + ".key]], found none");
+        }
+        return List.copyOf(keys);
+    }
+
     static String expectedOne(String what, List<String> names, String found) {
         String nearest = Section.nearest(found, names);
         String listed = names.size() <= 8 ? " (" + String.join(", ", names) + ")" : "";
