--- a/src/main/java/mastdrift/agreed/edge/PeerRpc.java
+++ b/src/main/java/mastdrift/agreed/edge/PeerRpc.java
@@ -7,6 +7,7 @@
 import java.util.Collection;
 import java.util.concurrent.ExecutionException;
 import org.apache.ratis.proto.RaftProtos.AppendEntriesReplyProto;
+import org.apache.ratis.proto.RaftProtos.AppendEntriesReplyProto.AppendResult;
 import org.apache.ratis.proto.RaftProtos.AppendEntriesRequestProto;
 import org.apache.ratis.proto.RaftProtos.InstallSnapshotReplyProto;
 import org.apache.ratis.proto.RaftProtos.InstallSnapshotRequestProto;
@@ -73,9 +74,14 @@
         return RequestVoteReplyProto.parseFrom(ask(request.getServerRequest(), VOTE, request.toByteArray()));
     }
 
+    /** The library's answer to a request without entries names the end of the follower's log, and its leader takes that for what both have alike: where it is the rest of a lead of the follower's own, which nobody agreed
+        on, no entry would ever match. Both have alike what the request names as the entry before, and no more is known by it. */
     @Override
     public AppendEntriesReplyProto appendEntries(AppendEntriesRequestProto request) throws IOException {
-        return AppendEntriesReplyProto.parseFrom(ask(request.getServerRequest(), APPEND, request.toByteArray()));
+        AppendEntriesReplyProto reply = AppendEntriesReplyProto.parseFrom(ask(request.getServerRequest(), APPEND, request.toByteArray()));
+        long alike = request.hasPreviousLog() ? request.getPreviousLog().getIndex() + 1 : 0;
+        boolean more = request.getEntriesCount() == 0 && reply.getResult() == AppendResult.SUCCESS && reply.getNextIndex() > alike;
+        return more ? reply.toBuilder().setNextIndex(alike).build() : reply;
     }
 
     @Override
--- a/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
+++ b/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
@@ -216,6 +216,38 @@
         awaitAll(ids, "a", "b", "c");
     }
 
+    /** Guards against a log that keeps what its own lead never agreed on: a leader that is cut off takes appends that come to nothing, another one leads, and the first takes that one's entries in place of its own. */
+    @Test
+    void whoLostTheLeadTakesTheEntriesOfTheNext() throws Exception {
+        List<String> voters = List.of("a", "b", "c");
+        start("one", voters, "a", "b", "c");
+        List<String> ids = new ArrayList<>(List.of("first"));
+        members.get("a").in("first");
+        awaitAll(ids, "a", "b", "c");
+        String old = members.get("a").log.status().leader();
+        cut.add(old);
+        List<CompletableFuture<Fate>> lost = new ArrayList<>();
+        for (int i = 0; i < 3; i++) {
+            CompletableFuture<Fate> fate = new CompletableFuture<>();
+            members.get(old).log.append("lost-" + i, new byte[100], fate::complete);
+            lost.add(fate);
+        }
+        String other = voters.stream().filter(each -> !each.equals(old)).findFirst().orElseThrow();
+        for (int i = 0; i < 5; i++) {
+            members.get(other).in("second-" + i);
+            ids.add("second-" + i);
+        }
+        cut.clear();
+        awaitAll(ids, voters.toArray(new String[0]));
+        members.get(other).in("third");
+        ids.add("third");
+        awaitAll(ids, voters.toArray(new String[0]));
+        await(() -> members.get(old).log.status().last() >= members.get(other).log.status().last(), "its own log has all entries");
+        for (CompletableFuture<Fate> each : lost) {
+            assertInstanceOf(Fate.class, each.get(WAIT_SECONDS, TimeUnit.SECONDS));
+        }
+    }
+
     private Fate settle(String at, String id) throws Exception {
         CompletableFuture<Fate> fate = new CompletableFuture<>();
         members.get(at).log.settle(id, fate::complete);
