--- a/src/main/java/mastdrift/lab/load/LoadRun.java
+++ b/src/main/java/mastdrift/lab/load/LoadRun.java
@@ -8,6 +8,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
+import java.util.function.UnaryOperator;
 import mastdrift.lab.draw.Arrivals;
 import mastdrift.lab.draw.Mix;
 import mastdrift.lab.draw.Streams;
@@ -41,7 +42,7 @@
     private volatile boolean stopped;
     private LoadResult result;
 
-    private LoadRun(LoadPlan plan) {
+    private LoadRun(LoadPlan plan, UnaryOperator<UniformRandomProvider> pauses) {
         this.plan = plan;
         tally = new Tally(plan.parts());
         tape = new LoadTape(plan.parts(), tally);
@@ -49,7 +50,7 @@
         Streams streams = Streams.of(plan.seed());
         for (int i = 0; i < plan.threads(); i++) {
             lanes.add(new Lane(loops.next(), share(plan.connections(), i), share(plan.closed(), i),
-                    streams.below("lane-" + i)));
+                    streams.below("lane-" + i), pauses));
         }
         pacer = daemon("load-pacer", () -> pace(streams));
         ticker = daemon("load-ticker", this::tick);
@@ -57,7 +58,12 @@
 
     /** Starts it; its first request is due once the connections that are to be opened ahead are. */
     public static LoadRun start(LoadPlan plan) {
-        LoadRun run = new LoadRun(plan);
+        return start(plan, UnaryOperator.identity());
+    }
+
+    /** Likewise; {@code pauses} stands around the draws between a request's tries, which are made on the loop's thread. */
+    static LoadRun start(LoadPlan plan, UnaryOperator<UniformRandomProvider> pauses) {
+        LoadRun run = new LoadRun(plan, pauses);
         run.pacer.start();
         run.ticker.start();
         return run;
@@ -150,13 +156,14 @@
         private UniformRandomProvider chains;
         private Tally.Rows rows;
         private long tickAt;
+        // Requests that aren't over: one between two tries is among them, or the end would be looked for in that moment and found.
         private volatile int out;
 
-        Lane(EventLoop loop, int connections, int loopers, Streams streams) {
+        Lane(EventLoop loop, int connections, int loopers, Streams streams, UnaryOperator<UniformRandomProvider> pauses) {
             this.loop = loop;
             this.loopers = loopers;
             this.streams = streams;
-            random = streams.stream("tries");
+            random = pauses.apply(streams.stream("tries"));
             driver = plan.secret() == null ? new HttpDriver(loop, plan, Math.max(1, connections), this)
                     : new RadiusDriver(loop, plan, Math.max(1, connections), this);
         }
@@ -217,7 +224,6 @@
 
         @Override
         public void ended(Shot shot, Ended how, long advice) {
-            out--;
             rows.count(shot, switch (how) {
                 case SERVED -> Of.SERVED;
                 case REFUSED -> Of.REFUSED;
@@ -233,7 +239,6 @@
                     && plan.tries().again(shot.tries(), shot.part().repeat(), how == Ended.REFUSED);
             if (again) {
                 long pause = plan.tries().pause(shot.tries(), advice, random.nextDouble(), random.nextDouble());
-                out++;
                 Shot next = shot.again(System.nanoTime() + pause * 1000);
                 loop.schedule(() -> {
                     if (stopped) {
@@ -243,7 +248,10 @@
                     rows.count(next, Of.REPEATS);
                     driver.fire(next);
                 }, pause, TimeUnit.MICROSECONDS);
-            } else if (plan.curve() == null && !stopped) {
+                return;
+            }
+            out--;
+            if (plan.curve() == null && !stopped) {
                 loop.execute(this::another);
             }
         }
--- a/src/test/java/mastdrift/lab/load/LoadTest.java
+++ b/src/test/java/mastdrift/lab/load/LoadTest.java
@@ -8,14 +8,19 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.FileInputStream;
+import java.lang.management.ManagementFactory;
+import java.lang.management.ThreadMXBean;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.FutureTask;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
+import java.util.function.BooleanSupplier;
 import mastdrift.Balancer.Repeat;
 import mastdrift.lab.draw.Arrivals;
 import mastdrift.lab.draw.Curve;
@@ -36,6 +41,8 @@
 /** The load tool against stand-in hosts, which answer as a gateway would. */
 class LoadTest {
 
+    private static final int WAIT_SECONDS = 30;
+
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final Effects effects = new Effects(60_000_000);
     private final StandInHost host = new StandInHost("h", "g", effects, loop, 1_000, 256);
@@ -97,6 +104,54 @@
         assertEquals(0, silent.quantile(0.99));
     }
 
+    /** The last request is between its two tries, and the loop is held there until the run's end has looked whether all is over:
+        it isn't, and the second try is made and counted. */
+    @Test
+    void theEndWaitsForARequestThatIsBetweenTwoTries() throws Exception {
+        host.manner(Manner.FAIL);
+        CountDownLatch answers = new CountDownLatch(1);
+        CountDownLatch between = new CountDownLatch(1);
+        CountDownLatch looked = new CountDownLatch(1);
+        loop.execute(() -> hold(answers));
+        ThreadMXBean threads = ManagementFactory.getThreadMXBean();
+        LoadRun run = LoadRun.start(LoadPlan.open(at, 100, 0.01, 1, 60_000).with(List.of(
+                new Mix.Part("b", null, Repeat.KEYED, 1, 60_000_000, 0))).trying(new Tries(2, 1_000, 1, 0, 0)), draws -> () -> {
+                    between.countDown();
+                    hold(looked);
+                    return draws.nextLong();
+                });
+        FutureTask<LoadResult> end = new FutureTask<>(run::join);
+        Thread looks = new Thread(end, "end-of-a-run");
+        looks.start();
+        // Between two looks: whatever it waits for before them, and after the last, has no bound.
+        until(() -> looks.getState() == Thread.State.TIMED_WAITING);
+        answers.countDown();
+        assertTrue(between.await(WAIT_SECONDS, TimeUnit.SECONDS));
+        long waits = threads.getThreadInfo(looks.getId()).getWaitedCount();
+        until(() -> threads.getThreadInfo(looks.getId()).getWaitedCount() >= waits + 2 || looks.getState() == Thread.State.WAITING);
+        looked.countDown();
+        LoadResult result = end.get(WAIT_SECONDS, TimeUnit.SECONDS);
+        assertEquals(1, result.count(Of.ASKED));
+        assertEquals(1, result.count(Of.REPEATS));
+        assertEquals(2, result.count(Of.FAILED));
+    }
+
+    private static void until(BooleanSupplier holds) {
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
+        while (!holds.getAsBoolean()) {
+            assertTrue(System.nanoTime() < until, "not within " + WAIT_SECONDS + " s");
+            Thread.onSpinWait();
+        }
+    }
+
+    private static void hold(CountDownLatch latch) {
+        try {
+            latch.await();
+        } catch (InterruptedException e) {
+            throw new IllegalStateException(e);  // nobody does
+        }
+    }
+
     /** A load that the tool can't make: it blames itself, by name of what was short. */
     @Test
     void whatTheToolCantMakeDoesntCount() throws Exception {
