--- a/src/main/java/mastdrift/agreed/AgreedLog.java
+++ b/src/main/java/mastdrift/agreed/AgreedLog.java
@@ -11,16 +11,16 @@
     int ID_MOST = 128;
 
     /** What became of an append. */
-    sealed interface Fate {
+    sealed interface AppendOutcome {
 
         /** It is in, for good, at that place. */
-        record In(long index) implements Fate { }
+        record Committed(long index) implements AppendOutcome { }
 
         /** It isn't in, and never will be under this id. */
-        record Out(String why) implements Fate { }
+        record Rejected(String why) implements AppendOutcome { }
 
         /** It may be in, or may yet come in: ask again under the same id, or have it {@linkplain AgreedLog#settle settled}. */
-        record Unknown(String why) implements Fate { }
+        record Unknown(String why) implements AppendOutcome { }
     }
 
     /**
@@ -34,8 +34,8 @@
     record Decision(long index, long ordinal, String id, byte[] command) { }
 
     /** Appends a decision. The same id appended again is in once, at its first place. Larger ones than {@link #DECISION_MOST} are out. */
-    void append(String id, byte[] command, Consumer<Fate> then);
+    void append(String id, byte[] command, Consumer<AppendOutcome> then);
 
-    /** Makes sure: an id that is not in yet can't come in any more. {@link Fate.In} where it was in before. */
-    void settle(String id, Consumer<Fate> then);
+    /** Makes sure: an id that is not in yet can't come in any more. {@link AppendOutcome.Committed} where it was in before. */
+    void settle(String id, Consumer<AppendOutcome> then);
 }
--- a/src/main/java/mastdrift/agreed/Decisions.java
+++ b/src/main/java/mastdrift/agreed/Decisions.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import mastdrift.agreed.AgreedLog.Decision;
-import mastdrift.agreed.AgreedLog.Fate;
+import mastdrift.agreed.AgreedLog.AppendOutcome;
 
 /**
  * What every member keeps of the log: which ids are in or can't come in any more, and the last decisions for those who follow. The same entries in the same order give the same state, whoever applies them and however often he
@@ -58,35 +58,35 @@
     }
 
     /** An entry of the log, in its order; what became of it. An entry that this build can't read changes nothing, and is out at every member of this build. */
-    public Fate apply(long index, byte[] entry) {
+    public AppendOutcome apply(long index, byte[] entry) {
         if (index <= last) {
             throw new IllegalArgumentException("expected an entry after " + last + ", found " + index);
         }
         last = index;
         ByteBuffer in = ByteBuffer.wrap(entry);
         if (entry.length < 4 || in.get() != VERSION) {
-            return new Fate.Out("an entry that this build can't read");
+            return new AppendOutcome.Rejected("an entry that this build can't read");
         }
         byte kind = in.get();
         int length = Short.toUnsignedInt(in.getShort());
         if (length > in.remaining() || kind != APPEND && kind != SETTLE) {
-            return new Fate.Out("an entry that this build can't read");
+            return new AppendOutcome.Rejected("an entry that this build can't read");
         }
         byte[] name = new byte[length];
         in.get(name);
         String id = new String(name, StandardCharsets.UTF_8);
         Long before = ids.get(id);
         if (before != null) {
-            return before == NEVER ? new Fate.Out("it was settled that it doesn't come in") : new Fate.In(before);
+            return before == NEVER ? new AppendOutcome.Rejected("it was settled that it doesn't come in") : new AppendOutcome.Committed(before);
         }
         remember(id, kind == APPEND ? index : NEVER);
         if (kind == SETTLE) {
-            return new Fate.Out("settled");
+            return new AppendOutcome.Rejected("settled");
         }
         byte[] command = new byte[in.remaining()];
         in.get(command);
         keep(new Decision(index, ++count, id, command));
-        return new Fate.In(index);
+        return new AppendOutcome.Committed(index);
     }
 
     private void remember(String id, long index) {
--- a/src/main/java/mastdrift/agreed/Membership.java
+++ b/src/main/java/mastdrift/agreed/Membership.java
@@ -9,17 +9,17 @@
 import java.util.TreeSet;
 
 /**
- * Whether a member may take part in the log, by its own folder and by what the other voters say. A voter is a folder, not a name: its id is drawn when the folder is made. It keeps count of the times that it took part and of time spent in it (its tide), and the
- * others remember the highest tide that they heard of each id.
+ * Whether a member may take part in the log, by its own folder and by what the other voters say. A voter is a folder, not a name: its id is drawn when the folder is made. It keeps count of the times that it took part and of time spent in it (its epoch), and the
+ * others remember the highest epoch that they heard of each id.
  *
  * <ul>
- * <li>A folder that is part of a log that has begun goes on in it, once all others have answered, or after {@value #PATIENCE} ms so many that they and it are a majority, and none remembers a higher tide of it: else it is an older copy, and has
+ * <li>A folder that is part of a log that has begun goes on in it, once all others have answered, or after {@value #PATIENCE} ms so many that they and it are a majority, and none remembers a higher epoch of it: else it is an older copy, and has
  * perhaps promised what it no longer knows.
  * <li>A folder that is not, where nobody's is: the log begins, once all voters have said so.
  * <li>A folder that is not, where somebody's is: its id is in that log where it was there at the begin and had not heard of it; else it was lost and made anew, and joins under its new id, by those who are left.
  * </ul>
  *
- * <p>Not told from the folder itself is an older copy that was made less than a tide before the process ended, or whose tides were heard by those alone who are away while it starts.
+ * <p>Not told from the folder itself is an older copy that was made less than an epoch before the process ended, or whose epochs were heard by those alone who are away while it starts.
  */
 public final class Membership {
 
@@ -29,31 +29,31 @@
      * @param id drawn when the folder was made
      * @param begin the operator's word for this log
      * @param group ids of the voters by name, once the log has begun here; empty before
-     * @param tide times that it took part, and spans of time in which it did
-     * @param heard the highest tide that it has heard of others, by id
+     * @param epoch of the folder, not of the Raft library's leaders (its terms): times that it took part, and spans of time in which it did
+     * @param heardEpochs the highest epoch that it has heard of others, by id
      */
-    public record Folder(String id, String begin, Map<String, String> group, long tide, Map<String, Long> heard) {
+    public record Folder(String id, String begin, Map<String, String> group, long epoch, Map<String, Long> heardEpochs) {
 
         /** Whether its log has begun. */
         public boolean begun() {
             return !group.isEmpty();
         }
 
-        /** The same, having heard a tide. */
-        public Folder heard(String of, long at) {
-            Map<String, Long> all = new HashMap<>(heard);
-            all.merge(of, at, Math::max);
-            return new Folder(id, begin, group, tide, all);
+        /** The same, having heard of another folder's epoch. */
+        public Folder withHeard(String other, long otherEpoch) {
+            Map<String, Long> all = new HashMap<>(heardEpochs);
+            all.merge(other, otherEpoch, Math::max);
+            return new Folder(id, begin, group, epoch, all);
         }
 
-        /** The same, a tide later. */
-        public Folder later() {
-            return new Folder(id, begin, group, tide + 1, heard);
+        /** The same, an epoch later. */
+        public Folder nextEpoch() {
+            return new Folder(id, begin, group, epoch + 1, heardEpochs);
         }
 
         /** The same, in a log of these voters. */
-        public Folder in(Map<String, String> voters) {
-            return new Folder(id, begin, new TreeMap<>(voters), tide, heard);
+        public Folder withGroup(Map<String, String> voters) {
+            return new Folder(id, begin, new TreeMap<>(voters), epoch, heardEpochs);
         }
     }
 
@@ -86,9 +86,9 @@
             if (!each.getValue().begin().equals(own.begin())) {
                 return new Step.StepAside("expected the log \"" + own.begin() + "\", found \"" + each.getValue().begin() + "\" at " + each.getKey());
             }
-            long remembered = each.getValue().heard().getOrDefault(own.id(), 0L);
-            if (remembered > own.tide()) {
-                return new Step.StepAside("an older copy of this folder: its tide is " + own.tide() + ", and " + each.getKey() + " remembers " + remembered);
+            long remembered = each.getValue().heardEpochs().getOrDefault(own.id(), 0L);
+            if (remembered > own.epoch()) {
+                return new Step.StepAside("an older copy of this folder: its epoch is " + own.epoch() + ", and " + each.getKey() + " remembers " + remembered);
             }
         }
         if (own.begun()) {
--- a/src/main/java/mastdrift/agreed/edge/MemberFile.java
+++ b/src/main/java/mastdrift/agreed/edge/MemberFile.java
@@ -51,14 +51,14 @@
         return sum.getValue();
     }
 
-    /** As it is written and sent. */
+    /** As it is written and sent, under the keys of the first build: {@code tide} is the epoch, {@code heard} those of others. */
     static byte[] bytes(Folder of) throws IOException {
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("id", of.id());
         all.put("begin", of.begin());
         all.put("group", of.group());
-        all.put("tide", of.tide());
-        all.put("heard", of.heard());
+        all.put("tide", of.epoch());
+        all.put("heard", of.heardEpochs());
         byte[] text = JSON.std.asBytes(all);
         byte[] sum = ("\n" + sum(text, text.length)).getBytes(StandardCharsets.US_ASCII);
         return ByteBuffer.allocate(text.length + sum.length).put(text).put(sum).array();
@@ -75,14 +75,14 @@
         }
         Map<String, Object> all = JSON.std.mapFrom(new String(bytes, 0, end, StandardCharsets.UTF_8));
         if (!(all.get("id") instanceof String id) || !(all.get("begin") instanceof String begin) || !(all.get("group") instanceof Map<?, ?> group)
-                || !(all.get("tide") instanceof Number tide) || !(all.get("heard") instanceof Map<?, ?> heard)) {
+                || !(all.get("tide") instanceof Number epoch) || !(all.get("heard") instanceof Map<?, ?> heard)) {
             throw new IOException(where + ": expected id, begin, group, tide and heard, found " + all.keySet());
         }
         Map<String, String> voters = new TreeMap<>();
         group.forEach((name, voter) -> voters.put(String.valueOf(name), String.valueOf(voter)));
-        Map<String, Long> tides = new TreeMap<>();
-        heard.forEach((name, at) -> tides.put(String.valueOf(name), at instanceof Number number ? Long.valueOf(number.longValue()) : Long.valueOf(0)));
-        return new Folder(id, begin, voters, tide.longValue(), tides);
+        Map<String, Long> heardEpochs = new TreeMap<>();
+        heard.forEach((name, at) -> heardEpochs.put(String.valueOf(name), at instanceof Number number ? Long.valueOf(number.longValue()) : Long.valueOf(0)));
+        return new Folder(id, begin, voters, epoch.longValue(), heardEpochs);
     }
 
     /** On disk once it returns. */
--- a/src/main/java/mastdrift/agreed/edge/PeerRpc.java
+++ b/src/main/java/mastdrift/agreed/edge/PeerRpc.java
@@ -22,45 +22,45 @@
 import org.apache.ratis.server.RaftServer;
 import org.apache.ratis.server.RaftServerRpc;
 
-/** What the Raft library says to other members, as questions over the links. A member's id is its gateway's name and its folder's identity. */
+/** What the Raft library says to other members, as remote procedure calls over the links. A member's id is its gateway's name and its folder's identity. */
 final class PeerRpc implements RaftServerRpc {
 
     static final byte VOTE = 1;
     static final byte APPEND = 2;
     static final byte INSTALL = 3;
     static final byte ELECT = 4;
-    private static final char BETWEEN = '/';
-    private static final long MILLIS = 1_000;
+    private static final char SEPARATOR = '/';
+    private static final long TIMEOUT_MILLIS = 1_000;
 
-    private final Calls calls;
+    private final RpcEndpoint rpc;
 
-    PeerRpc(Calls calls) {
-        this.calls = calls;
+    PeerRpc(RpcEndpoint rpc) {
+        this.rpc = rpc;
     }
 
     static String id(String gateway, String folder) {
-        return gateway + BETWEEN + folder;
+        return gateway + SEPARATOR + folder;
     }
 
     static String gateway(RaftPeerId id) {
         String text = id.toString();
-        return text.substring(0, Math.max(0, text.indexOf(BETWEEN)));
+        return text.substring(0, Math.max(0, text.indexOf(SEPARATOR)));
     }
 
-    /** The other side: a question of another member's library; null where it is of another kind. */
-    static byte[] serve(RaftServer server, byte kind, byte[] question) throws IOException {
+    /** The other side: a request of another member's library; null where it is of another kind. */
+    static byte[] handle(RaftServer server, byte kind, byte[] request) throws IOException {
         return switch (kind) {
-            case VOTE -> server.requestVote(RequestVoteRequestProto.parseFrom(question)).toByteArray();
-            case APPEND -> server.appendEntries(AppendEntriesRequestProto.parseFrom(question)).toByteArray();
-            case INSTALL -> server.installSnapshot(InstallSnapshotRequestProto.parseFrom(question)).toByteArray();
-            case ELECT -> server.startLeaderElection(StartLeaderElectionRequestProto.parseFrom(question)).toByteArray();
+            case VOTE -> server.requestVote(RequestVoteRequestProto.parseFrom(request)).toByteArray();
+            case APPEND -> server.appendEntries(AppendEntriesRequestProto.parseFrom(request)).toByteArray();
+            case INSTALL -> server.installSnapshot(InstallSnapshotRequestProto.parseFrom(request)).toByteArray();
+            case ELECT -> server.startLeaderElection(StartLeaderElectionRequestProto.parseFrom(request)).toByteArray();
             default -> null;
         };
     }
 
-    private byte[] ask(RaftRpcRequestProto to, byte kind, byte[] question) throws IOException {
+    private byte[] call(RaftRpcRequestProto to, byte kind, byte[] request) throws IOException {
         try {
-            return calls.ask(gateway(RaftPeerId.valueOf(to.getReplyId())), kind, question, MILLIS).get();
+            return rpc.call(gateway(RaftPeerId.valueOf(to.getReplyId())), kind, request, TIMEOUT_MILLIS).get();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new InterruptedIOException("interrupted");
@@ -71,14 +71,14 @@
 
     @Override
     public RequestVoteReplyProto requestVote(RequestVoteRequestProto request) throws IOException {
-        return RequestVoteReplyProto.parseFrom(ask(request.getServerRequest(), VOTE, request.toByteArray()));
+        return RequestVoteReplyProto.parseFrom(call(request.getServerRequest(), VOTE, request.toByteArray()));
     }
 
-    /** The library's answer to a request without entries names the end of the follower's log, and its leader takes that for what both have alike: where it is the rest of a lead of the follower's own, which nobody agreed
+    /** The library's answer to a request without entries names the end of the follower's log, and its leader takes that for what both have alike: where it is the rest of a term that the follower led, which nobody agreed
         on, no entry would ever match. Both have alike what the request names as the entry before, and no more is known by it. */
     @Override
     public AppendEntriesReplyProto appendEntries(AppendEntriesRequestProto request) throws IOException {
-        AppendEntriesReplyProto reply = AppendEntriesReplyProto.parseFrom(ask(request.getServerRequest(), APPEND, request.toByteArray()));
+        AppendEntriesReplyProto reply = AppendEntriesReplyProto.parseFrom(call(request.getServerRequest(), APPEND, request.toByteArray()));
         long alike = request.hasPreviousLog() ? request.getPreviousLog().getIndex() + 1 : 0;
         boolean more = request.getEntriesCount() == 0 && reply.getResult() == AppendResult.SUCCESS && reply.getNextIndex() > alike;
         return more ? reply.toBuilder().setNextIndex(alike).build() : reply;
@@ -86,12 +86,12 @@
 
     @Override
     public InstallSnapshotReplyProto installSnapshot(InstallSnapshotRequestProto request) throws IOException {
-        return InstallSnapshotReplyProto.parseFrom(ask(request.getServerRequest(), INSTALL, request.toByteArray()));
+        return InstallSnapshotReplyProto.parseFrom(call(request.getServerRequest(), INSTALL, request.toByteArray()));
     }
 
     @Override
     public StartLeaderElectionReplyProto startLeaderElection(StartLeaderElectionRequestProto request) throws IOException {
-        return StartLeaderElectionReplyProto.parseFrom(ask(request.getServerRequest(), ELECT, request.toByteArray()));
+        return StartLeaderElectionReplyProto.parseFrom(call(request.getServerRequest(), ELECT, request.toByteArray()));
     }
 
     /** The links are there before the library is. */
@@ -108,7 +108,7 @@
     @Override
     public void addRaftPeers(Collection<RaftPeer> peers) { }
 
-    /** A question that fails is asked again by who asked it. */
+    /** A call that fails is made again by its caller. */
     @Override
     public void handleException(RaftPeerId server, Exception fault, boolean reconnect) { }
 
--- a/src/main/java/mastdrift/agreed/edge/PeerRpcType.java
+++ b/src/main/java/mastdrift/agreed/edge/PeerRpcType.java
@@ -10,7 +10,7 @@
 /** Names the gateways' own links as the transport of the Raft library, which makes it by its class's name. */
 public final class PeerRpcType implements RpcType {
 
-    static final String CALLS = "mastdrift.calls";
+    static final String ENDPOINT = "mastdrift.rpc";
 
     /** For the library. */
     public PeerRpcType() { }
@@ -22,11 +22,11 @@
 
     @Override
     public RpcFactory newFactory(Parameters parameters) {
-        Calls calls = parameters.getNonNull(CALLS, Calls.class);
+        RpcEndpoint rpc = parameters.getNonNull(ENDPOINT, RpcEndpoint.class);
         return new ServerFactory() {
             @Override
             public RaftServerRpc newRaftServerRpc(RaftServer server) {
-                return new PeerRpc(calls);
+                return new PeerRpc(rpc);
             }
 
             @Override
--- a/src/main/java/mastdrift/agreed/edge/RaftLog.java
+++ b/src/main/java/mastdrift/agreed/edge/RaftLog.java
@@ -63,18 +63,18 @@
     static final long SNAPSHOT_EVERY = 5_000;
     private static final byte PROPOSE = 16;
     private static final byte FOLDER = 17;
-    private static final byte FOLLOW = 18;
+    private static final byte FETCH = 18;
     private static final byte JOIN = 19;
     private static final byte TAKE_IN = 20;
     private static final byte NOT_LEADER = 9;
     private static final long MEET_MILLIS = 300;
-    private static final long TIDE_MILLIS = 5_000;
-    private static final long FOLLOW_MILLIS = 300;
+    private static final long EPOCH_MILLIS = 5_000;
+    private static final long FETCH_MILLIS = 300;
     private static final long ASK_MILLIS = 1_000;
     private static final long AGAIN_MILLIS = 100;
-    private static final int FOLLOW_MOST = 64;
-    private static final long BEHIND_MILLIS = 2_000;
-    private static final SizeInBytes PIECE = SizeInBytes.valueOf("128KB");
+    private static final int FETCH_MOST = 64;
+    private static final long CATCH_UP_MILLIS = 2_000;
+    private static final SizeInBytes CHUNK = SizeInBytes.valueOf("128KB");
 
     /**
      * What it is started with.
@@ -89,49 +89,49 @@
     public record Settings(String name, String installation, String begin, List<String> voters, Path folder, long longAway) { }
 
     /** What is to be seen of it. */
-    public record Status(String part, String why, String leader, long term, long last, Map<String, String> group) { }
+    public record Status(String role, String why, String leader, long term, long last, Map<String, String> group) { }
 
-    /** Hears of changes, by stable names; from any thread. */
-    public interface Says {
+    /** Is told of changes, by stable names; from any thread. */
+    public interface Listener {
         /** {@code bad} is what somebody should look at. */
         void event(boolean bad, String name, String text, Object... fields);
     }
 
     private final Settings settings;
     private final Consumer<Decision> reader;
-    private final Supplier<Collection<Voters.Candidate>> gateways;
-    private final Says says;
+    private final Supplier<Collection<Voters.Eligible>> gateways;
+    private final Listener listener;
     private final ScheduledThreadPoolExecutor timer;
-    private final Calls calls;
+    private final RpcEndpoint rpc;
     private final SecureRandom random = new SecureRandom();
     private final ClientId client = ClientId.randomId();
     private final AtomicLong callIds = new AtomicLong();
     private final AtomicLong pending = new AtomicLong();
     private final Map<String, Folder> answers = new ConcurrentHashMap<>();
     private final RaftGroupId groupId;
-    private final DecidedMachine machine;
+    private final ReplicatedStateMachine machine;
     private volatile MemberFile file;  // null for who is no voter, or stepped aside
     private volatile Folder own;
     private volatile RaftServer server;
-    private volatile String part = "waiting";
+    private volatile String role = "waiting";
     private volatile String why = "";
-    private volatile Decisions followed = new Decisions();
+    private volatile Decisions fetched = new Decisions();
     private volatile Map<String, String> group = Map.of();
     private final long openedAt = System.nanoTime();
-    private String saidLeader = "";
+    private String reportedLeader = "";
     private long lastRead;
-    private long lastSeen = -1;  // the last entry of the own log, a while ago
-    private boolean behind;  // it was said that the own log stands still
+    private long lastAppliedBefore = -1;  // the last entry of the own log, a while ago
+    private boolean lagging;  // it was said that the own log stands still
     private boolean changing;
     private boolean confirmed;  // it is in the log's configuration, as the log itself says
     private boolean closed;
 
     /** Starts to meet the others; decisions go to a reader, in their order, on threads of the log. {@code gateways} are those that might vote. */
-    public RaftLog(Settings settings, Wires wires, Consumer<Decision> reader, Supplier<Collection<Voters.Candidate>> gateways, Says says) {
+    public RaftLog(Settings settings, Transport transport, Consumer<Decision> reader, Supplier<Collection<Voters.Eligible>> gateways, Listener listener) {
         this.settings = settings;
         this.reader = reader;
         this.gateways = gateways;
-        this.says = says;
+        this.listener = listener;
         groupId = RaftGroupId.valueOf(UUID.nameUUIDFromBytes((settings.installation() + '/' + settings.begin()).getBytes(StandardCharsets.UTF_8)));
         timer = new ScheduledThreadPoolExecutor(1, task -> {
             Thread thread = new Thread(task, "agreed");
@@ -139,8 +139,8 @@
             return thread;
         });
         timer.setRemoveOnCancelPolicy(true);
-        machine = new DecidedMachine(this::read, this::configured);
-        calls = new Calls(wires, timer, this::answer);
+        machine = new ReplicatedStateMachine(this::read, this::configured);
+        rpc = new RpcEndpoint(transport, timer, this::handle);
         ExitUtils.disableSystemExit();  // a log that fails must not end the gateway
         timer.execute(this::open);
     }
@@ -158,24 +158,24 @@
             file = new MemberFile(settings.folder());
             own = file.read(settings.begin(), random);
             if (!own.begin().equals(settings.begin())) {
-                says.event(false, "agreed_begin", "another log begins, by the operator's word \"" + settings.begin() + "\"; the one before was \"" + own.begin() + "\"");
+                listener.event(false, "agreed_begin", "another log begins, by the operator's word \"" + settings.begin() + "\"; the one before was \"" + own.begin() + "\"");
                 own = new Folder(Long.toHexString(random.nextLong() >>> 16), settings.begin(), Map.of(), 0, Map.of());
             }
             file.write(own);
         } catch (IOException e) {
-            aside("its folder can't be used: " + e.getMessage());
+            stepAside("its folder can't be used: " + e.getMessage());
             return;
         }
         if (voter()) {
             meet();
-            every(TIDE_MILLIS, this::tide);
-            every(BEHIND_MILLIS, this::readBehind);
+            every(EPOCH_MILLIS, this::nextEpoch);
+            every(CATCH_UP_MILLIS, this::catchUp);
         } else {
-            part = "following";
-            every(FOLLOW_MILLIS, this::follow);
+            role = "following";
+            every(FETCH_MILLIS, this::fetch);
         }
-        every(MEET_MILLIS, this::sayLeader);
-        every(TIDE_MILLIS, this::replaceLost);
+        every(MEET_MILLIS, this::reportLeader);
+        every(EPOCH_MILLIS, this::replaceLost);
     }
 
     private boolean voter() {
@@ -187,7 +187,7 @@
             try {
                 what.run();
             } catch (RuntimeException e) {  // or it would never run again
-                says.event(true, "agreed_fault", "fault in the agreed log: " + e);
+                listener.event(true, "agreed_fault", "fault in the agreed log: " + e);
             }
         }, millis, millis, TimeUnit.MILLISECONDS);
     }
@@ -200,10 +200,10 @@
         }
     }
 
-    private void aside(String reason) {
-        part = "aside";
+    private void stepAside(String reason) {
+        role = "aside";
         why = reason;
-        says.event(true, "agreed_aside", "the agreed log goes on without this gateway: " + reason, "why", reason);
+        listener.event(true, "agreed_aside", "the agreed log goes on without this gateway: " + reason, "why", reason);
         RaftServer had = server;
         server = null;
         if (had != null) {
@@ -217,23 +217,23 @@
         return MemberFile.bytes(own);
     }
 
-    private void hear(String from, Folder folder) {
+    private void received(String from, Folder folder) {
         answers.put(from, folder);
-        if (folder.begin().equals(settings.begin()) && folder.tide() > own.heard().getOrDefault(folder.id(), 0L)) {
-            own = own.heard(folder.id(), folder.tide());
+        if (folder.begin().equals(settings.begin()) && folder.epoch() > own.heardEpochs().getOrDefault(folder.id(), 0L)) {
+            own = own.withHeard(folder.id(), folder.epoch());
         }
     }
 
-    private void tellFolder() {
+    private void sendFolder() {
         try {
             byte[] bytes = folderBytes();
             Collection<String> to = own.begun() ? own.group().keySet() : settings.voters();
             for (String other : to) {
                 if (!other.equals(settings.name())) {
-                    calls.ask(other, FOLDER, bytes, ASK_MILLIS).thenAccept(answer -> {
+                    rpc.call(other, FOLDER, bytes, ASK_MILLIS).thenAccept(answer -> {
                         try {
                             Folder folder = MemberFile.of(answer, other);
-                            timer.execute(() -> hear(other, folder));
+                            timer.execute(() -> received(other, folder));
                         } catch (IOException | RejectedExecutionException e) {
                             return;  // no answer, then
                         }
@@ -241,12 +241,12 @@
                 }
             }
         } catch (IOException e) {
-            aside("its folder can't be told: " + e.getMessage());
+            stepAside("its folder can't be told: " + e.getMessage());
         }
     }
 
     private void meet() {
-        if (closed || part.equals("aside") || part.equals("voter")) {
+        if (closed || role.equals("aside") || role.equals("voter")) {
             return;
         }
         Step step = Membership.step(settings.name(), own, settings.voters(), Map.copyOf(answers), TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - openedAt));
@@ -254,45 +254,45 @@
             takePart(take.group(), "voter");
             return;
         } else if (step instanceof Step.StepAside stepAside) {
-            aside(stepAside.why());
+            stepAside(stepAside.why());
             return;
         } else if (step instanceof Step.JoinAnew anew) {
-            if (!part.equals("joining")) {
-                part = "joining";
+            if (!role.equals("joining")) {
+                role = "joining";
                 why = anew.why();
-                says.event(true, "agreed_joins", "joins the agreed log under a new identity: " + anew.why(), "id", own.id());
+                listener.event(true, "agreed_joins", "joins the agreed log under a new identity: " + anew.why(), "id", own.id());
             }
             joinAnew(anew.group());
         } else if (step instanceof Step.Wait wait) {
             why = wait.why();
         }
-        tellFolder();
+        sendFolder();
         after(MEET_MILLIS, this::meet);
     }
 
-    private void tide() {
+    private void nextEpoch() {
         if (server == null) {
             return;
         }
         if (server.getLifeCycleState() == LifeCycle.State.CLOSED || server.getLifeCycleState() == LifeCycle.State.EXCEPTION || divisionDead()) {
-            aside("its log has failed; see the events before");
+            stepAside("its log has failed; see the events before");
             return;
         }
         // Who was cut off while another took its place is told by nobody but those it asks.
         if (Membership.step(settings.name(), own, settings.voters(), Map.copyOf(answers), Membership.PATIENCE) instanceof Step.StepAside replaced) {
-            aside(replaced.why());
-            part = "following";
-            every(FOLLOW_MILLIS, this::follow);
+            stepAside(replaced.why());
+            role = "following";
+            every(FETCH_MILLIS, this::fetch);
             return;
         }
-        own = own.later();
+        own = own.nextEpoch();
         try {
             file.write(own);
         } catch (IOException e) {
-            aside("its folder can't be written: " + e.getMessage());
+            stepAside("its folder can't be written: " + e.getMessage());
             return;
         }
-        tellFolder();
+        sendFolder();
     }
 
     private boolean divisionDead() {
@@ -305,16 +305,16 @@
 
     private void takePart(Map<String, String> voters, String as) {
         try {
-            own = own.in(voters).later();  // not at each start: an older copy would catch up by being started often
+            own = own.withGroup(voters).nextEpoch();  // not at each start: an older copy would catch up by being started often
             file.write(own);
-            tellFolder();
+            sendFolder();
             group = own.group();
-            part = as;
+            role = as;
             why = "";
             server = start(voters);
-            says.event(false, "agreed_part", "takes part in the agreed log with " + String.join(", ", voters.keySet()), "id", own.id());
+            listener.event(false, "agreed_part", "takes part in the agreed log with " + String.join(", ", voters.keySet()), "id", own.id());
         } catch (IOException | RuntimeException e) {
-            aside("its log can't be started: " + e);
+            stepAside("its log can't be started: " + e);
         }
     }
 
@@ -344,13 +344,13 @@
         RaftServerConfigKeys.Log.setWriteBufferSize(properties, SizeInBytes.valueOf("256KB"));
         RaftServerConfigKeys.Log.setPurgeUptoSnapshotIndex(properties, true);
         RaftServerConfigKeys.Log.setPurgeGap(properties, 64);
-        RaftServerConfigKeys.Log.Appender.setBufferByteLimit(properties, PIECE);
-        RaftServerConfigKeys.Log.Appender.setSnapshotChunkSizeMax(properties, PIECE);
+        RaftServerConfigKeys.Log.Appender.setBufferByteLimit(properties, CHUNK);
+        RaftServerConfigKeys.Log.Appender.setSnapshotChunkSizeMax(properties, CHUNK);
         RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(properties, true);
         RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, SNAPSHOT_EVERY);
         RaftServerConfigKeys.Snapshot.setRetentionFileNum(properties, 2);
         Parameters parameters = new Parameters();
-        parameters.put(PeerRpcType.CALLS, calls, Calls.class);
+        parameters.put(PeerRpcType.ENDPOINT, rpc, RpcEndpoint.class);
         RaftServer made = RaftServer.newBuilder().setServerId(RaftPeerId.valueOf(PeerRpc.id(settings.name(), own.id())))
                 .setGroup(RaftGroup.valueOf(groupId, peers(voters))).setStateMachine(machine).setOption(StartupOption.RECOVER).setProperties(properties)
                 .setParameters(parameters).build();
@@ -374,25 +374,25 @@
                 return;  // of the time before it was taken in, which it reads on its way
             }
             if (!now.equals(group) && !group.isEmpty()) {
-                says.event(false, "agreed_voters", "voters of the agreed log are " + now.keySet() + " from entry " + index + " on", "index", index);
+                listener.event(false, "agreed_voters", "voters of the agreed log are " + now.keySet() + " from entry " + index + " on", "index", index);
             }
             group = now;
             if (!in) {
-                aside("another was taken into the log in place of this folder");
+                stepAside("another was taken into the log in place of this folder");
                 return;
             }
             confirmed = true;
-            own = own.in(now);
+            own = own.withGroup(now);
             try {
                 file.write(own);
             } catch (IOException e) {
-                aside("its folder can't be written: " + e.getMessage());
+                stepAside("its folder can't be written: " + e.getMessage());
                 return;
             }
-            if (part.equals("joining")) {
-                part = "voter";
+            if (role.equals("joining")) {
+                role = "voter";
                 why = "";
-                says.event(false, "agreed_part", "takes part in the agreed log with " + String.join(", ", now.keySet()), "id", own.id());
+                listener.event(false, "agreed_part", "takes part in the agreed log with " + String.join(", ", now.keySet()), "id", own.id());
             }
         });
     }
@@ -404,13 +404,13 @@
             try {
                 server = start(next);  // empty, and in nobody's configuration: its vote counts for nothing until it has caught up
             } catch (IOException | RuntimeException e) {
-                aside("its log can't be started: " + e);
+                stepAside("its log can't be started: " + e);
                 return;
             }
         }
         for (String other : now.keySet()) {
             if (!other.equals(settings.name())) {
-                calls.ask(other, JOIN, own.id().getBytes(StandardCharsets.UTF_8), WITHIN_MILLIS);
+                rpc.call(other, JOIN, own.id().getBytes(StandardCharsets.UTF_8), WITHIN_MILLIS);
             }
         }
     }
@@ -418,14 +418,14 @@
     /** On the leader: one folder in place of another, one change at a time. */
     private CompletableFuture<Boolean> change(String out, String in, String id) {
         RaftServer mine = server;
-        if (mine == null || changing || !leads() || id.equals(group.get(in))) {
+        if (mine == null || changing || !isLeader() || id.equals(group.get(in))) {
             return CompletableFuture.completedFuture(false);
         }
         changing = true;
         Map<String, String> next = new TreeMap<>(group);
         next.remove(out);
         next.put(in, id);
-        says.event(false, "agreed_replaces", "the agreed log takes in " + in + " in place of " + out, "gateway", in, "id", id);
+        listener.event(false, "agreed_replaces", "the agreed log takes in " + in + " in place of " + out, "gateway", in, "id", id);
         try {
             return mine.setConfigurationAsync(new SetConfigurationRequest(client, mine.getId(), groupId, callIds.incrementAndGet(), peers(next)))
                     .handle((reply, fault) -> {
@@ -440,21 +440,21 @@
 
     /** On the leader: a voter that is away for long gives its place to a gateway that is there. */
     private void replaceLost() {
-        if (!leads() || changing) {
+        if (!isLeader() || changing) {
             return;
         }
-        String[] change = Voters.replaced(group.keySet(), gateways.get(), settings.longAway());
+        String[] change = Voters.replacement(group.keySet(), gateways.get(), settings.longAway());
         if (change == null) {
             return;
         }
         Map<String, String> with = group;
-        calls.ask(change[1], FOLDER, new byte[0], ASK_MILLIS).thenAccept(answer -> {
+        rpc.call(change[1], FOLDER, new byte[0], ASK_MILLIS).thenAccept(answer -> {
             try {
                 String id = MemberFile.of(answer, change[1]).id();
                 Map<String, String> next = new TreeMap<>(with);
                 next.remove(change[0]);
                 next.put(change[1], id);
-                calls.ask(change[1], TAKE_IN, MemberFile.bytes(new Folder(id, settings.begin(), next, 0, Map.of())), ASK_MILLIS)
+                rpc.call(change[1], TAKE_IN, MemberFile.bytes(new Folder(id, settings.begin(), next, 0, Map.of())), ASK_MILLIS)
                         .thenAccept(ready -> after(0, () -> change(change[0], change[1], id)));
             } catch (IOException e) {
                 return;  // tried again
@@ -462,37 +462,37 @@
         });
     }
 
-    // ---- questions of others
+    // ---- requests of others
 
-    private byte[] answer(String from, byte kind, byte[] question) throws IOException {
+    private byte[] handle(String from, byte kind, byte[] request) throws IOException {
         switch (kind) {
             case FOLDER -> {
                 if (own == null) {
                     throw new IOException("not yet");
                 }
-                if (question.length > 0) {
-                    Folder folder = MemberFile.of(question, from);
-                    timer.execute(() -> hear(from, folder));
+                if (request.length > 0) {
+                    Folder folder = MemberFile.of(request, from);
+                    timer.execute(() -> received(from, folder));
                 }
                 return folderBytes();
             }
-            case FOLLOW -> {
-                return behind(ByteBuffer.wrap(question).getLong());
+            case FETCH -> {
+                return entriesAfter(ByteBuffer.wrap(request).getLong());
             }
             case PROPOSE -> {
-                if (!leads()) {
+                if (!isLeader()) {
                     return leaderHint();
                 }
-                return DecidedMachine.bytes(submit(question).join());
+                return ReplicatedStateMachine.bytes(submit(request).join());
             }
             case JOIN -> {
-                String id = new String(question, StandardCharsets.UTF_8);
+                String id = new String(request, StandardCharsets.UTF_8);
                 after(0, () -> change(from, from, id));
                 return new byte[0];
             }
             case TAKE_IN -> {
-                Folder next = MemberFile.of(question, from);
-                if (own == null || !next.id().equals(own.id()) || !next.begin().equals(settings.begin()) || own.begun() || part.equals("aside")) {
+                Folder next = MemberFile.of(request, from);
+                if (own == null || !next.id().equals(own.id()) || !next.begin().equals(settings.begin()) || own.begun() || role.equals("aside")) {
                     throw new IOException("not this folder");
                 }
                 after(0, () -> {
@@ -504,7 +504,7 @@
             }
             default -> {
                 RaftServer mine = server;
-                byte[] answer = mine == null ? null : PeerRpc.serve(mine, kind, question);
+                byte[] answer = mine == null ? null : PeerRpc.handle(mine, kind, request);
                 if (answer == null) {
                     throw new IOException("no part in the log");
                 }
@@ -520,39 +520,39 @@
 
     // ---- reading behind a voter
 
-    private byte[] behind(long index) throws IOException {
+    private byte[] entriesAfter(long index) throws IOException {
         if (server == null) {
             throw new IOException("no part in the log");
         }
         byte[] voters = String.join(",", group.keySet()).getBytes(StandardCharsets.UTF_8);
-        byte[] bytes = machine.part(index, FOLLOW_MOST);
+        byte[] bytes = machine.part(index, FETCH_MOST);
         return ByteBuffer.allocate(Integer.BYTES + voters.length + bytes.length).putInt(voters.length).put(voters).put(bytes).array();
     }
 
     /** A voter whose own log stands still asks another one what was decided meanwhile, and reads that: its library may take no entry any more, though it votes and hears a leader. What comes of its own
         log later was read already. */
-    private void readBehind() {
-        if (server == null || !part.equals("voter")) {
+    private void catchUp() {
+        if (server == null || !role.equals("voter")) {
             return;
         }
         long last = machine.last();
-        boolean still = last == lastSeen;
-        lastSeen = last;
+        boolean still = last == lastAppliedBefore;
+        lastAppliedBefore = last;
         List<String> others = group.keySet().stream().filter(each -> !each.equals(settings.name())).toList();
         if (!still || others.isEmpty()) {
-            behind &= still;
+            lagging &= still;
             return;
         }
         byte[] from = ByteBuffer.allocate(Long.BYTES).putLong(readUpTo()).array();
-        calls.ask(others.get(random.nextInt(others.size())), FOLLOW, from, ASK_MILLIS).thenAccept(answer -> after(0, () -> {
+        rpc.call(others.get(random.nextInt(others.size())), FETCH, from, ASK_MILLIS).thenAccept(answer -> after(0, () -> {
             List<Decision> missed = decisions(answer).kept().stream().filter(each -> each.index() > readUpTo()).toList();
             if (machine.last() != last || missed.isEmpty()) {
                 return;
             }
-            if (!behind) {
-                says.event(true, "agreed_behind", "the own log stands still at entry " + last + ": decisions are read behind another voter", "index", last);
+            if (!lagging) {
+                listener.event(true, "agreed_behind", "the own log stands still at entry " + last + ": decisions are read behind another voter", "index", last);
             }
-            behind = true;
+            lagging = true;
             missed.forEach(this::read);
         }));
     }
@@ -569,21 +569,21 @@
         return Decisions.restored(bytes);
     }
 
-    private void follow() {
+    private void fetch() {
         if (server != null) {
             return;
         }
         List<String> voters = group.isEmpty() ? settings.voters() : List.copyOf(group.keySet());
         String at = voters.get(random.nextInt(voters.size()));
-        byte[] from = ByteBuffer.allocate(Long.BYTES).putLong(followed.last()).array();
-        calls.ask(at, FOLLOW, from, ASK_MILLIS).thenAccept(answer -> after(0, () -> {
+        byte[] from = ByteBuffer.allocate(Long.BYTES).putLong(fetched.last()).array();
+        rpc.call(at, FETCH, from, ASK_MILLIS).thenAccept(answer -> after(0, () -> {
             ByteBuffer in = ByteBuffer.wrap(answer);
             byte[] names = new byte[in.getInt()];
             in.get(names);
             Decisions read = decisions(answer);
-            long before = followed.last();
+            long before = fetched.last();
             if (read.last() > before) {
-                followed = read;
+                fetched = read;
                 read.kept().forEach(this::read);
             }
             Map<String, String> now = new TreeMap<>();
@@ -605,7 +605,7 @@
         }
     }
 
-    private boolean leads() {
+    private boolean isLeader() {
         DivisionInfo info = info();
         return info != null && info.isLeader();
     }
@@ -617,97 +617,97 @@
         return id == null ? "" : PeerRpc.gateway(id);
     }
 
-    private void sayLeader() {
+    private void reportLeader() {
         String now = leader();
-        if (!now.isEmpty() && !now.equals(saidLeader)) {
-            saidLeader = now;
+        if (!now.isEmpty() && !now.equals(reportedLeader)) {
+            reportedLeader = now;
             DivisionInfo info = info();
-            says.event(false, "agreed_leader", "the agreed log is led by " + now, "leader", now, "term", info == null ? 0 : info.getCurrentTerm());
+            listener.event(false, "agreed_leader", "the agreed log is led by " + now, "leader", now, "term", info == null ? 0 : info.getCurrentTerm());
         }
     }
 
-    private CompletableFuture<Fate> submit(byte[] entry) {
+    private CompletableFuture<AppendOutcome> submit(byte[] entry) {
         RaftServer mine = server;
         if (mine == null) {
-            return CompletableFuture.completedFuture(new Fate.Unknown("no part in the log"));
+            return CompletableFuture.completedFuture(new AppendOutcome.Unknown("no part in the log"));
         }
         RaftClientRequest request = RaftClientRequest.newBuilder().setClientId(client).setServerId(mine.getId()).setGroupId(groupId).setCallId(callIds.incrementAndGet())
                 .setMessage(Message.valueOf(UnsafeByteOperations.unsafeWrap(entry))).setType(RaftClientRequest.writeRequestType()).build();
         try {
-            return mine.submitClientRequestAsync(request).orTimeout(WITHIN_MILLIS, TimeUnit.MILLISECONDS).handle((reply, fault) -> fate(reply, fault));
+            return mine.submitClientRequestAsync(request).orTimeout(WITHIN_MILLIS, TimeUnit.MILLISECONDS).handle((reply, fault) -> outcome(reply, fault));
         } catch (IOException e) {
-            return CompletableFuture.completedFuture(new Fate.Unknown(String.valueOf(e.getMessage())));
+            return CompletableFuture.completedFuture(new AppendOutcome.Unknown(String.valueOf(e.getMessage())));
         }
     }
 
     /** What fails may have been passed on by a leader that is none any more: only an answer of the log itself is sure. */
-    private static Fate fate(RaftClientReply reply, Throwable fault) {
+    private static AppendOutcome outcome(RaftClientReply reply, Throwable fault) {
         if (fault != null) {
-            return new Fate.Unknown(fault.getClass().getSimpleName());
+            return new AppendOutcome.Unknown(fault.getClass().getSimpleName());
         }
-        return reply.isSuccess() ? DecidedMachine.fate(reply.getMessage().getContent().toByteArray()) : new Fate.Unknown(reply.getException().getClass().getSimpleName());
+        return reply.isSuccess() ? ReplicatedStateMachine.outcome(reply.getMessage().getContent().toByteArray()) : new AppendOutcome.Unknown(reply.getException().getClass().getSimpleName());
     }
 
     @Override
-    public void append(String id, byte[] command, Consumer<Fate> then) {
+    public void append(String id, byte[] command, Consumer<AppendOutcome> then) {
         byte[] entry;
         try {
             entry = Decisions.append(id, command);
         } catch (IllegalArgumentException e) {
-            then.accept(new Fate.Out(e.getMessage()));
+            then.accept(new AppendOutcome.Rejected(e.getMessage()));
             return;
         }
         propose(entry, then);
     }
 
     @Override
-    public void settle(String id, Consumer<Fate> then) {
+    public void settle(String id, Consumer<AppendOutcome> then) {
         propose(Decisions.settle(id), then);
     }
 
-    private void propose(byte[] entry, Consumer<Fate> then) {
+    private void propose(byte[] entry, Consumer<AppendOutcome> then) {
         if (pending.incrementAndGet() > PENDING_MOST) {
             pending.decrementAndGet();
-            then.accept(new Fate.Unknown("expected at most " + PENDING_MOST + " that wait"));
+            then.accept(new AppendOutcome.Unknown("expected at most " + PENDING_MOST + " that wait"));
             return;
         }
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WITHIN_MILLIS);
-        propose(entry, until, "", fate -> {
+        propose(entry, until, "", outcome -> {
             pending.decrementAndGet();
-            then.accept(fate);
+            then.accept(outcome);
         });
     }
 
     /** At the leader, or at one who may know it; again and again until the time is up, since an entry counts once however often it comes. */
-    private void propose(byte[] entry, long until, String hint, Consumer<Fate> then) {
+    private void propose(byte[] entry, long until, String hint, Consumer<AppendOutcome> then) {
         if (System.nanoTime() >= until || closed) {
-            then.accept(new Fate.Unknown("no leader answered in time"));
+            then.accept(new AppendOutcome.Unknown("no leader answered in time"));
             return;
         }
         String at = hint.isEmpty() ? leader() : hint;
-        CompletableFuture<Fate> tried;
+        CompletableFuture<AppendOutcome> tried;
         String[] next = {""};
-        if (at.equals(settings.name()) || leads()) {
+        if (at.equals(settings.name()) || isLeader()) {
             tried = submit(entry);
         } else {
             List<String> voters = group.isEmpty() ? settings.voters() : List.copyOf(group.keySet());
             String to = at.isEmpty() ? voters.get(random.nextInt(voters.size())) : at;
-            tried = calls.ask(to, PROPOSE, entry, ASK_MILLIS * 2).handle((answer, fault) -> {
+            tried = rpc.call(to, PROPOSE, entry, ASK_MILLIS * 2).handle((answer, fault) -> {
                 if (fault != null) {
-                    return new Fate.Unknown("no answer");
+                    return new AppendOutcome.Unknown("no answer");
                 }
                 if (answer.length > 0 && answer[0] == NOT_LEADER) {
                     next[0] = new String(answer, 1, answer.length - 1, StandardCharsets.UTF_8);
-                    return new Fate.Unknown("not the leader");
+                    return new AppendOutcome.Unknown("not the leader");
                 }
-                return DecidedMachine.fate(answer);
+                return ReplicatedStateMachine.outcome(answer);
             });
         }
-        tried.thenAccept(fate -> {
-            if (fate instanceof Fate.Unknown) {
+        tried.thenAccept(outcome -> {
+            if (outcome instanceof AppendOutcome.Unknown) {
                 after(AGAIN_MILLIS, () -> propose(entry, until, Objects.equals(next[0], settings.name()) ? "" : next[0], then));
             } else {
-                then.accept(fate);
+                then.accept(outcome);
             }
         });
     }
@@ -715,7 +715,7 @@
     /** For operators. */
     public Status status() {
         DivisionInfo info = info();
-        return new Status(part, why, info == null ? "" : leader(), info == null ? 0 : info.getCurrentTerm(), server == null ? followed.last() : machine.last(),
+        return new Status(role, why, info == null ? "" : leader(), info == null ? 0 : info.getCurrentTerm(), server == null ? fetched.last() : machine.last(),
                 new HashMap<>(group));
     }
 
@@ -723,7 +723,7 @@
         try {
             had.close();
         } catch (IOException | RuntimeException e) {
-            says.event(true, "agreed_fault", "the agreed log did not end well: " + e);
+            listener.event(true, "agreed_fault", "the agreed log did not end well: " + e);
         }
     }
 
@@ -732,7 +732,7 @@
     public void close() {
         closed = true;
         timer.shutdownNow();
-        calls.close();
+        rpc.close();
         if (server != null) {
             close(server);
         }
--- a/src/main/java/mastdrift/agreed/edge/DecidedMachine.java
+++ b/src/main/java/mastdrift/agreed/edge/ReplicatedStateMachine.java
@@ -11,7 +11,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import mastdrift.agreed.AgreedLog.Decision;
-import mastdrift.agreed.AgreedLog.Fate;
+import mastdrift.agreed.AgreedLog.AppendOutcome;
 import mastdrift.agreed.Decisions;
 import org.apache.ratis.proto.RaftProtos.LogEntryProto;
 import org.apache.ratis.proto.RaftProtos.RaftConfigurationProto;
@@ -31,8 +31,8 @@
 import org.apache.ratis.util.LifeCycle;
 import org.apache.ratis.util.MD5FileUtil;
 
-/** What the Raft library applies decided entries to. */
-final class DecidedMachine extends BaseStateMachine {
+/** The replicated state machine, to which the Raft library applies committed entries. */
+final class ReplicatedStateMachine extends BaseStateMachine {
 
     private static final byte IN = 1;
     private static final byte OUT = 2;
@@ -45,27 +45,27 @@
     private long read;
 
     /** Tells decisions to a reader and changes of voters, on the library's thread. */
-    DecidedMachine(Consumer<Decision> reader, BiConsumer<Long, RaftConfigurationProto> voters) {
+    ReplicatedStateMachine(Consumer<Decision> reader, BiConsumer<Long, RaftConfigurationProto> voters) {
         this.reader = reader;
         this.voters = voters;
     }
 
-    static byte[] bytes(Fate fate) {
-        if (fate instanceof Fate.In in) {
-            return ByteBuffer.allocate(1 + Long.BYTES).put(IN).putLong(in.index()).array();
+    static byte[] bytes(AppendOutcome outcome) {
+        if (outcome instanceof AppendOutcome.Committed committed) {
+            return ByteBuffer.allocate(1 + Long.BYTES).put(IN).putLong(committed.index()).array();
         }
-        byte[] why = (fate instanceof Fate.Out out ? out.why() : ((Fate.Unknown) fate).why()).getBytes(StandardCharsets.UTF_8);
-        return ByteBuffer.allocate(1 + why.length).put(fate instanceof Fate.Out ? OUT : UNKNOWN).put(why).array();
+        byte[] why = (outcome instanceof AppendOutcome.Rejected rejected ? rejected.why() : ((AppendOutcome.Unknown) outcome).why()).getBytes(StandardCharsets.UTF_8);
+        return ByteBuffer.allocate(1 + why.length).put(outcome instanceof AppendOutcome.Rejected ? OUT : UNKNOWN).put(why).array();
     }
 
-    static Fate fate(byte[] bytes) {
+    static AppendOutcome outcome(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         byte kind = in.hasRemaining() ? in.get() : UNKNOWN;
         if (kind == IN && in.remaining() == Long.BYTES) {
-            return new Fate.In(in.getLong());
+            return new AppendOutcome.Committed(in.getLong());
         }
         String why = new String(bytes, Math.min(1, bytes.length), Math.max(0, bytes.length - 1), StandardCharsets.UTF_8);
-        return kind == OUT ? new Fate.Out(why) : new Fate.Unknown(why);
+        return kind == OUT ? new AppendOutcome.Rejected(why) : new AppendOutcome.Unknown(why);
     }
 
     /** What is behind an entry, as bytes, for who follows from there. */
@@ -145,18 +145,18 @@
     @Override
     public CompletableFuture<Message> applyTransaction(TransactionContext transaction) {
         LogEntryProto entry = transaction.getLogEntry();
-        Fate fate;
+        AppendOutcome outcome;
         synchronized (this) {
-            fate = decisions.apply(entry.getIndex(), entry.getStateMachineLogEntry().getLogData().toByteArray());
+            outcome = decisions.apply(entry.getIndex(), entry.getStateMachineLogEntry().getLogData().toByteArray());
             updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
-            if (fate instanceof Fate.In in && in.index() == entry.getIndex()) {
-                List<Decision> own = decisions.after(in.index() - 1, 1);
+            if (outcome instanceof AppendOutcome.Committed committed && committed.index() == entry.getIndex()) {
+                List<Decision> own = decisions.after(committed.index() - 1, 1);
                 if (own != null && !own.isEmpty()) {
                     tell(own.get(0));
                 }
             }
         }
-        ByteString answer = UnsafeByteOperations.unsafeWrap(bytes(fate));
+        ByteString answer = UnsafeByteOperations.unsafeWrap(bytes(outcome));
         return CompletableFuture.completedFuture(Message.valueOf(answer));
     }
 
--- a/src/main/java/mastdrift/measure/AgreedMeasurement.java
+++ b/src/main/java/mastdrift/measure/AgreedMeasurement.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
-import mastdrift.agreed.AgreedLog.Fate;
+import mastdrift.agreed.AgreedLog.AppendOutcome;
 import mastdrift.agreed.edge.RaftLog;
-import mastdrift.agreed.edge.Wires;
+import mastdrift.agreed.edge.Transport;
 
 /** The agreed log of some members in one process: threads and heap while it is idle, the time from an append to its being known, with fsync, and all members' processor time for
     one. Words: a folder (a disk's, or memory's), appends (200), members (3; 5 and 7 are allowed, too). */
@@ -33,22 +33,22 @@
         Path folder = Files.createDirectories(Path.of(args.length > 0 ? args[0] : "agreed-measurement"));
         int appends = args.length > 1 ? Integer.parseInt(args[1]) : 200;
         int members = args.length > 2 ? Integer.parseInt(args[2]) : 3;
-        Map<String, BiConsumer<String, byte[]>> ears = new ConcurrentHashMap<>();
+        Map<String, BiConsumer<String, byte[]>> receivers = new ConcurrentHashMap<>();
         ExecutorService network = Executors.newSingleThreadExecutor();
         int threads = Thread.activeCount();
         double heap = Heap.used();
         List<String> names = List.of("a", "b", "c", "d", "e", "f", "g").subList(0, members);
         List<RaftLog> logs = new ArrayList<>();
         for (String name : names) {
-            logs.add(new RaftLog(new RaftLog.Settings(name, "measured", "begin", names, folder.resolve(name), 3_600_000_000L), new Wires() {
+            logs.add(new RaftLog(new RaftLog.Settings(name, "measured", "begin", names, folder.resolve(name), 3_600_000_000L), new Transport() {
                 @Override
                 public void send(String gateway, byte[] message) {
-                    network.execute(() -> ears.getOrDefault(gateway, (from, lost) -> { }).accept(name, message));
+                    network.execute(() -> receivers.getOrDefault(gateway, (from, lost) -> { }).accept(name, message));
                 }
 
                 @Override
-                public void ears(BiConsumer<String, byte[]> heard) {
-                    ears.put(name, heard);
+                public void onMessage(BiConsumer<String, byte[]> receiver) {
+                    receivers.put(name, receiver);
                 }
             }, decision -> { }, List::of, (bad, what, text, fields) -> { }));
         }
@@ -73,9 +73,9 @@
 
     private static void append(RaftLog log, String id) throws Exception {
         for (int tries = 0; tries < 10; tries++) {
-            CompletableFuture<Fate> fate = new CompletableFuture<>();
-            log.append(id, new byte[200], fate::complete);
-            if (fate.get(WAIT_SECONDS, TimeUnit.SECONDS) instanceof Fate.In) {
+            CompletableFuture<AppendOutcome> outcome = new CompletableFuture<>();
+            log.append(id, new byte[200], outcome::complete);
+            if (outcome.get(WAIT_SECONDS, TimeUnit.SECONDS) instanceof AppendOutcome.Committed) {
                 return;
             }
         }
--- a/src/main/java/mastdrift/serve/AgreedService.java
+++ b/src/main/java/mastdrift/serve/AgreedService.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import mastdrift.agreed.AgreedLog.Decision;
-import mastdrift.agreed.AgreedLog.Fate;
+import mastdrift.agreed.AgreedLog.AppendOutcome;
 import mastdrift.agreed.Voters;
 import mastdrift.agreed.edge.RaftLog;
 import mastdrift.config.AgreedSettings;
@@ -55,7 +55,7 @@
             return thread;
         });
         log = new RaftLog(new RaftLog.Settings(name, configuration.peers().installation(), settings.begin(), settings.voters(),
-                file.toAbsolutePath().resolveSibling(settings.folder()), settings.replaceAfter()), peers.wires(), this::read, this::candidates,
+                file.toAbsolutePath().resolveSibling(settings.folder()), settings.replaceAfter()), peers.transport(), this::read, this::eligible,
                 (bad, what, text, fields) -> event(bad ? Level.WARN : Level.INFO, what, text, fields));
         peers.log(this::status);
         long every = settings.rollEvery();
@@ -70,12 +70,12 @@
         events.event(level, what, text, all);
     }
 
-    private List<Voters.Candidate> candidates() {
+    private List<Voters.Eligible> eligible() {
         long now = System.nanoTime() / 1_000;
-        List<Voters.Candidate> all = new ArrayList<>(List.of(new Voters.Candidate(name, zone(name), 0)));
+        List<Voters.Eligible> all = new ArrayList<>(List.of(new Voters.Eligible(name, zone(name), 0)));
         for (Roster.Member each : peers.seen()) {
             boolean there = each.rumor().standing() == Standing.ALIVE || each.rumor().standing() == Standing.SUSPECTED;
-            all.add(new Voters.Candidate(each.rumor().card().name(), each.rumor().card().zone(), there ? 0 : Math.max(1, now - each.since())));
+            all.add(new Voters.Eligible(each.rumor().card().name(), each.rumor().card().zone(), there ? 0 : Math.max(1, now - each.since())));
         }
         return all;
     }
@@ -92,16 +92,16 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);  // of bytes in memory
         }
-        log.append(id, command, fate -> appended(id, fate));
+        log.append(id, command, outcome -> appended(id, outcome));
         saySurvival();
     }
 
-    private void appended(String id, Fate fate) {
-        if (fate instanceof Fate.In in) {
-            event(Level.INFO, "agreed_in", "in the agreed log: " + id, "id", id, "index", in.index());
-        } else if (fate instanceof Fate.Out out) {
-            event(Level.WARN, "agreed_out", "not in the agreed log: " + id + ": " + out.why(), "id", id);
-        } else if (fate instanceof Fate.Unknown unknown) {
+    private void appended(String id, AppendOutcome outcome) {
+        if (outcome instanceof AppendOutcome.Committed committed) {
+            event(Level.INFO, "agreed_in", "in the agreed log: " + id, "id", id, "index", committed.index());
+        } else if (outcome instanceof AppendOutcome.Rejected rejected) {
+            event(Level.WARN, "agreed_out", "not in the agreed log: " + id + ": " + rejected.why(), "id", id);
+        } else if (outcome instanceof AppendOutcome.Unknown unknown) {
             event(Level.WARN, "agreed_unknown", "not known to be in the agreed log: " + id + ": " + unknown.why(), "id", id);
         }
     }
@@ -144,19 +144,19 @@
         if (zones.isEmpty()) {
             return;
         }
-        Voters.Survives now = Voters.survives(zones);
+        Voters.FaultTolerance now = Voters.faultTolerance(zones);
         String text = "voters " + new TreeSet<>(zones.keySet()) + " survive the loss of " + now.gateways() + (now.gateways() == 1 ? " gateway" : " gateways") + ", and of a zone: "
-                + (now.aZone() ? "yes" : "no");
+                + (now.anyZone() ? "yes" : "no");
         if (!text.equals(survives)) {
             survives = text;
-            event(Level.INFO, "agreed_survives", text, "gateways", now.gateways(), "zone", now.aZone());
+            event(Level.INFO, "agreed_survives", text, "gateways", now.gateways(), "zone", now.anyZone());
         }
     }
 
     private Map<String, Object> status() {
         RaftLog.Status now = log.status();
         Map<String, Object> all = new LinkedHashMap<>();
-        all.put("part", now.part());
+        all.put("part", now.role());
         all.put("why", now.why());
         all.put("leader", now.leader());
         all.put("term", now.term());
--- a/src/main/java/mastdrift/serve/ControlMachine.java
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -20,7 +20,7 @@
 import mastdrift.agreed.AgreedLog.Decision;
 import mastdrift.agreed.Voters;
 import mastdrift.agreed.edge.RaftLog;
-import mastdrift.agreed.edge.Wires;
+import mastdrift.agreed.edge.Transport;
 import mastdrift.config.DistributionReader;
 import mastdrift.config.DistributionSettings;
 import mastdrift.config.DistributionSettings.Machine;
@@ -161,8 +161,8 @@
     private RaftLog log(Path folder) {
         List<Machine> voters = settings.machines(Role.VOTER);
         Set<String> names = voters.stream().map(Machine::name).collect(Collectors.toSet());
-        List<Voters.Candidate> candidates = voters.stream().map(each -> new Voters.Candidate(each.name(), each.zone(), 0)).toList();
-        Wires wires = new Wires() {
+        List<Voters.Eligible> eligible = voters.stream().map(each -> new Voters.Eligible(each.name(), each.zone(), 0)).toList();
+        Transport transport = new Transport() {
             @Override
             public void send(String to, byte[] message) {
                 if (!links.loop().isShuttingDown()) {
@@ -171,16 +171,16 @@
             }
 
             @Override
-            public void ears(BiConsumer<String, byte[]> heard) {
+            public void onMessage(BiConsumer<String, byte[]> receiver) {
                 agreed = (from, message) -> {
                     if (names.contains(from)) {
-                        heard.accept(from, message);
+                        receiver.accept(from, message);
                     }
                 };
             }
         };
         return new RaftLog(new RaftLog.Settings(settings.name(), settings.installation() + "/distribution", "epoch-" + settings.epoch(), voters.stream().map(Machine::name).toList(),
-                folder.resolve("agreed"), REPLACE_NEVER), wires, this::read, () -> candidates, (bad, what, text, fields) -> events.event(bad ? Level.WARN : Level.INFO, what, text, fields));
+                folder.resolve("agreed"), REPLACE_NEVER), transport, this::read, () -> eligible, (bad, what, text, fields) -> events.event(bad ? Level.WARN : Level.INFO, what, text, fields));
     }
 
     private void listen() {
@@ -309,23 +309,23 @@
             asking++;
             asked.computeIfAbsent(change.id(), id -> new ArrayList<>()).add(new Asked(from, apply.call(), System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WITHIN_MILLIS)));
             byte[] command = MessageCodec.bytes(change);
-            proposer.execute(() -> log.append(change.id(), command, fate -> {
+            proposer.execute(() -> log.append(change.id(), command, outcome -> {
                 if (!links.loop().isShuttingDown()) {
-                    links.loop().execute(() -> appended(change.id(), fate));
+                    links.loop().execute(() -> appended(change.id(), outcome));
                 }
             }));
         }
     }
 
-    private void appended(String id, AgreedLog.Fate fate) {
-        if (fate instanceof AgreedLog.Fate.In in) {
+    private void appended(String id, AgreedLog.AppendOutcome outcome) {
+        if (outcome instanceof AgreedLog.AppendOutcome.Committed committed) {
             if (asked.containsKey(id)) {
-                indices.put(id, in.index());
+                indices.put(id, committed.index());
                 answerApplied();
             }
-        } else if (fate instanceof AgreedLog.Fate.Out out) {
-            end(id, call -> new ControlMessage.Refused(call, List.of(out.why())));
-        } else if (fate instanceof AgreedLog.Fate.Unknown unknown) {
+        } else if (outcome instanceof AgreedLog.AppendOutcome.Rejected rejected) {
+            end(id, call -> new ControlMessage.Refused(call, List.of(rejected.why())));
+        } else if (outcome instanceof AgreedLog.AppendOutcome.Unknown unknown) {
             end(id, call -> new ControlMessage.Unknown(call, unknown.why()));
         }
     }
@@ -433,7 +433,7 @@
 
     private void ledBy(RaftLog.Status now) {
         leader = now.leader();
-        if (!leader.isEmpty() && now.part().equals("voter")) {
+        if (!leader.isEmpty() && now.role().equals("voter")) {
             votes = true;
             leaderAt = System.nanoTime();
         }
--- a/src/main/java/mastdrift/serve/PeerService.java
+++ b/src/main/java/mastdrift/serve/PeerService.java
@@ -27,7 +27,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import mastdrift.agreed.edge.Wires;
+import mastdrift.agreed.edge.Transport;
 import mastdrift.config.Configuration;
 import mastdrift.config.GatewaySettings;
 import mastdrift.config.PeerSettings;
@@ -193,8 +193,8 @@
     // ---- the agreed log
 
     /** Links for it. */
-    Wires wires() {
-        return new Wires() {
+    Transport transport() {
+        return new Transport() {
             @Override
             public void send(String gateway, byte[] message) {
                 if (!loop.isShuttingDown()) {
@@ -203,8 +203,8 @@
             }
 
             @Override
-            public void ears(BiConsumer<String, byte[]> heard) {
-                agreed = heard;
+            public void onMessage(BiConsumer<String, byte[]> receiver) {
+                agreed = receiver;
             }
         };
     }
--- a/src/test/java/mastdrift/agreed/DecisionsTest.java
+++ b/src/test/java/mastdrift/agreed/DecisionsTest.java
@@ -11,7 +11,7 @@
 import java.util.Random;
 import java.util.stream.LongStream;
 import mastdrift.agreed.AgreedLog.Decision;
-import mastdrift.agreed.AgreedLog.Fate;
+import mastdrift.agreed.AgreedLog.AppendOutcome;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
@@ -45,9 +45,9 @@
                 case 1 -> new byte[] {9, 9};
                 default -> Decisions.append(id, new byte[random.nextInt(50_000)]);
             };
-            Fate fate = own.apply(index, entry);
-            assertEquals(fate, other.apply(index, entry));
-            if (fate instanceof Fate.In in && in.index() == index) {
+            AppendOutcome outcome = own.apply(index, entry);
+            assertEquals(outcome, other.apply(index, entry));
+            if (outcome instanceof AppendOutcome.Committed committed && committed.index() == index) {
                 decided++;
                 assertEquals(decided, own.kept().get(own.kept().size() - 1).ordinal());
             }
@@ -81,7 +81,7 @@
     void aReaderFromFarBehindSeesTheGap() {
         Decisions own = new Decisions();
         for (int i = 1; i <= Decisions.KEPT_MOST + 10; i++) {
-            assertInstanceOf(Fate.In.class, own.apply(i * 2L, Decisions.append("id-" + i, new byte[1])));
+            assertInstanceOf(AppendOutcome.Committed.class, own.apply(i * 2L, Decisions.append("id-" + i, new byte[1])));
         }
         Decisions part = own.part(2, 5);
         assertEquals(11, part.kept().get(0).ordinal(), "the one before was of ordinal 1");
--- a/src/test/java/mastdrift/agreed/MembershipTest.java
+++ b/src/test/java/mastdrift/agreed/MembershipTest.java
@@ -16,7 +16,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
-import mastdrift.agreed.AgreedLog.Fate;
+import mastdrift.agreed.AgreedLog.AppendOutcome;
 import mastdrift.agreed.Membership.Folder;
 import mastdrift.agreed.Membership.Step;
 import net.jqwik.api.ForAll;
@@ -55,7 +55,7 @@
             String name = names.get(random.nextInt(names.size()));
             switch (random.nextInt(8)) {
                 case 0, 1, 2 -> meet(name);
-                case 3 -> tide(name);
+                case 3 -> epoch(name);
                 case 4 -> {
                     if (random.nextInt(3) == 0) {
                         running.remove(name);
@@ -84,11 +84,11 @@
             disks.put(name, copy);
         }
 
-        private void tide(String name) {
+        private void epoch(String name) {
             if (running.contains(name)) {
-                disks.put(name, disks.get(name).later());
+                disks.put(name, disks.get(name).nextEpoch());
                 names.stream().filter(other -> !other.equals(name) && (running.contains(other) || starting.contains(other)))
-                        .forEach(other -> disks.put(other, disks.get(other).heard(disks.get(name).id(), disks.get(name).tide())));
+                        .forEach(other -> disks.put(other, disks.get(other).withHeard(disks.get(name).id(), disks.get(name).epoch())));
             }
         }
 
@@ -106,7 +106,7 @@
                 Folder own = disks.get(name);
                 List<Folder> others = own.group().entrySet().stream().filter(each -> !each.getKey().equals(name) && disks.containsKey(each.getKey())
                         && disks.get(each.getKey()).id().equals(each.getValue())).map(each -> disks.get(each.getKey())).toList();
-                assertFalse(!others.isEmpty() && others.stream().allMatch(other -> other.heard().getOrDefault(own.id(), 0L) > own.tide()),
+                assertFalse(!others.isEmpty() && others.stream().allMatch(other -> other.heardEpochs().getOrDefault(own.id(), 0L) > own.epoch()),
                         "an older copy takes no part: " + own + " by " + answers);
                 assertEquals(disks.get(name).id(), take.group().get(name), "under its own identity");
                 if (begun.add(new TreeMap<>(take.group())) && begun.size() > 1) {
@@ -116,10 +116,10 @@
                         assertTrue(before.equals(take.group()) || there <= before.size() / 2, "a second begin beside the first: " + begun);
                     }
                 }
-                disks.put(name, disks.get(name).in(take.group()));
+                disks.put(name, disks.get(name).withGroup(take.group()));
                 starting.remove(name);
                 running.add(name);
-                tide(name);
+                epoch(name);
             } else if (step instanceof Step.JoinAnew join) {
                 assertFalse(join.group().containsValue(disks.get(name).id()));
             } else if (step instanceof Step.StepAside) {
@@ -136,8 +136,8 @@
         }
     }
 
-    private static Folder begun(String id, long tide, Map<String, String> group) {
-        return new Folder(id, "one", group, tide, Map.of());
+    private static Folder begun(String id, long epoch, Map<String, String> group) {
+        return new Folder(id, "one", group, epoch, Map.of());
     }
 
     @Test
@@ -149,7 +149,7 @@
         assertInstanceOf(Step.Wait.class, Membership.step("a", begun("a1", 1, group), names, Map.of("b", begun("b1", 1, group)), 0));
         assertInstanceOf(Step.TakePart.class, Membership.step("a", begun("a1", 1, group), names, Map.of("b", begun("b1", 1, group)), 60_000));
         assertInstanceOf(Step.StepAside.class, Membership.step("a", begun("x", 1, group), names, Map.of("b", begun("b1", 1, group)), 60_000));
-        assertInstanceOf(Step.StepAside.class, Membership.step("a", begun("a1", 1, group), names, Map.of("b", begun("b1", 1, group).heard("a1", 2)), 60_000));
+        assertInstanceOf(Step.StepAside.class, Membership.step("a", begun("a1", 1, group), names, Map.of("b", begun("b1", 1, group).withHeard("a1", 2)), 60_000));
         assertInstanceOf(Step.StepAside.class, Membership.step("a", begun("a1", 1, group), names, Map.of("b", new Folder("b2", "two", Map.of(), 1, Map.of())), 0));
         Folder lost = new Folder("a2", "one", Map.of(), 1, Map.of());
         assertInstanceOf(Step.JoinAnew.class, Membership.step("a", lost, names, Map.of("b", begun("b1", 1, group), "c", begun("c1", 1, group)), 0));
@@ -165,7 +165,7 @@
         Random random = new Random(seed);
         Decisions whole = new Decisions();
         Decisions begun = new Decisions();
-        Map<String, Fate> first = new HashMap<>();
+        Map<String, AppendOutcome> first = new HashMap<>();
         long index = 0;
         for (int i = 0; i < 300; i++) {
             index += 1 + random.nextInt(3);
@@ -174,11 +174,11 @@
             if (random.nextInt(40) == 0) {
                 entry = new byte[random.nextInt(4)];  // of another build
             }
-            Fate fate = whole.apply(index, entry);
-            assertEquals(fate.getClass(), begun.apply(index, entry).getClass());
+            AppendOutcome outcome = whole.apply(index, entry);
+            assertEquals(outcome.getClass(), begun.apply(index, entry).getClass());
             if (entry.length >= 4) {
-                Fate before = first.putIfAbsent(id, fate);
-                assertTrue(before == null || before.getClass() == fate.getClass() && (!(before instanceof Fate.In in) || in.equals(fate)), id + " " + before + " " + fate);
+                AppendOutcome before = first.putIfAbsent(id, outcome);
+                assertTrue(before == null || before.getClass() == outcome.getClass() && (!(before instanceof AppendOutcome.Committed committed) || committed.equals(outcome)), id + " " + before + " " + outcome);
             }
             if (random.nextInt(20) == 0) {
                 begun = Decisions.restored(whole.snapshot());
@@ -201,13 +201,13 @@
 
     @Test
     void votersAreReplacedOneAtATimeAndSpread() {
-        List<Voters.Candidate> all = List.of(new Voters.Candidate("a", "x", 0), new Voters.Candidate("b", "y", 0), new Voters.Candidate("c", "y", 70),
-                new Voters.Candidate("d", "y", 0), new Voters.Candidate("e", "z", 0), new Voters.Candidate("f", "z", 5));
-        assertEquals(List.of("c", "e"), List.of(Voters.replaced(List.of("a", "b", "c"), all, 60)));
-        assertEquals(null, Voters.replaced(List.of("a", "b", "f"), all, 60), "five is not long");
-        assertEquals(null, Voters.replaced(List.of("a", "c"), all.subList(0, 3).stream().filter(each -> !each.name().equals("b")).toList(), 60), "nobody to take in");
-        assertEquals(new Voters.Survives(1, false), Voters.survives(Map.of("a", "x", "b", "y", "c", "y")));
-        assertEquals(new Voters.Survives(2, true), Voters.survives(Map.of("a", "x", "b", "y", "c", "y", "d", "z", "e", "z")));
-        assertEquals(new Voters.Survives(0, false), Voters.survives(Collections.singletonMap("a", "x")));
+        List<Voters.Eligible> all = List.of(new Voters.Eligible("a", "x", 0), new Voters.Eligible("b", "y", 0), new Voters.Eligible("c", "y", 70),
+                new Voters.Eligible("d", "y", 0), new Voters.Eligible("e", "z", 0), new Voters.Eligible("f", "z", 5));
+        assertEquals(List.of("c", "e"), List.of(Voters.replacement(List.of("a", "b", "c"), all, 60)));
+        assertEquals(null, Voters.replacement(List.of("a", "b", "f"), all, 60), "five is not long");
+        assertEquals(null, Voters.replacement(List.of("a", "c"), all.subList(0, 3).stream().filter(each -> !each.name().equals("b")).toList(), 60), "nobody to take in");
+        assertEquals(new Voters.FaultTolerance(1, false), Voters.faultTolerance(Map.of("a", "x", "b", "y", "c", "y")));
+        assertEquals(new Voters.FaultTolerance(2, true), Voters.faultTolerance(Map.of("a", "x", "b", "y", "c", "y", "d", "z", "e", "z")));
+        assertEquals(new Voters.FaultTolerance(0, false), Voters.faultTolerance(Collections.singletonMap("a", "x")));
     }
 }
--- a/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
+++ b/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
@@ -25,7 +25,7 @@
 import java.util.stream.Stream;
 import mastdrift.agreed.AgreedLog;
 import mastdrift.agreed.AgreedLog.Decision;
-import mastdrift.agreed.AgreedLog.Fate;
+import mastdrift.agreed.AgreedLog.AppendOutcome;
 import mastdrift.agreed.Voters;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -40,7 +40,7 @@
     @TempDir
     private Path folder;
 
-    private final Map<String, BiConsumer<String, byte[]>> ears = new ConcurrentHashMap<>();
+    private final Map<String, BiConsumer<String, byte[]>> receivers = new ConcurrentHashMap<>();
     private final Set<String> cut = ConcurrentHashMap.newKeySet();
     private final Set<String> noEntries = ConcurrentHashMap.newKeySet();  // who is asked to append nothing, and hears all else
     private final Map<String, Member> members = new ConcurrentHashMap<>();
@@ -55,11 +55,11 @@
 
         Member(String name, String begin, List<String> voters) {
             this.name = name;
-            log = new RaftLog(new RaftLog.Settings(name, "test", begin, voters, folder.resolve(name), longAway), new Wires() {
+            log = new RaftLog(new RaftLog.Settings(name, "test", begin, voters, folder.resolve(name), longAway), new Transport() {
                 @Override
                 public void send(String gateway, byte[] message) {
                     network.execute(() -> {
-                        BiConsumer<String, byte[]> to = ears.get(gateway);
+                        BiConsumer<String, byte[]> to = receivers.get(gateway);
                         if (to != null && !cut.contains(name) && !cut.contains(gateway)
                                 && !(noEntries.contains(gateway) && message[0] == PeerRpc.APPEND)) {
                             to.accept(name, message);
@@ -68,25 +68,25 @@
                 }
 
                 @Override
-                public void ears(BiConsumer<String, byte[]> heard) {
-                    ears.put(name, heard);
+                public void onMessage(BiConsumer<String, byte[]> receiver) {
+                    receivers.put(name, receiver);
                 }
-            }, read::add, () -> members.keySet().stream().map(each -> new Voters.Candidate(each, "z", ears.containsKey(each) && !cut.contains(each) ? 0 : AWAY)).toList(),
+            }, read::add, () -> members.keySet().stream().map(each -> new Voters.Eligible(each, "z", receivers.containsKey(each) && !cut.contains(each) ? 0 : AWAY)).toList(),
                     (bad, what, text, fields) -> said.add(what + " " + text));
             members.put(name, this);
         }
 
-        Fate append(String id) throws Exception {
-            CompletableFuture<Fate> fate = new CompletableFuture<>();
-            log.append(id, ("of " + id).getBytes(), fate::complete);
-            return fate.get(WAIT_SECONDS, TimeUnit.SECONDS);
+        AppendOutcome append(String id) throws Exception {
+            CompletableFuture<AppendOutcome> outcome = new CompletableFuture<>();
+            log.append(id, ("of " + id).getBytes(), outcome::complete);
+            return outcome.get(WAIT_SECONDS, TimeUnit.SECONDS);
         }
 
         /** Until it is known to be in. */
-        long in(String id) throws Exception {
+        long commit(String id) throws Exception {
             for (int tries = 0; tries < 8; tries++) {
-                if (append(id) instanceof Fate.In in) {
-                    return in.index();
+                if (append(id) instanceof AppendOutcome.Committed committed) {
+                    return committed.index();
                 }
             }
             throw new AssertionError(name + ": " + id + " is not in; " + log.status() + " " + said);
@@ -97,7 +97,7 @@
         }
 
         void kill() {
-            ears.remove(name);
+            receivers.remove(name);
             log.close();
         }
     }
@@ -160,22 +160,22 @@
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             String id = "first-" + i;
-            members.get(List.of("a", "b", "c", "d").get(i % 4)).in(id);
+            members.get(List.of("a", "b", "c", "d").get(i % 4)).commit(id);
             ids.add(id);
         }
         awaitAll(ids, "a", "b", "c", "d");
-        long index = members.get("a").in("first-3");
-        assertEquals(index, members.get("d").in("first-3"), "the same id again is where it was");
-        assertInstanceOf(Fate.Out.class, settle("b", "never"));
-        assertInstanceOf(Fate.Out.class, members.get("c").append("never"), "and can't come in any more");
-        assertInstanceOf(Fate.In.class, settle("b", "first-3"));
-        assertInstanceOf(Fate.Out.class, large("a"));
+        long index = members.get("a").commit("first-3");
+        assertEquals(index, members.get("d").commit("first-3"), "the same id again is where it was");
+        assertInstanceOf(AppendOutcome.Rejected.class, settle("b", "never"));
+        assertInstanceOf(AppendOutcome.Rejected.class, members.get("c").append("never"), "and can't come in any more");
+        assertInstanceOf(AppendOutcome.Committed.class, settle("b", "first-3"));
+        assertInstanceOf(AppendOutcome.Rejected.class, large("a"));
 
         String leader = members.get("a").log.status().leader();
         members.get(leader).kill();
         Member other = members.get(voters.stream().filter(each -> !each.equals(leader)).findFirst().orElseThrow());
         for (int i = 0; i < 4; i++) {
-            other.in("second-" + i);
+            other.commit("second-" + i);
             ids.add("second-" + i);
         }
         new Member(leader, "one", voters);
@@ -186,10 +186,10 @@
                 cut.add(each);
             }
         }
-        assertInstanceOf(Fate.Unknown.class, other.append("third"));
+        assertInstanceOf(AppendOutcome.Unknown.class, other.append("third"));
         cut.clear();
         ids.add("third");
-        assertEquals(other.in("third"), members.get("d").in("third"));
+        assertEquals(other.commit("third"), members.get("d").commit("third"));
         awaitAll(ids, "a", "b", "c", "d");
     }
 
@@ -199,20 +199,20 @@
         List<String> voters = List.of("a", "b", "c");
         start("one", voters, "a", "b", "c");
         List<String> ids = new ArrayList<>(List.of("first"));
-        members.get("a").in("first");
+        members.get("a").commit("first");
         awaitAll(ids, "a", "b", "c");
         String leader = members.get("a").log.status().leader();
         String stuck = voters.stream().filter(each -> !each.equals(leader)).findFirst().orElseThrow();
         noEntries.add(stuck);
         for (int i = 0; i < 4; i++) {
             ids.add("second-" + i);
-            members.get(leader).in("second-" + i);
+            members.get(leader).commit("second-" + i);
         }
         awaitAll(ids, "a", "b", "c");
         await(() -> members.get(stuck).said.stream().anyMatch(each -> each.startsWith("agreed_behind")), "it says so");
         noEntries.clear();
         ids.add("third");
-        members.get(leader).in("third");
+        members.get(leader).commit("third");
         awaitAll(ids, "a", "b", "c");
     }
 
@@ -222,42 +222,42 @@
         List<String> voters = List.of("a", "b", "c");
         start("one", voters, "a", "b", "c");
         List<String> ids = new ArrayList<>(List.of("first"));
-        members.get("a").in("first");
+        members.get("a").commit("first");
         awaitAll(ids, "a", "b", "c");
         String old = members.get("a").log.status().leader();
         cut.add(old);
-        List<CompletableFuture<Fate>> lost = new ArrayList<>();
+        List<CompletableFuture<AppendOutcome>> lost = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            CompletableFuture<Fate> fate = new CompletableFuture<>();
-            members.get(old).log.append("lost-" + i, new byte[100], fate::complete);
-            lost.add(fate);
+            CompletableFuture<AppendOutcome> outcome = new CompletableFuture<>();
+            members.get(old).log.append("lost-" + i, new byte[100], outcome::complete);
+            lost.add(outcome);
         }
         String other = voters.stream().filter(each -> !each.equals(old)).findFirst().orElseThrow();
         for (int i = 0; i < 5; i++) {
-            members.get(other).in("second-" + i);
+            members.get(other).commit("second-" + i);
             ids.add("second-" + i);
         }
         cut.clear();
         awaitAll(ids, voters.toArray(new String[0]));
-        members.get(other).in("third");
+        members.get(other).commit("third");
         ids.add("third");
         awaitAll(ids, voters.toArray(new String[0]));
         await(() -> members.get(old).log.status().last() >= members.get(other).log.status().last(), "its own log has all entries");
-        for (CompletableFuture<Fate> each : lost) {
-            assertInstanceOf(Fate.class, each.get(WAIT_SECONDS, TimeUnit.SECONDS));
+        for (CompletableFuture<AppendOutcome> each : lost) {
+            assertInstanceOf(AppendOutcome.class, each.get(WAIT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
-    private Fate settle(String at, String id) throws Exception {
-        CompletableFuture<Fate> fate = new CompletableFuture<>();
-        members.get(at).log.settle(id, fate::complete);
-        return fate.get(WAIT_SECONDS, TimeUnit.SECONDS);
+    private AppendOutcome settle(String at, String id) throws Exception {
+        CompletableFuture<AppendOutcome> outcome = new CompletableFuture<>();
+        members.get(at).log.settle(id, outcome::complete);
+        return outcome.get(WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    private Fate large(String at) throws Exception {
-        CompletableFuture<Fate> fate = new CompletableFuture<>();
-        members.get(at).log.append("large", new byte[AgreedLog.DECISION_MOST + 1], fate::complete);
-        return fate.get(WAIT_SECONDS, TimeUnit.SECONDS);
+    private AppendOutcome large(String at) throws Exception {
+        CompletableFuture<AppendOutcome> outcome = new CompletableFuture<>();
+        members.get(at).log.append("large", new byte[AgreedLog.DECISION_MOST + 1], outcome::complete);
+        return outcome.get(WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
     /** A folder that is lost comes back under another identity; an older copy, and one with spoilt bytes, take no part. */
@@ -265,32 +265,32 @@
     void aLostFolderJoinsAnewAndAnOlderOneStepsAside() throws Exception {
         List<String> voters = List.of("a", "b", "c");
         start("one", voters, "a", "b", "c");
-        members.get("a").in("one");
+        members.get("a").commit("one");
         members.get("c").kill();
         copy("c", "c-then");
         new Member("c", "one", voters);
-        await(() -> members.get("c").log.status().part().equals("voter"), "c is back");
+        await(() -> members.get("c").log.status().role().equals("voter"), "c is back");
         await(() -> members.get("c").ids().contains("one"), "c reads");
-        Thread.sleep(6_000);  // a tide, by which an older copy is told from it
+        Thread.sleep(6_000);  // a epoch, by which an older copy is told from it
         members.get("c").kill();
         delete("c");
         copy("c-then", "c");
         new Member("c", "one", voters);
-        await(() -> members.get("c").log.status().part().equals("aside"), "an older copy takes no part");
+        await(() -> members.get("c").log.status().role().equals("aside"), "an older copy takes no part");
         assertTrue(members.get("c").log.status().why().contains("older copy"), members.get("c").log.status().why());
 
         members.get("c").kill();
         delete("c");
         new Member("c", "one", voters);
-        await(() -> members.get("c").log.status().part().equals("voter"), "one that was lost joins anew");
-        members.get("c").in("two");
+        await(() -> members.get("c").log.status().role().equals("voter"), "one that was lost joins anew");
+        members.get("c").commit("two");
         awaitAll(List.of("one", "two"), "a", "b", "c");
 
         members.get("b").kill();
         Files.write(folder.resolve("b").resolve("member.json"), new byte[] {1, 2, 3});
         new Member("b", "one", voters);
-        await(() -> members.get("b").log.status().part().equals("aside"), "spoilt bytes");
-        members.get("a").in("three");
+        await(() -> members.get("b").log.status().role().equals("aside"), "spoilt bytes");
+        members.get("a").commit("three");
     }
 
     /** Two of three folders are lost: no past is invented, until the operator has a new word for it. A voter that is away for long is replaced. */
@@ -298,29 +298,29 @@
     void aLostMajorityInventsNoPast() throws Exception {
         List<String> voters = List.of("a", "b", "c");
         start("one", voters, "a", "b", "c");
-        members.get("a").in("one");
+        members.get("a").commit("one");
         for (String each : voters) {
             members.get(each).kill();
         }
         delete("b");
         delete("c");
         start("one", voters, "a", "b", "c");
-        await(() -> members.get("b").log.status().part().equals("aside") && members.get("c").log.status().part().equals("aside"), "both step aside");
+        await(() -> members.get("b").log.status().role().equals("aside") && members.get("c").log.status().role().equals("aside"), "both step aside");
         assertTrue(members.get("b").log.status().why().contains("operator's new word"));
         for (String each : voters) {
             members.get(each).kill();
         }
         longAway = AWAY;
         start("two", voters, "a", "b", "c", "d");
-        members.get("a").in("new");
+        members.get("a").commit("new");
         awaitAll(List.of("new"), "a", "b", "c", "d");
         assertEquals(List.of("new"), members.get("a").ids());
         members.get("c").kill();
         members.remove("c");
-        await(() -> members.get("d").log.status().part().equals("voter") && members.get("a").log.status().group().containsKey("d"), "d takes the place of c");
-        members.get("d").in("later");
+        await(() -> members.get("d").log.status().role().equals("voter") && members.get("a").log.status().group().containsKey("d"), "d takes the place of c");
+        members.get("d").commit("later");
         awaitAll(List.of("new", "later"), "a", "b", "d");
         new Member("c", "two", voters);
-        await(() -> List.of("aside", "following").contains(members.get("c").log.status().part()), "c comes back and finds that it was replaced");
+        await(() -> List.of("aside", "following").contains(members.get("c").log.status().role()), "c comes back and finds that it was replaced");
     }
 }
--- a/src/test/java/mastdrift/agreed/edge/DecidedMachineTest.java
+++ b/src/test/java/mastdrift/agreed/edge/ReplicatedStateMachineTest.java
@@ -5,12 +5,12 @@
 import org.apache.ratis.util.LifeCycle;
 import org.junit.jupiter.api.Test;
 
-class DecidedMachineTest {
+class ReplicatedStateMachineTest {
 
     /** A member that is far behind is given a snapshot in pieces, and the library pauses it with each: a snapshot of more than one piece never came to its end. */
     @Test
     void itIsPausedWithEachPieceOfASnapshot() {
-        DecidedMachine machine = new DecidedMachine(decision -> { }, (index, voters) -> { });
+        ReplicatedStateMachine machine = new ReplicatedStateMachine(decision -> { }, (index, voters) -> { });
         machine.getLifeCycle().transition(LifeCycle.State.STARTING);
         machine.getLifeCycle().transition(LifeCycle.State.RUNNING);
         machine.pause();
--- a/src/test/java/mastdrift/distribution/StoreTest.java
+++ b/src/test/java/mastdrift/distribution/StoreTest.java
@@ -60,7 +60,7 @@
         long index = 0;
         for (String id : List.of("one", "two", "one", "one", "two")) {
             long before = log.count();
-            assertInstanceOf(AgreedLog.Fate.In.class, log.apply(++index, Decisions.append(id, bytes(id))));
+            assertInstanceOf(AgreedLog.AppendOutcome.Committed.class, log.apply(++index, Decisions.append(id, bytes(id))));
             if (log.count() > before) {
                 assertInstanceOf(Fate.In.class, store.decided(log.count(), id, asked.get(id)));
             }
