--- a/src/main/java/mastdrift/lab/model/PeerWorld.java
+++ b/src/main/java/mastdrift/lab/model/PeerWorld.java
@@ -12,15 +12,15 @@
 import mastdrift.engine.Timers;
 import mastdrift.lab.draw.Streams;
 import mastdrift.lab.model.PeerFault.Kind;
-import mastdrift.peers.Card;
-import mastdrift.peers.Roster;
-import mastdrift.peers.RosterSettings;
-import mastdrift.peers.Rumor;
-import mastdrift.peers.Standing;
-import mastdrift.peers.Word;
+import mastdrift.peers.Member;
+import mastdrift.peers.MembershipList;
+import mastdrift.peers.MembershipSettings;
+import mastdrift.peers.Update;
+import mastdrift.peers.MemberState;
+import mastdrift.peers.PeerMessage;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Gateways that know of each other, each the program's own {@link Roster}, with a network and processes that fail between them. On a virtual clock: a
+/** Gateways that know of each other, each the program's own {@link MembershipList}, with a network and processes that fail between them. On a virtual clock: a
     minute of five gateways takes some milliseconds. One seed is one run, whatever the machine. */
 public final class PeerWorld {
 
@@ -42,21 +42,21 @@
      * @param startSpread starts are spread over so many microseconds
      * @param talk whether events are wanted, for a person
      */
-    public record Plan(int gateways, long micros, long delay, List<PeerFault> faults, RosterSettings settings, long startSpread, boolean talk) {
+    public record Plan(int gateways, long micros, long delay, List<PeerFault> faults, MembershipSettings settings, long startSpread, boolean talk) {
 
         /** So many gateways, with up to eight faults of the seed, over by {@code quiet}. */
         public static Plan drawn(long seed, int gateways, long micros, long quiet) {
-            return new Plan(gateways, micros, 1_000, PeerFault.drawn(seed, gateways, quiet, 8), RosterSettings.USUAL, 2_000_000, false);
+            return new Plan(gateways, micros, 1_000, PeerFault.drawn(seed, gateways, quiet, 8), MembershipSettings.USUAL, 2_000_000, false);
         }
     }
 
-    private record Letter(int from, long life, Word word) { }
+    private record Letter(int from, long life, PeerMessage word) { }
 
     /** A process of a gateway, in its lives. */
     private final class Gateway {
         private final int number;
         private final Queue<Letter> inbox = new ArrayDeque<>();
-        private Roster roster;  // null while it is down
+        private MembershipList roster;  // null while it is down
         private long life;
         private long kept;  // the life that its folder holds
         private long downSince = Long.MIN_VALUE;
@@ -74,15 +74,15 @@
             life = folder ? Math.max(wall, kept + 1) : wall;
             kept = life;
             inbox.clear();
-            roster = new Roster(new Card(name(number), life, "zone-" + number % 2, "1", "s"), plan.settings,
-                    streams.number(name(number) + "-" + starts++), now(), new Roster.Out() {
+            roster = new MembershipList(new Member(name(number), life, "zone-" + number % 2, "1", "s"), plan.settings,
+                    streams.number(name(number) + "-" + starts++), now(), new MembershipList.Out() {
                         @Override
-                        public void send(String to, Word word) {
+                        public void send(String to, PeerMessage word) {
                             PeerWorld.this.send(number, life, number(to), word);
                         }
 
                         @Override
-                        public void event(Roster.Event event, Rumor of) {
+                        public void event(MembershipList.Event event, Update of) {
                             happened(Gateway.this, event, of);
                         }
                     });
@@ -233,8 +233,8 @@
         if (fault.kind() != Kind.LEAVE) {
             Set<Integer> others = new HashSet<>();
             gateways.forEach(other -> {
-                Roster.Member seen = other.roster == null ? null : other.roster.member(name(fault.one()));
-                if (seen != null && seen.rumor().standing() == Standing.ALIVE) {
+                MembershipList.Entry seen = other.roster == null ? null : other.roster.member(name(fault.one()));
+                if (seen != null && seen.rumor().standing() == MemberState.ALIVE) {
                     others.add(other.number);
                 }
             });
@@ -257,7 +257,7 @@
         }
     }
 
-    private void send(int from, long life, int to, Word word) {
+    private void send(int from, long life, int to, PeerMessage word) {
         words++;
         rumors += word.rumors().size();
         long delay = (long) (-plan.delay * Math.log(1 - network.nextDouble()));
@@ -280,12 +280,12 @@
         }
     }
 
-    private void happened(Gateway at, Roster.Event event, Rumor of) {
+    private void happened(Gateway at, MembershipList.Event event, Update of) {
         if (plan.talk && events.size() < EVENTS_MOST) {
             events.add(now() / 1000 + " ms " + name(at.number) + ": " + event + " " + of.card().name() + " life " + of.card().life() % 1_000_000_000L
                     + " incarnation " + of.incarnation() + " by " + of.by());
         }
-        if (event != Roster.Event.GONE) {
+        if (event != MembershipList.Event.GONE) {
             return;
         }
         int subject = number(of.card().name());
@@ -330,8 +330,8 @@
                 apart.add(name(at.number) + " takes its name for taken");
             }
             for (Gateway of : gateways) {
-                Roster.Member seen = of == at ? null : at.roster.member(name(of.number));
-                boolean alive = seen != null && seen.rumor().standing() == Standing.ALIVE;
+                MembershipList.Entry seen = of == at ? null : at.roster.member(name(of.number));
+                boolean alive = seen != null && seen.rumor().standing() == MemberState.ALIVE;
                 if (of == at || of.roster == null ? alive : !alive || seen.rumor().card().life() != of.life) {
                     apart.add(name(at.number) + " sees " + (seen == null ? "nothing" : seen.rumor()) + " of " + name(of.number) + ", which is "
                             + (of.roster == null ? "down" : "up in life " + of.life));
--- a/src/main/java/mastdrift/measure/RosterMeasurement.java
+++ b/src/main/java/mastdrift/measure/MembershipMeasurement.java
@@ -11,31 +11,31 @@
 import mastdrift.lab.model.PeerRun;
 import mastdrift.lab.model.PeerWorld;
 import mastdrift.lab.model.PeerWorld.Plan;
-import mastdrift.peers.Card;
-import mastdrift.peers.RosterSettings;
-import mastdrift.peers.Rumor;
-import mastdrift.peers.Standing;
-import mastdrift.peers.Word;
-import mastdrift.peers.edge.WordCodec;
+import mastdrift.peers.Member;
+import mastdrift.peers.MembershipSettings;
+import mastdrift.peers.Update;
+import mastdrift.peers.MemberState;
+import mastdrift.peers.PeerMessage;
+import mastdrift.peers.edge.PeerMessageCodec;
 
 /** What membership costs and how soon it knows, among 100 and 1,000 gateways, by the model. Words: seeds of each figure (3), and sizes (then only what each costs there). */
-public final class RosterMeasurement {
+public final class MembershipMeasurement {
 
     private static final long SECOND = 1_000_000;
     private static final int FRAME = 4 + 2 + 16;  // length, type and kind, signature
 
-    private RosterMeasurement() { }
+    private MembershipMeasurement() { }
 
     private static PeerRun play(int gateways, long seconds, long spread, long seed, PeerFault... faults) {
-        return PeerWorld.play(new Plan(gateways, seconds * SECOND, 1_000, List.of(faults), RosterSettings.USUAL, spread, false), seed);
+        return PeerWorld.play(new Plan(gateways, seconds * SECOND, 1_000, List.of(faults), MembershipSettings.USUAL, spread, false), seed);
     }
 
     /** Prints lines of a table. */
     public static void main(String[] args) {
         int seeds = args.length > 0 ? Integer.parseInt(args[0]) : 3;
-        Rumor rumor = new Rumor(new Card("gateway-bilbao-17", 1_767_225_600_000_000L, "bilbao", "0.1.0", "0123456789ab"), 3, Standing.ALIVE, "gateway-bilbao-17");
-        double empty = WordCodec.bytes(new Word.Ping(1_000_000, List.of())).length + FRAME;
-        double each = WordCodec.bytes(new Word.Ping(1_000_000, List.of(rumor))).length + FRAME - empty;
+        Update rumor = new Update(new Member("gateway-bilbao-17", 1_767_225_600_000_000L, "bilbao", "0.1.0", "0123456789ab"), 3, MemberState.ALIVE, "gateway-bilbao-17");
+        double empty = PeerMessageCodec.bytes(new PeerMessage.Ping(1_000_000, List.of())).length + FRAME;
+        double each = PeerMessageCodec.bytes(new PeerMessage.Ping(1_000_000, List.of(rumor))).length + FRAME - empty;
         int[] sizes = args.length > 1 ? Arrays.stream(args).skip(1).mapToInt(Integer::parseInt).toArray() : new int[] {100, 1_000};
         for (int gateways : sizes) {
             for (long seed = 1; seed <= seeds; seed++) {
--- a/src/main/java/mastdrift/peers/Card.java
+++ b/src/main/java/mastdrift/peers/Member.java
@@ -10,7 +10,7 @@
  * @param build of the program
  * @param settings a fingerprint of what all gateways should have alike
  */
-public record Card(String name, long life, String zone, String build, String settings) {
+public record Member(String name, long life, String zone, String build, String settings) {
 
     /** Characters in each text, at most. */
     public static final int TEXT_MOST = 64;
--- a/src/main/java/mastdrift/peers/Standing.java
+++ b/src/main/java/mastdrift/peers/MemberState.java
@@ -1,7 +1,7 @@
 package mastdrift.peers;
 
 /** How a gateway stands with another; a later one wins over an earlier one, where both speak of the same life and incarnation. */
-public enum Standing {
+public enum MemberState {
     /** It answers. */
     ALIVE,
     /** It did not answer somebody, and may yet contradict. */
--- a/src/main/java/mastdrift/peers/Roster.java
+++ b/src/main/java/mastdrift/peers/MembershipList.java
@@ -26,15 +26,15 @@
  * waits for by as much, since answers may be lying unread.
  *
  * <p>Beyond the papers: what it believes is exchanged whole now and then; who is gone is tried again and again, or two halves that were cut apart would
- * never meet; and what wins is one total order ({@link Rumor}).
+ * never meet; and what wins is one total order ({@link Update}).
  *
  * <p>A start with a life below one that its peers remember, because a clock was set back and the folder lost, takes a larger one as soon as that life is
  * gone. Where it goes on answering, the name is taken: this gateway says so and says nothing else to its peers. Of two with one name the later wins.
  *
- * <p>Bounded: {@value #GATEWAYS_MOST} gateways, {@link Word#RUMORS_MOST} rumors a word, {@value #PENDING_MOST} questions asked for others. No I/O, no thread, no clock; not safe
+ * <p>Bounded: {@value #GATEWAYS_MOST} gateways, {@link PeerMessage#RUMORS_MOST} rumors a word, {@value #PENDING_MOST} questions asked for others. No I/O, no thread, no clock; not safe
  * for use by several threads. Times are microseconds of one clock that doesn't run back.
  */
-public final class Roster {
+public final class MembershipList {
 
     /** Gateways that it knows of, itself among them; further ones are not heard. */
     public static final int GATEWAYS_MOST = 2_000;
@@ -50,10 +50,10 @@
     /** What it wants done. Called in the middle of an event: what it leads to comes as another. */
     public interface Out {
         /** A word to a gateway; whether it arrives is not known. */
-        void send(String to, Word word);
+        void send(String to, PeerMessage word);
 
         /** Something happened to a gateway. */
-        void event(Event event, Rumor of);
+        void event(Event event, Update of);
     }
 
     /** What may happen to a gateway, by names that stay. */
@@ -85,10 +85,10 @@
      * @param since when that began, by the own clock
      * @param heardAt when it last said something to this one; 0 for never
      */
-    public record Member(Rumor rumor, long since, long heardAt) { }
+    public record Entry(Update rumor, long since, long heardAt) { }
 
     private static final class Known {
-        private Rumor rumor;
+        private Update rumor;
         private long since;
         private long heardAt;
         private long suspectedAt;
@@ -116,14 +116,14 @@
         }
     }
 
-    private final RosterSettings settings;
+    private final MembershipSettings settings;
     private final Out out;
     private final Random random;
     private final Map<String, Known> known = new TreeMap<>();
     private final Set<String> named = new LinkedHashSet<>();
     private final Map<Long, Pending> pending = new HashMap<>();
     private final List<String> round = new ArrayList<>();
-    private Card card;
+    private Member card;
     private long incarnation;
     private boolean taken;
     private boolean leaving;
@@ -137,7 +137,7 @@
     private long wanted;  // when it wanted to be called at the latest
 
     /** Of a gateway in one life; {@code seed} is for whom it asks. {@link #tick} comes first, and again by {@link #dueAt}. */
-    public Roster(Card card, RosterSettings settings, long seed, long now, Out out) {
+    public MembershipList(Member card, MembershipSettings settings, long seed, long now, Out out) {
         this.card = card;
         this.settings = settings;
         this.out = out;
@@ -152,7 +152,7 @@
     // ---- what is known
 
     /** What it says of itself. */
-    public Card card() {
+    public Member card() {
         return card;
     }
 
@@ -167,14 +167,14 @@
     }
 
     /** All gateways that it knows of but itself, by name. */
-    public List<Member> members() {
-        return known.values().stream().map(each -> new Member(each.rumor, each.since, each.heardAt)).toList();
+    public List<Entry> members() {
+        return known.values().stream().map(each -> new Entry(each.rumor, each.since, each.heardAt)).toList();
     }
 
     /** What it believes of one; null where it knows none of that name. */
-    public Member member(String name) {
+    public Entry member(String name) {
         Known of = known.get(name);
-        return of == null ? null : new Member(of.rumor, of.since, of.heardAt);
+        return of == null ? null : new Entry(of.rumor, of.since, of.heardAt);
     }
 
     /** Gateways that it takes for there, suspected ones among them, and itself. */
@@ -187,7 +187,7 @@
     }
 
     private static boolean present(Known of) {
-        return of.rumor.standing() == Standing.ALIVE || of.rumor.standing() == Standing.SUSPECTED;
+        return of.rumor.standing() == MemberState.ALIVE || of.rumor.standing() == MemberState.SUSPECTED;
     }
 
     // ---- events
@@ -200,7 +200,7 @@
 
     /** Its own fingerprint has changed, or its build's name. */
     public void changed(String build, String fingerprint) {
-        card = new Card(card.name(), card.life(), card.zone(), build, fingerprint);
+        card = new Member(card.name(), card.life(), card.zone(), build, fingerprint);
         incarnation++;
     }
 
@@ -220,7 +220,7 @@
                 syncAt = now + settings.sync();
                 String other = anyPresent(Set.of());
                 if (other != null) {
-                    say(other, new Word.Sync(true, all()));
+                    say(other, new PeerMessage.Sync(true, all()));
                 }
             }
             if (now >= askAt) {
@@ -232,10 +232,10 @@
     }
 
     /** A word has come from a gateway, in one of its lives; that it is that gateway has been checked. */
-    public void heard(long now, String from, long life, Word word) {
+    public void heard(long now, String from, long life, PeerMessage word) {
         stopped(now);
         if (!from.equals(card.name())) {
-            for (Rumor rumor : word.rumors()) {
+            for (Update rumor : word.rumors()) {
                 learn(now, rumor);
             }
             Known sender = known.get(from);
@@ -252,10 +252,10 @@
     /** It ends: says so to those that are there, or to some of them where they are many, and answers nobody any more. */
     public void leave() {
         leaving = true;
-        List<Rumor> last = List.of(new Rumor(card, incarnation, Standing.LEFT, card.name()));
+        List<Update> last = List.of(new Update(card, incarnation, MemberState.LEFT, card.name()));
         List<String> others = new ArrayList<>(known.keySet().stream().filter(name -> present(known.get(name))).toList());
         Collections.shuffle(others, random);
-        others.stream().limit(Word.RUMORS_MOST * 4L).forEach(name -> say(name, new Word.Sync(false, last)));
+        others.stream().limit(PeerMessage.RUMORS_MOST * 4L).forEach(name -> say(name, new PeerMessage.Sync(false, last)));
     }
 
     /** It came later than it wanted to: nobody else is to blame for what was not heard meanwhile, and it does badly itself. */
@@ -300,7 +300,7 @@
         }
         long number = ++numbers;
         pending.put(number, new Pending(target, null, number, now + slowly(settings.timeout()), now + slowly(settings.interval())));
-        say(target, new Word.Ping(number, news(target)));
+        say(target, new PeerMessage.Ping(number, news(target)));
     }
 
     /** Everybody in turn, in an order drawn anew each round (SWIM, section 4.3). */
@@ -333,7 +333,7 @@
                 if (now >= each.due && !each.passedOn) {
                     each.passedOn = true;
                     each.due = each.over;
-                    say(each.asker, new Word.Nack(each.number, List.of()));
+                    say(each.asker, new PeerMessage.Nack(each.number, List.of()));
                 }
                 if (now >= each.over) {
                     pending.remove(entry.getKey());
@@ -350,7 +350,7 @@
                     if (other != null) {
                         asked.add(other);
                         each.asked++;
-                        say(other, new Word.Ask(entry.getKey(), each.target, news(other)));
+                        say(other, new PeerMessage.Ask(entry.getKey(), each.target, news(other)));
                     }
                 }
             }
@@ -361,9 +361,9 @@
         // Those who were asked and did not even say that they have no answer: it may be this one's own ears.
         worse(each.asked == 0 ? 1 : each.asked - each.nacks.size());
         Known of = known.get(each.target);
-        if (of != null && of.rumor.standing() == Standing.ALIVE) {
-            learn(now, new Rumor(of.rumor.card(), of.rumor.incarnation(), Standing.SUSPECTED, card.name()));
-        } else if (of != null && of.rumor.standing() == Standing.SUSPECTED) {
+        if (of != null && of.rumor.standing() == MemberState.ALIVE) {
+            learn(now, new Update(of.rumor.card(), of.rumor.incarnation(), MemberState.SUSPECTED, card.name()));
+        } else if (of != null && of.rumor.standing() == MemberState.SUSPECTED) {
             suspects(of, card.name());
         }
     }
@@ -376,35 +376,35 @@
         health = Math.max(0, health - 1);
     }
 
-    private void answer(long now, String from, long life, Word word) {
-        if (word instanceof Word.Ping ping) {
-            say(from, new Word.Ack(ping.number(), news(from)));
-        } else if (word instanceof Word.Ack ack) {
+    private void answer(long now, String from, long life, PeerMessage word) {
+        if (word instanceof PeerMessage.Ping ping) {
+            say(from, new PeerMessage.Ack(ping.number(), news(from)));
+        } else if (word instanceof PeerMessage.Ack ack) {
             Pending each = pending.get(ack.number());
             if (each != null && (each.asker == null || each.target.equals(from)) && answers(each, from, life)) {
                 pending.remove(ack.number());
                 if (each.asker == null) {
                     better();
                 } else {
-                    say(each.asker, new Word.Ack(each.number, List.of()));
+                    say(each.asker, new PeerMessage.Ack(each.number, List.of()));
                 }
             }
-        } else if (word instanceof Word.Nack nack) {
+        } else if (word instanceof PeerMessage.Nack nack) {
             Pending each = pending.get(nack.number());
             if (each != null && each.asker == null) {
                 each.nacks.add(from);
             }
-        } else if (word instanceof Word.Ask ask) {
+        } else if (word instanceof PeerMessage.Ask ask) {
             if (known.containsKey(ask.target()) && pending.size() < PENDING_MOST) {
                 long number = ++numbers;
                 long span = settings.interval() - settings.timeout();
                 pending.put(number, new Pending(ask.target(), from, ask.number(), now + (long) (span * NACK_PART), now + 2 * settings.interval()));
-                say(ask.target(), new Word.Ping(number, news(ask.target())));
+                say(ask.target(), new PeerMessage.Ping(number, news(ask.target())));
             }
-        } else if (word instanceof Word.Sync sync) {
+        } else if (word instanceof PeerMessage.Sync sync) {
             joined = true;
             if (sync.wanted()) {
-                say(from, new Word.Sync(false, all()));
+                say(from, new PeerMessage.Sync(false, all()));
             }
         }
     }
@@ -428,47 +428,47 @@
             }
         }
         known.forEach((name, of) -> {
-            if (of.rumor.standing() == Standing.GONE || taken) {
+            if (of.rumor.standing() == MemberState.GONE || taken) {
                 away.add(name);
             }
         });
         reachAt = now + (joined && !taken ? settings.reach() : Math.min(settings.reach(), JOIN_EVERY));
         if (!away.isEmpty()) {
             String name = away.get(random.nextInt(away.size()));
-            out.send(name, new Word.Sync(true, taken ? List.of() : all()));
+            out.send(name, new PeerMessage.Sync(true, taken ? List.of() : all()));
         }
     }
 
     // ---- news
 
-    private void say(String to, Word word) {
+    private void say(String to, PeerMessage word) {
         if (!taken) {
             out.send(to, word);
         }
     }
 
-    private Rumor own() {
-        return new Rumor(card, incarnation, Standing.ALIVE, card.name());
+    private Update own() {
+        return new Update(card, incarnation, MemberState.ALIVE, card.name());
     }
 
-    private List<Rumor> all() {
-        List<Rumor> all = new ArrayList<>(known.size() + 1);
+    private List<Update> all() {
+        List<Update> all = new ArrayList<>(known.size() + 1);
         all.add(own());
         known.values().forEach(each -> all.add(each.rumor));
         return all;
     }
 
     /** What was told least often goes first; to one who is suspected, that it is, before all (Lifeguard's buddies, section IV.C). */
-    private List<Rumor> news(String to) {
+    private List<Update> news(String to) {
         int most = (int) Math.ceil(TOLD_TIMES * Math.log10(known.size() + 2.0)) + 1;
         List<Known> fresh = new ArrayList<>();
         Known other = known.get(to);
-        if (other != null && other.rumor.standing() != Standing.ALIVE) {
+        if (other != null && other.rumor.standing() != MemberState.ALIVE) {
             fresh.add(other);
         }
         known.values().stream().filter(each -> each.told < most && each != other).sorted(Comparator.comparingInt(each -> each.told))
-                .limit(Word.RUMORS_MOST - 2L).forEach(fresh::add);
-        List<Rumor> rumors = new ArrayList<>();
+                .limit(PeerMessage.RUMORS_MOST - 2L).forEach(fresh::add);
+        List<Update> rumors = new ArrayList<>();
         rumors.add(own());
         fresh.forEach(each -> {
             each.told = Math.min(most, each.told + 1);
@@ -480,14 +480,14 @@
     private String anyPresent(Set<String> but) {
         List<String> names = new ArrayList<>();
         known.forEach((name, of) -> {
-            if (of.rumor.standing() == Standing.ALIVE && !but.contains(name)) {
+            if (of.rumor.standing() == MemberState.ALIVE && !but.contains(name)) {
                 names.add(name);
             }
         });
         return names.isEmpty() ? null : names.get(random.nextInt(names.size()));
     }
 
-    private void learn(long now, Rumor rumor) {
+    private void learn(long now, Update rumor) {
         String name = rumor.card().name();
         if (name.equals(card.name())) {
             ofItself(now, rumor);
@@ -496,7 +496,7 @@
         Known of = known.get(name);
         if (of == null) {
             // What is over and was forgotten, or never known, is no news: it would go round for good.
-            if (rumor.standing() == Standing.GONE || rumor.standing() == Standing.LEFT || known.size() + 1 >= GATEWAYS_MOST) {
+            if (rumor.standing() == MemberState.GONE || rumor.standing() == MemberState.LEFT || known.size() + 1 >= GATEWAYS_MOST) {
                 return;
             }
             of = new Known();
@@ -505,31 +505,31 @@
             become(now, of, rumor, Event.JOINED);
         } else if (rumor.overrides(of.rumor)) {
             become(now, of, rumor, event(of.rumor, rumor));
-        } else if (rumor.standing() == Standing.SUSPECTED && of.rumor.standing() == Standing.SUSPECTED
+        } else if (rumor.standing() == MemberState.SUSPECTED && of.rumor.standing() == MemberState.SUSPECTED
                 && rumor.card().life() == of.rumor.card().life() && rumor.incarnation() == of.rumor.incarnation()) {
             suspects(of, rumor.by());
         }
     }
 
-    private static Event event(Rumor before, Rumor now) {
+    private static Event event(Update before, Update now) {
         boolean anew = now.card().life() != before.card().life();
         return switch (now.standing()) {
-            case ALIVE -> anew ? Event.RESTARTED : before.standing() == Standing.GONE ? Event.RETURNED
-                    : before.standing() == Standing.SUSPECTED ? Event.REFUTED : null;
+            case ALIVE -> anew ? Event.RESTARTED : before.standing() == MemberState.GONE ? Event.RETURNED
+                    : before.standing() == MemberState.SUSPECTED ? Event.REFUTED : null;
             case SUSPECTED -> Event.SUSPECTED;
             case GONE -> Event.GONE;
             case LEFT -> Event.LEFT;
         };
     }
 
-    private void become(long now, Known of, Rumor rumor, Event event) {
+    private void become(long now, Known of, Update rumor, Event event) {
         if (of.rumor == null || of.rumor.standing() != rumor.standing() || of.rumor.card().life() != rumor.card().life()) {
             of.since = now;
         }
         of.rumor = rumor;
         of.told = 0;
         of.suspectedBy.clear();
-        if (rumor.standing() == Standing.SUSPECTED) {
+        if (rumor.standing() == MemberState.SUSPECTED) {
             of.suspectedAt = now;
             of.suspectedBy.add(rumor.by());
         }
@@ -541,7 +541,7 @@
     /** One more has no answer from it: that is news too, up to the number that counts. */
     private void suspects(Known of, String by) {
         if (of.suspectedBy.size() < SEEN_MOST && of.suspectedBy.add(by) && of.suspectedBy.size() - 1 <= settings.confirmations()) {
-            of.rumor = new Rumor(of.rumor.card(), of.rumor.incarnation(), Standing.SUSPECTED, by);
+            of.rumor = new Update(of.rumor.card(), of.rumor.incarnation(), MemberState.SUSPECTED, by);
             of.told = 0;
         }
     }
@@ -552,24 +552,24 @@
         }
         int gateways = present();
         for (Known each : List.copyOf(known.values())) {
-            if (each.rumor.standing() != Standing.SUSPECTED
+            if (each.rumor.standing() != MemberState.SUSPECTED
                     || now - each.suspectedAt < slowly(settings.suspicion(gateways, each.suspectedBy.size() - 1))) {
                 continue;
             }
             if (each.heardAt > each.suspectedAt) {
                 each.suspectedAt = now;  // it speaks, though it may not hear: that is not gone
             } else {
-                become(now, each, new Rumor(each.rumor.card(), each.rumor.incarnation(), Standing.GONE, card.name()), Event.GONE);
+                become(now, each, new Update(each.rumor.card(), each.rumor.incarnation(), MemberState.GONE, card.name()), Event.GONE);
             }
         }
     }
 
-    private void ofItself(long now, Rumor rumor) {
+    private void ofItself(long now, Update rumor) {
         long life = rumor.card().life();
-        boolean over = rumor.standing() == Standing.GONE || rumor.standing() == Standing.LEFT;
+        boolean over = rumor.standing() == MemberState.GONE || rumor.standing() == MemberState.LEFT;
         if (life > card.life()) {
             if (over) {  // an earlier start of its own, by a clock that was ahead
-                card = new Card(card.name(), life + 1, card.zone(), card.build(), card.settings());
+                card = new Member(card.name(), life + 1, card.zone(), card.build(), card.settings());
                 incarnation = 0;
                 free();
             } else if (!taken) {
@@ -580,7 +580,7 @@
             } else {
                 takenBy = Math.max(takenBy, life);
             }
-        } else if (life == card.life() && !leaving && rumor.standing() != Standing.ALIVE && rumor.incarnation() >= incarnation) {
+        } else if (life == card.life() && !leaving && rumor.standing() != MemberState.ALIVE && rumor.incarnation() >= incarnation) {
             incarnation = rumor.incarnation() + 1;
             worse(1);
         }
--- a/src/main/java/mastdrift/peers/RosterSettings.java
+++ b/src/main/java/mastdrift/peers/MembershipSettings.java
@@ -1,7 +1,7 @@
 package mastdrift.peers;
 
 /**
- * How a {@link Roster} asks and for how long it waits; times in microseconds.
+ * How a {@link MembershipList} asks and for how long it waits; times in microseconds.
  *
  * @param interval from one question to the next, while the gateway itself is well (SWIM's protocol period)
  * @param timeout for a direct answer, less than the interval; the rest of the interval is for answers by way of others
@@ -13,10 +13,10 @@
  * @param reach from one attempt to reach a gateway that is gone, or was never heard, to the next
  * @param forget what is gone or has left is remembered for so long
  */
-public record RosterSettings(long interval, long timeout, int askers, double alpha, double beta, int confirmations, long sync, long reach, long forget) {
+public record MembershipSettings(long interval, long timeout, int askers, double alpha, double beta, int confirmations, long sync, long reach, long forget) {
 
     /** For gateways of one installation over a few data centres: a death is known within about 5 s among a hundred. */
-    public static final RosterSettings USUAL = new RosterSettings(300_000, 120_000, 3, 4, 4, 3, 10_000_000, 2_000_000, 600_000_000);
+    public static final MembershipSettings USUAL = new MembershipSettings(300_000, 120_000, 3, 4, 4, 3, 10_000_000, 2_000_000, 600_000_000);
 
     /** The least time of a suspicion among so many gateways, itself among them. */
     public long suspicionLeast(int gateways) {
--- a/src/main/java/mastdrift/peers/Rumor.java
+++ b/src/main/java/mastdrift/peers/Update.java
@@ -12,15 +12,15 @@
  * @param standing what is said
  * @param by who says so: the name of the gateway that suspects or gave up; its own name for what it says itself
  */
-public record Rumor(Card card, long incarnation, Standing standing, String by) {
+public record Update(Member card, long incarnation, MemberState standing, String by) {
 
     /** Whether this one is to be believed where the other was. */
-    public boolean overrides(Rumor known) {
+    public boolean overrides(Update known) {
         if (card.life() != known.card.life()) {
             return card.life() > known.card.life();
         }
-        boolean left = standing == Standing.LEFT;
-        if (left != (known.standing == Standing.LEFT)) {
+        boolean left = standing == MemberState.LEFT;
+        if (left != (known.standing == MemberState.LEFT)) {
             return left;
         }
         if (incarnation != known.incarnation) {
--- a/src/main/java/mastdrift/peers/edge/LifeFile.java
+++ b/src/main/java/mastdrift/peers/edge/GenerationFile.java
@@ -10,7 +10,7 @@
 import java.nio.ByteBuffer;
 
 /** Remembers the last life, so that a clock that was set back doesn't make a new start look like an old one. */
-public final class LifeFile {
+public final class GenerationFile {
 
     private static final String NAME = "life";
     private static final int BYTES_MOST = 32;
@@ -18,7 +18,7 @@
     private final Path file;
 
     /** In a folder, which is made where it isn't there. */
-    public LifeFile(Path folder) throws IOException {
+    public GenerationFile(Path folder) throws IOException {
         Files.createDirectories(folder);
         file = folder.resolve(NAME);
     }
--- a/src/main/java/mastdrift/peers/edge/Seal.java
+++ b/src/main/java/mastdrift/peers/edge/MessageAuthenticator.java
@@ -8,7 +8,7 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /** Signatures of one key: HMAC (RFC 2104) with SHA-256, cut to 16 bytes (section 5). Not safe for use by several threads. */
-final class Seal {
+final class MessageAuthenticator {
 
     /** Bytes of a signature. */
     static final int BYTES = 16;
@@ -16,7 +16,7 @@
 
     private final Mac mac;
 
-    Seal(byte[] key) {
+    MessageAuthenticator(byte[] key) {
         try {
             mac = Mac.getInstance(ALGORITHM);
             mac.init(new SecretKeySpec(key, ALGORITHM));
@@ -26,8 +26,8 @@
     }
 
     /** A key for one connection, which both ends derive from their nonces. */
-    Seal derived(byte[]... from) {
-        return new Seal(whole(from));
+    MessageAuthenticator derived(byte[]... from) {
+        return new MessageAuthenticator(whole(from));
     }
 
     byte[] sign(byte[]... parts) {
--- a/src/main/java/mastdrift/peers/edge/PeerLinks.java
+++ b/src/main/java/mastdrift/peers/edge/PeerLinks.java
@@ -130,7 +130,7 @@
     private final Set<Channel> accepted = new HashSet<>();
     private final Map<String, Long> retryAt = new HashMap<>();
     private final Future<?> sweeps;
-    private List<Seal> keys = List.of();
+    private List<MessageAuthenticator> keys = List.of();
     private long life;
     private long sweptAt;
     private int unknown;
@@ -163,7 +163,7 @@
 
     /** Keys that are good from now on, the first for what is sent. Connections stay: they were made by a key that was good. */
     public void keys(List<byte[]> good) {
-        keys = good.stream().map(Seal::new).toList();
+        keys = good.stream().map(MessageAuthenticator::new).toList();
     }
 
     /** The own life from now on; connections that were opened in another are opened anew. */
@@ -348,8 +348,8 @@
         private long openedAt = millis();
         private final Deque<byte[][]> queued = new ArrayDeque<>();
         private Channel channel;
-        private Seal key;
-        private Seal session;  // null until the other is known
+        private MessageAuthenticator key;
+        private MessageAuthenticator session;  // null until the other is known
         private byte[] nonce;
         private byte[] challenge;
         private long number;
@@ -403,7 +403,7 @@
             byte[] signature = session.sign(++number, OF_SESSION, kind, message);
             channel.writeAndFlush(frame(channel, MESSAGE, kind, message, signature));
             sent++;
-            sentBytes += Integer.BYTES + 2 + message.length + Seal.BYTES;
+            sentBytes += Integer.BYTES + 2 + message.length + MessageAuthenticator.BYTES;
             return true;
         }
 
@@ -417,21 +417,21 @@
                 key = keys.get(0);
                 byte[] hello = CBOR.asBytes(Arrays.asList(installation, own, life, to, nonce));
                 channel.writeAndFlush(frame(channel, HELLO, hello, key.sign(OF_HELLO, challenge, hello)));
-            } else if (type == WELCOME && session == null && challenge != null && Seal.same(body, key.sign(OF_WELCOME, challenge, nonce))) {
+            } else if (type == WELCOME && session == null && challenge != null && MessageAuthenticator.same(body, key.sign(OF_WELCOME, challenge, nonce))) {
                 session = key.derived(OF_SESSION, challenge, nonce);
                 movedAt = millis();
                 channel.pipeline().replace(LengthFieldBasedFrameDecoder.class, "frames", frames(MESSAGE_MOST));
                 for (byte[][] each = queued.poll(); each != null; each = queued.poll()) {
                     send(each[0], each[1]);
                 }
-            } else if (type == SEEN && session != null && body.length == Long.BYTES + Seal.BYTES
-                    && Seal.same(Arrays.copyOfRange(body, Long.BYTES, body.length), session.sign(-1, Arrays.copyOf(body, Long.BYTES)))) {
+            } else if (type == SEEN && session != null && body.length == Long.BYTES + MessageAuthenticator.BYTES
+                    && MessageAuthenticator.same(Arrays.copyOfRange(body, Long.BYTES, body.length), session.sign(-1, Arrays.copyOf(body, Long.BYTES)))) {
                 long until = ByteBuffer.wrap(body).getLong();
                 if (until > seen && until <= number) {
                     seen = until;
                     movedAt = millis();
                 }
-            } else if (type == REPLY && session != null && body.length > Seal.BYTES && !over) {
+            } else if (type == REPLY && session != null && body.length > MessageAuthenticator.BYTES && !over) {
                 reply(body);
             } else if (!over) {
                 refuse("peer_unknown", to, "expected a gateway that knows the key, found another answer");
@@ -441,8 +441,8 @@
 
         private void reply(byte[] body) {
             byte[] kind = {body[0]};
-            byte[] message = Arrays.copyOfRange(body, 1, body.length - Seal.BYTES);
-            if (!Seal.same(Arrays.copyOfRange(body, body.length - Seal.BYTES, body.length), session.sign(++replies, OF_REPLY, kind, message))) {
+            byte[] message = Arrays.copyOfRange(body, 1, body.length - MessageAuthenticator.BYTES);
+            if (!MessageAuthenticator.same(Arrays.copyOfRange(body, body.length - MessageAuthenticator.BYTES, body.length), session.sign(++replies, OF_REPLY, kind, message))) {
                 refuse("peer_signature", to, "expected the signature of reply " + replies + ", found another");
                 end("another signature");
                 return;
@@ -542,7 +542,7 @@
         private final byte[] challenge = nonce();
         private String from;  // null until it is known
         private long itsLife;
-        private Seal session;
+        private MessageAuthenticator session;
         private long number;
         private long told;
         private boolean telling;
@@ -580,9 +580,9 @@
             byte[] body = ByteBufUtil.getBytes(frame);
             if (from == null) {
                 hello(type, body);
-            } else if (type == HEARD && body.length == Long.BYTES + Seal.BYTES) {
+            } else if (type == HEARD && body.length == Long.BYTES + MessageAuthenticator.BYTES) {
                 heard(body);
-            } else if (type != MESSAGE || body.length < 1 + Seal.BYTES) {
+            } else if (type != MESSAGE || body.length < 1 + MessageAuthenticator.BYTES) {
                 fails("peer_malformed", "expected a message, found type " + type + " of " + body.length + " bytes");
             } else {
                 message(body);
@@ -591,9 +591,9 @@
 
         private void message(byte[] body) {
             byte[] kind = {body[0]};
-            byte[] message = Arrays.copyOfRange(body, 1, body.length - Seal.BYTES);
-            byte[] signature = Arrays.copyOfRange(body, body.length - Seal.BYTES, body.length);
-            if (!Seal.same(signature, session.sign(++number, OF_SESSION, kind, message))) {
+            byte[] message = Arrays.copyOfRange(body, 1, body.length - MessageAuthenticator.BYTES);
+            byte[] signature = Arrays.copyOfRange(body, body.length - MessageAuthenticator.BYTES, body.length);
+            if (!MessageAuthenticator.same(signature, session.sign(++number, OF_SESSION, kind, message))) {
                 fails("peer_signature", "expected the signature of message " + number + ", found another");
                 return;
             }
@@ -612,7 +612,7 @@
         private void heard(byte[] body) {
             byte[] count = Arrays.copyOf(body, Long.BYTES);
             long until = ByteBuffer.wrap(count).getLong();
-            if (!Seal.same(Arrays.copyOfRange(body, Long.BYTES, body.length), session.sign(-1, OF_REPLY, count)) || until > replies) {
+            if (!MessageAuthenticator.same(Arrays.copyOfRange(body, Long.BYTES, body.length), session.sign(-1, OF_REPLY, count)) || until > replies) {
                 fails("peer_signature", "expected the signature of how many of " + replies + " replies were heard, found another");
             } else if (until > heard) {
                 heard = until;
@@ -629,7 +629,7 @@
             }
             byte[] signature = session.sign(++replies, OF_REPLY, kind, message);
             channel.writeAndFlush(frame(channel, REPLY, kind, message, signature));
-            int bytes = Integer.BYTES + 2 + message.length + Seal.BYTES;
+            int bytes = Integer.BYTES + 2 + message.length + MessageAuthenticator.BYTES;
             since += bytes;
             sent++;
             sentBytes += bytes;
@@ -659,15 +659,15 @@
         }
 
         private void hello(byte type, byte[] body) {
-            if (type != HELLO || body.length < Seal.BYTES) {
+            if (type != HELLO || body.length < MessageAuthenticator.BYTES) {
                 fails("peer_malformed", "expected who it is, found type " + type + " of " + body.length + " bytes");
                 return;
             }
-            byte[] hello = Arrays.copyOf(body, body.length - Seal.BYTES);
+            byte[] hello = Arrays.copyOf(body, body.length - MessageAuthenticator.BYTES);
             byte[] signature = Arrays.copyOfRange(body, hello.length, body.length);
-            Seal by = null;
-            for (Seal each : keys) {
-                by = Seal.same(signature, each.sign(OF_HELLO, challenge, hello)) && by == null ? each : by;
+            MessageAuthenticator by = null;
+            for (MessageAuthenticator each : keys) {
+                by = MessageAuthenticator.same(signature, each.sign(OF_HELLO, challenge, hello)) && by == null ? each : by;
             }
             if (by == null) {
                 fails("peer_signature", "expected a signature by a key that is good here, found another");
--- a/src/main/java/mastdrift/peers/edge/WordCodec.java
+++ b/src/main/java/mastdrift/peers/edge/PeerMessageCodec.java
@@ -9,21 +9,21 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import mastdrift.peers.Card;
+import mastdrift.peers.Member;
 import mastdrift.peers.Digest;
-import mastdrift.peers.Roster;
-import mastdrift.peers.Rumor;
-import mastdrift.peers.Standing;
-import mastdrift.peers.Word;
+import mastdrift.peers.MembershipList;
+import mastdrift.peers.Update;
+import mastdrift.peers.MemberState;
+import mastdrift.peers.PeerMessage;
 
 /** Words and digests as bytes: a version, then an array in CBOR (RFC 8949). A word of a later version, or one that is not well-formed, is refused whole,
     with what was expected and found where. */
-public final class WordCodec {
+public final class PeerMessageCodec {
 
     /** Of the words that it writes, and the latest that it reads. */
     public static final int VERSION = 1;
     private static final JSON CBOR = JSON.builder(new CBORFactory()).build();
-    private static final Standing[] STANDINGS = Standing.values();
+    private static final MemberState[] STANDINGS = MemberState.values();
     private static final int PING = 0;
     private static final int ACK = 1;
     private static final int NACK = 2;
@@ -40,20 +40,20 @@
         }
     }
 
-    private WordCodec() { }
+    private PeerMessageCodec() { }
 
     /** A word as bytes. */
-    public static byte[] bytes(Word word) {
+    public static byte[] bytes(PeerMessage word) {
         List<Object> array = new ArrayList<>();
-        if (word instanceof Word.Ping ping) {
+        if (word instanceof PeerMessage.Ping ping) {
             array.addAll(Arrays.asList(PING, ping.number()));
-        } else if (word instanceof Word.Ack ack) {
+        } else if (word instanceof PeerMessage.Ack ack) {
             array.addAll(Arrays.asList(ACK, ack.number()));
-        } else if (word instanceof Word.Nack nack) {
+        } else if (word instanceof PeerMessage.Nack nack) {
             array.addAll(Arrays.asList(NACK, nack.number()));
-        } else if (word instanceof Word.Ask ask) {
+        } else if (word instanceof PeerMessage.Ask ask) {
             array.addAll(Arrays.asList(ASK, ask.number(), ask.target()));
-        } else if (word instanceof Word.Sync sync) {
+        } else if (word instanceof PeerMessage.Sync sync) {
             array.addAll(Arrays.asList(SYNC, sync.wanted()));
         }
         List<Object> rumors = new ArrayList<>();
@@ -100,22 +100,22 @@
     }
 
     /** Throws IllegalArgumentException for what is none. */
-    public static Word word(byte[] bytes) {
+    public static PeerMessage word(byte[] bytes) {
         List<?> array = array(bytes);
         int kind = (int) whole(array, 0, "kind", PING, SYNC);
-        List<Rumor> rumors = rumors(array, kind == ASK ? 3 : 2, kind == SYNC ? Roster.GATEWAYS_MOST : Word.RUMORS_MOST);
+        List<Update> rumors = rumors(array, kind == ASK ? 3 : 2, kind == SYNC ? MembershipList.GATEWAYS_MOST : PeerMessage.RUMORS_MOST);
         if (kind == SYNC) {
             if (item(array, 1, "wanted") instanceof Boolean wanted) {
-                return new Word.Sync(wanted, rumors);
+                return new PeerMessage.Sync(wanted, rumors);
             }
             throw expected("true or false", array.get(1), "wanted");
         }
         long number = whole(array, 1, "number", Long.MIN_VALUE, Long.MAX_VALUE);
         return switch (kind) {
-            case PING -> new Word.Ping(number, rumors);
-            case ACK -> new Word.Ack(number, rumors);
-            case NACK -> new Word.Nack(number, rumors);
-            default -> new Word.Ask(number, text(array, 2, "target"), rumors);
+            case PING -> new PeerMessage.Ping(number, rumors);
+            case ACK -> new PeerMessage.Ack(number, rumors);
+            case NACK -> new PeerMessage.Nack(number, rumors);
+            default -> new PeerMessage.Ask(number, text(array, 2, "target"), rumors);
         };
     }
 
@@ -139,21 +139,21 @@
                 (int) whole(array, 3, "total", Integer.MIN_VALUE, Integer.MAX_VALUE));
     }
 
-    private static List<Rumor> rumors(List<?> array, int at, int most) {
+    private static List<Update> rumors(List<?> array, int at, int most) {
         if (!(item(array, at, "rumors") instanceof List<?> listed)) {
             throw expected("an array", array.get(at), "rumors");
         }
         if (listed.size() > most) {
             throw new IllegalArgumentException("rumors: expected at most " + most + ", found " + listed.size());
         }
-        List<Rumor> rumors = new ArrayList<>();
+        List<Update> rumors = new ArrayList<>();
         for (Object each : listed) {
             if (!(each instanceof List<?> of)) {
                 throw expected("an array", each, "rumors[" + rumors.size() + "]");
             }
-            Card card = new Card(text(of, 0, "name"), whole(of, 1, "life", 0, Long.MAX_VALUE - 1), text(of, 2, "zone"), text(of, 3, "build"),
+            Member card = new Member(text(of, 0, "name"), whole(of, 1, "life", 0, Long.MAX_VALUE - 1), text(of, 2, "zone"), text(of, 3, "build"),
                     text(of, 4, "settings"));
-            rumors.add(new Rumor(card, whole(of, 5, "incarnation", 0, Long.MAX_VALUE - 1),
+            rumors.add(new Update(card, whole(of, 5, "incarnation", 0, Long.MAX_VALUE - 1),
                     STANDINGS[(int) whole(of, 6, "standing", 0, STANDINGS.length - 1)], text(of, 7, "by")));
         }
         return rumors;
@@ -176,10 +176,10 @@
 
     private static String text(List<?> array, int at, String what) {
         Object item = item(array, at, what);
-        if (item instanceof String text && text.length() <= Card.TEXT_MOST) {
+        if (item instanceof String text && text.length() <= Member.TEXT_MOST) {
             return text;
         }
-        throw expected("a text of at most " + Card.TEXT_MOST + " characters", item, what);
+        throw expected("a text of at most " + Member.TEXT_MOST + " characters", item, what);
     }
 
     private static IllegalArgumentException expected(String what, Object found, String where) {
--- a/src/main/java/mastdrift/serve/AgreedService.java
+++ b/src/main/java/mastdrift/serve/AgreedService.java
@@ -22,8 +22,8 @@
 import mastdrift.config.Configuration;
 import mastdrift.events.Events;
 import mastdrift.events.Events.Level;
-import mastdrift.peers.Roster;
-import mastdrift.peers.Standing;
+import mastdrift.peers.MembershipList;
+import mastdrift.peers.MemberState;
 
 /** The agreed log in a gateway from files, and its first use: the roll, a word of each gateway now and then, by which everybody knows that the log works and who was there when. No request waits for it; without it nothing but
     the roll is missing. */
@@ -73,8 +73,8 @@
     private List<Voters.Eligible> eligible() {
         long now = System.nanoTime() / 1_000;
         List<Voters.Eligible> all = new ArrayList<>(List.of(new Voters.Eligible(name, zone(name), 0)));
-        for (Roster.Member each : peers.seen()) {
-            boolean there = each.rumor().standing() == Standing.ALIVE || each.rumor().standing() == Standing.SUSPECTED;
+        for (MembershipList.Entry each : peers.seen()) {
+            boolean there = each.rumor().standing() == MemberState.ALIVE || each.rumor().standing() == MemberState.SUSPECTED;
             all.add(new Voters.Eligible(each.rumor().card().name(), each.rumor().card().zone(), there ? 0 : Math.max(1, now - each.since())));
         }
         return all;
--- a/src/main/java/mastdrift/serve/PeerService.java
+++ b/src/main/java/mastdrift/serve/PeerService.java
@@ -36,16 +36,16 @@
 import mastdrift.events.Events.Level;
 import mastdrift.files.StatusFile;
 import mastdrift.net.Addresses;
-import mastdrift.peers.Card;
+import mastdrift.peers.Member;
 import mastdrift.peers.Digest;
-import mastdrift.peers.Roster;
-import mastdrift.peers.RosterSettings;
-import mastdrift.peers.Rumor;
-import mastdrift.peers.Standing;
-import mastdrift.peers.Word;
-import mastdrift.peers.edge.LifeFile;
+import mastdrift.peers.MembershipList;
+import mastdrift.peers.MembershipSettings;
+import mastdrift.peers.Update;
+import mastdrift.peers.MemberState;
+import mastdrift.peers.PeerMessage;
+import mastdrift.peers.edge.GenerationFile;
 import mastdrift.peers.edge.PeerLinks;
-import mastdrift.peers.edge.WordCodec;
+import mastdrift.peers.edge.PeerMessageCodec;
 
 /** The other gateways, in a gateway from files: who is there, on a thread of its own, and what they have out, for the modules. */
 final class PeerService implements AutoCloseable {
@@ -68,13 +68,13 @@
     private final StatusFile status;  // null for nowhere
     private final Function<SecretRef, byte[]> secrets;
     private final PeerLinks links;
-    private final Roster roster;
+    private final MembershipList roster;
     private final long life;
     private final Map<String, Long> saidAt = new HashMap<>();
     private Consumer<Digest> works = digest -> { };
     private volatile BiConsumer<String, byte[]> agreed = (from, message) -> { };
     private volatile Supplier<Map<String, Object>> log = () -> null;
-    private volatile List<Roster.Member> seen = List.of();
+    private volatile List<MembershipList.Entry> seen = List.of();
     private Future<?> armed;
     private long armedFor = Long.MAX_VALUE;
     private boolean changed = true;
@@ -90,8 +90,8 @@
         status = settings.statusFile() == null ? null : new StatusFile(file, settings.statusFile());
         links = new PeerLinks(loop, settings.installation(), gateway.name(), settings.connections(), new Ears());
         life = life(file);
-        Card card = new Card(gateway.name(), life, gateway.zone(), build(), fingerprint(configuration));
-        roster = new Roster(card, RosterSettings.USUAL, seed, now(), new RosterOut());
+        Member card = new Member(gateway.name(), life, gateway.zone(), build(), fingerprint(configuration));
+        roster = new MembershipList(card, MembershipSettings.USUAL, seed, now(), new RosterOut());
         loop.submit(() -> put(configuration)).syncUninterruptibly();
     }
 
@@ -101,7 +101,7 @@
             return wall;
         }
         try {
-            return new LifeFile(file.toAbsolutePath().resolveSibling(settings.folder())).next(wall);
+            return new GenerationFile(file.toAbsolutePath().resolveSibling(settings.folder())).next(wall);
         } catch (IOException e) {
             events.event(Level.WARN, "peers_folder", "the folder of peers can't be used, this start goes by its clock: " + e.getMessage());
             return wall;
@@ -182,8 +182,8 @@
     /** Tells the others. */
     void tell(Digest digest) {
         loop.execute(() -> {
-            byte[] bytes = WordCodec.bytes(digest);
-            List<Roster.Member> present = roster.members().stream().filter(each -> each.rumor().standing() == Standing.ALIVE).toList();
+            byte[] bytes = PeerMessageCodec.bytes(digest);
+            List<MembershipList.Entry> present = roster.members().stream().filter(each -> each.rumor().standing() == MemberState.ALIVE).toList();
             for (int i = 0; i < Math.min(TOLD_MOST, present.size()) && !roster.nameTaken(); i++) {
                 links.send(present.get(told++ % present.size()).rumor().card().name(), WORK, bytes);
             }
@@ -210,7 +210,7 @@
     }
 
     /** Who is there, as of a moment ago; from any thread. */
-    List<Roster.Member> seen() {
+    List<MembershipList.Entry> seen() {
         return seen;
     }
 
@@ -244,20 +244,20 @@
         }
     }
 
-    private final class RosterOut implements Roster.Out {
+    private final class RosterOut implements MembershipList.Out {
 
         @Override
-        public void send(String to, Word word) {
-            links.send(to, WORD, WordCodec.bytes(word));
+        public void send(String to, PeerMessage word) {
+            links.send(to, WORD, PeerMessageCodec.bytes(word));
         }
 
         @Override
-        public void event(Roster.Event event, Rumor of) {
+        public void event(MembershipList.Event event, Update of) {
             changed = true;
-            boolean bad = event == Roster.Event.GONE || event == Roster.Event.SUSPECTED || event == Roster.Event.NAME_TAKEN;
+            boolean bad = event == MembershipList.Event.GONE || event == MembershipList.Event.SUSPECTED || event == MembershipList.Event.NAME_TAKEN;
             String name = event.name().toLowerCase(Locale.ROOT);
             events.event(bad ? Level.WARN : Level.INFO, "peer_" + name, "gateway " + of.card().name() + " " + name.replace('_', ' ')
-                    + (event == Roster.Event.SUSPECTED || event == Roster.Event.GONE ? ", by " + of.by() : ""), "peer", of.card().name(), "zone", of.card().zone(),
+                    + (event == MembershipList.Event.SUSPECTED || event == MembershipList.Event.GONE ? ", by " + of.by() : ""), "peer", of.card().name(), "zone", of.card().zone(),
                     "life", of.card().life(), "incarnation", of.incarnation(), "by", of.by(), "mono_us", now());
             loop.execute(() -> links.life(roster.card().life()));
         }
@@ -269,10 +269,10 @@
         public void heard(String from, long life, byte kind, byte[] message) {
             try {
                 if (kind == WORD) {
-                    roster.heard(now(), from, life, WordCodec.word(message));
+                    roster.heard(now(), from, life, PeerMessageCodec.word(message));
                     arm();
                 } else if (kind == WORK) {
-                    Digest digest = WordCodec.digest(message);
+                    Digest digest = PeerMessageCodec.digest(message);
                     if (digest.name().equals(from)) {
                         works.accept(digest);
                     }
@@ -281,7 +281,7 @@
                 } else {
                     refused("peer_later", from, "a message of a kind that this build doesn't know: " + kind);
                 }
-            } catch (WordCodec.LaterVersionException e) {
+            } catch (PeerMessageCodec.LaterVersionException e) {
                 refused("peer_later", from, e.getMessage());
             } catch (IllegalArgumentException e) {
                 refused("peer_malformed", from, e.getMessage());
@@ -336,9 +336,9 @@
         all.put("name_taken", roster.nameTaken());
         all.put("health", roster.health());
         List<Map<String, Object>> members = new ArrayList<>();
-        for (Roster.Member each : roster.members()) {
+        for (MembershipList.Entry each : roster.members()) {
             Map<String, Object> member = new LinkedHashMap<>();
-            Card card = each.rumor().card();
+            Member card = each.rumor().card();
             member.put("name", card.name());
             member.put("standing", each.rumor().standing().name().toLowerCase(Locale.ROOT));
             member.put("since_ms", (now - each.since()) / 1_000);
--- a/src/test/java/mastdrift/lab/model/PeerWorldTest.java
+++ b/src/test/java/mastdrift/lab/model/PeerWorldTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import mastdrift.lab.model.PeerFault.Kind;
 import mastdrift.lab.model.PeerWorld.Plan;
-import mastdrift.peers.RosterSettings;
+import mastdrift.peers.MembershipSettings;
 import org.junit.jupiter.api.Test;
 
 /** Gateways that know of each other, by seeded schedules on a virtual clock. */
@@ -17,7 +17,7 @@
     private static final long SECOND = 1_000_000;
 
     private static Plan plan(int gateways, long seconds, PeerFault... faults) {
-        return new Plan(gateways, seconds * SECOND, 1_000, List.of(faults), RosterSettings.USUAL, 2 * SECOND, true);
+        return new Plan(gateways, seconds * SECOND, 1_000, List.of(faults), MembershipSettings.USUAL, 2 * SECOND, true);
     }
 
     /** Whatever happened, views agree with the truth a while after it is over, and who had no fault was wronged by nobody. */
--- a/src/test/java/mastdrift/peers/RumorTest.java
+++ b/src/test/java/mastdrift/peers/UpdateTest.java
@@ -11,15 +11,15 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-class RumorTest {
+class UpdateTest {
 
-    private static Rumor drawn(Random random) {
-        return new Rumor(new Card("g", random.nextInt(3), "z", "b", "s"), random.nextInt(3), Standing.values()[random.nextInt(4)], "by");
+    private static Update drawn(Random random) {
+        return new Update(new Member("g", random.nextInt(3), "z", "b", "s"), random.nextInt(3), MemberState.values()[random.nextInt(4)], "by");
     }
 
-    private static Rumor kept(List<Rumor> heard) {
-        Rumor kept = heard.get(0);
-        for (Rumor each : heard) {
+    private static Update kept(List<Update> heard) {
+        Update kept = heard.get(0);
+        for (Update each : heard) {
             kept = each.overrides(kept) ? each : kept;
         }
         return kept;
@@ -29,11 +29,11 @@
     @Property(tries = 2_000)
     void theOrderOfHearingDoesNotMatter(@ForAll long seed) {
         Random random = new Random(seed);
-        List<Rumor> heard = new ArrayList<>();
+        List<Update> heard = new ArrayList<>();
         for (int i = 0; i < 2 + random.nextInt(8); i++) {
             heard.add(drawn(random));
         }
-        Rumor kept = kept(heard);
+        Update kept = kept(heard);
         heard.add(heard.get(random.nextInt(heard.size())));
         Collections.shuffle(heard, random);
         assertEquals(kept, kept(heard));
--- a/src/test/java/mastdrift/peers/edge/PeerLinksReplyTest.java
+++ b/src/test/java/mastdrift/peers/edge/PeerLinksReplyTest.java
@@ -421,7 +421,7 @@
     private final class HandAccepts implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
         private Socket socket = new Socket();
-        private Seal session;
+        private MessageAuthenticator session;
         private byte[] heard;
 
         HandAccepts() throws IOException {
@@ -446,9 +446,9 @@
             challenge[0] = (byte) System.nanoTime();
             write(PeerLinksReplyTest.framed(new byte[] {1, 1}, challenge));
             byte[] hello = frame(socket);
-            Object said = JSON.builder(new CBORFactory()).build().anyFrom(Arrays.copyOfRange(hello, 1, hello.length - Seal.BYTES));
+            Object said = JSON.builder(new CBORFactory()).build().anyFrom(Arrays.copyOfRange(hello, 1, hello.length - MessageAuthenticator.BYTES));
             byte[] nonce = (byte[]) ((List<?>) said).get(4);
-            Seal key = new Seal(KEY);
+            MessageAuthenticator key = new MessageAuthenticator(KEY);
             write(PeerLinksReplyTest.framed(new byte[] {3}, key.sign(new byte[] {3}, challenge, nonce)));
             session = key.derived(new byte[] {'s'}, challenge, nonce);
             heard = frame(socket);
@@ -493,7 +493,7 @@
     /** Who opens, by hand, with little room for what it doesn't read. */
     private static final class HandOpens implements AutoCloseable {
         private final Socket socket = new Socket();
-        private final Seal session;
+        private final MessageAuthenticator session;
 
         HandOpens(End at) throws IOException {
             socket.setReceiveBufferSize(4_096);
@@ -502,7 +502,7 @@
             byte[] challenge = Arrays.copyOfRange(frame(socket), 2, 18);
             byte[] nonce = new byte[16];
             byte[] hello = JSON.builder(new CBORFactory()).build().asBytes(Arrays.asList("norte", "hand", 5L, "b", nonce));
-            Seal key = new Seal(KEY);
+            MessageAuthenticator key = new MessageAuthenticator(KEY);
             write((byte) 2, hello, key.sign(new byte[] {2}, challenge, hello));
             assertEquals(3, frame(socket)[0]);
             session = key.derived(new byte[] {'s'}, challenge, nonce);
--- a/src/test/java/mastdrift/peers/edge/PeerLinksTest.java
+++ b/src/test/java/mastdrift/peers/edge/PeerLinksTest.java
@@ -224,7 +224,7 @@
         private final Socket socket = new Socket();
         private final OutputStream out;
         private final DataInputStream in;
-        private final Seal session;
+        private final MessageAuthenticator session;
 
         Hand(End at) throws IOException {
             socket.connect(at.links.address());
@@ -235,7 +235,7 @@
             byte[] nonce = new byte[16];
             byte[] hello = com.fasterxml.jackson.jr.ob.JSON.builder(new com.fasterxml.jackson.dataformat.cbor.CBORFactory()).build()
                     .asBytes(Arrays.asList("norte", "hand", 5L, "b", nonce));
-            Seal key = new Seal(KEY);
+            MessageAuthenticator key = new MessageAuthenticator(KEY);
             write((byte) 2, hello, key.sign(new byte[] {2}, challenge, hello));
             assertEquals(3, frame()[0]);
             session = key.derived(new byte[] {'s'}, challenge, nonce);
