--- a/src/main/java/mastdrift/agreed/Decisions.java
+++ b/src/main/java/mastdrift/agreed/Decisions.java
@@ -9,8 +9,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mastdrift.agreed.AgreedLog.Decision;
 import mastdrift.agreed.AgreedLog.AppendOutcome;
+import mastdrift.agreed.AgreedLog.Decision;
 
 /**
  * What every member keeps of the log: which ids are in or can't come in any more, and the last decisions for those who follow. The same entries in the same order give the same state, whoever applies them and however often he
--- a/src/main/java/mastdrift/cli/PeersCommand.java
+++ b/src/main/java/mastdrift/cli/PeersCommand.java
@@ -81,7 +81,7 @@
         List<?> members = status.get("members") instanceof List<?> list ? list : List.of();
         out.printf("%-20s %-12s %-10s %10s %10s %-18s %-12s %-8s %s%n", "gateway", "zone", "standing", "since", "heard", "life", "build", "roll",
                 "what differs");
-        Map<?, ?> rolls = status.get("log") instanceof Map<?, ?> log && log.get("rolls") instanceof Map<?, ?> words ? words : Map.of();
+        Map<?, ?> rolls = status.get("log") instanceof Map<?, ?> log && log.get("rolls") instanceof Map<?, ?> found ? found : Map.of();
         for (Object each : members) {
             if (each instanceof Map<?, ?> member) {
                 String differs = (status.get("settings").equals(member.get("settings")) ? "" : "settings " + member.get("settings") + " ")
--- a/src/main/java/mastdrift/lab/model/PeerFault.java
+++ b/src/main/java/mastdrift/lab/model/PeerFault.java
@@ -21,11 +21,11 @@
     public enum Kind {
         /** Nothing passes between two sides. */
         CUT,
-        /** Nothing of one's words arrives at the other, or at all. */
+        /** None of one's messages arrives at the other, or at all. */
         ONE_WAY,
-        /** A share of all words is lost. */
+        /** A share of all messages is lost. */
         LOSS,
-        /** All words take longer, each by its own draw: they overtake each other. */
+        /** All messages take longer, each by its own draw: they overtake each other. */
         DELAY,
         /** The process stands still, and goes on. */
         PAUSE,
--- a/src/main/java/mastdrift/lab/model/PeerRun.java
+++ b/src/main/java/mastdrift/lab/model/PeerRun.java
@@ -9,8 +9,8 @@
  * @param wronged of those, times at which the gateway had no fault of its own and none with the one who gave it up
  * @param deaths for each killed gateway and each other that was up and well meanwhile, microseconds until that one knew; -1 for never before it was back
  * @param apart what views still differ from the truth at the end, a line each
- * @param words said in all
- * @param rumors in them
+ * @param messages sent in all
+ * @param updates in them
  * @param events of the run, if they were wanted: a line each
  */
-public record PeerRun(int falseDeaths, int wronged, List<Long> deaths, List<String> apart, long words, long rumors, List<String> events) { }
+public record PeerRun(int falseDeaths, int wronged, List<Long> deaths, List<String> apart, long messages, long updates, List<String> events) { }
--- a/src/main/java/mastdrift/lab/model/PeerWorld.java
+++ b/src/main/java/mastdrift/lab/model/PeerWorld.java
@@ -13,18 +13,18 @@
 import mastdrift.lab.draw.Streams;
 import mastdrift.lab.model.PeerFault.Kind;
 import mastdrift.peers.Member;
+import mastdrift.peers.MemberState;
 import mastdrift.peers.MembershipList;
 import mastdrift.peers.MembershipSettings;
-import mastdrift.peers.Update;
-import mastdrift.peers.MemberState;
 import mastdrift.peers.PeerMessage;
+import mastdrift.peers.Update;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** Gateways that know of each other, each the program's own {@link MembershipList}, with a network and processes that fail between them. On a virtual clock: a
     minute of five gateways takes some milliseconds. One seed is one run, whatever the machine. */
 public final class PeerWorld {
 
-    private static final long HANDLING = 50;  // of a word, in a process that has its core
+    private static final long HANDLING = 50;  // of a message, in a process that has its core
     private static final long SLICE = 100_000;  // a starved process runs in pieces of such a period
     private static final int INBOX_MOST = 20_000;
     private static final int EVENTS_MOST = 20_000;
@@ -36,9 +36,9 @@
      *
      * @param gateways how many, from 1
      * @param micros how long
-     * @param delay of a word, mean in microseconds
+     * @param delay of a message, mean in microseconds
      * @param faults what goes wrong
-     * @param settings of all rosters
+     * @param settings of all membership lists
      * @param startSpread starts are spread over so many microseconds
      * @param talk whether events are wanted, for a person
      */
@@ -50,15 +50,15 @@
         }
     }
 
-    private record Letter(int from, long life, PeerMessage word) { }
+    private record Envelope(int from, long generation, PeerMessage message) { }
 
-    /** A process of a gateway, in its lives. */
+    /** A gateway, a process in each of its generations. */
     private final class Gateway {
         private final int number;
-        private final Queue<Letter> inbox = new ArrayDeque<>();
-        private MembershipList roster;  // null while it is down
-        private long life;
-        private long kept;  // the life that its folder holds
+        private final Queue<Envelope> inbox = new ArrayDeque<>();
+        private MembershipList membership;  // null while it is down
+        private long generation;
+        private long kept;  // the generation that its folder holds
         private long downSince = Long.MIN_VALUE;
         private long free;  // when the process is done with what it has begun
         private Timers.Timer armed;
@@ -71,14 +71,14 @@
         void start(boolean folder) {
             long wall = VirtualTime.BEGIN + now() + (long) plan.faults.stream().filter(f -> f.kind() == Kind.CLOCK && f.one() == number && f.at(now()))
                     .mapToDouble(PeerFault::amount).sum();
-            life = folder ? Math.max(wall, kept + 1) : wall;
-            kept = life;
+            generation = folder ? Math.max(wall, kept + 1) : wall;
+            kept = generation;
             inbox.clear();
-            roster = new MembershipList(new Member(name(number), life, "zone-" + number % 2, "1", "s"), plan.settings,
-                    streams.number(name(number) + "-" + starts++), now(), new MembershipList.Out() {
+            membership = new MembershipList(new Member(name(number), generation, "zone-" + number % 2, "1", "s"), plan.settings,
+                    streams.number(name(number) + "-" + starts++), now(), new MembershipList.Actions() {
                         @Override
-                        public void send(String to, PeerMessage word) {
-                            PeerWorld.this.send(number, life, number(to), word);
+                        public void send(String to, PeerMessage message) {
+                            PeerWorld.this.send(number, generation, number(to), message);
                         }
 
                         @Override
@@ -86,19 +86,19 @@
                             happened(Gateway.this, event, of);
                         }
                     });
-            roster.named(IntStream.range(0, plan.gateways).mapToObj(PeerWorld::name).toList());
-            life = roster.card().life();
+            membership.configured(IntStream.range(0, plan.gateways).mapToObj(PeerWorld::name).toList());
+            generation = membership.self().generation();
             downSince = Long.MIN_VALUE;
             free = now();
             wake();
         }
 
         void stop(boolean says) {
-            if (roster != null) {
+            if (membership != null) {
                 if (says) {
-                    roster.leave();
+                    membership.leave();
                 }
-                roster = null;
+                membership = null;
                 downSince = now();
                 inbox.clear();
             }
@@ -125,12 +125,12 @@
             return when;
         }
 
-        /** Has it look at its words and its time as soon as it may. */
+        /** Has it look at its messages and its time as soon as it may. */
         void wake() {
-            if (roster == null) {
+            if (membership == null) {
                 return;
             }
-            long next = runs(Math.max(inbox.isEmpty() ? Math.max(now(), roster.dueAt()) : now(), free));
+            long next = runs(Math.max(inbox.isEmpty() ? Math.max(now(), membership.dueAt()) : now(), free));
             if (next != armedFor) {
                 if (armed != null) {
                     armed.cancel();
@@ -138,7 +138,7 @@
                 armedFor = next;
                 armed = time.after(next - now(), () -> {
                     armedFor = -1;
-                    if (roster != null) {
+                    if (membership != null) {
                         run();
                         wake();
                     }
@@ -147,20 +147,20 @@
         }
 
         private void run() {
-            Letter letter = now() >= roster.dueAt() ? null : inbox.poll();
+            Envelope envelope = now() >= membership.dueAt() ? null : inbox.poll();
             free = now() + HANDLING;
-            if (letter != null) {
-                roster.heard(now(), name(letter.from), letter.life, letter.word);
+            if (envelope != null) {
+                membership.received(now(), name(envelope.from), envelope.generation, envelope.message);
             } else {
-                roster.tick(now());
+                membership.tick(now());
             }
-            life = roster.card().life();
-            kept = Math.max(kept, life);
+            generation = membership.self().generation();
+            kept = Math.max(kept, generation);
         }
 
-        void arrives(Letter letter) {
-            if (roster != null && inbox.size() < INBOX_MOST) {
-                inbox.add(letter);
+        void arrives(Envelope envelope) {
+            if (membership != null && inbox.size() < INBOX_MOST) {
+                inbox.add(envelope);
                 wake();
             }
         }
@@ -177,8 +177,8 @@
     private int starts;
     private int falseDeaths;
     private int wronged;
-    private long words;
-    private long rumors;
+    private long messages;
+    private long updates;
 
     private PeerWorld(Plan plan, long seed) {
         this.plan = plan;
@@ -209,7 +209,7 @@
             Gateway gateway = new Gateway(i);
             gateways.add(gateway);
             time.after((long) (spread.nextDouble() * plan.startSpread), () -> {
-                if (gateway.roster == null && gateway.downSince == Long.MIN_VALUE) {
+                if (gateway.membership == null && gateway.downSince == Long.MIN_VALUE) {
                     gateway.start(false);
                 }
             });
@@ -221,20 +221,20 @@
             }
         }
         time.run(VirtualTime.BEGIN + plan.micros);
-        return new PeerRun(falseDeaths, wronged, deaths, apart(), words, rumors, events);
+        return new PeerRun(falseDeaths, wronged, deaths, apart(), messages, updates, events);
     }
 
     private void down(PeerFault fault) {
         Gateway gateway = gateways.get(fault.one());
-        if (gateway.roster == null) {
+        if (gateway.membership == null) {
             return;
         }
         gateway.stop(fault.kind() == Kind.LEAVE);
         if (fault.kind() != Kind.LEAVE) {
             Set<Integer> others = new HashSet<>();
             gateways.forEach(other -> {
-                MembershipList.Entry seen = other.roster == null ? null : other.roster.member(name(fault.one()));
-                if (seen != null && seen.rumor().standing() == MemberState.ALIVE) {
+                MembershipList.Entry seen = other.membership == null ? null : other.membership.entry(name(fault.one()));
+                if (seen != null && seen.update().state() == MemberState.ALIVE) {
                     others.add(other.number);
                 }
             });
@@ -244,11 +244,11 @@
 
     private void up(PeerFault fault) {
         Gateway gateway = gateways.get(fault.one());
-        if (gateway.roster == null) {
+        if (gateway.membership == null) {
             Set<Integer> missed = unknown.remove(fault.one());
             if (missed != null) {
                 missed.forEach(other -> {
-                    if (well(other, gateway.downSince, now()) && gateways.get(other).roster != null) {
+                    if (well(other, gateway.downSince, now()) && gateways.get(other).membership != null) {
                         deaths.add(-1L);
                     }
                 });
@@ -257,9 +257,9 @@
         }
     }
 
-    private void send(int from, long life, int to, PeerMessage word) {
-        words++;
-        rumors += word.rumors().size();
+    private void send(int from, long generation, int to, PeerMessage message) {
+        messages++;
+        updates += message.updates().size();
         long delay = (long) (-plan.delay * Math.log(1 - network.nextDouble()));
         double loss = 0;
         long now = now();
@@ -276,26 +276,26 @@
             }
         }
         if (network.nextDouble() >= loss) {
-            time.after(delay, () -> gateways.get(to).arrives(new Letter(from, life, word)));
+            time.after(delay, () -> gateways.get(to).arrives(new Envelope(from, generation, message)));
         }
     }
 
     private void happened(Gateway at, MembershipList.Event event, Update of) {
         if (plan.talk && events.size() < EVENTS_MOST) {
-            events.add(now() / 1000 + " ms " + name(at.number) + ": " + event + " " + of.card().name() + " life " + of.card().life() % 1_000_000_000L
+            events.add(now() / 1000 + " ms " + name(at.number) + ": " + event + " " + of.member().name() + " generation " + of.member().generation() % 1_000_000_000L
                     + " incarnation " + of.incarnation() + " by " + of.by());
         }
         if (event != MembershipList.Event.GONE) {
             return;
         }
-        int subject = number(of.card().name());
+        int subject = number(of.member().name());
         Gateway gone = gateways.get(subject);
         Set<Integer> waiting = unknown.get(subject);
-        if (gone.roster == null) {
+        if (gone.membership == null) {
             if (waiting != null && waiting.remove(at.number) && well(at.number, gone.downSince, now())) {
                 deaths.add(now() - gone.downSince);
             }
-        } else if (gone.life == of.card().life() && of.by().equals(name(at.number))) {
+        } else if (gone.generation == of.member().generation() && of.by().equals(name(at.number))) {
             falseDeaths++;
             if (well(subject, now() - AFTER, now()) && well(at.number, now() - AFTER, now())) {
                 wronged++;
@@ -323,18 +323,18 @@
     private List<String> apart() {
         List<String> apart = new ArrayList<>();
         for (Gateway at : gateways) {
-            if (at.roster == null) {
+            if (at.membership == null) {
                 continue;
             }
-            if (at.roster.nameTaken()) {
+            if (at.membership.nameTaken()) {
                 apart.add(name(at.number) + " takes its name for taken");
             }
             for (Gateway of : gateways) {
-                MembershipList.Entry seen = of == at ? null : at.roster.member(name(of.number));
-                boolean alive = seen != null && seen.rumor().standing() == MemberState.ALIVE;
-                if (of == at || of.roster == null ? alive : !alive || seen.rumor().card().life() != of.life) {
-                    apart.add(name(at.number) + " sees " + (seen == null ? "nothing" : seen.rumor()) + " of " + name(of.number) + ", which is "
-                            + (of.roster == null ? "down" : "up in life " + of.life));
+                MembershipList.Entry seen = of == at ? null : at.membership.entry(name(of.number));
+                boolean alive = seen != null && seen.update().state() == MemberState.ALIVE;
+                if (of == at || of.membership == null ? alive : !alive || seen.update().member().generation() != of.generation) {
+                    apart.add(name(at.number) + " sees " + (seen == null ? "nothing" : seen.update()) + " of " + name(of.number) + ", which is "
+                            + (of.membership == null ? "down" : "up in generation " + of.generation));
                 }
             }
         }
--- a/src/main/java/mastdrift/lab/model/World.java
+++ b/src/main/java/mastdrift/lab/model/World.java
@@ -170,7 +170,7 @@
         }
         Map<String, Integer> out = new HashMap<>();
         digest.out().forEach((uid, count) -> out.put(uid, lying ? LIE * count : count));
-        Digest told = new Digest(digest.name(), digest.life(), digest.sequence(), out, lying ? LIE * digest.total() : digest.total());
+        Digest told = new Digest(digest.name(), digest.generation(), digest.sequence(), out, lying ? LIE * digest.total() : digest.total());
         time.after(scenario.peers().delay(), () -> gateways.forEach(other -> {
             if (other != gateway && telling.nextDouble() >= scenario.peers().loss()) {
                 other.heard(told);
--- a/src/main/java/mastdrift/lab/rig/Judge.java
+++ b/src/main/java/mastdrift/lab/rig/Judge.java
@@ -161,7 +161,7 @@
         }
     }
 
-    /** The agreed log: one decision an index and one index a decision, whoever reads; in rising order in each life; what was said to be in is read there by all who read on, and what was said to be out by nobody. */
+    /** The agreed log: one decision an index and one index a decision, whoever reads; in rising order in each start; what was said to be in is read there by all who read on, and what was said to be out by nobody. */
     private void agreed(List<Line> lines) {
         Map<Long, String> ids = new HashMap<>();
         Map<String, Long> indexes = new HashMap<>();
--- a/src/main/java/mastdrift/lab/rig/RigGateway.java
+++ b/src/main/java/mastdrift/lab/rig/RigGateway.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** A gateway of the rig, in its lives: a process that serves by a file in a folder of its own, on an address of its own. Every line of its log that is an event goes into the history. */
+/** A gateway of the rig, in its starts: a process that serves by a file in a folder of its own, on an address of its own. Every line of its log that is an event goes into the history. */
 final class RigGateway {
 
     /** Ports on its address. */
--- a/src/main/java/mastdrift/lab/rig/Signals.java
+++ b/src/main/java/mastdrift/lab/rig/Signals.java
@@ -16,34 +16,34 @@
     private static final long END_SECONDS = 5;
 
     private final Process shell;
-    private final PrintStream words;
+    private final PrintStream commands;
 
     /** Starts the shell. */
     public Signals() throws IOException {
         shell = new ProcessBuilder("/bin/sh", "-c", SCRIPT).redirectOutput(ProcessBuilder.Redirect.DISCARD).redirectError(ProcessBuilder.Redirect.DISCARD).start();
-        words = new PrintStream(shell.getOutputStream(), true, StandardCharsets.US_ASCII);
+        commands = new PrintStream(shell.getOutputStream(), true, StandardCharsets.US_ASCII);
     }
 
     /** The process is killed when this ends, until it is let go. */
     public void add(Process process) {
-        words.println("add " + process.pid());
+        commands.println("add " + process.pid());
     }
 
     /** It has ended: its number may be another's soon. */
     public void letGo(Process process) {
-        words.println("del " + process.pid());
+        commands.println("del " + process.pid());
     }
 
     /** Sends STOP, CONT, TERM or KILL to one that was added. */
     public void send(String signal, Process process) {
         if (process.isAlive()) {
-            words.println(signal + " " + process.pid());
+            commands.println(signal + " " + process.pid());
         }
     }
 
     @Override
     public void close() {
-        words.close();
+        commands.close();
         try {
             shell.waitFor(END_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
--- a/src/main/java/mastdrift/lab/scale/Member.java
+++ b/src/main/java/mastdrift/lab/scale/Member.java
@@ -16,7 +16,7 @@
 import mastdrift.peers.edge.PeerLinks;
 
 /** A hollow gateway: the program's own links, codec and subscriber, and nothing else; what comes is in force as soon as it is there. On the loop's thread alone, the beginning too. */
-final class Member implements PeerLinks.Ears, Wires, AutoCloseable {
+final class Member implements PeerLinks.Listener, Wires, AutoCloseable {
 
     private static final byte CONFIG = 4;  // of messages on links
     private static final int MACHINES = 64;
@@ -37,7 +37,7 @@
         table = have;
         links = new PeerLinks(loop, Layout.INSTALLATION, name, MACHINES, this);
         links.keys(List.of(Layout.KEY.getBytes(StandardCharsets.UTF_8)));
-        links.life(System.nanoTime());
+        links.generation(System.nanoTime());
         links.addresses(this.above);
         subscription = new Subscription(loop, this, name, zone, have, SubscriberSettings.USUAL, seed, (level, event, text, fields) -> System.err.println(name + ": " + event + ": " + text),
                 this::take);
@@ -61,14 +61,14 @@
     }
 
     @Override
-    public void heard(String from, long life, byte kind, byte[] message) {
+    public void received(String from, long generation, byte kind, byte[] message) {
         if (kind == CONFIG) {
             subscription.heard(from, message);
         }
     }
 
     @Override
-    public void ended(String to) {
+    public void outboundClosed(String to) {
         subscription.ended(to);
     }
 
--- a/src/main/java/mastdrift/measure/AgreedMeasurement.java
+++ b/src/main/java/mastdrift/measure/AgreedMeasurement.java
@@ -21,7 +21,7 @@
 import mastdrift.agreed.edge.Transport;
 
 /** The agreed log of some members in one process: threads and heap while it is idle, the time from an append to its being known, with fsync, and all members' processor time for
-    one. Words: a folder (a disk's, or memory's), appends (200), members (3; 5 and 7 are allowed, too). */
+    one. Arguments: a folder (a disk's, or memory's), appends (200), members (3; 5 and 7 are allowed, too). */
 public final class AgreedMeasurement {
 
     private static final long WAIT_SECONDS = 60;
--- a/src/main/java/mastdrift/measure/MembershipMeasurement.java
+++ b/src/main/java/mastdrift/measure/MembershipMeasurement.java
@@ -12,13 +12,13 @@
 import mastdrift.lab.model.PeerWorld;
 import mastdrift.lab.model.PeerWorld.Plan;
 import mastdrift.peers.Member;
-import mastdrift.peers.MembershipSettings;
-import mastdrift.peers.Update;
 import mastdrift.peers.MemberState;
+import mastdrift.peers.MembershipSettings;
 import mastdrift.peers.PeerMessage;
+import mastdrift.peers.Update;
 import mastdrift.peers.edge.PeerMessageCodec;
 
-/** What membership costs and how soon it knows, among 100 and 1,000 gateways, by the model. Words: seeds of each figure (3), and sizes (then only what each costs there). */
+/** What membership costs and how soon it knows, among 100 and 1,000 gateways, by the model. Arguments: seeds of each figure (3), and sizes (then only what each costs there). */
 public final class MembershipMeasurement {
 
     private static final long SECOND = 1_000_000;
@@ -33,9 +33,9 @@
     /** Prints lines of a table. */
     public static void main(String[] args) {
         int seeds = args.length > 0 ? Integer.parseInt(args[0]) : 3;
-        Update rumor = new Update(new Member("gateway-bilbao-17", 1_767_225_600_000_000L, "bilbao", "0.1.0", "0123456789ab"), 3, MemberState.ALIVE, "gateway-bilbao-17");
+        Update update = new Update(new Member("gateway-bilbao-17", 1_767_225_600_000_000L, "bilbao", "0.1.0", "0123456789ab"), 3, MemberState.ALIVE, "gateway-bilbao-17");
         double empty = PeerMessageCodec.bytes(new PeerMessage.Ping(1_000_000, List.of())).length + FRAME;
-        double each = PeerMessageCodec.bytes(new PeerMessage.Ping(1_000_000, List.of(rumor))).length + FRAME - empty;
+        double each = PeerMessageCodec.bytes(new PeerMessage.Ping(1_000_000, List.of(update))).length + FRAME - empty;
         int[] sizes = args.length > 1 ? Arrays.stream(args).skip(1).mapToInt(Integer::parseInt).toArray() : new int[] {100, 1_000};
         for (int gateways : sizes) {
             for (long seed = 1; seed <= seeds; seed++) {
@@ -44,10 +44,10 @@
                 long began = own.getCurrentThreadCpuTime();
                 PeerRun run = play(gateways, 60, 2 * SECOND, seed);
                 double micros = (own.getCurrentThreadCpuTime() - began) / 1e3;
-                double words = (run.words() - begin.words()) / 30.0 / gateways;
-                double rumors = (run.rumors() - begin.rumors()) / 30.0 / gateways;
-                System.out.printf(Locale.ROOT, "%d gateways, seed %d: %.1f words a second each, %.0f bytes a second each, %.0f us of the model's processor time a second each%n", gateways, seed,
-                        words, words * empty + rumors * each, micros / 60 / gateways);
+                double messages = (run.messages() - begin.messages()) / 30.0 / gateways;
+                double updates = (run.updates() - begin.updates()) / 30.0 / gateways;
+                System.out.printf(Locale.ROOT, "%d gateways, seed %d: %.1f messages a second each, %.0f bytes a second each, %.0f us of the model's processor time a second each%n", gateways, seed,
+                        messages, messages * empty + updates * each, micros / 60 / gateways);
             }
             if (args.length < 2) {
                 deaths(gateways, seeds);
--- a/src/main/java/mastdrift/peers/MembershipList.java
+++ b/src/main/java/mastdrift/peers/MembershipList.java
@@ -18,20 +18,20 @@
  * with Lifeguard's local health, suspicions and buddies (Dadgar, Phillips, Currey, "Lifeguard: Local health awareness for more accurate failure
  * detection", 2018).
  *
- * <p>Once an interval it asks one other, each in its turn, and has some more ask where the answer is late. Who gives none is suspected, and gone if it
- * doesn't contradict in time. Costs one question an interval, however many there are; news goes along with what is said anyway.
+ * <p>Once an interval it probes one other member, each in its turn, and has some more probe it where the ack is late. Who gives none is suspected, and faulty if it
+ * doesn't refute that in time. Costs one probe an interval, however many there are; updates are piggybacked on what is sent anyway.
  *
- * <p>A gateway that is starved or was stopped doubts itself first. It asks less often and waits longer the worse it does (local health, 0 to
+ * <p>A gateway that is starved or was stopped doubts itself first. It probes less often and waits longer the worse it does (local health, 0 to
  * {@value #HEALTH_MOST}). And time in which it did not run at all is not held against anybody: whoever comes later than it wanted to moves all that it
  * waits for by as much, since answers may be lying unread.
  *
- * <p>Beyond the papers: what it believes is exchanged whole now and then; who is gone is tried again and again, or two halves that were cut apart would
+ * <p>Beyond the papers: what it believes is exchanged whole now and then (anti-entropy); who is faulty is tried again and again, or two halves that were cut apart would
  * never meet; and what wins is one total order ({@link Update}).
  *
- * <p>A start with a life below one that its peers remember, because a clock was set back and the folder lost, takes a larger one as soon as that life is
- * gone. Where it goes on answering, the name is taken: this gateway says so and says nothing else to its peers. Of two with one name the later wins.
+ * <p>A start with a generation below one that its peers remember, because a clock was set back and the folder lost, takes a larger one as soon as that generation is
+ * faulty. Where it goes on answering, the name is taken: this gateway says so and says nothing else to its peers. Of two with one name the later wins.
  *
- * <p>Bounded: {@value #GATEWAYS_MOST} gateways, {@link PeerMessage#RUMORS_MOST} rumors a word, {@value #PENDING_MOST} questions asked for others. No I/O, no thread, no clock; not safe
+ * <p>Bounded: {@value #GATEWAYS_MOST} gateways, {@link PeerMessage#UPDATES_MOST} updates a message, {@value #PROBES_MOST} probes for others. No I/O, no thread, no clock; not safe
  * for use by several threads. Times are microseconds of one clock that doesn't run back.
  */
 public final class MembershipList {
@@ -40,17 +40,17 @@
     public static final int GATEWAYS_MOST = 2_000;
     /** Local health: 0 is well. */
     public static final int HEALTH_MOST = 8;
-    /** Questions that it asks for others at a time. */
-    public static final int PENDING_MOST = 256;
+    /** Probes at a time beyond which it makes none for others. */
+    public static final int PROBES_MOST = 256;
     private static final int SEEN_MOST = 64;  // those who suspect the same one, as far as they count
-    private static final int TOLD_TIMES = 4;  // the lambda of SWIM, section 4.1
+    private static final int RETRANSMIT_FACTOR = 4;  // the lambda of SWIM, section 4.1
     private static final long JOIN_EVERY = 500_000;
-    private static final double NACK_PART = 0.8;  // of the time of a question for another, then it is told that there is no answer yet
+    private static final double NACK_PART = 0.8;  // of the time of a probe for another, then that one is told that there is no ack yet
 
     /** What it wants done. Called in the middle of an event: what it leads to comes as another. */
-    public interface Out {
-        /** A word to a gateway; whether it arrives is not known. */
-        void send(String to, PeerMessage word);
+    public interface Actions {
+        /** A message to a gateway; whether it arrives is not known. */
+        void send(String to, PeerMessage message);
 
         /** Something happened to a gateway. */
         void event(Event event, Update of);
@@ -60,7 +60,7 @@
     public enum Event {
         /** It is there and was not before. */
         JOINED,
-        /** It started anew; the life before is over. */
+        /** It started anew; the generation before is over. */
         RESTARTED,
         /** Somebody has no answer from it. */
         SUSPECTED,
@@ -68,7 +68,7 @@
         REFUTED,
         /** It did not contradict in time. */
         GONE,
-        /** It is there again, in the life that was called gone. */
+        /** It is there again, in the generation that was called gone. */
         RETURNED,
         /** It said that it ends. */
         LEFT,
@@ -79,81 +79,81 @@
     }
 
     /**
-     * A gateway as this one sees it.
+     * A gateway as this one sees it: an entry of the list.
      *
-     * @param rumor what is believed
+     * @param update what is believed
      * @param since when that began, by the own clock
      * @param heardAt when it last said something to this one; 0 for never
      */
-    public record Entry(Update rumor, long since, long heardAt) { }
+    public record Entry(Update update, long since, long heardAt) { }
 
-    private static final class Known {
-        private Update rumor;
+    private static final class Tracked {
+        private Update update;
         private long since;
         private long heardAt;
         private long suspectedAt;
         private final Set<String> suspectedBy = new LinkedHashSet<>();
-        private int told = Integer.MAX_VALUE;  // how often; that many when there is nothing to tell
+        private int transmissions = Integer.MAX_VALUE;  // of this update; that many when there is nothing to tell
     }
 
-    /** A question to another, or one for another. */
-    private static final class Pending {
+    /** A probe of another member, or one on behalf of another. */
+    private static final class Probe {
         private final String target;
-        private final String asker;  // null for one of its own
-        private final long number;  // of the asker
+        private final String requester;  // null for one of its own
+        private final long sequence;  // of the requester
         private long due;  // the next step is due
         private long over;
         private int asked;
         private final Set<String> nacks = new HashSet<>();
-        private boolean passedOn;  // to others; or back, that there is no answer yet
+        private boolean passedOn;  // to others; or back, that there is no ack yet
 
-        Pending(String target, String asker, long number, long due, long over) {
+        Probe(String target, String requester, long sequence, long due, long over) {
             this.target = target;
-            this.asker = asker;
-            this.number = number;
+            this.requester = requester;
+            this.sequence = sequence;
             this.due = due;
             this.over = over;
         }
     }
 
     private final MembershipSettings settings;
-    private final Out out;
+    private final Actions actions;
     private final Random random;
-    private final Map<String, Known> known = new TreeMap<>();
-    private final Set<String> named = new LinkedHashSet<>();
-    private final Map<Long, Pending> pending = new HashMap<>();
-    private final List<String> round = new ArrayList<>();
-    private Member card;
+    private final Map<String, Tracked> known = new TreeMap<>();
+    private final Set<String> configured = new LinkedHashSet<>();
+    private final Map<Long, Probe> probes = new HashMap<>();
+    private final List<String> probeOrder = new ArrayList<>();
+    private Member self;
     private long incarnation;
     private boolean taken;
     private boolean leaving;
     private long takenBy;
     private boolean joined;
-    private long numbers;
+    private long lastSequence;
     private int health;
-    private long askAt;
+    private long probeAt;
     private long syncAt;
-    private long reachAt;
+    private long reconnectAt;
     private long wanted;  // when it wanted to be called at the latest
 
-    /** Of a gateway in one life; {@code seed} is for whom it asks. {@link #tick} comes first, and again by {@link #dueAt}. */
-    public MembershipList(Member card, MembershipSettings settings, long seed, long now, Out out) {
-        this.card = card;
+    /** Of a gateway in one generation; {@code seed} is for whom it probes. {@link #tick} comes first, and again by {@link #dueAt}. */
+    public MembershipList(Member self, MembershipSettings settings, long seed, long now, Actions actions) {
+        this.self = self;
         this.settings = settings;
-        this.out = out;
+        this.actions = actions;
         random = new Random(seed);
-        askAt = now;
+        probeAt = now;
         syncAt = now + settings.sync();
-        reachAt = now;
+        reconnectAt = now;
         wanted = now;
-        numbers = random.nextInt(1 << 20);
+        lastSequence = random.nextInt(1 << 20);
     }
 
     // ---- what is known
 
     /** What it says of itself. */
-    public Member card() {
-        return card;
+    public Member self() {
+        return self;
     }
 
     /** Whether another has its name: it says nothing to its peers then. */
@@ -167,40 +167,40 @@
     }
 
     /** All gateways that it knows of but itself, by name. */
-    public List<Entry> members() {
-        return known.values().stream().map(each -> new Entry(each.rumor, each.since, each.heardAt)).toList();
+    public List<Entry> entries() {
+        return known.values().stream().map(each -> new Entry(each.update, each.since, each.heardAt)).toList();
     }
 
     /** What it believes of one; null where it knows none of that name. */
-    public Entry member(String name) {
-        Known of = known.get(name);
-        return of == null ? null : new Entry(of.rumor, of.since, of.heardAt);
+    public Entry entry(String name) {
+        Tracked of = known.get(name);
+        return of == null ? null : new Entry(of.update, of.since, of.heardAt);
     }
 
     /** Gateways that it takes for there, suspected ones among them, and itself. */
     public int present() {
         int present = 1;
-        for (Known each : known.values()) {
+        for (Tracked each : known.values()) {
             present += present(each) ? 1 : 0;
         }
         return present;
     }
 
-    private static boolean present(Known of) {
-        return of.rumor.standing() == MemberState.ALIVE || of.rumor.standing() == MemberState.SUSPECTED;
+    private static boolean present(Tracked of) {
+        return of.update.state() == MemberState.ALIVE || of.update.state() == MemberState.SUSPECT;
     }
 
     // ---- events
 
     /** Names that the operator's file has, whether they are there or not; replaces those before. */
-    public void named(Collection<String> names) {
-        named.clear();
-        names.stream().filter(name -> !name.equals(card.name())).limit(GATEWAYS_MOST).forEach(named::add);
+    public void configured(Collection<String> names) {
+        configured.clear();
+        names.stream().filter(name -> !name.equals(self.name())).limit(GATEWAYS_MOST).forEach(configured::add);
     }
 
     /** Its own fingerprint has changed, or its build's name. */
     public void changed(String build, String fingerprint) {
-        card = new Member(card.name(), card.life(), card.zone(), build, fingerprint);
+        self = new Member(self.name(), self.generation(), self.zone(), build, fingerprint);
         incarnation++;
     }
 
@@ -212,38 +212,38 @@
     /** Time has passed. */
     public void tick(long now) {
         stopped(now);
-        questions(now);
-        suspicions(now);
+        checkProbes(now);
+        checkSuspicions(now);
         if (!leaving) {
-            reach(now);
+            reconnect(now);
             if (now >= syncAt) {
                 syncAt = now + settings.sync();
-                String other = anyPresent(Set.of());
+                String other = randomPresent(Set.of());
                 if (other != null) {
-                    say(other, new PeerMessage.Sync(true, all()));
+                    send(other, new PeerMessage.Sync(true, all()));
                 }
             }
-            if (now >= askAt) {
-                ask(now);
+            if (now >= probeAt) {
+                probe(now);
             }
         }
         forget(now);
         wants(now);
     }
 
-    /** A word has come from a gateway, in one of its lives; that it is that gateway has been checked. */
-    public void heard(long now, String from, long life, PeerMessage word) {
+    /** A message has come from a gateway, in one of its generations; that it is that gateway has been checked. */
+    public void received(long now, String from, long generation, PeerMessage message) {
         stopped(now);
-        if (!from.equals(card.name())) {
-            for (Update rumor : word.rumors()) {
-                learn(now, rumor);
+        if (!from.equals(self.name())) {
+            for (Update update : message.updates()) {
+                apply(now, update);
             }
-            Known sender = known.get(from);
-            if (sender != null && sender.rumor.card().life() == life) {
+            Tracked sender = known.get(from);
+            if (sender != null && sender.update.member().generation() == generation) {
                 sender.heardAt = now;
             }
             if (!leaving) {
-                answer(now, from, life, word);
+                handle(now, from, generation, message);
             }
         }
         wants(now);
@@ -252,10 +252,10 @@
     /** It ends: says so to those that are there, or to some of them where they are many, and answers nobody any more. */
     public void leave() {
         leaving = true;
-        List<Update> last = List.of(new Update(card, incarnation, MemberState.LEFT, card.name()));
+        List<Update> last = List.of(new Update(self, incarnation, MemberState.LEFT, self.name()));
         List<String> others = new ArrayList<>(known.keySet().stream().filter(name -> present(known.get(name))).toList());
         Collections.shuffle(others, random);
-        others.stream().limit(PeerMessage.RUMORS_MOST * 4L).forEach(name -> say(name, new PeerMessage.Sync(false, last)));
+        others.stream().limit(PeerMessage.UPDATES_MOST * 4L).forEach(name -> send(name, new PeerMessage.Sync(false, last)));
     }
 
     /** It came later than it wanted to: nobody else is to blame for what was not heard meanwhile, and it does badly itself. */
@@ -266,9 +266,9 @@
         }
         wanted = now;
         worse(1);
-        askAt += late;
+        probeAt += late;
         syncAt += late;
-        pending.values().forEach(each -> {
+        probes.values().forEach(each -> {
             each.due += late;
             each.over += late;
         });
@@ -276,49 +276,49 @@
     }
 
     private void wants(long now) {
-        long next = Math.min(Math.min(askAt, syncAt), reachAt);
-        for (Pending each : pending.values()) {
+        long next = Math.min(Math.min(probeAt, syncAt), reconnectAt);
+        for (Probe each : probes.values()) {
             next = Math.min(next, Math.min(each.due, each.over));
         }
         wanted = leaving ? Long.MAX_VALUE : Math.min(next, now + settings.interval());
     }
 
-    // ---- asking
+    // ---- probing
 
     private long slowly(long span) {
         return span * (1 + health);
     }
 
-    private void ask(long now) {
-        askAt = now + slowly(settings.interval());
+    private void probe(long now) {
+        probeAt = now + slowly(settings.interval());
         if (taken) {
             return;
         }
-        String target = next();
+        String target = nextTarget();
         if (target == null) {
             return;
         }
-        long number = ++numbers;
-        pending.put(number, new Pending(target, null, number, now + slowly(settings.timeout()), now + slowly(settings.interval())));
-        say(target, new PeerMessage.Ping(number, news(target)));
+        long sequence = ++lastSequence;
+        probes.put(sequence, new Probe(target, null, sequence, now + slowly(settings.timeout()), now + slowly(settings.interval())));
+        send(target, new PeerMessage.Ping(sequence, piggyback(target)));
     }
 
     /** Everybody in turn, in an order drawn anew each round (SWIM, section 4.3). */
-    private String next() {
+    private String nextTarget() {
         for (int tries = known.size() + 1; tries > 0; tries--) {
-            if (round.isEmpty()) {
+            if (probeOrder.isEmpty()) {
                 known.forEach((name, of) -> {
                     if (present(of)) {
-                        round.add(name);
+                        probeOrder.add(name);
                     }
                 });
-                Collections.shuffle(round, random);
+                Collections.shuffle(probeOrder, random);
             }
-            if (round.isEmpty()) {
+            if (probeOrder.isEmpty()) {
                 return null;
             }
-            String name = round.remove(round.size() - 1);
-            Known of = known.get(name);
+            String name = probeOrder.remove(probeOrder.size() - 1);
+            Tracked of = known.get(name);
             if (of != null && present(of)) {
                 return name;
             }
@@ -326,45 +326,45 @@
         return null;
     }
 
-    private void questions(long now) {
-        for (Map.Entry<Long, Pending> entry : List.copyOf(pending.entrySet())) {
-            Pending each = entry.getValue();
-            if (each.asker != null) {
+    private void checkProbes(long now) {
+        for (Map.Entry<Long, Probe> entry : List.copyOf(probes.entrySet())) {
+            Probe each = entry.getValue();
+            if (each.requester != null) {
                 if (now >= each.due && !each.passedOn) {
                     each.passedOn = true;
                     each.due = each.over;
-                    say(each.asker, new PeerMessage.Nack(each.number, List.of()));
+                    send(each.requester, new PeerMessage.Nack(each.sequence, List.of()));
                 }
                 if (now >= each.over) {
-                    pending.remove(entry.getKey());
+                    probes.remove(entry.getKey());
                 }
             } else if (now >= each.over) {
-                pending.remove(entry.getKey());
+                probes.remove(entry.getKey());
                 failed(now, each);
             } else if (now >= each.due && !each.passedOn) {
                 each.passedOn = true;
                 each.due = each.over;
                 Set<String> asked = new HashSet<>(Set.of(each.target));
-                for (int i = 0; i < settings.askers(); i++) {
-                    String other = anyPresent(asked);
+                for (int i = 0; i < settings.indirectProbes(); i++) {
+                    String other = randomPresent(asked);
                     if (other != null) {
                         asked.add(other);
                         each.asked++;
-                        say(other, new PeerMessage.Ask(entry.getKey(), each.target, news(other)));
+                        send(other, new PeerMessage.PingRequest(entry.getKey(), each.target, piggyback(other)));
                     }
                 }
             }
         }
     }
 
-    private void failed(long now, Pending each) {
-        // Those who were asked and did not even say that they have no answer: it may be this one's own ears.
+    private void failed(long now, Probe each) {
+        // Those who were asked and did not even say that they have no ack: it may be this one that doesn't hear.
         worse(each.asked == 0 ? 1 : each.asked - each.nacks.size());
-        Known of = known.get(each.target);
-        if (of != null && of.rumor.standing() == MemberState.ALIVE) {
-            learn(now, new Update(of.rumor.card(), of.rumor.incarnation(), MemberState.SUSPECTED, card.name()));
-        } else if (of != null && of.rumor.standing() == MemberState.SUSPECTED) {
-            suspects(of, card.name());
+        Tracked of = known.get(each.target);
+        if (of != null && of.update.state() == MemberState.ALIVE) {
+            apply(now, new Update(of.update.member(), of.update.incarnation(), MemberState.SUSPECT, self.name()));
+        } else if (of != null && of.update.state() == MemberState.SUSPECT) {
+            confirm(of, self.name());
         }
     }
 
@@ -376,220 +376,220 @@
         health = Math.max(0, health - 1);
     }
 
-    private void answer(long now, String from, long life, PeerMessage word) {
-        if (word instanceof PeerMessage.Ping ping) {
-            say(from, new PeerMessage.Ack(ping.number(), news(from)));
-        } else if (word instanceof PeerMessage.Ack ack) {
-            Pending each = pending.get(ack.number());
-            if (each != null && (each.asker == null || each.target.equals(from)) && answers(each, from, life)) {
-                pending.remove(ack.number());
-                if (each.asker == null) {
+    private void handle(long now, String from, long generation, PeerMessage message) {
+        if (message instanceof PeerMessage.Ping ping) {
+            send(from, new PeerMessage.Ack(ping.sequence(), piggyback(from)));
+        } else if (message instanceof PeerMessage.Ack ack) {
+            Probe each = probes.get(ack.sequence());
+            if (each != null && (each.requester == null || each.target.equals(from)) && acknowledged(each, from, generation)) {
+                probes.remove(ack.sequence());
+                if (each.requester == null) {
                     better();
                 } else {
-                    say(each.asker, new PeerMessage.Ack(each.number, List.of()));
+                    send(each.requester, new PeerMessage.Ack(each.sequence, List.of()));
                 }
             }
-        } else if (word instanceof PeerMessage.Nack nack) {
-            Pending each = pending.get(nack.number());
-            if (each != null && each.asker == null) {
+        } else if (message instanceof PeerMessage.Nack nack) {
+            Probe each = probes.get(nack.sequence());
+            if (each != null && each.requester == null) {
                 each.nacks.add(from);
             }
-        } else if (word instanceof PeerMessage.Ask ask) {
-            if (known.containsKey(ask.target()) && pending.size() < PENDING_MOST) {
-                long number = ++numbers;
+        } else if (message instanceof PeerMessage.PingRequest request) {
+            if (known.containsKey(request.target()) && probes.size() < PROBES_MOST) {
+                long sequence = ++lastSequence;
                 long span = settings.interval() - settings.timeout();
-                pending.put(number, new Pending(ask.target(), from, ask.number(), now + (long) (span * NACK_PART), now + 2 * settings.interval()));
-                say(ask.target(), new PeerMessage.Ping(number, news(ask.target())));
+                probes.put(sequence, new Probe(request.target(), from, request.sequence(), now + (long) (span * NACK_PART), now + 2 * settings.interval()));
+                send(request.target(), new PeerMessage.Ping(sequence, piggyback(request.target())));
             }
-        } else if (word instanceof PeerMessage.Sync sync) {
+        } else if (message instanceof PeerMessage.Sync sync) {
             joined = true;
             if (sync.wanted()) {
-                say(from, new PeerMessage.Sync(false, all()));
+                send(from, new PeerMessage.Sync(false, all()));
             }
         }
     }
 
-    /** Whether the answer is by the life that was asked for: another one at its place is no sign of it. */
-    private boolean answers(Pending each, String from, long life) {
-        Known of = known.get(each.target);
-        return !from.equals(each.target) || of == null || of.rumor.card().life() <= life;
+    /** Whether the ack is by the generation that was probed: another one at its place is no sign of it. */
+    private boolean acknowledged(Probe each, String from, long generation) {
+        Tracked of = known.get(each.target);
+        return !from.equals(each.target) || of == null || of.update.member().generation() <= generation;
     }
 
     // ---- joining, and meeting again
 
-    private void reach(long now) {
-        if (now < reachAt) {
+    private void reconnect(long now) {
+        if (now < reconnectAt) {
             return;
         }
         List<String> away = new ArrayList<>();
-        for (String name : named) {
+        for (String name : configured) {
             if (!known.containsKey(name)) {
                 away.add(name);
             }
         }
         known.forEach((name, of) -> {
-            if (of.rumor.standing() == MemberState.GONE || taken) {
+            if (of.update.state() == MemberState.FAULTY || taken) {
                 away.add(name);
             }
         });
-        reachAt = now + (joined && !taken ? settings.reach() : Math.min(settings.reach(), JOIN_EVERY));
+        reconnectAt = now + (joined && !taken ? settings.reconnect() : Math.min(settings.reconnect(), JOIN_EVERY));
         if (!away.isEmpty()) {
             String name = away.get(random.nextInt(away.size()));
-            out.send(name, new PeerMessage.Sync(true, taken ? List.of() : all()));
+            actions.send(name, new PeerMessage.Sync(true, taken ? List.of() : all()));
         }
     }
 
-    // ---- news
+    // ---- dissemination
 
-    private void say(String to, PeerMessage word) {
+    private void send(String to, PeerMessage message) {
         if (!taken) {
-            out.send(to, word);
+            actions.send(to, message);
         }
     }
 
     private Update own() {
-        return new Update(card, incarnation, MemberState.ALIVE, card.name());
+        return new Update(self, incarnation, MemberState.ALIVE, self.name());
     }
 
     private List<Update> all() {
         List<Update> all = new ArrayList<>(known.size() + 1);
         all.add(own());
-        known.values().forEach(each -> all.add(each.rumor));
+        known.values().forEach(each -> all.add(each.update));
         return all;
     }
 
-    /** What was told least often goes first; to one who is suspected, that it is, before all (Lifeguard's buddies, section IV.C). */
-    private List<Update> news(String to) {
-        int most = (int) Math.ceil(TOLD_TIMES * Math.log10(known.size() + 2.0)) + 1;
-        List<Known> fresh = new ArrayList<>();
-        Known other = known.get(to);
-        if (other != null && other.rumor.standing() != MemberState.ALIVE) {
+    /** What was sent least often goes first; to one who is suspected, that it is, before all (Lifeguard's buddies, section IV.C). */
+    private List<Update> piggyback(String to) {
+        int most = (int) Math.ceil(RETRANSMIT_FACTOR * Math.log10(known.size() + 2.0)) + 1;
+        List<Tracked> fresh = new ArrayList<>();
+        Tracked other = known.get(to);
+        if (other != null && other.update.state() != MemberState.ALIVE) {
             fresh.add(other);
         }
-        known.values().stream().filter(each -> each.told < most && each != other).sorted(Comparator.comparingInt(each -> each.told))
-                .limit(PeerMessage.RUMORS_MOST - 2L).forEach(fresh::add);
-        List<Update> rumors = new ArrayList<>();
-        rumors.add(own());
+        known.values().stream().filter(each -> each.transmissions < most && each != other).sorted(Comparator.comparingInt(each -> each.transmissions))
+                .limit(PeerMessage.UPDATES_MOST - 2L).forEach(fresh::add);
+        List<Update> updates = new ArrayList<>();
+        updates.add(own());
         fresh.forEach(each -> {
-            each.told = Math.min(most, each.told + 1);
-            rumors.add(each.rumor);
+            each.transmissions = Math.min(most, each.transmissions + 1);
+            updates.add(each.update);
         });
-        return rumors;
+        return updates;
     }
 
-    private String anyPresent(Set<String> but) {
+    private String randomPresent(Set<String> but) {
         List<String> names = new ArrayList<>();
         known.forEach((name, of) -> {
-            if (of.rumor.standing() == MemberState.ALIVE && !but.contains(name)) {
+            if (of.update.state() == MemberState.ALIVE && !but.contains(name)) {
                 names.add(name);
             }
         });
         return names.isEmpty() ? null : names.get(random.nextInt(names.size()));
     }
 
-    private void learn(long now, Update rumor) {
-        String name = rumor.card().name();
-        if (name.equals(card.name())) {
-            ofItself(now, rumor);
+    private void apply(long now, Update update) {
+        String name = update.member().name();
+        if (name.equals(self.name())) {
+            applyToSelf(now, update);
             return;
         }
-        Known of = known.get(name);
+        Tracked of = known.get(name);
         if (of == null) {
             // What is over and was forgotten, or never known, is no news: it would go round for good.
-            if (rumor.standing() == MemberState.GONE || rumor.standing() == MemberState.LEFT || known.size() + 1 >= GATEWAYS_MOST) {
+            if (update.state() == MemberState.FAULTY || update.state() == MemberState.LEFT || known.size() + 1 >= GATEWAYS_MOST) {
                 return;
             }
-            of = new Known();
+            of = new Tracked();
             known.put(name, of);
-            round.add(random.nextInt(round.size() + 1), name);
-            become(now, of, rumor, Event.JOINED);
-        } else if (rumor.overrides(of.rumor)) {
-            become(now, of, rumor, event(of.rumor, rumor));
-        } else if (rumor.standing() == MemberState.SUSPECTED && of.rumor.standing() == MemberState.SUSPECTED
-                && rumor.card().life() == of.rumor.card().life() && rumor.incarnation() == of.rumor.incarnation()) {
-            suspects(of, rumor.by());
+            probeOrder.add(random.nextInt(probeOrder.size() + 1), name);
+            become(now, of, update, Event.JOINED);
+        } else if (update.overrides(of.update)) {
+            become(now, of, update, event(of.update, update));
+        } else if (update.state() == MemberState.SUSPECT && of.update.state() == MemberState.SUSPECT
+                && update.member().generation() == of.update.member().generation() && update.incarnation() == of.update.incarnation()) {
+            confirm(of, update.by());
         }
     }
 
     private static Event event(Update before, Update now) {
-        boolean anew = now.card().life() != before.card().life();
-        return switch (now.standing()) {
-            case ALIVE -> anew ? Event.RESTARTED : before.standing() == MemberState.GONE ? Event.RETURNED
-                    : before.standing() == MemberState.SUSPECTED ? Event.REFUTED : null;
-            case SUSPECTED -> Event.SUSPECTED;
-            case GONE -> Event.GONE;
+        boolean anew = now.member().generation() != before.member().generation();
+        return switch (now.state()) {
+            case ALIVE -> anew ? Event.RESTARTED : before.state() == MemberState.FAULTY ? Event.RETURNED
+                    : before.state() == MemberState.SUSPECT ? Event.REFUTED : null;
+            case SUSPECT -> Event.SUSPECTED;
+            case FAULTY -> Event.GONE;
             case LEFT -> Event.LEFT;
         };
     }
 
-    private void become(long now, Known of, Update rumor, Event event) {
-        if (of.rumor == null || of.rumor.standing() != rumor.standing() || of.rumor.card().life() != rumor.card().life()) {
+    private void become(long now, Tracked of, Update update, Event event) {
+        if (of.update == null || of.update.state() != update.state() || of.update.member().generation() != update.member().generation()) {
             of.since = now;
         }
-        of.rumor = rumor;
-        of.told = 0;
+        of.update = update;
+        of.transmissions = 0;
         of.suspectedBy.clear();
-        if (rumor.standing() == MemberState.SUSPECTED) {
+        if (update.state() == MemberState.SUSPECT) {
             of.suspectedAt = now;
-            of.suspectedBy.add(rumor.by());
+            of.suspectedBy.add(update.by());
         }
         if (event != null) {
-            out.event(event, rumor);
+            actions.event(event, update);
         }
     }
 
-    /** One more has no answer from it: that is news too, up to the number that counts. */
-    private void suspects(Known of, String by) {
+    /** One more has no answer from it: that is news too, up to the number of confirmations that counts. */
+    private void confirm(Tracked of, String by) {
         if (of.suspectedBy.size() < SEEN_MOST && of.suspectedBy.add(by) && of.suspectedBy.size() - 1 <= settings.confirmations()) {
-            of.rumor = new Update(of.rumor.card(), of.rumor.incarnation(), MemberState.SUSPECTED, by);
-            of.told = 0;
+            of.update = new Update(of.update.member(), of.update.incarnation(), MemberState.SUSPECT, by);
+            of.transmissions = 0;
         }
     }
 
-    private void suspicions(long now) {
+    private void checkSuspicions(long now) {
         if (taken) {
             return;
         }
         int gateways = present();
-        for (Known each : List.copyOf(known.values())) {
-            if (each.rumor.standing() != MemberState.SUSPECTED
+        for (Tracked each : List.copyOf(known.values())) {
+            if (each.update.state() != MemberState.SUSPECT
                     || now - each.suspectedAt < slowly(settings.suspicion(gateways, each.suspectedBy.size() - 1))) {
                 continue;
             }
             if (each.heardAt > each.suspectedAt) {
-                each.suspectedAt = now;  // it speaks, though it may not hear: that is not gone
+                each.suspectedAt = now;  // it speaks, though it may not hear: that is not faulty
             } else {
-                become(now, each, new Update(each.rumor.card(), each.rumor.incarnation(), MemberState.GONE, card.name()), Event.GONE);
+                become(now, each, new Update(each.update.member(), each.update.incarnation(), MemberState.FAULTY, self.name()), Event.GONE);
             }
         }
     }
 
-    private void ofItself(long now, Update rumor) {
-        long life = rumor.card().life();
-        boolean over = rumor.standing() == MemberState.GONE || rumor.standing() == MemberState.LEFT;
-        if (life > card.life()) {
+    private void applyToSelf(long now, Update update) {
+        long generation = update.member().generation();
+        boolean over = update.state() == MemberState.FAULTY || update.state() == MemberState.LEFT;
+        if (generation > self.generation()) {
             if (over) {  // an earlier start of its own, by a clock that was ahead
-                card = new Member(card.name(), life + 1, card.zone(), card.build(), card.settings());
+                self = new Member(self.name(), generation + 1, self.zone(), self.build(), self.settings());
                 incarnation = 0;
                 free();
             } else if (!taken) {
                 taken = true;
-                takenBy = life;
-                pending.clear();
-                out.event(Event.NAME_TAKEN, rumor);
+                takenBy = generation;
+                probes.clear();
+                actions.event(Event.NAME_TAKEN, update);
             } else {
-                takenBy = Math.max(takenBy, life);
+                takenBy = Math.max(takenBy, generation);
             }
-        } else if (life == card.life() && !leaving && rumor.standing() != MemberState.ALIVE && rumor.incarnation() >= incarnation) {
-            incarnation = rumor.incarnation() + 1;
+        } else if (generation == self.generation() && !leaving && update.state() != MemberState.ALIVE && update.incarnation() >= incarnation) {
+            incarnation = update.incarnation() + 1;
             worse(1);
         }
     }
 
     private void free() {
-        if (taken && card.life() > takenBy) {
+        if (taken && self.generation() > takenBy) {
             taken = false;
-            out.event(Event.NAME_FREE, own());
+            actions.event(Event.NAME_FREE, own());
         }
     }
 
--- a/src/main/java/mastdrift/peers/MembershipSettings.java
+++ b/src/main/java/mastdrift/peers/MembershipSettings.java
@@ -3,17 +3,17 @@
 /**
  * How a {@link MembershipList} asks and for how long it waits; times in microseconds.
  *
- * @param interval from one question to the next, while the gateway itself is well (SWIM's protocol period)
- * @param timeout for a direct answer, less than the interval; the rest of the interval is for answers by way of others
- * @param askers gateways that are asked to ask, at most (SWIM's k)
+ * @param interval from one probe to the next, while the gateway itself is well (SWIM's protocol period)
+ * @param timeout for a direct ack, less than the interval; the rest of the interval is for acks by way of others
+ * @param indirectProbes gateways that are asked to ping the one that gave no ack, at most (SWIM's k)
  * @param alpha the least time of a suspicion is so many intervals, times the decimal logarithm of the number of gateways where that is over 1
  * @param beta the longest time of a suspicion, in least times
  * @param confirmations so many others who suspect as well bring a suspicion down to its least time
- * @param sync from one exchange of all that is believed to the next
- * @param reach from one attempt to reach a gateway that is gone, or was never heard, to the next
- * @param forget what is gone or has left is remembered for so long
+ * @param sync from one exchange of all that is believed (anti-entropy) to the next
+ * @param reconnect from one attempt to reach a gateway that is faulty, or was never heard, to the next
+ * @param forget what is faulty or has left is remembered for so long
  */
-public record MembershipSettings(long interval, long timeout, int askers, double alpha, double beta, int confirmations, long sync, long reach, long forget) {
+public record MembershipSettings(long interval, long timeout, int indirectProbes, double alpha, double beta, int confirmations, long sync, long reconnect, long forget) {
 
     /** For gateways of one installation over a few data centres: a death is known within about 5 s among a hundred. */
     public static final MembershipSettings USUAL = new MembershipSettings(300_000, 120_000, 3, 4, 4, 3, 10_000_000, 2_000_000, 600_000_000);
--- a/src/main/java/mastdrift/peers/OwnWork.java
+++ b/src/main/java/mastdrift/peers/OwnWork.java
@@ -9,15 +9,15 @@
 public final class OwnWork {
 
     private final String name;
-    private final long life;
+    private final long generation;
     private final Map<String, Integer> out = new HashMap<>();
     private int total;
     private long sequence;
 
     /** Of a gateway that started at that time. */
-    public OwnWork(String name, long life) {
+    public OwnWork(String name, long generation) {
         this.name = name;
-        this.life = life;
+        this.generation = generation;
     }
 
     /** A request goes to a host. */
@@ -43,6 +43,6 @@
                     .thenComparing(Map.Entry.comparingByKey())).limit(Digest.HOSTS_MOST)
                     .forEach(entry -> told.put(entry.getKey(), entry.getValue()));
         }
-        return new Digest(name, life, ++sequence, told, total);
+        return new Digest(name, generation, ++sequence, told, total);
     }
 }
--- a/src/main/java/mastdrift/peers/PeerView.java
+++ b/src/main/java/mastdrift/peers/PeerView.java
@@ -35,12 +35,12 @@
 
     /** Why a digest isn't taken. */
     public enum Refused {
-        /** The own name: another gateway has it too, or the own word came back. */
+        /** The own name: another gateway has it too, or the own digest came back. */
         OWN_NAME,
         /** It was heard before, or a later one was. */
         REPLAYED,
         /** Of a start of the peer before the one that is known. */
-        OLDER_LIFE,
+        OLDER_GENERATION,
         /** As many peers as are listened to have spoken. */
         TOO_MANY,
         /** It tells of more hosts than a digest holds. */
@@ -53,12 +53,12 @@
      * A peer, for operators.
      *
      * @param name of it
-     * @param life its start, on its clock
-     * @param since when it was first heard in that life, on the own clock
+     * @param generation its start, on its clock
+     * @param since when it was first heard in that generation, on the own clock
      * @param at when it was last heard
      * @param total requests that it said to have out
      */
-    public record Peer(String name, long life, long since, long at, int total) { }
+    public record Peer(String name, long generation, long since, long at, int total) { }
 
     private final String own;
     private final Map<String, Told> told = new TreeMap<>();
@@ -88,10 +88,10 @@
         if (before == null && told.size() >= PEERS_MOST) {
             return Refused.TOO_MANY;
         }
-        if (before != null && digest.life() < before.digest.life()) {
-            return Refused.OLDER_LIFE;
+        if (before != null && digest.generation() < before.digest.generation()) {
+            return Refused.OLDER_GENERATION;
         }
-        boolean same = before != null && digest.life() == before.digest.life();
+        boolean same = before != null && digest.generation() == before.digest.generation();
         if (same && digest.sequence() <= before.digest.sequence()) {
             return Refused.REPLAYED;
         }
@@ -152,7 +152,7 @@
 
     /** Who has been heard, by name. */
     public List<Peer> peers() {
-        return told.values().stream().map(each -> new Peer(each.digest.name(), each.digest.life(), each.since, each.at,
+        return told.values().stream().map(each -> new Peer(each.digest.name(), each.digest.generation(), each.since, each.at,
                 each.digest.total())).toList();
     }
 }
--- a/src/main/java/mastdrift/peers/edge/GenerationFile.java
+++ b/src/main/java/mastdrift/peers/edge/GenerationFile.java
@@ -1,15 +1,15 @@
 package mastdrift.peers.edge;
 
 import java.io.IOException;
+import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
-import java.nio.ByteBuffer;
 
-/** Remembers the last life, so that a clock that was set back doesn't make a new start look like an old one. */
+/** Remembers the last generation in a file ('life', its name from the first build on), so that a clock that was set back doesn't make a new start look like an old one. */
 public final class GenerationFile {
 
     private static final String NAME = "life";
@@ -23,17 +23,17 @@
         file = folder.resolve(NAME);
     }
 
-    /** The life of a start at that Unix time in microseconds; it is on disk once this returns. Throws IOException where it can't be written, or what is there is no
-        life: a start then goes by its clock alone. */
+    /** The generation of a start at that Unix time in microseconds; it is on disk once this returns. Throws IOException where it can't be written, or what is there is no
+        number: a start then goes by its clock alone. */
     public long next(long wall) throws IOException {
-        long life = Math.max(wall, last() + 1);
+        long generation = Math.max(wall, last() + 1);
         Path aside = file.resolveSibling(NAME + ".new");
         try (FileChannel out = FileChannel.open(aside, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
-            out.write(ByteBuffer.wrap(Long.toString(life).getBytes(StandardCharsets.US_ASCII)));
+            out.write(ByteBuffer.wrap(Long.toString(generation).getBytes(StandardCharsets.US_ASCII)));
             out.force(true);
         }
         Files.move(aside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        return life;
+        return generation;
     }
 
     private long last() throws IOException {
--- a/src/main/java/mastdrift/peers/edge/MessageAuthenticator.java
+++ b/src/main/java/mastdrift/peers/edge/MessageAuthenticator.java
@@ -7,7 +7,7 @@
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 
-/** Signatures of one key: HMAC (RFC 2104) with SHA-256, cut to 16 bytes (section 5). Not safe for use by several threads. */
+/** Message authentication codes of one key, called signatures here and on the pages: HMAC (RFC 2104) with SHA-256, cut to 16 bytes (section 5). Not safe for use by several threads. */
 final class MessageAuthenticator {
 
     /** Bytes of a signature. */
--- a/src/main/java/mastdrift/peers/edge/PeerLinks.java
+++ b/src/main/java/mastdrift/peers/edge/PeerLinks.java
@@ -41,10 +41,10 @@
  * on it, so that one who opens connections only hears too.
  *
  * <p>Who accepts sends a nonce; who connects answers with who it is, whom it means, a nonce of its own and a signature over all; who accepts signs that. From
- * then on both sign by a key derived from the nonces, each message with its number: what is replayed, left out, swapped or changed fails, and ends the
+ * then on both sign by a key derived from the nonces, each message with its sequence number: what is replayed, left out, swapped or changed fails, and ends the
  * connection. Nothing is secret but the key.
  *
- * <p>Replies are signed by the same key with another label and have numbers of their own, so that neither direction's bytes pass in the other. A build from before replies
+ * <p>Replies are signed by the same key with another label and have sequence numbers of their own, so that neither direction's bytes pass in the other. A build from before replies
  * refuses the first one as an unknown frame and ends the connection; it gets none, since it sends no message that is answered so.
  *
  * <p>Who accepts says now and then how much it has read, and so does who opened, where there are replies. A connection on which that doesn't move on for
@@ -56,7 +56,7 @@
  * not yet known ({@value #UNKNOWN_MOST} or an eighth of the known ones, for {@value #HELLO_MILLIS} ms), a message ({@value #MESSAGE_MOST} bytes), messages read a second from one ({@value #RATE}; then it is read no faster), bytes that wait for a slow
  * one ({@value #WAITING_MOST}).
  *
- * <p>All methods are called on the loop's thread, and so are the ears.
+ * <p>All methods are called on the loop's thread, and so is the listener.
  */
 public final class PeerLinks implements AutoCloseable {
 
@@ -87,30 +87,30 @@
     private static final byte HELLO = 2;
     private static final byte WELCOME = 3;
     private static final byte MESSAGE = 4;
-    private static final byte SEEN = 5;
+    private static final byte ACK = 5;
     private static final byte REPLY = 6;
-    private static final byte HEARD = 7;
+    private static final byte REPLY_ACK = 7;
     private static final byte[] OF_HELLO = {HELLO};
     private static final byte[] OF_WELCOME = {WELCOME};
     private static final byte[] OF_SESSION = {'s'};
     private static final byte[] OF_REPLY = {'r'};
     private static final JSON CBOR = JSON.builder(new CBORFactory()).build();
 
-    /** Who hears. */
-    public interface Ears {
-        /** A message of a gateway, in one of its lives; 0 for a reply, since who accepts a connection doesn't tell its life. */
-        void heard(String from, long life, byte kind, byte[] message);
+    /** Is told of what comes. */
+    public interface Listener {
+        /** A message of a gateway, in one of its generations; 0 for a reply, since who accepts a connection doesn't tell its generation. */
+        void received(String from, long generation, byte kind, byte[] message);
 
         /** Something is wrong with a connection: a stable word for what, the other's name or address, and more for a person. */
         void refused(String what, String who, String text);
 
         /** The connection that was opened to a gateway has ended, or could not be made: what was sent last may be lost, and no more replies come by it. Called in
             the turn in which it ends; not for those that {@link #leave} or {@link #close} ends. */
-        default void ended(String to) { }
+        default void outboundClosed(String to) { }
 
         /** The connection that a gateway opened has ended: no reply reaches it until it opens another, which is told of first. Not for those that {@link #drop} or
             {@link #close} ends. */
-        default void gone(String from) { }
+        default void inboundClosed(String from) { }
     }
 
     /** Counts since the start. */
@@ -121,17 +121,17 @@
     private final String own;
     private final int most;
     private final int unknownMost;
-    private final Ears ears;
+    private final Listener listener;
     private final LongSupplier clock;
     private final SecureRandom random = new SecureRandom();
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
-    private final Map<String, Out> out = new HashMap<>();
-    private final Map<String, In> in = new HashMap<>();
+    private final Map<String, Outbound> out = new HashMap<>();
+    private final Map<String, Inbound> in = new HashMap<>();
     private final Set<Channel> accepted = new HashSet<>();
     private final Map<String, Long> retryAt = new HashMap<>();
     private final Future<?> sweeps;
     private List<MessageAuthenticator> keys = List.of();
-    private long life;
+    private long generation;
     private long sweptAt;
     private int unknown;
     private Channel server;
@@ -144,19 +144,19 @@
     private long refused;
 
     /** Of a gateway of an installation, with so many connections in each direction. */
-    public PeerLinks(EventLoop loop, String installation, String own, int most, Ears ears) {
-        this(loop, installation, own, most, ears, () -> System.nanoTime() / 1_000_000);
+    public PeerLinks(EventLoop loop, String installation, String own, int most, Listener listener) {
+        this(loop, installation, own, most, listener, () -> System.nanoTime() / 1_000_000);
     }
 
     /** With a clock in milliseconds, which tests move. */
-    PeerLinks(EventLoop loop, String installation, String own, int most, Ears ears, LongSupplier clock) {
+    PeerLinks(EventLoop loop, String installation, String own, int most, Listener listener, LongSupplier clock) {
         this.loop = loop;
         this.clock = clock;
         this.installation = installation;
         this.own = own;
         this.most = most;
         unknownMost = Math.max(UNKNOWN_MOST, most / UNKNOWN_SHARE);
-        this.ears = ears;
+        this.listener = listener;
         sweptAt = millis();
         sweeps = loop.scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -166,11 +166,11 @@
         keys = good.stream().map(MessageAuthenticator::new).toList();
     }
 
-    /** The own life from now on; connections that were opened in another are opened anew. */
-    public void life(long now) {
-        if (now != life) {
-            life = now;
-            List.copyOf(out.values()).forEach(each -> each.end("a new life"));
+    /** The own generation from now on; connections that were opened in another are opened anew. */
+    public void generation(long now) {
+        if (now != generation) {
+            generation = now;
+            List.copyOf(out.values()).forEach(each -> each.end("a new generation"));
         }
     }
 
@@ -189,7 +189,7 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(frames(HELLO_MOST), new In(channel));
+                        channel.pipeline().addLast(frames(HELLO_MOST), new Inbound(channel));
                     }
                 }).bind(at);
         server = bound.channel();
@@ -208,7 +208,7 @@
 
     /** Messages and replies on their way: the other ends haven't said yet that they have read them. */
     long unread() {
-        return out.values().stream().mapToLong(each -> each.number - each.seen).sum() + in.values().stream().mapToLong(each -> each.replies - each.heard).sum();
+        return out.values().stream().mapToLong(each -> each.sequence - each.acked).sum() + in.values().stream().mapToLong(each -> each.replies - each.repliesAcked).sum();
     }
 
     /** Gateways that messages go to now, by name. */
@@ -244,15 +244,15 @@
         return clock.getAsLong();
     }
 
-    private static byte[] eight(long number) {
-        return ByteBuffer.allocate(Long.BYTES).putLong(number).array();
+    private static byte[] eight(long count) {
+        return ByteBuffer.allocate(Long.BYTES).putLong(count).array();
     }
 
     // ---- sending
 
     /** Sends a message to a gateway; false where it is known not to arrive. */
     public boolean send(String to, byte kind, byte[] message) {
-        Out link = message.length > MESSAGE_MOST || closed ? null : out.get(to);
+        Outbound link = message.length > MESSAGE_MOST || closed ? null : out.get(to);
         if (link == null && !closed && message.length <= MESSAGE_MOST) {
             link = open(to);
         }
@@ -266,7 +266,7 @@
     /** Sends a message back on the connection that a gateway opened. False where there is none, where more than {@link #WAITING_MOST} bytes wait on it already, or the
         message is too large: it isn't sent then, and whoever sends decides. It may be lost all the same, with its connection. */
     public boolean reply(String to, byte kind, byte[] message) {
-        In link = message.length > MESSAGE_MOST || closed ? null : in.get(to);
+        Inbound link = message.length > MESSAGE_MOST || closed ? null : in.get(to);
         if (link == null || !link.reply(new byte[] {kind}, message)) {
             dropped++;
             return false;
@@ -276,7 +276,7 @@
 
     /** Ends the connection that a gateway opened, where there is one. */
     public void drop(String from) {
-        In link = in.get(from);
+        Inbound link = in.get(from);
         if (link != null) {
             link.over = true;
             in.remove(from, link);
@@ -286,7 +286,7 @@
 
     /** Ends the connection that was opened to a gateway, where there is one; the next message to it opens another at once. */
     public void leave(String to) {
-        Out link = out.remove(to);
+        Outbound link = out.remove(to);
         if (link != null) {
             link.end("left");
         }
@@ -303,14 +303,14 @@
         return buffer == null ? Long.MAX_VALUE : buffer.totalPendingWriteBytes();
     }
 
-    private Out open(String to) {
+    private Outbound open(String to) {
         InetSocketAddress at = addresses.get(to);
         if (at == null || keys.isEmpty() || millis() < retryAt.getOrDefault(to, Long.MIN_VALUE)) {
             return null;
         }
         if (out.size() >= most) {
-            Out oldest = null;
-            for (Out each : out.values()) {
+            Outbound oldest = null;
+            for (Outbound each : out.values()) {
                 oldest = oldest == null || each.usedAt < oldest.usedAt ? each : oldest;
             }
             if (oldest != null) {
@@ -320,7 +320,7 @@
                 return out.get(to);  // whoever heard of the end has opened one
             }
         }
-        Out link = new Out(to, at);
+        Outbound link = new Outbound(to, at);
         out.put(to, link);
         link.connect();
         return link;
@@ -341,7 +341,7 @@
     }
 
     /** What goes to one gateway. */
-    private final class Out extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class Outbound extends SimpleChannelInboundHandler<ByteBuf> {
 
         private final String to;
         private final InetSocketAddress at;
@@ -352,17 +352,17 @@
         private MessageAuthenticator session;  // null until the other is known
         private byte[] nonce;
         private byte[] challenge;
-        private long number;
-        private long seen;
+        private long sequence;
+        private long acked;
         private long movedAt;
         private long usedAt = openedAt;
         private long replies;
         private long repliesAt = openedAt;
-        private boolean telling;
-        private final Pace pace = new Pace();
+        private boolean ackScheduled;
+        private final RateLimiter rateLimiter = new RateLimiter();
         private boolean over;
 
-        Out(String to, InetSocketAddress at) {
+        Outbound(String to, InetSocketAddress at) {
             this.to = to;
             this.at = at;
         }
@@ -374,7 +374,7 @@
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel made) {
-                            made.pipeline().addLast(frames(HELLO_MOST), Out.this);
+                            made.pipeline().addLast(frames(HELLO_MOST), Outbound.this);
                         }
                     }).connect(at);
             channel = connecting.channel();
@@ -397,10 +397,10 @@
             if (full(channel)) {
                 return false;
             }
-            if (number == seen) {
+            if (sequence == acked) {
                 movedAt = usedAt;
             }
-            byte[] signature = session.sign(++number, OF_SESSION, kind, message);
+            byte[] signature = session.sign(++sequence, OF_SESSION, kind, message);
             channel.writeAndFlush(frame(channel, MESSAGE, kind, message, signature));
             sent++;
             sentBytes += Integer.BYTES + 2 + message.length + MessageAuthenticator.BYTES;
@@ -415,7 +415,7 @@
                 challenge = Arrays.copyOfRange(body, 1, body.length);
                 nonce = nonce();
                 key = keys.get(0);
-                byte[] hello = CBOR.asBytes(Arrays.asList(installation, own, life, to, nonce));
+                byte[] hello = CBOR.asBytes(Arrays.asList(installation, own, generation, to, nonce));
                 channel.writeAndFlush(frame(channel, HELLO, hello, key.sign(OF_HELLO, challenge, hello)));
             } else if (type == WELCOME && session == null && challenge != null && MessageAuthenticator.same(body, key.sign(OF_WELCOME, challenge, nonce))) {
                 session = key.derived(OF_SESSION, challenge, nonce);
@@ -424,11 +424,11 @@
                 for (byte[][] each = queued.poll(); each != null; each = queued.poll()) {
                     send(each[0], each[1]);
                 }
-            } else if (type == SEEN && session != null && body.length == Long.BYTES + MessageAuthenticator.BYTES
+            } else if (type == ACK && session != null && body.length == Long.BYTES + MessageAuthenticator.BYTES
                     && MessageAuthenticator.same(Arrays.copyOfRange(body, Long.BYTES, body.length), session.sign(-1, Arrays.copyOf(body, Long.BYTES)))) {
                 long until = ByteBuffer.wrap(body).getLong();
-                if (until > seen && until <= number) {
-                    seen = until;
+                if (until > acked && until <= sequence) {
+                    acked = until;
                     movedAt = millis();
                 }
             } else if (type == REPLY && session != null && body.length > MessageAuthenticator.BYTES && !over) {
@@ -451,19 +451,19 @@
             receivedBytes += Integer.BYTES + 1 + body.length;
             repliesAt = millis();
             usedAt = repliesAt;
-            if (!telling) {
-                telling = true;
-                loop.schedule(this::tell, SWEEP_MILLIS / 2, TimeUnit.MILLISECONDS);
+            if (!ackScheduled) {
+                ackScheduled = true;
+                loop.schedule(this::sendAck, SWEEP_MILLIS / 2, TimeUnit.MILLISECONDS);
             }
-            pace.read(channel);
-            ears.heard(to, 0, kind[0], message);
+            rateLimiter.read(channel);
+            listener.received(to, 0, kind[0], message);
         }
 
-        private void tell() {
-            telling = false;
+        private void sendAck() {
+            ackScheduled = false;
             if (!over) {
                 byte[] count = eight(replies);
-                channel.writeAndFlush(frame(channel, HEARD, count, session.sign(-1, OF_REPLY, count)));
+                channel.writeAndFlush(frame(channel, REPLY_ACK, count, session.sign(-1, OF_REPLY, count)));
             }
         }
 
@@ -475,7 +475,7 @@
 
         void sweep(long now) {
             if (session == null ? now - openedAt > HELLO_MILLIS
-                    : number > seen && (now - Math.max(movedAt, repliesAt) > SILENT_MILLIS || now - movedAt > UNREAD_MILLIS)) {
+                    : sequence > acked && (now - Math.max(movedAt, repliesAt) > SILENT_MILLIS || now - movedAt > UNREAD_MILLIS)) {
                 end("silent");
             } else if (now - usedAt > IDLE_MILLIS) {
                 end("idle");
@@ -493,7 +493,7 @@
                 }
                 channel.close();
                 if (held && !closed) {
-                    ears.ended(to);
+                    listener.outboundClosed(to);
                 }
             }
         }
@@ -511,11 +511,11 @@
 
     private void refuse(String what, String who, String text) {
         refused++;
-        ears.refused(what, who, text);
+        listener.refused(what, who, text);
     }
 
     /** Who says more than its rate is read again in the next second. */
-    private final class Pace {
+    private final class RateLimiter {
 
         private long second;
         private int inSecond;
@@ -533,28 +533,28 @@
         }
     }
 
-    // ---- hearing
+    // ---- receiving
 
     /** What comes from one gateway. */
-    private final class In extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class Inbound extends SimpleChannelInboundHandler<ByteBuf> {
 
         private final Channel channel;
         private final byte[] challenge = nonce();
         private String from;  // null until it is known
-        private long itsLife;
+        private long peerGeneration;
         private MessageAuthenticator session;
-        private long number;
-        private long told;
-        private boolean telling;
-        private final Pace pace = new Pace();
+        private long sequence;
+        private long ackSent;
+        private boolean ackScheduled;
+        private final RateLimiter rateLimiter = new RateLimiter();
         private long replies;
-        private long heard;
+        private long repliesAcked;
         private long movedAt;
         private long waited;  // at the last sweep
         private long since;  // bytes written since then
         private boolean over;
 
-        In(Channel channel) {
+        Inbound(Channel channel) {
             this.channel = channel;
         }
 
@@ -580,8 +580,8 @@
             byte[] body = ByteBufUtil.getBytes(frame);
             if (from == null) {
                 hello(type, body);
-            } else if (type == HEARD && body.length == Long.BYTES + MessageAuthenticator.BYTES) {
-                heard(body);
+            } else if (type == REPLY_ACK && body.length == Long.BYTES + MessageAuthenticator.BYTES) {
+                replyAck(body);
             } else if (type != MESSAGE || body.length < 1 + MessageAuthenticator.BYTES) {
                 fails("peer_malformed", "expected a message, found type " + type + " of " + body.length + " bytes");
             } else {
@@ -593,29 +593,29 @@
             byte[] kind = {body[0]};
             byte[] message = Arrays.copyOfRange(body, 1, body.length - MessageAuthenticator.BYTES);
             byte[] signature = Arrays.copyOfRange(body, body.length - MessageAuthenticator.BYTES, body.length);
-            if (!MessageAuthenticator.same(signature, session.sign(++number, OF_SESSION, kind, message))) {
-                fails("peer_signature", "expected the signature of message " + number + ", found another");
+            if (!MessageAuthenticator.same(signature, session.sign(++sequence, OF_SESSION, kind, message))) {
+                fails("peer_signature", "expected the signature of message " + sequence + ", found another");
                 return;
             }
             received++;
             receivedBytes += Integer.BYTES + 1 + body.length;
-            if (!telling) {
-                telling = true;
-                loop.schedule(this::tell, SWEEP_MILLIS / 2, TimeUnit.MILLISECONDS);
+            if (!ackScheduled) {
+                ackScheduled = true;
+                loop.schedule(this::sendAck, SWEEP_MILLIS / 2, TimeUnit.MILLISECONDS);
             }
-            pace.read(channel);
+            rateLimiter.read(channel);
             if (!over) {
-                ears.heard(from, itsLife, kind[0], message);
+                listener.received(from, peerGeneration, kind[0], message);
             }
         }
 
-        private void heard(byte[] body) {
+        private void replyAck(byte[] body) {
             byte[] count = Arrays.copyOf(body, Long.BYTES);
             long until = ByteBuffer.wrap(count).getLong();
             if (!MessageAuthenticator.same(Arrays.copyOfRange(body, Long.BYTES, body.length), session.sign(-1, OF_REPLY, count)) || until > replies) {
-                fails("peer_signature", "expected the signature of how many of " + replies + " replies were heard, found another");
-            } else if (until > heard) {
-                heard = until;
+                fails("peer_signature", "expected the signature of how many of " + replies + " replies were read, found another");
+            } else if (until > repliesAcked) {
+                repliesAcked = until;
                 movedAt = millis();
             }
         }
@@ -624,7 +624,7 @@
             if (full(channel)) {
                 return false;
             }
-            if (replies == heard) {
+            if (replies == repliesAcked) {
                 movedAt = millis();
             }
             byte[] signature = session.sign(++replies, OF_REPLY, kind, message);
@@ -636,7 +636,7 @@
             return true;
         }
 
-        /** A large reply on a slow way is heard late, but the bytes before it move: what waits grows less than what is written. */
+        /** A large reply on a slow way is acknowledged late, but the bytes before it move: what waits grows less than what is written. */
         void sweep(long now) {
             long waiting = waiting(channel);
             if (waited > 0 && waiting < waited + since) {
@@ -644,17 +644,17 @@
             }
             waited = waiting;
             since = 0;
-            if (replies > heard && now - movedAt > SILENT_MILLIS) {
+            if (replies > repliesAcked && now - movedAt > SILENT_MILLIS) {
                 channel.close();
             }
         }
 
-        private void tell() {
-            telling = false;
-            if (number > told && channel.isActive()) {
-                told = number;
-                byte[] count = eight(number);
-                channel.writeAndFlush(frame(channel, SEEN, count, session.sign(-1, count)));
+        private void sendAck() {
+            ackScheduled = false;
+            if (sequence > ackSent && channel.isActive()) {
+                ackSent = sequence;
+                byte[] count = eight(sequence);
+                channel.writeAndFlush(frame(channel, ACK, count, session.sign(-1, count)));
             }
         }
 
@@ -681,7 +681,7 @@
             }
             if (!(read instanceof List<?> said) || said.size() != 5 || !(said.get(0) instanceof String of) || !(said.get(1) instanceof String name)
                     || !(said.get(2) instanceof Number started) || !(said.get(3) instanceof String to) || !(said.get(4) instanceof byte[] nonce)) {
-                fails("peer_malformed", "expected installation, name, life, whom it means and a nonce, found another hello");
+                fails("peer_malformed", "expected installation, name, generation, whom it means and a nonce, found another hello");
                 return;
             }
             if (!of.equals(installation) || !to.equals(own) || name.equals(own) || name.isEmpty()) {
@@ -694,12 +694,12 @@
                 return;
             }
             from = name;
-            itsLife = started.longValue();
+            peerGeneration = started.longValue();
             unknown--;
             session = by.derived(OF_SESSION, challenge, nonce);
-            In before = in.get(from);
+            Inbound before = in.get(from);
             if (before != null) {
-                before.gone();
+                before.unregister();
                 before.channel.close();
             }
             in.put(from, this);
@@ -718,15 +718,15 @@
                 unknown--;
             }
             if (from != null) {
-                gone();
+                unregister();
             }
         }
 
-        private void gone() {
+        private void unregister() {
             in.remove(from, this);
             if (!over && !closed) {
                 over = true;
-                ears.gone(from);
+                listener.inboundClosed(from);
             }
         }
 
--- a/src/main/java/mastdrift/peers/edge/PeerMessageCodec.java
+++ b/src/main/java/mastdrift/peers/edge/PeerMessageCodec.java
@@ -9,63 +9,63 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import mastdrift.peers.Member;
 import mastdrift.peers.Digest;
-import mastdrift.peers.MembershipList;
-import mastdrift.peers.Update;
+import mastdrift.peers.Member;
 import mastdrift.peers.MemberState;
+import mastdrift.peers.MembershipList;
 import mastdrift.peers.PeerMessage;
+import mastdrift.peers.Update;
 
-/** Words and digests as bytes: a version, then an array in CBOR (RFC 8949). A word of a later version, or one that is not well-formed, is refused whole,
+/** Messages and digests as bytes: a version, then an array in CBOR (RFC 8949). A message of a later version, or one that is not well-formed, is refused whole,
     with what was expected and found where. */
 public final class PeerMessageCodec {
 
-    /** Of the words that it writes, and the latest that it reads. */
+    /** Of the messages that it writes, and the latest that it reads. */
     public static final int VERSION = 1;
     private static final JSON CBOR = JSON.builder(new CBORFactory()).build();
-    private static final MemberState[] STANDINGS = MemberState.values();
+    private static final MemberState[] STATES = MemberState.values();
     private static final int PING = 0;
     private static final int ACK = 1;
     private static final int NACK = 2;
-    private static final int ASK = 3;
+    private static final int PING_REQUEST = 3;
     private static final int SYNC = 4;
 
-    /** A word by a build that says things this one doesn't know. */
+    /** A message by a build that says things this one doesn't know. */
     public static final class LaterVersionException extends IllegalArgumentException {
 
         private static final long serialVersionUID = 1L;
 
         LaterVersionException(int version) {
-            super("expected words of version " + VERSION + " at most, found version " + version);
+            super("expected messages of version " + VERSION + " at most, found version " + version);
         }
     }
 
     private PeerMessageCodec() { }
 
-    /** A word as bytes. */
-    public static byte[] bytes(PeerMessage word) {
+    /** A message as bytes. */
+    public static byte[] bytes(PeerMessage message) {
         List<Object> array = new ArrayList<>();
-        if (word instanceof PeerMessage.Ping ping) {
-            array.addAll(Arrays.asList(PING, ping.number()));
-        } else if (word instanceof PeerMessage.Ack ack) {
-            array.addAll(Arrays.asList(ACK, ack.number()));
-        } else if (word instanceof PeerMessage.Nack nack) {
-            array.addAll(Arrays.asList(NACK, nack.number()));
-        } else if (word instanceof PeerMessage.Ask ask) {
-            array.addAll(Arrays.asList(ASK, ask.number(), ask.target()));
-        } else if (word instanceof PeerMessage.Sync sync) {
+        if (message instanceof PeerMessage.Ping ping) {
+            array.addAll(Arrays.asList(PING, ping.sequence()));
+        } else if (message instanceof PeerMessage.Ack ack) {
+            array.addAll(Arrays.asList(ACK, ack.sequence()));
+        } else if (message instanceof PeerMessage.Nack nack) {
+            array.addAll(Arrays.asList(NACK, nack.sequence()));
+        } else if (message instanceof PeerMessage.PingRequest request) {
+            array.addAll(Arrays.asList(PING_REQUEST, request.sequence(), request.target()));
+        } else if (message instanceof PeerMessage.Sync sync) {
             array.addAll(Arrays.asList(SYNC, sync.wanted()));
         }
-        List<Object> rumors = new ArrayList<>();
-        word.rumors().forEach(rumor -> rumors.add(Arrays.asList(rumor.card().name(), rumor.card().life(), rumor.card().zone(), rumor.card().build(),
-                rumor.card().settings(), rumor.incarnation(), rumor.standing().ordinal(), rumor.by())));
-        array.add(rumors);
+        List<Object> updates = new ArrayList<>();
+        message.updates().forEach(update -> updates.add(Arrays.asList(update.member().name(), update.member().generation(), update.member().zone(), update.member().build(),
+                update.member().settings(), update.incarnation(), update.state().ordinal(), update.by())));
+        array.add(updates);
         return versioned(array);
     }
 
     /** A digest as bytes. */
     public static byte[] bytes(Digest digest) {
-        return versioned(Arrays.asList(digest.name(), digest.life(), digest.sequence(), digest.total(), digest.out()));
+        return versioned(Arrays.asList(digest.name(), digest.generation(), digest.sequence(), digest.total(), digest.out()));
     }
 
     private static byte[] versioned(List<?> array) {
@@ -96,26 +96,26 @@
         if (read instanceof List<?> array) {
             return array;
         }
-        throw expected("an array", read, "the word");
+        throw expected("an array", read, "the message");
     }
 
     /** Throws IllegalArgumentException for what is none. */
-    public static PeerMessage word(byte[] bytes) {
+    public static PeerMessage message(byte[] bytes) {
         List<?> array = array(bytes);
         int kind = (int) whole(array, 0, "kind", PING, SYNC);
-        List<Update> rumors = rumors(array, kind == ASK ? 3 : 2, kind == SYNC ? MembershipList.GATEWAYS_MOST : PeerMessage.RUMORS_MOST);
+        List<Update> updates = updates(array, kind == PING_REQUEST ? 3 : 2, kind == SYNC ? MembershipList.GATEWAYS_MOST : PeerMessage.UPDATES_MOST);
         if (kind == SYNC) {
             if (item(array, 1, "wanted") instanceof Boolean wanted) {
-                return new PeerMessage.Sync(wanted, rumors);
+                return new PeerMessage.Sync(wanted, updates);
             }
             throw expected("true or false", array.get(1), "wanted");
         }
-        long number = whole(array, 1, "number", Long.MIN_VALUE, Long.MAX_VALUE);
+        long sequence = whole(array, 1, "sequence", Long.MIN_VALUE, Long.MAX_VALUE);
         return switch (kind) {
-            case PING -> new PeerMessage.Ping(number, rumors);
-            case ACK -> new PeerMessage.Ack(number, rumors);
-            case NACK -> new PeerMessage.Nack(number, rumors);
-            default -> new PeerMessage.Ask(number, text(array, 2, "target"), rumors);
+            case PING -> new PeerMessage.Ping(sequence, updates);
+            case ACK -> new PeerMessage.Ack(sequence, updates);
+            case NACK -> new PeerMessage.Nack(sequence, updates);
+            default -> new PeerMessage.PingRequest(sequence, text(array, 2, "target"), updates);
         };
     }
 
@@ -135,28 +135,28 @@
             }
             out.put(name, number);
         });
-        return new Digest(text(array, 0, "name"), whole(array, 1, "life", 0, Long.MAX_VALUE), whole(array, 2, "sequence", 0, Long.MAX_VALUE), out,
+        return new Digest(text(array, 0, "name"), whole(array, 1, "generation", 0, Long.MAX_VALUE), whole(array, 2, "sequence", 0, Long.MAX_VALUE), out,
                 (int) whole(array, 3, "total", Integer.MIN_VALUE, Integer.MAX_VALUE));
     }
 
-    private static List<Update> rumors(List<?> array, int at, int most) {
-        if (!(item(array, at, "rumors") instanceof List<?> listed)) {
-            throw expected("an array", array.get(at), "rumors");
+    private static List<Update> updates(List<?> array, int at, int most) {
+        if (!(item(array, at, "updates") instanceof List<?> listed)) {
+            throw expected("an array", array.get(at), "updates");
         }
         if (listed.size() > most) {
-            throw new IllegalArgumentException("rumors: expected at most " + most + ", found " + listed.size());
+            throw new IllegalArgumentException("updates: expected at most " + most + ", found " + listed.size());
         }
-        List<Update> rumors = new ArrayList<>();
+        List<Update> updates = new ArrayList<>();
         for (Object each : listed) {
             if (!(each instanceof List<?> of)) {
-                throw expected("an array", each, "rumors[" + rumors.size() + "]");
+                throw expected("an array", each, "updates[" + updates.size() + "]");
             }
-            Member card = new Member(text(of, 0, "name"), whole(of, 1, "life", 0, Long.MAX_VALUE - 1), text(of, 2, "zone"), text(of, 3, "build"),
+            Member member = new Member(text(of, 0, "name"), whole(of, 1, "generation", 0, Long.MAX_VALUE - 1), text(of, 2, "zone"), text(of, 3, "build"),
                     text(of, 4, "settings"));
-            rumors.add(new Update(card, whole(of, 5, "incarnation", 0, Long.MAX_VALUE - 1),
-                    STANDINGS[(int) whole(of, 6, "standing", 0, STANDINGS.length - 1)], text(of, 7, "by")));
+            updates.add(new Update(member, whole(of, 5, "incarnation", 0, Long.MAX_VALUE - 1),
+                    STATES[(int) whole(of, 6, "state", 0, STATES.length - 1)], text(of, 7, "by")));
         }
-        return rumors;
+        return updates;
     }
 
     private static Object item(List<?> array, int at, String what) {
--- a/src/main/java/mastdrift/serve/AgreedService.java
+++ b/src/main/java/mastdrift/serve/AgreedService.java
@@ -14,18 +14,18 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import mastdrift.agreed.AgreedLog.Decision;
 import mastdrift.agreed.AgreedLog.AppendOutcome;
+import mastdrift.agreed.AgreedLog.Decision;
 import mastdrift.agreed.Voters;
 import mastdrift.agreed.edge.RaftLog;
 import mastdrift.config.AgreedSettings;
 import mastdrift.config.Configuration;
 import mastdrift.events.Events;
 import mastdrift.events.Events.Level;
-import mastdrift.peers.MembershipList;
 import mastdrift.peers.MemberState;
+import mastdrift.peers.MembershipList;
 
-/** The agreed log in a gateway from files, and its first use: the roll, a word of each gateway now and then, by which everybody knows that the log works and who was there when. No request waits for it; without it nothing but
+/** The agreed log in a gateway from files, and its first use: the roll, an entry of each gateway now and then, by which everybody knows that the log works and who was there when. No request waits for it; without it nothing but
     the roll is missing. */
 final class AgreedService implements AutoCloseable {
 
@@ -39,7 +39,7 @@
     private final Events events;
     private final RaftLog log;
     private final ScheduledThreadPoolExecutor timer;
-    private final Map<String, Long> rolls = new HashMap<>();  // the index of each gateway's last word
+    private final Map<String, Long> rolls = new HashMap<>();  // the index of each gateway's last entry
     private final List<Decision> unsaid = new ArrayList<>();
     private String survives = "";
     private long number;
@@ -74,21 +74,21 @@
         long now = System.nanoTime() / 1_000;
         List<Voters.Eligible> all = new ArrayList<>(List.of(new Voters.Eligible(name, zone(name), 0)));
         for (MembershipList.Entry each : peers.seen()) {
-            boolean there = each.rumor().standing() == MemberState.ALIVE || each.rumor().standing() == MemberState.SUSPECTED;
-            all.add(new Voters.Eligible(each.rumor().card().name(), each.rumor().card().zone(), there ? 0 : Math.max(1, now - each.since())));
+            boolean there = each.update().state() == MemberState.ALIVE || each.update().state() == MemberState.SUSPECT;
+            all.add(new Voters.Eligible(each.update().member().name(), each.update().member().zone(), there ? 0 : Math.max(1, now - each.since())));
         }
         return all;
     }
 
     private String zone(String gateway) {
-        return peers.seen().stream().filter(each -> each.rumor().card().name().equals(gateway)).map(each -> each.rumor().card().zone()).findFirst().orElse(peers.zone());
+        return peers.seen().stream().filter(each -> each.update().member().name().equals(gateway)).map(each -> each.update().member().zone()).findFirst().orElse(peers.zone());
     }
 
     private void roll(String zone) {
-        String id = ROLL + name + " " + peers.life() + " " + ++number;
+        String id = ROLL + name + " " + peers.generation() + " " + ++number;
         byte[] command;
         try {
-            command = JSON.std.asBytes(new LinkedHashMap<>(Map.of("gateway", name, "zone", zone, "life", peers.life())));
+            command = JSON.std.asBytes(new LinkedHashMap<>(Map.of("gateway", name, "zone", zone, "life", peers.generation())));
         } catch (IOException e) {
             throw new UncheckedIOException(e);  // of bytes in memory
         }
--- a/src/main/java/mastdrift/serve/ControlClient.java
+++ b/src/main/java/mastdrift/serve/ControlClient.java
@@ -39,7 +39,7 @@
     private final ControlLinks links;
     private final Map<Long, CompletableFuture<ControlMessage>> waiting = new HashMap<>();  // on the loop's thread
     private final Map<Long, String> askedAt = new HashMap<>();
-    private final Ears ears = new Ears();
+    private final LinkListener listener = new LinkListener();
     private long calls;
 
     /** By the file of a gateway or of a control machine; throws IllegalArgumentException with all that speaks against it, a line each. */
@@ -73,13 +73,13 @@
     private ControlClient(DistributionSettings settings, Secrets secrets) {
         this.settings = settings;
         String name = "operator-" + Long.toHexString(new SecureRandom().nextLong() >>> 64 - BITS);
-        links = new ControlLinks("operator", settings, name, secrets::get, ears, Events.printing(System.err));
+        links = new ControlLinks("operator", settings, name, secrets::get, listener, Events.printing(System.err));
     }
 
-    private final class Ears implements ControlLinks.Heard {
+    private final class LinkListener implements ControlLinks.Listener {
 
         @Override
-        public void heard(String from, boolean reply, byte kind, byte[] message) {
+        public void received(String from, boolean reply, byte kind, byte[] message) {
             if (kind == ControlLinks.CONTROL && reply) {
                 ControlMessage answer = ControlCodec.message(message);
                 if (from.equals(askedAt.get(answer.call()))) {
@@ -90,7 +90,7 @@
         }
 
         @Override
-        public void ended(String to) {
+        public void outboundClosed(String to) {
             for (Map.Entry<Long, String> each : Map.copyOf(askedAt).entrySet()) {
                 if (each.getValue().equals(to)) {
                     askedAt.remove(each.getKey());
@@ -112,7 +112,7 @@
             waiting.put(call, answer);
             askedAt.put(call, machine);
             if (!links.links().send(machine, ControlLinks.CONTROL, ControlCodec.bytes(question.apply(call)))) {
-                ears.ended(machine);
+                listener.outboundClosed(machine);
             }
             links.loop().schedule(() -> {
                 askedAt.remove(call);
--- a/src/main/java/mastdrift/serve/ControlLinks.java
+++ b/src/main/java/mastdrift/serve/ControlLinks.java
@@ -37,40 +37,40 @@
     private final Events events;
     private final Map<String, Long> saidAt = new HashMap<>();
 
-    /** Of a process of this name; the ears are told on the loop's thread, and what they throw ends nothing but that message. */
-    ControlLinks(String thread, DistributionSettings settings, String name, Function<SecretRef, byte[]> secrets, Heard heard, Events events) {
+    /** Of a process of this name; the listener is told on the loop's thread, and what it throws ends nothing but that message. */
+    ControlLinks(String thread, DistributionSettings settings, String name, Function<SecretRef, byte[]> secrets, Listener listener, Events events) {
         this.events = events;
         this.name = name;
         loop = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory(thread, true), NioIoHandler.newFactory()).next();
-        links = new PeerLinks(loop, settings.installation(), name, Math.max(OPENED_MOST, settings.connections()), new Ears(heard));
+        links = new PeerLinks(loop, settings.installation(), name, Math.max(OPENED_MOST, settings.connections()), new LinkListener(listener));
         configure(settings, secrets);
     }
 
-    /** What composition does with what comes. */
-    interface Heard {
+    /** Is told of what comes. */
+    interface Listener {
 
         /** A message; {@code reply} where it came on a connection that was opened here. */
-        void heard(String from, boolean reply, byte kind, byte[] message);
+        void received(String from, boolean reply, byte kind, byte[] message);
 
         /** The connection that was opened to a machine has ended. */
-        void ended(String to);
+        void outboundClosed(String to);
 
         /** The connection that another opened has ended. */
-        default void gone(String from) { }
+        default void inboundClosed(String from) { }
     }
 
-    private final class Ears implements PeerLinks.Ears {
+    private final class LinkListener implements PeerLinks.Listener {
 
-        private final Heard heard;
+        private final Listener listener;
 
-        Ears(Heard heard) {
-            this.heard = heard;
+        LinkListener(Listener listener) {
+            this.listener = listener;
         }
 
         @Override
-        public void heard(String from, long life, byte kind, byte[] message) {
+        public void received(String from, long generation, byte kind, byte[] message) {
             try {
-                heard.heard(from, life == 0, kind, message);
+                listener.received(from, generation == 0, kind, message);
             } catch (IllegalArgumentException e) {
                 refused("peer_malformed", from, e.getMessage());
             }
@@ -88,13 +88,13 @@
         }
 
         @Override
-        public void ended(String to) {
-            heard.ended(to);
+        public void outboundClosed(String to) {
+            listener.outboundClosed(to);
         }
 
         @Override
-        public void gone(String from) {
-            heard.gone(from);
+        public void inboundClosed(String from) {
+            listener.inboundClosed(from);
         }
     }
 
@@ -138,7 +138,7 @@
         settings.machines().forEach(each -> addresses.put(each.name(), Addresses.parse(each.address())));
         addresses.remove(name);
         loop.execute(() -> {
-            links.life(1);  // a reply says 0
+            links.generation(1);  // a reply says 0
             links.keys(keys);
             links.addresses(addresses);
         });
--- a/src/main/java/mastdrift/serve/ControlMachine.java
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -128,7 +128,7 @@
         Path folder = file.toAbsolutePath().resolveSibling(settings.folder());
         copy = new ConfigCopy(folder.resolve("table"), settings.epoch(), events);
         Table had = begun(copy.found());
-        links = new ControlLinks("control-links", settings, settings.name(), secrets::get, new Ears(), events);
+        links = new ControlLinks("control-links", settings, settings.name(), secrets::get, new LinkListener(), events);
         publication = new Publication(links.loop(), links.config(), had, PublisherSettings.USUAL, events);
         subscription = new Subscription(links.loop(), links.config(), settings.name(), settings.zone(), had, SubscriberSettings.USUAL, System.nanoTime(), events, this::told);
         store = voter ? new Store(had, new Decided()) : null;
@@ -192,10 +192,10 @@
                 "address", links.links().address());
     }
 
-    private final class Ears implements ControlLinks.Heard {
+    private final class LinkListener implements ControlLinks.Listener {
 
         @Override
-        public void heard(String from, boolean reply, byte kind, byte[] message) {
+        public void received(String from, boolean reply, byte kind, byte[] message) {
             if (kind == ControlLinks.CONFIG && reply) {
                 subscription.heard(from, message);
             } else if (kind == ControlLinks.CONFIG) {
@@ -210,12 +210,12 @@
         }
 
         @Override
-        public void ended(String to) {
+        public void outboundClosed(String to) {
             subscription.ended(to);
         }
 
         @Override
-        public void gone(String from) {
+        public void inboundClosed(String from) {
             publication.gone(from);
         }
     }
--- a/src/main/java/mastdrift/serve/DistributionService.java
+++ b/src/main/java/mastdrift/serve/DistributionService.java
@@ -80,7 +80,7 @@
             pools = new TreeSet<>(routes.pools());
             distributed = tableOf(routes.routes());
         }
-        links = new ControlLinks("distribution", settings, settings.name(), secrets, new Ears(), events);
+        links = new ControlLinks("distribution", settings, settings.name(), secrets, new LinkListener(), events);
         subscription = new Subscription(links.loop(), links.config(), settings.name(), settings.zone(), had, SubscriberSettings.USUAL, seed, events, this::take);
         links.loop().execute(() -> {
             if (copy.there()) {
@@ -136,17 +136,17 @@
 
     // ---- what control machines say
 
-    private final class Ears implements ControlLinks.Heard {
+    private final class LinkListener implements ControlLinks.Listener {
 
         @Override
-        public void heard(String from, boolean reply, byte kind, byte[] message) {
+        public void received(String from, boolean reply, byte kind, byte[] message) {
             if (kind == ControlLinks.CONFIG && reply) {
                 subscription.heard(from, message);
             }
         }
 
         @Override
-        public void ended(String to) {
+        public void outboundClosed(String to) {
             subscription.ended(to);
         }
     }
--- a/src/main/java/mastdrift/serve/PeerService.java
+++ b/src/main/java/mastdrift/serve/PeerService.java
@@ -36,13 +36,13 @@
 import mastdrift.events.Events.Level;
 import mastdrift.files.StatusFile;
 import mastdrift.net.Addresses;
-import mastdrift.peers.Member;
 import mastdrift.peers.Digest;
+import mastdrift.peers.Member;
+import mastdrift.peers.MemberState;
 import mastdrift.peers.MembershipList;
 import mastdrift.peers.MembershipSettings;
-import mastdrift.peers.Update;
-import mastdrift.peers.MemberState;
 import mastdrift.peers.PeerMessage;
+import mastdrift.peers.Update;
 import mastdrift.peers.edge.GenerationFile;
 import mastdrift.peers.edge.PeerLinks;
 import mastdrift.peers.edge.PeerMessageCodec;
@@ -50,8 +50,8 @@
 /** The other gateways, in a gateway from files: who is there, on a thread of its own, and what they have out, for the modules. */
 final class PeerService implements AutoCloseable {
 
-    private static final byte WORD = 1;
-    private static final byte WORK = 2;
+    private static final byte MEMBERSHIP = 1;
+    private static final byte DIGEST = 2;
     private static final byte AGREED = 3;
     private static final long STATUS_MILLIS = 500;
     private static final int STATUS_ANYWAY = 10;  // times that nothing has changed
@@ -68,8 +68,8 @@
     private final StatusFile status;  // null for nowhere
     private final Function<SecretRef, byte[]> secrets;
     private final PeerLinks links;
-    private final MembershipList roster;
-    private final long life;
+    private final MembershipList membership;
+    private final long generation;
     private final Map<String, Long> saidAt = new HashMap<>();
     private Consumer<Digest> works = digest -> { };
     private volatile BiConsumer<String, byte[]> agreed = (from, message) -> { };
@@ -88,14 +88,14 @@
         gateway = configuration.gateway();
         settings = configuration.peers();
         status = settings.statusFile() == null ? null : new StatusFile(file, settings.statusFile());
-        links = new PeerLinks(loop, settings.installation(), gateway.name(), settings.connections(), new Ears());
-        life = life(file);
-        Member card = new Member(gateway.name(), life, gateway.zone(), build(), fingerprint(configuration));
-        roster = new MembershipList(card, MembershipSettings.USUAL, seed, now(), new RosterOut());
+        links = new PeerLinks(loop, settings.installation(), gateway.name(), settings.connections(), new LinkListener());
+        generation = generation(file);
+        Member self = new Member(gateway.name(), generation, gateway.zone(), build(), fingerprint(configuration));
+        membership = new MembershipList(self, MembershipSettings.USUAL, seed, now(), new MembershipActions());
         loop.submit(() -> put(configuration)).syncUninterruptibly();
     }
 
-    private long life(Path file) {
+    private long generation(Path file) {
         long wall = Instant.now().toEpochMilli() * 1_000;
         if (settings.folder() == null) {
             return wall;
@@ -136,7 +136,7 @@
             throw new IllegalArgumentException("no listening for peers on " + settings.listen() + ": " + bound.cause().getMessage());
         }
         events.event(Level.INFO, "listening", "listening for peers on " + links.address(), "protocol", "peers", "address", links.address(),
-                "life", roster.card().life());
+                "life", membership.self().generation());
         loop.execute(this::tick);
         if (status != null) {
             loop.scheduleWithFixedDelay(this::write, STATUS_MILLIS, STATUS_MILLIS, TimeUnit.MILLISECONDS);
@@ -144,8 +144,8 @@
     }
 
     /** Of this start; a larger one may be taken later, where that one turns out to be used. */
-    long life() {
-        return life;
+    long generation() {
+        return generation;
     }
 
     /** The gateway's. */
@@ -157,8 +157,8 @@
     void configure(Configuration next) {
         loop.execute(() -> {
             put(next);
-            if (!fingerprint(next).equals(roster.card().settings())) {
-                roster.changed(build(), fingerprint(next));
+            if (!fingerprint(next).equals(membership.self().settings())) {
+                membership.changed(build(), fingerprint(next));
             }
         });
     }
@@ -166,10 +166,10 @@
     private void put(Configuration next) {
         Map<String, InetSocketAddress> addresses = new HashMap<>();
         next.peers().gateways().forEach((name, at) -> addresses.put(name, Addresses.parse(at)));
-        links.life(roster.card().life());
+        links.generation(membership.self().generation());
         links.keys(next.peers().keys().stream().map(secrets).toList());
         links.addresses(addresses);
-        roster.named(addresses.keySet());
+        membership.configured(addresses.keySet());
     }
 
     // ---- work out
@@ -183,9 +183,9 @@
     void tell(Digest digest) {
         loop.execute(() -> {
             byte[] bytes = PeerMessageCodec.bytes(digest);
-            List<MembershipList.Entry> present = roster.members().stream().filter(each -> each.rumor().standing() == MemberState.ALIVE).toList();
-            for (int i = 0; i < Math.min(TOLD_MOST, present.size()) && !roster.nameTaken(); i++) {
-                links.send(present.get(told++ % present.size()).rumor().card().name(), WORK, bytes);
+            List<MembershipList.Entry> present = membership.entries().stream().filter(each -> each.update().state() == MemberState.ALIVE).toList();
+            for (int i = 0; i < Math.min(TOLD_MOST, present.size()) && !membership.nameTaken(); i++) {
+                links.send(present.get(told++ % present.size()).update().member().name(), DIGEST, bytes);
             }
         });
     }
@@ -223,15 +223,15 @@
 
     private void tick() {
         try {
-            roster.tick(now());
-            seen = roster.members();
+            membership.tick(now());
+            seen = membership.entries();
         } finally {  // or no tick would ever come again
             arm();
         }
     }
 
     private void arm() {
-        long due = roster.dueAt();
+        long due = membership.dueAt();
         if (due != armedFor) {
             if (armed != null) {
                 armed.cancel(false);
@@ -244,11 +244,11 @@
         }
     }
 
-    private final class RosterOut implements MembershipList.Out {
+    private final class MembershipActions implements MembershipList.Actions {
 
         @Override
-        public void send(String to, PeerMessage word) {
-            links.send(to, WORD, PeerMessageCodec.bytes(word));
+        public void send(String to, PeerMessage message) {
+            links.send(to, MEMBERSHIP, PeerMessageCodec.bytes(message));
         }
 
         @Override
@@ -256,22 +256,22 @@
             changed = true;
             boolean bad = event == MembershipList.Event.GONE || event == MembershipList.Event.SUSPECTED || event == MembershipList.Event.NAME_TAKEN;
             String name = event.name().toLowerCase(Locale.ROOT);
-            events.event(bad ? Level.WARN : Level.INFO, "peer_" + name, "gateway " + of.card().name() + " " + name.replace('_', ' ')
-                    + (event == MembershipList.Event.SUSPECTED || event == MembershipList.Event.GONE ? ", by " + of.by() : ""), "peer", of.card().name(), "zone", of.card().zone(),
-                    "life", of.card().life(), "incarnation", of.incarnation(), "by", of.by(), "mono_us", now());
-            loop.execute(() -> links.life(roster.card().life()));
+            events.event(bad ? Level.WARN : Level.INFO, "peer_" + name, "gateway " + of.member().name() + " " + name.replace('_', ' ')
+                    + (event == MembershipList.Event.SUSPECTED || event == MembershipList.Event.GONE ? ", by " + of.by() : ""), "peer", of.member().name(), "zone", of.member().zone(),
+                    "life", of.member().generation(), "incarnation", of.incarnation(), "by", of.by(), "mono_us", now());
+            loop.execute(() -> links.generation(membership.self().generation()));
         }
     }
 
-    private final class Ears implements PeerLinks.Ears {
+    private final class LinkListener implements PeerLinks.Listener {
 
         @Override
-        public void heard(String from, long life, byte kind, byte[] message) {
+        public void received(String from, long generation, byte kind, byte[] message) {
             try {
-                if (kind == WORD) {
-                    roster.heard(now(), from, life, PeerMessageCodec.word(message));
+                if (kind == MEMBERSHIP) {
+                    membership.received(now(), from, generation, PeerMessageCodec.message(message));
                     arm();
-                } else if (kind == WORK) {
+                } else if (kind == DIGEST) {
                     Digest digest = PeerMessageCodec.digest(message);
                     if (digest.name().equals(from)) {
                         works.accept(digest);
@@ -330,24 +330,24 @@
         all.put("at", Instant.now().toString());
         all.put("mono_us", now);
         all.put("zone", gateway.zone());
-        all.put("life", roster.card().life());
-        all.put("build", roster.card().build());
-        all.put("settings", roster.card().settings());
-        all.put("name_taken", roster.nameTaken());
-        all.put("health", roster.health());
+        all.put("life", membership.self().generation());
+        all.put("build", membership.self().build());
+        all.put("settings", membership.self().settings());
+        all.put("name_taken", membership.nameTaken());
+        all.put("health", membership.health());
         List<Map<String, Object>> members = new ArrayList<>();
-        for (MembershipList.Entry each : roster.members()) {
+        for (MembershipList.Entry each : membership.entries()) {
             Map<String, Object> member = new LinkedHashMap<>();
-            Member card = each.rumor().card();
-            member.put("name", card.name());
-            member.put("standing", each.rumor().standing().name().toLowerCase(Locale.ROOT));
+            Member of = each.update().member();
+            member.put("name", of.name());
+            member.put("standing", standing(each.update().state()));
             member.put("since_ms", (now - each.since()) / 1_000);
             member.put("heard_ms", each.heardAt() == 0 ? null : (now - each.heardAt()) / 1_000);
-            member.put("zone", card.zone());
-            member.put("life", card.life());
-            member.put("by", each.rumor().by());
-            member.put("build", card.build());
-            member.put("settings", card.settings());
+            member.put("zone", of.zone());
+            member.put("life", of.generation());
+            member.put("by", each.update().by());
+            member.put("build", of.build());
+            member.put("settings", of.settings());
             members.add(member);
         }
         all.put("members", members);
@@ -359,13 +359,23 @@
         return all;
     }
 
+    /** A state as the status file names it since the first build. */
+    static String standing(MemberState state) {
+        return switch (state) {
+            case ALIVE -> "alive";
+            case SUSPECT -> "suspected";
+            case FAULTY -> "gone";
+            case LEFT -> "left";
+        };
+    }
+
     /** Says that it ends, then ends. */
     @Override
     public void close() {
         if (!loop.isShuttingDown()) {
-            loop.submit(roster::leave).syncUninterruptibly();
+            loop.submit(membership::leave).syncUninterruptibly();
             try {
-                Thread.sleep(LEAVE_MILLIS);  // the words are on their way; nobody waits for them but this end
+                Thread.sleep(LEAVE_MILLIS);  // the messages are on their way; nobody waits for them but this end
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/main/java/mastdrift/serve/PeerWork.java
+++ b/src/main/java/mastdrift/serve/PeerWork.java
@@ -21,7 +21,7 @@
         this.loop = loop;
         this.clock = clock;
         this.service = service;
-        work = new OwnWork(name, service.life());
+        work = new OwnWork(name, service.generation());
         view = new PeerView(name);
         service.works(digest -> loop.execute(() -> view.told(clock.getAsLong(), digest)));
         loop.execute(this::tell);
--- a/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
+++ b/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
@@ -48,7 +48,7 @@
     private final Growing tables = new Growing(1);
 
     /** A process: links, and on them what it publishes and what it subscribes to. */
-    private final class Node implements PeerLinks.Ears, Wires {
+    private final class Node implements PeerLinks.Listener, Wires {
         private final String name;
         private final EventLoop loop = group.next();
         private final PeerLinks links;
@@ -67,7 +67,7 @@
             links = new PeerLinks(loop, "test", name, 64, this);
             table = Table.empty(1);
             on(() -> {
-                links.life(1);
+                links.generation(1);
                 links.keys(List.of(key));
                 return null;
             });
@@ -146,10 +146,10 @@
         }
 
         @Override
-        public void heard(String from, long life, byte kind, byte[] message) {
-            if (kind == CONFIG && life == 0 && subscription != null) {
+        public void received(String from, long generation, byte kind, byte[] message) {
+            if (kind == CONFIG && generation == 0 && subscription != null) {
                 subscription.heard(from, message);
-            } else if (kind == CONFIG && life != 0 && publication != null) {
+            } else if (kind == CONFIG && generation != 0 && publication != null) {
                 publication.heard(from, message);
             }
         }
@@ -160,14 +160,14 @@
         }
 
         @Override
-        public void ended(String to) {
+        public void outboundClosed(String to) {
             if (subscription != null) {
                 subscription.ended(to);
             }
         }
 
         @Override
-        public void gone(String from) {
+        public void inboundClosed(String from) {
             if (publication != null) {
                 publication.gone(from);
             }
--- a/src/test/java/mastdrift/lab/model/PeerWorldTest.java
+++ b/src/test/java/mastdrift/lab/model/PeerWorldTest.java
@@ -52,7 +52,7 @@
         assertTrue(late <= 5 * SECOND, "99% know after " + late + " us");
     }
 
-    /** The aim: no false death with 5% of all words lost and a tenth of a hundred gateways starved to a tenth of a core; here for two minutes. */
+    /** The aim: no false death with 5% of all messages lost and a tenth of a hundred gateways starved to a tenth of a core; here for two minutes. */
     @Test
     void lossAndStarvationKillNobody() {
         List<PeerFault> faults = new ArrayList<>(List.of(new PeerFault(Kind.LOSS, 0, 120 * SECOND, 0, -1, 0.05)));
@@ -103,7 +103,7 @@
         }
     }
 
-    /** A start whose clock is an hour behind, without its folder, is there again once its earlier life is over. */
+    /** A start whose clock is an hour behind, without its folder, is there again once its earlier start is over. */
     @Test
     void aClockSetBackKeepsNobodyOut() {
         for (long seed = 1; seed <= 10; seed++) {
--- a/src/test/java/mastdrift/peers/PeerViewTest.java
+++ b/src/test/java/mastdrift/peers/PeerViewTest.java
@@ -23,8 +23,8 @@
 
     private static final long EVERY = 250_000;
 
-    private static Digest digest(String name, long life, long sequence, Map<String, Integer> out) {
-        return new Digest(name, life, sequence, out, out.values().stream().mapToInt(Integer::intValue).sum());
+    private static Digest digest(String name, long generation, long sequence, Map<String, Integer> out) {
+        return new Digest(name, generation, sequence, out, out.values().stream().mapToInt(Integer::intValue).sum());
     }
 
     /** Honest peers, lost and late digests in any order: the view is the sum of each one's newest within a period. */
@@ -64,7 +64,7 @@
         assertEquals(expected, view.total(), 1e-9);
     }
 
-    /** One of five peers says something that can't be: what it makes of a host is bounded, and the others' words count as before. */
+    /** One of five peers says something that can't be: what it makes of a host is bounded, and the others' digests count as before. */
     @ParameterizedTest
     @ValueSource(ints = {-5, Integer.MIN_VALUE, 30_000, Integer.MAX_VALUE})
     void aPeerThatLiesCountsForLittle(int lie) {
@@ -86,9 +86,9 @@
         PeerView view = new PeerView("own");
         assertEquals(Refused.OWN_NAME, view.told(0, digest("own", 9, 9, Map.of("h", 1))));
         assertNull(view.told(0, digest("twin", 20, 1, Map.of("h", 1))));
-        assertEquals(Refused.OLDER_LIFE, view.told(1, digest("twin", 10, 99, Map.of("h", 5))));
+        assertEquals(Refused.OLDER_GENERATION, view.told(1, digest("twin", 10, 99, Map.of("h", 5))));
         assertNull(view.told(2, digest("twin", 30, 1, Map.of("h", 2))));
-        assertEquals(2, view.peers().get(0).since(), "a new life begins anew");
+        assertEquals(2, view.peers().get(0).since(), "a new generation begins anew");
         Map<String, Integer> large = IntStream.range(0, Digest.HOSTS_MOST + 1).boxed().collect(Collectors.toMap(i -> "x" + i, i -> 1));
         assertEquals(Refused.TOO_LARGE, view.told(3, digest("large", 1, 1, large)));
         for (int i = 1; i < PeerView.PEERS_MOST; i++) {
--- a/src/test/java/mastdrift/peers/edge/PeerLinksReplyTest.java
+++ b/src/test/java/mastdrift/peers/edge/PeerLinksReplyTest.java
@@ -41,7 +41,7 @@
     private final List<End> ends = new ArrayList<>();
     private final AtomicLong clock = new AtomicLong(1_000_000);
 
-    private final class End implements PeerLinks.Ears {
+    private final class End implements PeerLinks.Listener {
         private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
         private final BlockingQueue<String> refused = new LinkedBlockingQueue<>();
         private final BlockingQueue<String> over = new LinkedBlockingQueue<>();
@@ -54,7 +54,7 @@
         End(String name, int most) {
             links = new PeerLinks(loop, "norte", name, most, this, clock::get);
             on(() -> {
-                links.life(5);
+                links.generation(5);
                 links.keys(List.of(KEY));
                 return null;
             });
@@ -75,8 +75,8 @@
         }
 
         @Override
-        public void heard(String from, long life, byte kind, byte[] message) {
-            heard.add(from + " " + life + " " + kind + " " + (message.length > 100 ? message.length : new String(message, StandardCharsets.UTF_8)));
+        public void received(String from, long generation, byte kind, byte[] message) {
+            heard.add(from + " " + generation + " " + kind + " " + (message.length > 100 ? message.length : new String(message, StandardCharsets.UTF_8)));
         }
 
         @Override
@@ -85,12 +85,12 @@
         }
 
         @Override
-        public void ended(String to) {
+        public void outboundClosed(String to) {
             over.add("ended " + to);
         }
 
         @Override
-        public void gone(String from) {
+        public void inboundClosed(String from) {
             over.add("gone " + from);
         }
 
--- a/src/test/java/mastdrift/peers/edge/PeerLinksTest.java
+++ b/src/test/java/mastdrift/peers/edge/PeerLinksTest.java
@@ -35,7 +35,7 @@
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final List<End> ends = new ArrayList<>();
 
-    private final class End implements PeerLinks.Ears {
+    private final class End implements PeerLinks.Listener {
         private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
         private final BlockingQueue<String> refused = new LinkedBlockingQueue<>();
         private final PeerLinks links;
@@ -43,7 +43,7 @@
         End(String installation, String name, byte[]... keys) {
             links = new PeerLinks(loop, installation, name, 8, this);
             loop.submit(() -> {
-                links.life(name.hashCode() & 0xFF);
+                links.generation(name.hashCode() & 0xFF);
                 links.keys(List.of(keys));
             }).syncUninterruptibly();
             links.listen(new InetSocketAddress("127.0.0.1", 0)).syncUninterruptibly();
@@ -51,7 +51,7 @@
         }
 
         @Override
-        public void heard(String from, long life, byte kind, byte[] message) {
+        public void received(String from, long generation, byte kind, byte[] message) {
             heard.add(from + " " + kind + " " + (message.length > 100 ? message.length : new String(message, StandardCharsets.UTF_8)));
         }
 
@@ -108,7 +108,7 @@
         }
         loop.submit(() -> {
             a.links.keys(List.of(NEXT));
-            a.links.life(1_000);  // opens anew
+            a.links.generation(1_000);  // opens anew
         }).syncUninterruptibly();
         assertEquals("a 7 by the next key", through(a, "b", b, "by the next key"));
         loop.submit(() -> b.links.keys(List.of(NEXT))).syncUninterruptibly();
