--- a/src/test/java/mastdrift/lab/model/PeerWorldTest.java
+++ b/src/test/java/mastdrift/lab/model/PeerWorldTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import mastdrift.lab.model.PeerFault.Kind;
 import mastdrift.lab.model.PeerWorld.Plan;
-import mastdrift.peers.RosterSettings;
+import mastdrift.peers.MembershipSettings;
 import org.junit.jupiter.api.Test;
 
 /** Gateways that know of each other, by seeded schedules on a virtual clock. */
@@ -17,7 +17,7 @@
     private static final long SECOND = 1_000_000;
 
     private static Plan plan(int gateways, long seconds, PeerFault... faults) {
-        return new Plan(gateways, seconds * SECOND, 1_000, List.of(faults), RosterSettings.USUAL, 2 * SECOND, true);
+        return new Plan(gateways, seconds * SECOND, 1_000, List.of(faults), MembershipSettings.USUAL, 2 * SECOND, true);
     }
 
     /** Whatever happened, views agree with the truth a while after it is over, and who had no fault was wronged by nobody. */
@@ -52,7 +52,7 @@
         assertTrue(late <= 5 * SECOND, "99% know after " + late + " us");
     }
 
-    /** The aim: no false death with 5% of all words lost and a tenth of a hundred gateways starved to a tenth of a core; here for two minutes. */
+    /** The aim: no false death with 5% of all messages lost and a tenth of a hundred gateways starved to a tenth of a core; here for two minutes. */
     @Test
     void lossAndStarvationKillNobody() {
         List<PeerFault> faults = new ArrayList<>(List.of(new PeerFault(Kind.LOSS, 0, 120 * SECOND, 0, -1, 0.05)));
@@ -103,7 +103,7 @@
         }
     }
 
-    /** A start whose clock is an hour behind, without its folder, is there again once its earlier life is over. */
+    /** A start whose clock is an hour behind, without its folder, is there again once its earlier start is over. */
     @Test
     void aClockSetBackKeepsNobodyOut() {
         for (long seed = 1; seed <= 10; seed++) {
--- a/src/test/java/mastdrift/peers/edge/PeerLinksReplyTest.java
+++ b/src/test/java/mastdrift/peers/edge/PeerLinksReplyTest.java
@@ -41,7 +41,7 @@
     private final List<End> ends = new ArrayList<>();
     private final AtomicLong clock = new AtomicLong(1_000_000);
 
-    private final class End implements PeerLinks.Ears {
+    private final class End implements PeerLinks.Listener {
         private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
         private final BlockingQueue<String> refused = new LinkedBlockingQueue<>();
         private final BlockingQueue<String> over = new LinkedBlockingQueue<>();
@@ -54,7 +54,7 @@
         End(String name, int most) {
             links = new PeerLinks(loop, "norte", name, most, this, clock::get);
             on(() -> {
-                links.life(5);
+                links.generation(5);
                 links.keys(List.of(KEY));
                 return null;
             });
@@ -75,8 +75,8 @@
         }
 
         @Override
-        public void heard(String from, long life, byte kind, byte[] message) {
-            heard.add(from + " " + life + " " + kind + " " + (message.length > 100 ? message.length : new String(message, StandardCharsets.UTF_8)));
+        public void received(String from, long generation, byte kind, byte[] message) {
+            heard.add(from + " " + generation + " " + kind + " " + (message.length > 100 ? message.length : new String(message, StandardCharsets.UTF_8)));
         }
 
         @Override
@@ -85,12 +85,12 @@
         }
 
         @Override
-        public void ended(String to) {
+        public void outboundClosed(String to) {
             over.add("ended " + to);
         }
 
         @Override
-        public void gone(String from) {
+        public void inboundClosed(String from) {
             over.add("gone " + from);
         }
 
@@ -421,7 +421,7 @@
     private final class HandAccepts implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
         private Socket socket = new Socket();
-        private Seal session;
+        private MessageAuthenticator session;
         private byte[] heard;
 
         HandAccepts() throws IOException {
@@ -446,9 +446,9 @@
             challenge[0] = (byte) System.nanoTime();
             write(PeerLinksReplyTest.framed(new byte[] {1, 1}, challenge));
             byte[] hello = frame(socket);
-            Object said = JSON.builder(new CBORFactory()).build().anyFrom(Arrays.copyOfRange(hello, 1, hello.length - Seal.BYTES));
+            Object said = JSON.builder(new CBORFactory()).build().anyFrom(Arrays.copyOfRange(hello, 1, hello.length - MessageAuthenticator.BYTES));
             byte[] nonce = (byte[]) ((List<?>) said).get(4);
-            Seal key = new Seal(KEY);
+            MessageAuthenticator key = new MessageAuthenticator(KEY);
             write(PeerLinksReplyTest.framed(new byte[] {3}, key.sign(new byte[] {3}, challenge, nonce)));
             session = key.derived(new byte[] {'s'}, challenge, nonce);
             heard = frame(socket);
@@ -493,7 +493,7 @@
     /** Who opens, by hand, with little room for what it doesn't read. */
     private static final class HandOpens implements AutoCloseable {
         private final Socket socket = new Socket();
-        private final Seal session;
+        private final MessageAuthenticator session;
 
         HandOpens(End at) throws IOException {
             socket.setReceiveBufferSize(4_096);
@@ -502,7 +502,7 @@
             byte[] challenge = Arrays.copyOfRange(frame(socket), 2, 18);
             byte[] nonce = new byte[16];
             byte[] hello = JSON.builder(new CBORFactory()).build().asBytes(Arrays.asList("norte", "hand", 5L, "b", nonce));
-            Seal key = new Seal(KEY);
+            MessageAuthenticator key = new MessageAuthenticator(KEY);
             write((byte) 2, hello, key.sign(new byte[] {2}, challenge, hello));
             assertEquals(3, frame(socket)[0]);
             session = key.derived(new byte[] {'s'}, challenge, nonce);
