--- a/src/test/java/mastdrift/net/DescriptorsTest.java
+++ b/src/test/java/mastdrift/net/DescriptorsTest.java
@@ -13,7 +13,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.fasterxml.jackson.jr.ob.JSON;
+import io.netty.channel.EventLoop;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpVersion;
 import java.io.File;
+import java.io.FileInputStream;
+import java.io.FileNotFoundException;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -21,12 +28,18 @@
 import java.nio.channels.SocketChannel;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
+import mastdrift.engine.Clock;
+import mastdrift.engine.Timers;
 import mastdrift.net.Loopback.Message;
 import mastdrift.net.Loopback.Server;
 import org.junit.jupiter.api.Test;
@@ -34,7 +47,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Idle clients take all the descriptors that they are given, while discovery is down: its calls, hosts and timers still get theirs. */
+/** Idle clients take all the descriptors that they are given, while discovery is down: its calls, hosts and timers still get theirs. And where a process has
+    none left, its dials fail on the loop as others do. */
 class DescriptorsTest {
 
     private static final int LIMIT = 160;
@@ -47,7 +61,7 @@
 
     /** What the program needs: each file of the class path takes a descriptor. */
     private static String classPath() {
-        return Arrays.stream(Loopback.classPath().split(File.pathSeparator)).filter(entry -> entry.matches(".*(target/classes|netty-|jackson-).*"))
+        return Arrays.stream(Loopback.classPath().split(File.pathSeparator)).filter(entry -> entry.matches(".*(target/(test-)?classes|netty-|jackson-).*"))
                 .collect(Collectors.joining(File.pathSeparator));
     }
 
@@ -169,6 +183,86 @@
         }
     }
 
+    /** A process of its own, which takes every descriptor that it may have, dials a host and discovery, and gives them back: prints what it hears, and whether
+        that is on the loop's thread. Its arguments are where discovery is, a host, and nobody. */
+    static final class Full {
+
+        public static void main(String[] addresses) throws Exception {
+            EventLoop loop = TimedLoop.start().loop();
+            BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+            HostPool pool = loop.submit(() -> {
+                HostPool made = new HostPool(loop, Clock.system()::now, Timers.of(loop), 20_000_000, 5_000_000, 250_000, 10, heard::add);
+                made.update(true, members(entry("s1", addresses[1], "a", "in_service"), entry("s2", addresses[1], "a", "in_service"),
+                        entry("s3", addresses[2], "a", "in_service")).entries(), 0);
+                return made;
+            }).get();
+            // What is loaded from the class path from here on would need a descriptor.
+            send(loop, pool, "s1", heard);
+            send(loop, pool, "s3", heard);
+            watch(loop, addresses[2], heard).watch(false);
+            List<FileInputStream> taken = new ArrayList<>();
+            boolean full = false;
+            while (!full) {
+                try {
+                    taken.add(new FileInputStream("/dev/null"));
+                } catch (FileNotFoundException e) {
+                    full = true;
+                }
+            }
+            System.out.println("full");
+            send(loop, pool, "s2", heard);
+            watch(loop, addresses[0], heard);
+            for (FileInputStream one : taken) {
+                one.close();
+            }
+            System.out.println("room");
+            System.out.println(await(heard));
+            send(loop, pool, "s2", heard);
+            System.exit(0);
+        }
+
+        private static HostList members(String... entries) throws IOException {
+            return HostList.parse(JSON.std.anyFrom(list(1, true, entries)));
+        }
+
+        private static void send(EventLoop loop, HostPool pool, String uid, BlockingQueue<String> heard) throws Exception {
+            loop.execute(() -> pool.send(uid, new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api"), 60_000_000, 40_000_000,
+                    (outcome, answer) -> heard.add(uid + " " + outcome + " " + loop.inEventLoop())));
+            System.out.println(await(heard));
+        }
+
+        private static Discovery watch(EventLoop loop, String at, BlockingQueue<String> heard) throws Exception {
+            HostList known = members(entry("s1", at, "a", "in_service"));
+            Discovery discovery = loop.submit(() -> new Discovery(loop, Config.address(at), known,
+                    told -> heard.add("list " + told.rev() + " " + loop.inEventLoop()), cause -> heard.add(cause + " " + loop.inEventLoop()))).get();
+            loop.execute(() -> discovery.watch(true));
+            System.out.println(await(heard));
+            return discovery;
+        }
+    }
+
+    /** A dial for which there is no descriptor fails on a thread of the library's own: it is heard on the loop, by the pool and by discovery, and both go on
+        once there is room. */
+    @Test
+    void aDialWithoutADescriptorIsHeardOnTheLoop() throws Exception {
+        try (Server one = host("one"); Server nobody = host("none"); Server discovery = new Server(message -> {
+            write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            tell(message.socket(), list(5, true, entry("s1", "127.0.0.1:7", "a", "in_service")));
+        })) {
+            nobody.close();
+            Process process = new ProcessBuilder("sh", "-c", "ulimit -n " + LIMIT + "; exec \"$0\" -Xmx64m -cp \"$1\" 'mastdrift.net.DescriptorsTest$Full' $2 $3 $4",
+                    System.getProperty("java.home") + "/bin/java", classPath(), discovery.address(), one.address(), nobody.address())
+                    .redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
+            try {
+                assertTrue(process.waitFor(Loopback.WAIT_SECONDS, TimeUnit.SECONDS), log());
+                assertEquals(List.of("s1 DELIVERED true", "s3 DIAL_FAILED true", "no connection true", "full", "s2 DIAL_FAILED true", "no connection true",
+                        "room", "list 5 true", "s2 DELIVERED true"), log().lines().toList());
+            } finally {
+                process.destroyForcibly().waitFor();
+            }
+        }
+    }
+
     @Test
     void theLimitIsRead() throws Exception {
         Path file = folder.resolve("limits");
