--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -14,6 +14,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
+import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.logging.Level;
@@ -60,7 +61,7 @@
             Started now = prepare(config, timed, askMillis(config.settings()), tally, System.out);  // asks discovery, whose answer takes its time
             // Ahead of the first client: a signal between the two would end the program, and with it what had been taken.
             ClientSide clients = now.clients();
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(loop, clients)));
+            Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(loop, clients, System.out, () -> Runtime.getRuntime().halt(0))));
             started.complete(now.gateway());  // discovery may move while it is waited for
             open(now, loop, config, TimedLoop.start(), began, System.out);
             listen(now, config, System.out);
@@ -118,7 +119,7 @@
             InetSocketAddress discovery = Config.discovery(System.getenv());
             loop.execute(() -> gateway.discoverAt(discovery));
         } catch (IllegalArgumentException e) {
-            System.out.println("configuration not taken: " + e.getMessage());
+            loop.execute(() -> gateway.log("configuration not taken: " + e.getMessage()));
         }
     }
 
@@ -177,16 +178,30 @@
         out.println("listening on " + started.clients().address());
     }
 
-    /** The virtual machine would end with the signal's status: what was asked for has been done, so 0. */
-    private static void stop(EventLoop loop, ClientSide clients) {
-        CountDownLatch answered = new CountDownLatch(1);
-        loop.execute(() -> clients.stop(STOP_LONGEST, answered::countDown));
+    /** Finishes what was taken, says so, and ends the program by {@code halt}, which doesn't return: the virtual machine would end with the signal's
+        status, and what was asked for has been done. The last line and the end come in one turn of the loop, where a gateway that runs writes all its
+        lines: none comes behind the last. */
+    static void stop(EventLoop loop, ClientSide clients, PrintStream out, Runnable halt) {
+        AtomicBoolean ending = new AtomicBoolean();
+        CountDownLatch ended = new CountDownLatch(1);
+        loop.execute(() -> clients.stop(STOP_LONGEST, () -> {
+            end(ending, "stopped", out, halt);
+            ended.countDown();
+        }));
         try {
-            boolean all = answered.await(STOP_SECONDS, TimeUnit.SECONDS);
-            System.out.println(all ? "stopped" : "stopped with requests unanswered");
+            if (!ended.await(STOP_SECONDS, TimeUnit.SECONDS)) {
+                end(ending, "stopped with requests unanswered", out, halt);
+                ended.await();  // the loop came first, and is about to
+            }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        Runtime.getRuntime().halt(0);
+    }
+
+    private static void end(AtomicBoolean ending, String last, PrintStream out, Runnable halt) {
+        if (!ending.getAndSet(true)) {
+            out.println(last);
+            halt.run();
+        }
     }
 }
--- a/src/test/java/mastdrift/net/LifeTest.java
+++ b/src/test/java/mastdrift/net/LifeTest.java
@@ -278,6 +278,32 @@
         }
     }
 
+    /** Whatever the gateway says in its turns, a discovery that fails for one, nothing comes behind its last line: while the end is on its way, the loop
+        has a line more to write, which must not be there in the end. */
+    @Test
+    void nothingIsSaidBehindTheLastLine() throws Exception {
+        try (Server discovery = discovery(); Server one = host("one");
+                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+            CompletableFuture<String> log = new CompletableFuture<>();
+            Main.stop(node.loop, node.clients, new PrintStream(node.log, true, StandardCharsets.UTF_8), () -> {
+                CountDownLatch said = new CountDownLatch(1);
+                node.loop.execute(() -> {
+                    node.gateway.log("discovery failed");
+                    said.countDown();
+                });
+                try {
+                    // With the end in the loop's turn this can't be; where it could, it would be at once.
+                    assertFalse(said.await(500, TimeUnit.MILLISECONDS), "a line behind the last");
+                    log.complete(node.log.toString(StandardCharsets.UTF_8));
+                } catch (Throwable e) {
+                    log.completeExceptionally(e);
+                }
+            });
+            String whole = log.get(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
+            assertTrue(whole.endsWith("\nstopped\n"), whole);
+        }
+    }
+
     private void signalHup(Process process, String discovery) throws Exception {
         Files.writeString(folder.resolve("config.json"), discovery);
         assertEquals(0, new ProcessBuilder("/bin/sh", "-c", "kill -HUP " + process.pid()).start().waitFor());
