--- a/src/test/java/mastdrift/net/LatenessTest.java
+++ b/src/test/java/mastdrift/net/LatenessTest.java
@@ -101,11 +101,17 @@
 
         /** The loop does nothing else for a while from the moment at which this returns. */
         CountDownLatch hold(long micros) throws InterruptedException {
+            return hold(micros, new CountDownLatch(0));
+        }
+
+        /** Likewise, and until something else has happened too. */
+        CountDownLatch hold(long micros, CountDownLatch until) throws InterruptedException {
             CountDownLatch begun = new CountDownLatch(1);
             CountDownLatch over = new CountDownLatch(1);
             timed.loop().execute(() -> {
                 begun.countDown();
                 pause(micros);
+                held(until);
                 over.countDown();
             });
             assertTrue(begun.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
@@ -121,6 +127,14 @@
         }
     }
 
+    private static void held(CountDownLatch latch) {
+        try {
+            assertTrue(latch.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+        } catch (InterruptedException e) {
+            throw new IllegalStateException(e);  // nobody does
+        }
+    }
+
     private static void pause(long micros) {
         for (long until = System.nanoTime() + micros * 1000; System.nanoTime() < until; ) {
             LockSupport.parkNanos(until - System.nanoTime());
@@ -252,12 +266,14 @@
             write(first, read(20_000));
             assertEquals(200, Loopback.read(first).status());
             gateway.timed.loop().execute(() -> gateway.clients.stop(3_000_000, () -> { }));
-            gateway.hold(3 * HOLD);  // the close of the listener falls due in it
+            CountDownLatch sent = new CountDownLatch(1);
+            gateway.hold(3 * HOLD, sent);  // the close of the listener falls due in it, and all come during it
             List<Socket> sockets = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 sockets.add(gateway.connect());
                 write(sockets.get(i), read(20_000).replace("9b1f", "id" + i));
             }
+            sent.countDown();
             for (Socket each : sockets) {
                 Message answer = Loopback.read(each);
                 assertNotNull(answer, "an answer, and no reset");
