--- a/src/main/java/mastdrift/distribution/Subscriber.java
+++ b/src/main/java/mastdrift/distribution/Subscriber.java
@@ -331,11 +331,11 @@
     }
 
     private void deltas(long now, List<Delta> deltas) {
-        List<Delta> applied = new ArrayList<>();
-        Table next = table;
+        List<Delta> follow = new ArrayList<>();
+        Revision have = table.revision();  // once those before are taken: who says one that isn't, is found out by them
         String problem = null;
+        boolean gap = false;
         for (Delta each : deltas) {
-            Revision have = next.revision();
             if (each.to().forkedFrom(have)) {
                 problem = "expected " + have + ", found " + each.to();
                 break;
@@ -344,22 +344,24 @@
                 continue;  // heard before
             }
             if (each.from() != have.number() || each.to().epoch() != have.epoch()) {
-                askSoon(now);  // something before it got lost
+                gap = true;
                 break;
             }
-            try {
-                next = next.with(each);
-            } catch (MismatchException e) {
-                problem = e.getMessage();
-                break;
-            }
-            applied.add(each);
-            unacked += History.bytes(each);
+            follow.add(each);
+            have = each.to();
+        }
+        Table.Followed followed = table.follow(follow);
+        if (followed.problem() != null) {
+            problem = followed.problem();  // what is said behind that doesn't count
+        } else if (gap) {
+            askSoon(now);  // something before it got lost
         }
-        if (!applied.isEmpty()) {
+        if (followed.taken() > 0) {
+            List<Delta> applied = follow.subList(0, followed.taken());
+            applied.forEach(each -> unacked += History.bytes(each));
             agrees();
             dropSnapshot();
-            takes(next, applied);
+            takes(followed.table(), applied);
         }
         if (problem != null) {
             differs(now, problem);
--- a/src/main/java/mastdrift/distribution/Table.java
+++ b/src/main/java/mastdrift/distribution/Table.java
@@ -3,18 +3,18 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Locale;
-import java.util.Set;
 import java.util.function.Consumer;
+import java.util.stream.IntStream;
 
 /**
  * All resources at one revision. Immutable: a change makes another table that shares with this one all but the shards that it touches.
  *
  * <p>A resource is in one of {@value #SHARDS} shards, by a hash of kind and name that is the same at every machine. A shard is an array in the order of kind and name: beside
- * the resources themselves it takes four bytes each, where a tree or hash map takes forty and more. A change of one resource copies its shard (some 240 references at
- * 245,000 resources) and the lists of shards and digests, and hashes one or two resources: some microseconds.
+ * the resources themselves it takes four bytes each, where a tree or hash map takes forty and more. The shards hang on a tree of two levels with 32 branches each, and a
+ * change copies the path to what it touches (Driscoll, Sarnak, Sleator, Tarjan, "Making data structures persistent", 1989, path copying): of one resource its shard (some 240
+ * references at 245,000 resources) and 64 references above it, and it hashes one or two resources. {@link #follow} copies each of them once for all deltas of a list.
  *
  * <p>Bounded: {@value #RESOURCES_MOST} resources, twice the 245,810 of the target; {@value #VALUE_BYTES_MOST} bytes of values; {@value #SHARD_BYTES_MOST} bytes a shard, so that
  * each fits into one message. What would go beyond isn't applied.
@@ -31,29 +31,46 @@
     public static final int SHARD_BYTES_MOST = 384 << 10;
     /** What a resource takes in a message beside name and value, at most. */
     public static final int RESOURCE_BYTES = 32;
+    private static final int GROUP = 32;  // shards of a group, and groups
     private static final Resource[] NOTHING = {};
 
     private final Revision revision;
-    private final Resource[][] shards;
-    private final long[] highs;  // sums of each shard's hashes
-    private final long[] lows;
+    private final Shard[][] groups;
     private final int[] sizes;  // by kind
     private final long valueBytes;
 
-    private Table(Revision revision, Resource[][] shards, long[] highs, long[] lows, int[] sizes, long valueBytes) {
+    /** Resources in their order, and what is summed over them. Nothing of it changes once a table holds it: until then it is its {@link Editor}'s or {@link Assembly}'s. */
+    private static final class Shard {
+
+        private static final Shard EMPTY = new Shard(NOTHING, 0, 0, 0);
+
+        private Resource[] resources;
+        private long high;  // of hashes
+        private long low;
+        private long bytes;
+
+        Shard(Resource[] resources, long high, long low, long bytes) {
+            this.resources = resources;
+            this.high = high;
+            this.low = low;
+            this.bytes = bytes;
+        }
+    }
+
+    private Table(Revision revision, Shard[][] groups, int[] sizes, long valueBytes) {
         this.revision = revision;
-        this.shards = shards;
-        this.highs = highs;
-        this.lows = lows;
+        this.groups = groups;
         this.sizes = sizes;
         this.valueBytes = valueBytes;
     }
 
     /** With nothing in it, at the beginning of an epoch. */
     public static Table empty(long epoch) {
-        Resource[][] shards = new Resource[SHARDS][];
-        Arrays.fill(shards, NOTHING);
-        return new Table(Revision.none(epoch), shards, new long[SHARDS], new long[SHARDS], new int[ResourceKind.values().length], 0);
+        Shard[] none = new Shard[GROUP];
+        Arrays.fill(none, Shard.EMPTY);
+        Shard[][] groups = new Shard[SHARDS / GROUP][];
+        Arrays.fill(groups, none);
+        return new Table(Revision.none(epoch), groups, new int[ResourceKind.values().length], 0);
     }
 
     /** The same resources at the beginning of a later epoch. Throws IllegalArgumentException for one that isn't later. */
@@ -61,7 +78,7 @@
         if (epoch <= revision.epoch()) {
             throw new IllegalArgumentException("epoch: expected one after " + revision.epoch() + ", found " + epoch);
         }
-        return new Table(new Revision(epoch, 0, revision.high(), revision.low()), shards, highs, lows, sizes, valueBytes);
+        return new Table(new Revision(epoch, 0, revision.high(), revision.low()), groups, sizes, valueBytes);
     }
 
     /** Which state this is. */
@@ -86,32 +103,38 @@
 
     /** A resource; null where there is none. */
     public Resource get(ResourceKind kind, String name) {
-        Resource[] shard = shards[shardOf(kind, name)];
+        Resource[] shard = at(shardOf(kind, name)).resources;
         int at = find(shard, kind, name);
         return at < 0 ? null : shard[at];
     }
 
+    private Shard at(int number) {
+        return groups[number / GROUP][number % GROUP];
+    }
+
     /** Resources of a shard, 0 to {@value #SHARDS} less 1, in the order of kind and name. */
     public List<Resource> shard(int number) {
-        return Collections.unmodifiableList(Arrays.asList(shards[number]));
+        return Collections.unmodifiableList(Arrays.asList(at(number).resources));
     }
 
     /** Says whether two shards hold the same, but for a chance of 1 in 2^64; 0 for an empty one. */
     public long digest(int number) {
-        return lows[number];
+        return at(number).low;
     }
 
     /** Of all shards. */
     public long[] digests() {
-        return lows.clone();
+        return IntStream.range(0, SHARDS).mapToLong(this::digest).toArray();
     }
 
     /** All resources of a kind, in an order that means nothing. */
     public void forEach(ResourceKind kind, Consumer<Resource> consumer) {
-        for (Resource[] shard : shards) {
-            for (Resource each : shard) {
-                if (each.kind() == kind) {
-                    consumer.accept(each);
+        for (Shard[] group : groups) {
+            for (Shard shard : group) {
+                for (Resource each : shard.resources) {
+                    if (each.kind() == kind) {
+                        consumer.accept(each);
+                    }
                 }
             }
         }
@@ -178,9 +201,7 @@
             return new Outcome.Conflict(problem);
         }
         Editor editor = new Editor();
-        upserts.forEach(editor::put);
-        deletes.forEach(editor::remove);
-        problem = editor.problem();
+        problem = editor.change(upserts, deletes);
         if (problem != null) {
             return new Outcome.Conflict(problem);
         }
@@ -191,7 +212,7 @@
     /** The same resources at a later number: of a decision that changed nothing here. Throws IllegalArgumentException for a number that isn't after this revision's. */
     public Outcome.Applied passed(long number) {
         after(number);
-        Table next = new Table(new Revision(revision.epoch(), number, revision.high(), revision.low()), shards, highs, lows, sizes, valueBytes);
+        Table next = new Table(new Revision(revision.epoch(), number, revision.high(), revision.low()), groups, sizes, valueBytes);
         return new Outcome.Applied(next, new Delta(revision.number(), next.revision, List.of(), List.of()));
     }
 
@@ -209,98 +230,144 @@
         return version == Edit.NONE ? "none there" : "version " + version;
     }
 
+    /**
+     * What a list of deltas makes of a table.
+     *
+     * @param table behind those that fit
+     * @param taken how many of the list fit, from its head
+     * @param problem what is wrong with the next one, with expected and found; null where all fit
+     */
+    public record Followed(Table table, int taken, String problem) { }
+
     /** What a delta makes of this table. Throws {@link MismatchException} where it begins at another number or epoch, or what comes out isn't the revision that it says. */
     public Table with(Delta delta) {
-        Revision to = delta.to();
-        if (delta.from() != revision.number() || to.epoch() != revision.epoch() || to.number() <= delta.from()) {
-            throw new MismatchException("expected a delta from " + revision.number() + " of epoch " + revision.epoch() + ", found one from " + delta.from() + " to "
-                    + to.number() + " of epoch " + to.epoch());
+        Followed followed = follow(List.of(delta));
+        if (followed.problem != null) {
+            throw new MismatchException(followed.problem);
         }
+        return followed.table;
+    }
+
+    /** What deltas make of this table one behind the other, up to the first that begins at another number or epoch, or doesn't make the revision that it says: the same as each
+        by {@link #with}, and each revision on the way is proved by its hash, for one copy of each list and shard. Where one is wrong, those before it are gone through once more. */
+    public Followed follow(List<Delta> deltas) {
         Editor editor = new Editor();
-        delta.upserts().forEach(editor::put);
-        delta.deletes().forEach(editor::remove);
-        String problem = editor.problem();
-        if (problem != null) {
-            throw new MismatchException("delta to " + to.number() + ": " + problem);
-        }
-        Table next = editor.finish(to.number());
-        if (!next.revision.equals(to)) {
-            throw new MismatchException("delta to " + to.number() + ": expected what makes " + text(to) + ", found " + text(next.revision));
+        for (int i = 0; i < deltas.size(); i++) {
+            String problem = editor.follow(deltas.get(i));
+            if (problem != null) {
+                return new Followed(i == 0 ? this : follow(deltas.subList(0, i)).table, i, problem);  // the editor holds what is wrong by now
+            }
         }
-        return next;
+        return new Followed(deltas.isEmpty() ? this : editor.finish(editor.number), deltas.size(), null);
     }
 
-    private static String text(Revision of) {
-        return String.format("%016x%016x", of.high(), of.low());
+    private static String text(long high, long low) {
+        return String.format("%016x%016x", high, low);
     }
 
-    /** A table of which some shards are replaced. */
+    /** A table of which some shards are replaced. A list or shard that isn't this table's any more is the editor's own, and changed in its place. */
     private final class Editor {
-        private final Resource[][] nextShards = shards.clone();
-        private final long[] nextHighs = highs.clone();
-        private final long[] nextLows = lows.clone();
+        private final Shard[][] nextGroups = groups.clone();
         private final int[] nextSizes = sizes.clone();
-        private final Set<Integer> touched = new HashSet<>();
         private final SetHash hash = new SetHash();
         private long nextValueBytes = valueBytes;
+        private long number = revision.number();
         private long high = revision.high();
         private long low = revision.low();
 
-        private void count(int shard, Resource resource, int sign) {
+        /** Goes on by a delta. What is wrong with it, after which this editor is of no use; null for nothing. */
+        String follow(Delta delta) {
+            Revision to = delta.to();
+            if (delta.from() != number || to.epoch() != revision.epoch() || to.number() <= delta.from()) {
+                return "expected a delta from " + number + " of epoch " + revision.epoch() + ", found one from " + delta.from() + " to " + to.number() + " of epoch " + to.epoch();
+            }
+            String problem = change(delta.upserts(), delta.deletes());
+            if (problem != null) {
+                return "delta to " + to.number() + ": " + problem;
+            }
+            if (high != to.high() || low != to.low()) {
+                return "delta to " + to.number() + ": expected what makes " + text(to.high(), to.low()) + ", found " + text(high, low);
+            }
+            number = to.number();
+            return null;
+        }
+
+        /** Puts in and takes out. The bound that is passed by it, after which this editor is of no use; null for none. */
+        String change(List<Resource> upserts, List<Delta.Gone> deletes) {
+            upserts.forEach(this::put);
+            deletes.forEach(this::remove);
+            String problem = bounds(Arrays.stream(nextSizes).sum(), nextValueBytes);
+            for (int i = 0; problem == null && i < upserts.size(); i++) {
+                int shard = shardOf(upserts.get(i).kind(), upserts.get(i).name());
+                problem = shardProblem(shard, next(shard).bytes);
+            }
+            return problem;
+        }
+
+        private Shard next(int number) {
+            return nextGroups[number / GROUP][number % GROUP];
+        }
+
+        private Shard own(int number) {
+            int group = number / GROUP;
+            if (nextGroups[group] == groups[group]) {
+                nextGroups[group] = groups[group].clone();
+            }
+            Shard shard = next(number);
+            if (shard == at(number)) {
+                shard = new Shard(shard.resources, shard.high, shard.low, shard.bytes);
+                nextGroups[group][number % GROUP] = shard;
+            }
+            return shard;
+        }
+
+        private void count(Shard shard, Resource resource, int sign) {
             hash.of(resource);
-            nextHighs[shard] += sign * hash.high;
-            nextLows[shard] += sign * hash.low;
+            shard.high += sign * hash.high;
+            shard.low += sign * hash.low;
+            shard.bytes += sign * (long) Table.bytes(resource);
             high += sign * hash.high;
             low += sign * hash.low;
             nextSizes[resource.kind().ordinal()] += sign;
             nextValueBytes += sign * (long) resource.value().length;
         }
 
-        void put(Resource resource) {
+        private void put(Resource resource) {
             int number = shardOf(resource.kind(), resource.name());
-            touched.add(number);
-            Resource[] shard = nextShards[number];
-            int at = find(shard, resource.kind(), resource.name());
+            Shard shard = own(number);
+            Resource[] there = shard.resources;
+            int at = find(there, resource.kind(), resource.name());
             if (at >= 0) {
-                count(number, shard[at], -1);
-                shard = shard.clone();
-                shard[at] = resource;
+                count(shard, there[at], -1);
+                shard.resources = there == at(number).resources ? there.clone() : there;
+                shard.resources[at] = resource;
             } else {
                 at = -at - 1;
-                Resource[] longer = new Resource[shard.length + 1];
-                System.arraycopy(shard, 0, longer, 0, at);
-                System.arraycopy(shard, at, longer, at + 1, shard.length - at);
+                Resource[] longer = new Resource[there.length + 1];
+                System.arraycopy(there, 0, longer, 0, at);
+                System.arraycopy(there, at, longer, at + 1, there.length - at);
                 longer[at] = resource;
-                shard = longer;
+                shard.resources = longer;
             }
-            count(number, resource, 1);
-            nextShards[number] = shard;
+            count(shard, resource, 1);
         }
 
-        void remove(Delta.Gone gone) {
+        private void remove(Delta.Gone gone) {
             int number = shardOf(gone.kind(), gone.name());
-            Resource[] shard = nextShards[number];
-            int at = find(shard, gone.kind(), gone.name());
+            Resource[] there = next(number).resources;
+            int at = find(there, gone.kind(), gone.name());
             if (at >= 0) {
-                count(number, shard[at], -1);
-                Resource[] shorter = shard.length == 1 ? NOTHING : new Resource[shard.length - 1];
-                System.arraycopy(shard, 0, shorter, 0, at);
-                System.arraycopy(shard, at + 1, shorter, at, shorter.length - at);
-                nextShards[number] = shorter;
-            }
-        }
-
-        /** Whether a bound is passed; null if not. */
-        String problem() {
-            String problem = bounds(Arrays.stream(nextSizes).sum(), nextValueBytes);
-            for (int number : problem == null ? touched : Set.<Integer>of()) {
-                problem = problem == null ? shardProblem(number, nextShards[number]) : problem;
+                Shard shard = own(number);
+                count(shard, there[at], -1);
+                Resource[] shorter = there.length == 1 ? NOTHING : new Resource[there.length - 1];
+                System.arraycopy(there, 0, shorter, 0, at);
+                System.arraycopy(there, at + 1, shorter, at, shorter.length - at);
+                shard.resources = shorter;
             }
-            return problem;
         }
 
-        Table finish(long number) {
-            return new Table(new Revision(revision.epoch(), number, high, low), nextShards, nextHighs, nextLows, nextSizes, nextValueBytes);
+        Table finish(long at) {
+            return new Table(new Revision(revision.epoch(), at, high, low), nextGroups, nextSizes, nextValueBytes);
         }
     }
 
@@ -311,11 +378,7 @@
         return bytes > VALUE_BYTES_MOST ? "expected at most " + VALUE_BYTES_MOST + " bytes of values, found " + bytes : null;
     }
 
-    private static String shardProblem(int number, Resource[] shard) {
-        long bytes = 0;
-        for (Resource each : shard) {
-            bytes += bytes(each);
-        }
+    private static String shardProblem(int number, long bytes) {
         return bytes > SHARD_BYTES_MOST ? "shard " + number + ": expected at most " + SHARD_BYTES_MOST + " bytes, found " + bytes : null;
     }
 
@@ -333,24 +396,22 @@
      * <p>Mutable, for one thread. Takes the table's memory and that of the shards that have come.
      */
     public static final class Assembly {
-        private final Resource[][] shards;
-        private final long[] highs;
-        private final long[] lows;
+        private final Shard[] shards = new Shard[SHARDS];
         private final SetHash hash = new SetHash();
         private Revision revision;
         private String problem;
         private int taken;
 
         private Assembly(Table base) {
-            shards = base.shards.clone();
-            highs = base.highs.clone();
-            lows = base.lows.clone();
+            for (int i = 0; i < SHARDS; i++) {
+                shards[i] = base.at(i);
+            }
             revision = base.revision;
         }
 
         /** Of the shards that are here now. */
         public long[] digests() {
-            return lows.clone();
+            return Arrays.stream(shards).mapToLong(each -> each.low).toArray();
         }
 
         /** Shards that have come. */
@@ -392,18 +453,18 @@
                 }
                 before = each;
             }
-            return shardProblem(number, shard);
+            return shardProblem(number, Arrays.stream(shard).mapToLong(Table::bytes).sum());
         }
 
-        private void put(int number, Resource[] shard) {
-            shards[number] = shard.length == 0 ? NOTHING : shard;
-            highs[number] = 0;
-            lows[number] = 0;
-            for (Resource each : shard) {
+        private void put(int number, Resource[] resources) {
+            Shard shard = resources.length == 0 ? Shard.EMPTY : new Shard(resources, 0, 0, 0);
+            for (Resource each : resources) {
                 hash.of(each);
-                highs[number] += hash.high;
-                lows[number] += hash.low;
+                shard.high += hash.high;
+                shard.low += hash.low;
+                shard.bytes += bytes(each);
             }
+            shards[number] = shard;
             taken++;
         }
 
@@ -411,18 +472,23 @@
         public Table finish() {
             int[] sizes = new int[ResourceKind.values().length];
             long bytes = 0;
-            for (Resource[] shard : shards) {
-                for (Resource each : shard) {
+            long high = 0;
+            long low = 0;
+            for (Shard shard : shards) {
+                high += shard.high;
+                low += shard.low;
+                for (Resource each : shard.resources) {
                     sizes[each.kind().ordinal()]++;
                     bytes += each.value().length;
                 }
             }
-            Revision found = new Revision(revision.epoch(), revision.number(), Arrays.stream(highs).sum(), Arrays.stream(lows).sum());
             problem = bounds(Arrays.stream(sizes).sum(), bytes);
-            if (problem == null && !found.equals(revision)) {
-                problem = "snapshot of " + revision.number() + ": expected what makes " + text(revision) + ", found " + text(found);
+            if (problem == null && (high != revision.high() || low != revision.low())) {
+                problem = "snapshot of " + revision.number() + ": expected what makes " + text(revision.high(), revision.low()) + ", found " + text(high, low);
             }
-            return problem == null ? new Table(revision, shards.clone(), highs.clone(), lows.clone(), sizes, bytes) : null;
+            Shard[][] groups = new Shard[SHARDS / GROUP][];
+            Arrays.setAll(groups, group -> Arrays.copyOfRange(shards, group * GROUP, (group + 1) * GROUP));
+            return problem == null ? new Table(revision, groups, sizes, bytes) : null;
         }
 
         /** Why {@link #finish} gave none. */
--- a/src/main/java/mastdrift/measure/TableMeasurement.java
+++ b/src/main/java/mastdrift/measure/TableMeasurement.java
@@ -1,6 +1,10 @@
 package mastdrift.measure;
 
+import com.sun.management.ThreadMXBean;
+import java.lang.management.ManagementFactory;
+import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Collectors;
@@ -13,13 +17,26 @@
 import mastdrift.lab.scale.Tables;
 
 /** A table of the target's resources (28,000 routes, 810 pools, 170,000 tenants, 47,000 hosts), a tenth and a hundredth of it, in one process: heap, and processor time of one change at
-    who agrees on it and at who follows, with and without its bytes. {@code TableMeasurement [CHANGES]} (2000). */
+    who agrees on it and at who follows, with and without its bytes. Then the same deltas by lists of several lengths: processor time and bytes allocated for each delta, one by one and all of
+    a list at once, in turn. {@code TableMeasurement [CHANGES]} (2000). */
 public final class TableMeasurement {
 
     private static final Map<ResourceKind, Integer> TARGET = Map.of(ResourceKind.ROUTE, 28_000, ResourceKind.POOL, 810, ResourceKind.TENANT, 170_000, ResourceKind.HOST, 47_000);
 
+    private static final int[] LISTS = {1, 10, 64, 500};
+    private static final int TURNS = 4;
+    private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
+
     private TableMeasurement() { }
 
+    /** A way to go on by a list of deltas. */
+    private interface Way {
+        Table follow(Table from, List<Delta> deltas);
+    }
+
+    /** Processor time in nanoseconds and bytes allocated, of one delta. */
+    private record Cost(double nanos, double bytes) { }
+
     /** Prints a line each. */
     public static void main(String[] args) throws Exception {
         int changes = args.length > 0 ? Integer.parseInt(args[0]) : 2_000;
@@ -33,6 +50,7 @@
             double[] agreed = new double[changes];
             double[] followed = new double[changes];
             long bytes = 0;
+            List<Delta> deltas = new ArrayList<>();
             for (int i = 0; i < changes; i++) {
                 Change change = Tables.change(i, counts(part).get(ResourceKind.HOST), 1);
                 long from = System.nanoTime();
@@ -48,10 +66,54 @@
                     throw new IllegalStateException("expected " + applied.table().revision() + ", found " + same.revision());
                 }
                 next = applied.table();
+                deltas.add(heard);
             }
             System.out.printf(Locale.ROOT, "%d resources, values of %.0f bytes: %.2f MiB of heap (%.0f bytes each), built in %.2f s; a change: agreed %s us, followed from its bytes %s us, %d bytes%n",
                     table.size(), (double) table.valueBytes() / table.size(), heap / (1 << 20), heap / table.size(), built, quantiles(agreed), quantiles(followed), bytes / changes);
+            lists(table, deltas);
+        }
+    }
+
+    /** A line for each length: the least of some turns, since others use the machine too. */
+    private static void lists(Table table, List<Delta> deltas) {
+        for (int length : LISTS) {
+            Cost each = new Cost(Double.MAX_VALUE, 0);
+            Cost once = each;
+            for (int turn = 0; turn < TURNS; turn++) {
+                each = less(each, cost(table, deltas, length, TableMeasurement::oneByOne));
+                once = less(once, cost(table, deltas, length, (from, list) -> from.follow(list).table()));
+            }
+            System.out.printf(Locale.ROOT, "  lists of %d, a delta: one by one %.2f us, %.0f bytes; at once %.2f us, %.0f bytes: %.2f of the time, %.3f of the bytes%n", length, each.nanos / 1e3,
+                    each.bytes, once.nanos / 1e3, once.bytes, once.nanos / each.nanos, once.bytes / each.bytes);
+        }
+    }
+
+    private static Table oneByOne(Table from, List<Delta> deltas) {
+        Table table = from;
+        for (Delta each : deltas) {
+            table = table.with(each);
+        }
+        return table;
+    }
+
+    private static Cost less(Cost one, Cost other) {
+        return one.nanos <= other.nanos ? one : other;
+    }
+
+    private static Cost cost(Table table, List<Delta> deltas, int length, Way way) {
+        long thread = Thread.currentThread().getId();
+        Table next = table;
+        long bytes = THREADS.getThreadAllocatedBytes(thread);
+        long nanos = THREADS.getCurrentThreadCpuTime();
+        for (int from = 0; from < deltas.size(); from += length) {
+            next = way.follow(next, deltas.subList(from, Math.min(deltas.size(), from + length)));
+        }
+        nanos = THREADS.getCurrentThreadCpuTime() - nanos;
+        bytes = THREADS.getThreadAllocatedBytes(thread) - bytes;
+        if (!next.revision().equals(deltas.get(deltas.size() - 1).to())) {
+            throw new IllegalStateException("expected " + deltas.get(deltas.size() - 1).to() + ", found " + next.revision());
         }
+        return new Cost((double) nanos / deltas.size(), (double) bytes / deltas.size());
     }
 
     private static Map<ResourceKind, Integer> counts(int part) {
--- a/src/test/java/mastdrift/distribution/TableTest.java
+++ b/src/test/java/mastdrift/distribution/TableTest.java
@@ -145,6 +145,93 @@
         assertEquals(1, table.size());
     }
 
+    /** A list at once gives what one by one gives, whatever is wrong with it and wherever: the same table behind the same delta, for the same reason; and the table before stays. */
+    @Property(tries = 300)
+    void aListOfDeltasAtOnceDoesAsOneByOneWould(@ForAll long seed) {
+        Random random = new Random(seed);
+        Table begin = Changes.table(random.nextInt(3) * 40);
+        List<Delta> deltas = new ArrayList<>();
+        Table end = begin;
+        for (int i = random.nextInt(40); i >= 0; i--) {
+            long number = end.revision().number() + 1 + random.nextInt(3);
+            Outcome outcome = end.apply(number, Changes.drawn(random, "c" + i));
+            Outcome.Applied applied = outcome instanceof Outcome.Applied in ? in : end.passed(number);
+            deltas.add(applied.delta());
+            end = applied.table();
+        }
+        int bad = random.nextInt(4) == 0 ? -1 : random.nextInt(deltas.size());
+        if (bad >= 0) {
+            deltas.set(bad, spoilt(random, deltas.get(bad)));
+        }
+        Map<String, Resource> content = all(begin);
+        Table one = begin;
+        int taken = 0;
+        String problem = null;
+        while (problem == null && taken < deltas.size()) {
+            try {
+                one = one.with(deltas.get(taken));
+                taken++;
+            } catch (MismatchException e) {
+                problem = e.getMessage();
+            }
+        }
+        Table.Followed followed = begin.follow(deltas);
+        assertEquals(taken, followed.taken());
+        assertEquals(problem, followed.problem());
+        assertEquals(one.revision(), followed.table().revision());
+        assertArrayEquals(one.digests(), followed.table().digests());
+        assertEquals(all(one), all(followed.table()));
+        assertEquals(one.size(), followed.table().size());
+        assertEquals(one.valueBytes(), followed.table().valueBytes());
+        assertEquals(content, all(begin), "the one before");
+        if (bad < 0) {
+            assertNull(problem);
+            assertEquals(end.revision(), followed.table().revision());
+        } else if (problem != null) {
+            assertEquals(bad, taken, "the last good one is before the bad one");
+        }
+        Table next = followed.table();
+        Delta more = applied(next.apply(next.revision().number() + 1, Changes.of("more", put("n3", "else")))).delta();
+        assertEquals(more.to(), next.follow(List.of(more)).table().revision(), "it is gone on from");
+        assertEquals(all(one), all(next), "and stays itself");
+    }
+
+    /** One that isn't what was agreed on: of another place or epoch, another hash, another value or version, or without one of its edits. */
+    private static Delta spoilt(Random random, Delta of) {
+        Revision to = of.to();
+        List<Resource> upserts = new ArrayList<>(of.upserts());
+        upserts.add(new Resource(ResourceKind.ROUTE, "n" + random.nextInt(15), random.nextInt(3), bytes("spoilt")));
+        return switch (random.nextInt(7)) {
+            case 0 -> new Delta(of.from() + 1, to, of.upserts(), of.deletes());
+            case 1 -> new Delta(of.from(), new Revision(to.epoch() + 1, to.number(), to.high(), to.low()), of.upserts(), of.deletes());
+            case 2 -> new Delta(of.from(), new Revision(to.epoch(), to.number(), to.high() ^ 1, to.low()), of.upserts(), of.deletes());
+            case 3 -> new Delta(of.from(), new Revision(to.epoch(), to.number(), to.high(), to.low() + 1), of.upserts(), of.deletes());
+            case 4 -> new Delta(of.from(), new Revision(to.epoch(), of.from(), to.high(), to.low()), of.upserts(), of.deletes());
+            case 5 -> new Delta(of.from(), to, upserts, of.deletes());
+            default -> new Delta(of.from(), to, of.upserts().subList(0, of.upserts().size() / 2), of.deletes());
+        };
+    }
+
+    /** A bound that is passed within a list holds where it is passed, though a later delta would bring it back. */
+    @Test
+    void aBoundIsHeldAfterEachDeltaOfAList() {
+        byte[] value = new byte[Resource.VALUE_MOST];
+        List<String> names = IntStream.range(0, 100_000).mapToObj(i -> "s" + i).filter(name -> Table.shardOf(ResourceKind.POOL, name) == 5).limit(24).toList();
+        Table table = Table.empty(1);
+        List<Delta> deltas = new ArrayList<>();
+        for (int i = 0; i < 23; i++) {
+            Outcome.Applied applied = applied(table.apply(i + 1, Changes.of("c", new Edit.Upsert(ResourceKind.POOL, names.get(i), value, Edit.NONE))));
+            table = applied.table();
+            deltas.add(applied.delta());
+        }
+        deltas.add(new Delta(23, new Revision(1, 24, 0, 0), List.of(new Resource(ResourceKind.POOL, names.get(23), 24, value)), List.of()));
+        deltas.add(new Delta(24, new Revision(1, 25, table.revision().high(), table.revision().low()), List.of(), List.of(new Delta.Gone(ResourceKind.POOL, names.get(23)))));
+        Table.Followed followed = Table.empty(1).follow(deltas);
+        assertEquals(23, followed.taken());
+        assertEquals(table.revision(), followed.table().revision());
+        assertTrue(followed.problem().startsWith("delta to 24: shard 5: expected at most 393216 bytes, found "), followed.problem());
+    }
+
     @Test
     void theSameResourcesMayBeginALaterEpoch() {
         Table table = applied(Table.empty(1).apply(7, Changes.of("a", put("r", "1")))).table();
