--- a/src/main/java/mastdrift/config/ResourceRoutes.java
+++ b/src/main/java/mastdrift/config/ResourceRoutes.java
@@ -5,6 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -19,8 +20,8 @@
  * server, more routes than a table holds) is held back whole: what its resources were before stays, and the next changes are taken all the same. What is held back is taken once a later change, or other pools
  * of the gateway, mend it.
  *
- * <p>A change of a few routes costs their parsing and, where routes are asked for, a list of all; 28,000 routes are parsed at a start and after a snapshot alone. Not safe for use
- * by several threads.
+ * <p>A change of a few routes costs their parsing and {@linkplain RouteTable#changed their part} of the table; 28,000 routes are parsed at a start and after a snapshot alone. Not safe
+ * for use by several threads.
  */
 public final class ResourceRoutes {
 
@@ -29,7 +30,8 @@
     private final Map<String, Integer> pools = new TreeMap<>();  // and how often routes in force name them
     private final Map<String, String> heldBack = new TreeMap<>();  // by name of the resource, with the reason
     private RouteChecks checks;
-    private List<Route> routes = List.of();
+    private final Map<String, Optional<RouteValue>> listed = new HashMap<>();  // by name of what was touched since the table was made, as it stands there
+    private RouteTable table = new RouteTable(List.of());
 
     /** None yet, for a gateway that these speak for. */
     public ResourceRoutes(RouteChecks checks) {
@@ -43,7 +45,12 @@
 
     /** In the order in which they are tried. */
     public List<Route> routes() {
-        return routes;
+        return table.routes();
+    }
+
+    /** Those in force; what an earlier call gave stays as it was. */
+    public RouteTable table() {
+        return table;
     }
 
     /** Why not all is in force as resources say, with the first reason; null where all is. */
@@ -167,6 +174,7 @@
             RouteValue had = byName.get(each.getKey());
             if (!each.getValue().equals(had)) {
                 remove(each.getKey());
+                touch(each.getKey(), had);
                 byName.put(each.getKey(), each.getValue());
                 each.getValue().pools().forEach(pool -> pools.merge(pool, 1, Integer::sum));
                 inOrder.add(each.getValue());
@@ -184,12 +192,27 @@
     private boolean remove(String name) {
         RouteValue had = byName.remove(name);
         if (had != null) {
+            touch(name, had);
             had.pools().forEach(pool -> pools.computeIfPresent(pool, (key, routes) -> routes == 1 ? null : routes - 1));
         }
         return had != null && inOrder.remove(had);
     }
 
+    private void touch(String name, RouteValue had) {
+        listed.putIfAbsent(name, Optional.ofNullable(had));
+    }
+
     private void list() {
-        routes = inOrder.stream().map(RouteValue::route).toList();
+        List<RouteValue> gone = new ArrayList<>();
+        List<RouteValue> come = new ArrayList<>();
+        listed.forEach((name, had) -> {
+            Optional<RouteValue> now = Optional.ofNullable(byName.get(name));
+            if (!now.equals(had)) {
+                had.ifPresent(gone::add);
+                now.ifPresent(come::add);
+            }
+        });
+        listed.clear();
+        table = table.changed(gone, come);
     }
 }
--- a/src/main/java/mastdrift/config/RouteValue.java
+++ b/src/main/java/mastdrift/config/RouteValue.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Set;
 import mastdrift.routing.Match;
+import mastdrift.routing.OrderedRoute;
 import mastdrift.routing.Route;
 
 /**
@@ -13,7 +14,7 @@
  * @param order routes are tried in the order of this number, and of their names where it is the same
  * @param route under the name of its resource
  */
-public record RouteValue(long order, Route route) implements Comparable<RouteValue> {
+public record RouteValue(long order, Route route) implements OrderedRoute, Comparable<RouteValue> {
 
     /** The largest order. */
     public static final long ORDER_MOST = 1_000_000_000;
@@ -67,6 +68,6 @@
 
     @Override
     public int compareTo(RouteValue other) {
-        return order != other.order ? Long.compare(order, other.order) : route.name().compareTo(other.route.name());
+        return OrderedRoute.compare(this, other);
     }
 }
--- a/src/main/java/mastdrift/measure/TablesMeasurement.java
+++ b/src/main/java/mastdrift/measure/TablesMeasurement.java
@@ -8,6 +8,7 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 import mastdrift.routing.Match;
+import mastdrift.routing.OrderedRoute;
 import mastdrift.routing.Route;
 import mastdrift.routing.Route.Target;
 import mastdrift.routing.RouteTable;
@@ -16,7 +17,7 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Big tables of routes: time to build one, its heap, and look-ups beside those of a plain list, in turn:
+ * Big tables of routes: time to build one, to change it by one route, its heap, and look-ups beside those of a plain list, in turn:
  * {@code TablesMeasurement [RUNS]}, 3 unless it says; each takes about 10 s.
  * {@code TablesMeasurement FOLDER ROUTES POOLS NODES} writes a set of files of that size, for {@code check} and {@code serve}.
  */
@@ -28,6 +29,8 @@
     private static final int TENANTS_A_ROUTE = 6;
     private static final int REQUESTS = 20_000;
     private static final int WARM = 100_000;
+    private static final int CHANGES = 2_000;
+    private static final int BUILDS = 5;
     private static final long LINEAR_NANOS = 700_000_000L;
     private static final List<String> CLASSES = List.of("session-read", "session-start", "session-stop");
     private static final List<String> ZONES = List.of("bilbao", "oviedo", "gijon");
@@ -101,6 +104,39 @@
         if (!routes.equals(table.routes())) {
             throw new IllegalStateException("another table");
         }
+        changes(run, routes, table);
+    }
+
+    /** A route gets another path, in its place: the table changed by that, and another one made of the whole list. */
+    private static void changes(int run, List<Route> routes, RouteTable table) {
+        SplittableRandom random = new SplittableRandom(run);
+        List<OrderedRoute> ordered = OrderedRoute.ofList(routes);
+        Histogram parts = new Histogram(3);
+        RouteTable next = table;
+        for (int i = 0; i < CHANGES; i++) {
+            int at = random.nextInt(ordered.size());
+            OrderedRoute old = ordered.get(at);
+            Match match = old.route().match();
+            OrderedRoute changed = new OrderedRoute.Numbered(at, new Route(old.route().name(), new Match(match.className(), match.tenant(), match.pathPrefix() + "-" + i,
+                    match.headerName(), match.headerValue(), match.zone()), old.route().targets(), null));
+            long since = System.nanoTime();
+            next = next.changed(List.of(old), List.of(changed));
+            parts.recordValue(System.nanoTime() - since);
+            ordered.set(at, changed);
+        }
+        List<Route> after = ordered.stream().map(OrderedRoute::route).toList();
+        Histogram anew = new Histogram(3);
+        for (int i = 0; i < BUILDS; i++) {
+            long since = System.nanoTime();
+            RouteTable made = new RouteTable(after);
+            anew.recordValue(System.nanoTime() - since);
+            if (!made.routes().equals(next.routes())) {
+                throw new IllegalStateException("another table");
+            }
+        }
+        System.out.printf(Locale.ROOT, "  one of them changed: mean %.1f, p50 %.1f, p99 %.1f us (%d changes); all made anew: p50 %.0f us (%d times), %.0f times the mean%n", parts.getMean() / 1e3,
+                parts.getValueAtPercentile(50) / 1e3, parts.getValueAtPercentile(99) / 1e3, CHANGES, anew.getValueAtPercentile(50) / 1e3, BUILDS,
+                anew.getValueAtPercentile(50) / parts.getMean());
     }
 
     /** Of ten routes six are by path alone, one by class and path, two by tenant and path, one by path and a header. */
--- a/src/main/java/mastdrift/serve/DistributionService.java
+++ b/src/main/java/mastdrift/serve/DistributionService.java
@@ -30,7 +30,6 @@
 import mastdrift.events.Events;
 import mastdrift.events.Events.Level;
 import mastdrift.files.StatusFile;
-import mastdrift.routing.Route;
 import mastdrift.routing.RouteTable;
 
 /**
@@ -78,7 +77,7 @@
         if (copy.there()) {
             routes.all(routesOf(had));
             pools = new TreeSet<>(routes.pools());
-            distributed = tableOf(routes.routes());
+            distributed = tableOf(routes);
         }
         links = new ControlLinks("distribution", settings, settings.name(), secrets, new Ears(), events);
         subscription = new Subscription(links.loop(), links.config(), settings.name(), settings.zone(), had, SubscriberSettings.USUAL, seed, events, this::take);
@@ -97,8 +96,8 @@
         return all;
     }
 
-    private static RouteTable tableOf(List<Route> routes) {
-        return routes.isEmpty() ? null : new RouteTable(routes);
+    private static RouteTable tableOf(ResourceRoutes routes) {
+        return routes.routes().isEmpty() ? null : routes.table();
     }
 
     /** Until there is something to serve by: at once where there was a copy. */
@@ -165,7 +164,7 @@
 
     /** Puts routes in force, where they have changed, by one event of the gateway's loop, and acknowledges the revision after that. */
     private void bring(Revision revision, boolean changed) {
-        RouteTable next = changed ? tableOf(routes.routes()) : null;
+        RouteTable next = changed ? tableOf(routes) : null;
         String problem = routes.problem();
         TreeSet<String> named = changed ? new TreeSet<>(routes.pools()) : pools;
         pools = named;  // before they are in force: a pool that is taken out meanwhile is refused
--- a/src/test/java/mastdrift/routing/RouteIndexTest.java
+++ b/src/test/java/mastdrift/routing/RouteIndexTest.java
@@ -8,10 +8,14 @@
 
 import java.util.ArrayList;
 import java.util.Collections;
+import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
+import java.util.TreeSet;
+import java.util.stream.IntStream;
 import mastdrift.routing.Route.Target;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -41,6 +45,14 @@
         return null;
     }
 
+    private static RouteIndex index(List<Route> routes) {
+        RouteIndex index = RouteIndex.EMPTY;
+        for (OrderedRoute each : OrderedRoute.ofList(routes)) {
+            index = index.with(each);
+        }
+        return index;
+    }
+
     private static Route route(int number, Match match) {
         return new Route("r" + number, match, List.of(new Target("p", 1)), null);
     }
@@ -91,7 +103,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         List<Route> routes = routes(random, count);
         RouteTable table = new RouteTable(routes);
-        RouteIndex index = new RouteIndex(routes);  // also of few, for which a table has none
+        RouteIndex index = index(routes);  // also of few, for which a table has none
         for (int i = 0; i < 40; i++) {
             Traits request = request(random);
             assertSame(linear(routes, request), index.first(request), () -> request + " among " + routes);
@@ -99,6 +111,122 @@
         }
     }
 
+    /** Routes come, go and change their place in any order: after each step the index and the table answer as the list does, and those before it as they did. */
+    @Property(tries = 300, seed = "53")
+    void anIndexThatIsChangedInPartsAnswersAsTheListDoes(@ForAll long seed, @ForAll @IntRange(max = 60) int most) {
+        SplittableRandom random = new SplittableRandom(seed);
+        List<Route> drawn = routes(random, 400);
+        TreeSet<OrderedRoute> there = new TreeSet<>(OrderedRoute::compare);
+        Map<String, OrderedRoute> byName = new HashMap<>();
+        RouteTable table = new RouteTable(List.of());
+        RouteIndex index = RouteIndex.EMPTY;
+        for (int step = 0; step < 40; step++) {
+            Map<String, OrderedRoute> gone = new HashMap<>();
+            Map<String, OrderedRoute> come = new HashMap<>();
+            for (int i = random.nextInt(4); i >= 0; i--) {
+                Route of = drawn.get(random.nextInt(drawn.size()));
+                String name = "n" + random.nextInt(most + 1);  // of few, so that they meet again
+                OrderedRoute had = byName.get(name);
+                if (had != null && !come.containsKey(name)) {
+                    gone.put(name, had);
+                }
+                if (random.nextInt(3) > 0) {
+                    come.put(name, new OrderedRoute.Numbered(random.nextInt(20), new Route(name, of.match(), of.targets(), null)));
+                } else {
+                    come.remove(name);
+                }
+            }
+            RouteTable before = table;
+            RouteIndex indexBefore = index;
+            List<Route> listBefore = there.stream().map(OrderedRoute::route).toList();
+            table = table.changed(gone.values(), come.values());
+            for (OrderedRoute each : gone.values()) {
+                index = index.without(each);
+                there.remove(each);
+                byName.remove(each.route().name());
+            }
+            for (OrderedRoute each : come.values()) {
+                index = index.with(each);
+                there.add(each);
+                byName.put(each.route().name(), each);
+            }
+            List<Route> list = there.stream().map(OrderedRoute::route).toList();
+            assertEquals(list, table.routes());
+            assertEquals(listBefore, before.routes());
+            for (int i = 0; i < 10; i++) {
+                Traits request = request(random);
+                assertSame(linear(list, request), index.first(request), () -> request + " among " + list);
+                assertSame(linear(list, request), table.route(request), () -> request + " among " + list);
+                assertSame(linear(listBefore, request), indexBefore.first(request), () -> request + " among " + listBefore);
+                assertSame(linear(listBefore, request), before.route(request), () -> request + " among " + listBefore);
+            }
+        }
+        for (OrderedRoute each : there) {
+            index = index.without(each);
+        }
+        assertNull(index.first(request(random)));
+        table = table.changed(there, List.of());
+        assertEquals(List.of(), table.routes());
+    }
+
+    /** Labels with one hash, which no branch tells apart, come and go one by one; others stay. */
+    @Test
+    void labelsOfOneHashAreToldApart() {
+        List<String> alike = List.of("AaAaAa", "AaAaBB", "AaBBAa", "AaBBBB", "BBAaAa", "BBAaBB", "BBBBAa", "BBBBBB");
+        assertEquals(1, alike.stream().map(String::hashCode).distinct().count());
+        List<OrderedRoute> all = new ArrayList<>(OrderedRoute.ofList(IntStream.range(0, 80).mapToObj(i ->
+                route(i, new Match(null, null, "/" + (i < alike.size() ? alike.get(i) : "other" + i), null, null, null))).toList()));
+        SplittableRandom random = new SplittableRandom(54);
+        RouteIndex index = RouteIndex.EMPTY;
+        Set<OrderedRoute> there = new HashSet<>();
+        for (int step = 0; step < 2_000; step++) {
+            OrderedRoute each = all.get(random.nextInt(random.nextBoolean() ? alike.size() : all.size()));
+            index = there.contains(each) ? index.without(each) : index.with(each);
+            if (!there.remove(each)) {
+                there.add(each);
+            }
+            for (OrderedRoute one : all) {
+                Route found = index.first(new Traits("read", null, one.route().match().pathPrefix(), "bilbao", 1, name -> List.of()));
+                assertSame(there.contains(one) ? one.route() : null, found, () -> one + " at " + there);
+            }
+        }
+    }
+
+    /** A table that grows and shrinks across the number of routes from which on there is an index. */
+    @Test
+    void aTableMayGrowAndShrinkAcrossWhereTheIndexBegins() {
+        RouteTable table = new RouteTable(List.of());
+        List<OrderedRoute> all = OrderedRoute.ofList(IntStream.range(0, 3 * RouteTable.LINEAR_MOST).mapToObj(i -> route(i, new Match(null, null, "/a" + i, null, null, null))).toList());
+        for (int i = 0; i < all.size(); i++) {
+            table = table.changed(List.of(), List.of(all.get(i)));
+            assertSame(all.get(i).route(), table.route(new Traits("read", null, "/a" + i, "bilbao", 1, name -> List.of())));
+        }
+        for (int i = 0; i < all.size(); i++) {
+            table = table.changed(List.of(all.get(i)), List.of());
+            assertNull(table.route(new Traits("read", null, "/a" + i, "bilbao", 1, name -> List.of())));
+            assertEquals(all.size() - i - 1, table.routes().size());
+        }
+    }
+
+    @Test
+    void whatIsNotThereCannotGoAndNoTwoHaveOnePlace() {
+        OrderedRoute one = new OrderedRoute.Numbered(1, route(1, Match.ANY));
+        OrderedRoute same = new OrderedRoute.Numbered(1, route(1, new Match("read", null, null, null, null, null)));
+        OrderedRoute other = new OrderedRoute.Numbered(2, route(2, Match.ANY));
+        RouteTable table = new RouteTable(List.of()).changed(List.of(), List.of(one));
+        assertEquals("route r2: expected it in its place, found none", assertThrows(IllegalArgumentException.class, () -> table.changed(List.of(other), List.of())).getMessage());
+        assertThrows(IllegalArgumentException.class, () -> table.changed(List.of(one, one), List.of()));
+        assertThrows(IllegalArgumentException.class, () -> table.changed(List.of(one, other), List.of()));
+        assertEquals("route r1: expected a place of its own, found another there", assertThrows(IllegalArgumentException.class, () -> table.changed(List.of(), List.of(same))).getMessage());
+        assertThrows(IllegalArgumentException.class, () -> table.changed(List.of(), List.of(other, other)));
+        assertSame(same.route(), table.changed(List.of(one), List.of(same)).routes().get(0));
+        assertThrows(IllegalArgumentException.class, () -> RouteIndex.EMPTY.with(one).with(one));
+        assertThrows(IllegalArgumentException.class, () -> RouteIndex.EMPTY.without(one));
+        assertEquals("expected at most 56000 routes, found 56001", assertThrows(IllegalArgumentException.class,
+                () -> new RouteTable(Collections.nCopies(RouteTable.ROUTES_MOST, route(1, Match.ANY))).changed(List.of(), List.of(new OrderedRoute.Numbered(RouteTable.ROUTES_MOST, one.route()))))
+                .getMessage());
+    }
+
     /** The same with so many routes that nearly each look-up has another answer. */
     @Test
     void manyRoutesDecideAndEachWhereTheListSaysSo() {
@@ -132,7 +260,7 @@
         List<Route> routes = List.of(route(1, new Match(null, null, prefix, null, null, null)));
         Traits request = new Traits("read", null, path, "bilbao", 1, name -> List.of());
         assertEquals(fits, linear(routes, request) != null, "one by one");
-        assertEquals(fits, new RouteIndex(routes).first(request) != null, "by the index");
+        assertEquals(fits, index(routes).first(request) != null, "by the index");
     }
 
     /** Guards against a look at all routes: who is asked for a header is a candidate. */
@@ -155,7 +283,7 @@
     /** A path as long as a front lets one be ends where the table does. */
     @Test
     void aPathOfManySegmentsIsWalkedNoFurtherThanTheTable() {
-        RouteIndex index = new RouteIndex(List.of(route(1, new Match(null, null, "////a", null, null, null))));
+        RouteIndex index = index(List.of(route(1, new Match(null, null, "////a", null, null, null))));
         assertNull(index.first(new Traits("read", null, "/".repeat(100_000), "bilbao", 1, name -> List.of())));
         assertEquals("r1", index.first(new Traits("read", null, "////a" + "/".repeat(100_000), "bilbao", 1, name -> List.of())).name());
     }
