--- a/src/test/java/mastdrift/distribution/SubscriberTest.java
+++ b/src/test/java/mastdrift/distribution/SubscriberTest.java
@@ -17,6 +17,8 @@
 import java.util.Random;
 import java.util.TreeSet;
 import java.util.stream.IntStream;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
 class SubscriberTest {
@@ -58,6 +60,66 @@
         assertEquals(List.of(), lines.to("g", Message.SnapshotNeeded.class));
     }
 
+    /** A message with repeated, missing, forked and spoilt deltas anywhere ends in the table, by the same reason, that its deltas would give one by one; what fits is taken in one piece. */
+    @Property(tries = 300)
+    void aMessageOfDeltasDoesAsOneByOneWould(@ForAll long seed) {
+        Random random = new Random(seed);
+        Lines lines = new Lines();
+        Table begin = Changes.table(60);
+        lines.machine("a", begin);
+        Subscriber gateway = lines.gateway("g", begin, "a");
+        List<Delta> deltas = new ArrayList<>();
+        Table end = begin;
+        for (int i = 0; i < 12; i++) {
+            Outcome.Applied applied = applied(end.apply(end.revision().number() + 1, Changes.of("c" + i, put("r" + random.nextInt(5), "v" + random.nextInt()))));
+            end = applied.table();
+            Delta delta = applied.delta();
+            Revision to = delta.to();
+            switch (random.nextInt(12)) {
+                case 0 -> { }  // lost
+                case 1 -> deltas.addAll(List.of(delta, delta));
+                case 2 -> deltas.add(new Delta(delta.from(), to, List.of(new Resource(ResourceKind.ROUTE, "r1", to.number(), Changes.bytes("spoilt"))), delta.deletes()));
+                case 3 -> deltas.addAll(List.of(delta, new Delta(delta.from(), new Revision(to.epoch(), to.number(), to.high() + 1, to.low()), delta.upserts(), delta.deletes())));
+                case 4 -> deltas.add(new Delta(delta.from(), new Revision(to.epoch() + 1, to.number(), to.high(), to.low()), delta.upserts(), delta.deletes()));
+                default -> deltas.add(delta);
+            }
+        }
+        Table expected = begin;
+        String problem = null;
+        boolean gap = false;
+        for (int i = 0; i < deltas.size() && problem == null && !gap; i++) {
+            Delta each = deltas.get(i);
+            Revision have = expected.revision();
+            if (each.to().forkedFrom(have)) {
+                problem = "expected " + have + ", found " + each.to();
+            } else if (each.to().after(have) && (each.from() != have.number() || each.to().epoch() != have.epoch())) {
+                gap = true;
+            } else if (each.to().after(have)) {
+                try {
+                    expected = expected.with(each);
+                } catch (MismatchException e) {
+                    problem = e.getMessage();
+                }
+            }
+        }
+        lines.events.clear();
+        gateway.heard(lines.now, "a", new Message.Deltas(deltas));
+        assertEquals(expected.revision(), gateway.table().revision());
+        List<String> events = new ArrayList<>();
+        if (expected != begin) {
+            events.add("g takes " + expected.revision().number());
+        }
+        if (problem != null) {
+            events.add("g config_forked a: " + problem);
+        }
+        assertEquals(events, lines.events);
+        assertEquals(problem != null, !lines.to("a", Message.Fetch.class).isEmpty(), "the only machine is believed");
+        long asked = lines.to("a", Message.Subscribe.class).size();
+        lines.fate = (from, to, message) -> false;
+        lines.run(SECOND);
+        assertEquals(gap, lines.to("a", Message.Subscribe.class).size() > asked, "what is missing is asked for");
+    }
+
     /** Whatever an older machine says, of an older number or epoch, nothing is taken back; and who stays behind is left. */
     @Test
     void nothingThatIsOlderIsTaken() {
