--- a/src/main/java/mastdrift/distribution/Change.java
+++ b/src/main/java/mastdrift/distribution/Change.java
@@ -8,7 +8,7 @@
  * @param id the writer's own: the same change asked for twice under one id is in once
  * @param edits in their order, each of another resource
  */
-public record Change(String id, List<Edit> edits) {
+public record Change(String id, List<Edit> edits) implements Command {
 
     /** Bytes of a change as it is agreed on, at most. */
     public static final int BYTES_MOST = 64 << 10;
--- /dev/null
+++ b/src/main/java/mastdrift/distribution/Command.java
@@ -0,0 +1,4 @@
+package mastdrift.distribution;
+
+/** What voters agree on. */
+public sealed interface Command permits Change, EpochStart { }
--- a/src/main/java/mastdrift/distribution/Revision.java
+++ b/src/main/java/mastdrift/distribution/Revision.java
@@ -23,6 +23,11 @@
 
     /** Whether both claim the same place and differ. */
     public boolean forkedFrom(Revision other) {
-        return epoch == other.epoch && number == other.number && (high != other.high || low != other.low);
+        return epoch == other.epoch && number == other.number && !sameState(other);
+    }
+
+    /** Whether both are of the same resources, by their hashes, at whatever place. */
+    public boolean sameState(Revision other) {
+        return high == other.high && low == other.low;
     }
 }
--- a/src/main/java/mastdrift/distribution/Store.java
+++ b/src/main/java/mastdrift/distribution/Store.java
@@ -11,6 +11,10 @@
  * What a voter makes of the agreed log: a table, by decisions in their order, and what became of the last {@value #FATES_MOST} for who asks again. A revision's number is the place of a decision
  * among all decisions of the log; one that changes nothing (a conflict, or of another build) moves the number on too, so that of any two voters with the same number both have heard all up to it.
  *
+ * <p>An epoch after the first begins with a decision that names the revision it begins from ({@link EpochStart}), asked for by a voter that {@linkplain #toBegin has a table}. Who has that state goes on from it, who has another
+ * waits for a table as behind a gap; until then its table stays what it was in the epoch before, so that no two voters have different states by one revision. Logs of builds that know no such decision begin with a change: who
+ * has a table goes on from that, since nothing says which one was meant; who has none waits.
+ *
  * <p>That an id is in only once is the log's to see to, since all members share its memory of them; a memory of its own would differ from voter to voter, and their tables with it.
  *
  * <p>A decision that doesn't follow (the log has forgotten what came between, or a folder is old) waits, {@value #WAITING_MOST} and {@value #WAITING_BYTES} bytes at most, the newest of them, until it is
@@ -41,59 +45,120 @@
     /** What it wants done. */
     public interface Out {
 
-        /** The next table, and what led there from the one before; with no deltas, another voter's. */
+        /** The next table, and what led there from the one before; with no deltas, another voter's or the first of an epoch. */
         void table(Table next, List<Delta> deltas);
 
         /** Something that operators want to know. */
         void event(String name, String text);
     }
 
-    private record Decided(long ordinal, String id, Change change, int bytes) { }
+    private record Decided(long ordinal, String id, Command command, int bytes) { }
+
+    private static final long FIRST_EPOCH = 1;  // begins with an empty table at all, so nothing has to be named
 
+    private final long epoch;
     private final Out out;
     private final Map<String, Fate> fates = new LinkedHashMap<>();
     private final Deque<Decided> waiting = new ArrayDeque<>();
     private long waitingBytes;
     private Table table;
+    private boolean elsewhere;  // the epoch began from another table than the one here
 
-    /** From a table, of the folder or empty. */
-    public Store(Table table, Out out) {
+    /** In an epoch, from a table of it or of an earlier one: that of the folder, or {@linkplain #nothing none}. Throws IllegalArgumentException for a table of a later epoch. */
+    public Store(Table table, long epoch, Out out) {
+        if (table.revision().epoch() > epoch) {
+            throw new IllegalArgumentException("expected a table of epoch " + epoch + " at most, found one of epoch " + table.revision().epoch());
+        }
         this.table = table;
+        this.epoch = epoch;
         this.out = out;
     }
 
+    /** What a control machine without a folder has in an epoch: it must not be later than what others had before, or who asks it would take an empty table for the newest. */
+    public static Table nothing(long epoch) {
+        return Table.empty(epoch == FIRST_EPOCH ? FIRST_EPOCH : 0);
+    }
+
     /** As it is now. */
     public Table table() {
         return table;
     }
 
-    /** A decision of the log: {@code ordinal} is its place among all decisions, from 1; {@code change} null where it holds none that this build can read. Null for one that the table has
+    /** Whether the table is one of this epoch. */
+    public boolean begun() {
+        return table.revision().epoch() == epoch && (epoch == FIRST_EPOCH || table.revision().number() > 0);
+    }
+
+    /** Decisions of this epoch that the table has. */
+    public long number() {
+        return begun() ? table.revision().number() : 0;
+    }
+
+    /** What this voter would have the epoch begin from, where it hasn't heard that it has begun; null where it has, or where there is no table here: an empty folder is no state that was agreed on. */
+    public Revision toBegin() {
+        return begun() || missing() != 0 || isNothing() ? null : table.revision();
+    }
+
+    private boolean isNothing() {
+        return table.revision().equals(Revision.none(table.revision().epoch()));
+    }
+
+    /** A decision of the log: {@code ordinal} is its place among all decisions of this epoch, from 1; {@code command} null where it holds none that this build can read. Null for one that the table has
         already and whose fate isn't remembered here. */
-    public Fate decided(long ordinal, String id, Change change) {
-        if (ordinal <= table.revision().number()) {
+    public Fate decided(long ordinal, String id, Command command) {
+        if (ordinal <= number()) {
             return fates.get(id);
         }
-        long last = waiting.isEmpty() ? table.revision().number() : waiting.peekLast().ordinal;
+        long last = waiting.isEmpty() ? Math.max(number(), missing()) : waiting.peekLast().ordinal;
         if (ordinal <= last) {
             return new Fate.Waiting(missing());  // heard again
         }
-        Decided decided = new Decided(ordinal, id, change, bytes(change));
-        if (!waiting.isEmpty() || ordinal != table.revision().number() + 1) {
-            if (waiting.isEmpty()) {
-                out.event("config_gap", "expected decision " + (table.revision().number() + 1) + ", found " + ordinal + ": waits for another voter's table");
+        Decided decided = new Decided(ordinal, id, command, bytes(command));
+        if (missing() != 0 || ordinal != number() + 1) {
+            if (missing() == 0) {
+                out.event("config_gap", "expected decision " + (number() + 1) + ", found " + ordinal + ": waits for another voter's table");
             }
             await(decided, ordinal != last + 1);
             return new Fate.Waiting(missing());
         }
+        if (!begun()) {
+            return begin(decided);
+        }
         List<Delta> deltas = new ArrayList<>();
         Fate fate = apply(decided, deltas);
         out.table(table, deltas);
         return fate;
     }
 
-    private static int bytes(Change change) {
+    /** The first decision of an epoch after the first one. */
+    private Fate begin(Decided first) {
+        Revision have = table.revision();
+        if (first.command instanceof EpochStart start ? !start.from().sameState(have) : first.command == null || isNothing()) {
+            elsewhere = true;
+            out.event("config_gap", "epoch " + epoch + " begins from " + (first.command instanceof EpochStart start ? start.from() : "a table that its first decision doesn't name") + ", found " + have
+                    + ": waits for another voter's table");
+            if (first.command instanceof EpochStart start && start.from().epoch() == have.epoch() && have.after(start.from())) {
+                out.event("config_epoch_lost", "epoch " + epoch + " begins from revision " + start.from().number() + " of epoch " + have.epoch() + ": what came behind it up to revision " + have.number()
+                        + ", which this voter has, is not in it");
+            }
+            return new Fate.Waiting(missing());
+        }
+        table = have.epoch() == epoch ? table : table.begun(epoch);
+        Fate fate;
+        if (first.command instanceof EpochStart) {
+            table = table.passed(first.ordinal).table();
+            fate = remember(first.id, new Fate.In(table.revision()));
+        } else {
+            fate = apply(first, new ArrayList<>());
+        }
+        out.event("config_epoch", "epoch " + epoch + " begins from revision " + have.number() + " of epoch " + have.epoch() + ", which is here");
+        out.table(table, List.of());
+        return fate;
+    }
+
+    private static int bytes(Command command) {
         int bytes = 64;
-        for (Edit each : change == null ? List.<Edit>of() : change.edits()) {
+        for (Edit each : command instanceof Change change ? change.edits() : List.<Edit>of()) {
             bytes += 32 + each.name().length() + (each instanceof Edit.Upsert upsert ? upsert.value().length : 0);
         }
         return bytes;
@@ -112,12 +177,16 @@
     }
 
     private Fate apply(Decided decided, List<Delta> deltas) {
-        Outcome outcome = decided.change == null ? new Outcome.Conflict("expected a change, found what this build can't read") : table.apply(decided.ordinal, decided.change);
+        Outcome outcome = decided.command instanceof Change change ? table.apply(decided.ordinal, change)
+                : new Outcome.Conflict("expected a change, found " + (decided.command == null ? "what this build can't read" : "an epoch's beginning behind its first decision"));
         Outcome.Applied applied = outcome instanceof Outcome.Applied in ? in : table.passed(decided.ordinal);
         table = applied.table();
         deltas.add(applied.delta());
-        Fate fate = outcome instanceof Outcome.Conflict conflict ? new Fate.Conflict(conflict.reason()) : new Fate.In(table.revision());
-        fates.put(decided.id, fate);
+        return remember(decided.id, outcome instanceof Outcome.Conflict conflict ? new Fate.Conflict(conflict.reason()) : new Fate.In(table.revision()));
+    }
+
+    private Fate remember(String id, Fate fate) {
+        fates.put(id, fate);
         if (fates.size() > FATES_MOST) {
             fates.remove(fates.keySet().iterator().next());
         }
@@ -131,7 +200,7 @@
 
     /** The last ordinal of those that are missing; 0 where none are. A table of that number or a later one ends the gap. */
     public long missing() {
-        return waiting.isEmpty() ? 0 : waiting.peek().ordinal - 1;
+        return waiting.isEmpty() ? elsewhere ? 1 : 0 : waiting.peek().ordinal - 1;
     }
 
     /** Decisions that wait. */
@@ -139,12 +208,14 @@
         return waiting.size();
     }
 
-    /** Another voter's table; whether it is taken: one that isn't later than the own never is. What waited and follows is applied to it. */
+    /** Another voter's table; whether it is taken: one that isn't later than the own, or not of this epoch since it began, never is. What waited and follows is applied to it. */
     public boolean take(Table other) {
-        if (!other.revision().after(table.revision())) {
+        Revision revision = other.revision();
+        if (!revision.after(table.revision()) || revision.epoch() != epoch || revision.number() == 0) {
             return false;
         }
         table = other;
+        elsewhere = false;
         out.table(table, List.of());
         while (!waiting.isEmpty() && waiting.peek().ordinal <= table.revision().number()) {
             waitingBytes -= waiting.poll().bytes;
--- a/src/main/java/mastdrift/distribution/edge/CborReader.java
+++ b/src/main/java/mastdrift/distribution/edge/CborReader.java
@@ -128,6 +128,12 @@
         return false;
     }
 
+    /** Whether what comes is a whole number; it is still to be read. */
+    boolean wholeNext(String what) {
+        ahead = token(what);
+        return ahead == JsonToken.VALUE_NUMBER_INT;
+    }
+
     String text(String what, int least, int most) {
         JsonToken token = token(what);
         try {
--- a/src/main/java/mastdrift/distribution/edge/MessageCodec.java
+++ b/src/main/java/mastdrift/distribution/edge/MessageCodec.java
@@ -12,8 +12,10 @@
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 import mastdrift.distribution.Change;
+import mastdrift.distribution.Command;
 import mastdrift.distribution.Delta;
 import mastdrift.distribution.Edit;
+import mastdrift.distribution.EpochStart;
 import mastdrift.distribution.Message;
 import mastdrift.distribution.Resource;
 import mastdrift.distribution.ResourceKind;
@@ -64,6 +66,7 @@
     private static final int LATER = 10;
     private static final int UPSERT = 0;
     private static final int DELETE = 1;
+    private static final int EPOCH_START = 0;  // where a change has its id: builds before this one read it as no change, and pass over it
 
     /** Something by a build that says things this one doesn't know. */
     public static final class LaterVersionException extends IllegalArgumentException {
@@ -118,6 +121,16 @@
         });
     }
 
+    /** The beginning of an epoch as bytes. */
+    public static byte[] bytes(EpochStart start) {
+        return whole("an epoch's beginning", Change.BYTES_MOST, to -> {
+            to.writeStartArray(null, 2);
+            to.writeNumber(EPOCH_START);
+            write(start.from(), to);
+            to.writeEndArray();
+        });
+    }
+
     private static byte[] whole(String what, int most, Body body) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(DEFLATED_LEAST);
         out.write(VERSION);
@@ -329,10 +342,28 @@
         return delta;
     }
 
+    /** What voters have agreed on. Throws IllegalArgumentException for what this build can't read. */
+    public static Command command(byte[] bytes) {
+        CborReader from = reader(bytes, Change.BYTES_MOST);
+        from.open("change");
+        if (!from.wholeNext("id")) {
+            return change(from);
+        }
+        from.whole("type", EPOCH_START, EPOCH_START);
+        EpochStart start = new EpochStart(revision(from, "from"));
+        from.close();
+        from.end();
+        return start;
+    }
+
     /** Throws IllegalArgumentException for what is no change. */
     public static Change change(byte[] bytes) {
         CborReader from = reader(bytes, Change.BYTES_MOST);
         from.open("change");
+        return change(from);
+    }
+
+    private static Change change(CborReader from) {
         String id = from.text("id", 1, Change.ID_MOST);
         List<Edit> edits = new ArrayList<>();
         from.list("edits");
--- a/src/main/java/mastdrift/serve/ControlMachine.java
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -29,8 +29,10 @@
 import mastdrift.config.ResourceValues;
 import mastdrift.distribution.Change;
 import mastdrift.distribution.ChangeCheck;
+import mastdrift.distribution.Command;
 import mastdrift.distribution.ControlMessage;
 import mastdrift.distribution.Delta;
+import mastdrift.distribution.EpochStart;
 import mastdrift.distribution.PublisherSettings;
 import mastdrift.distribution.Revision;
 import mastdrift.distribution.Store;
@@ -81,6 +83,7 @@
     private int asking;
     private long readUntil;
     private boolean catchingUp;
+    private boolean beginning;  // it has asked the log to begin the epoch, and not heard yet what became of that
     private final Alone alone = new Alone();
     private String leader = "";
     private long leaderAt = System.nanoTime();
@@ -127,11 +130,14 @@
         boolean voter = settings.role() == Role.VOTER;
         Path folder = file.toAbsolutePath().resolveSibling(settings.folder());
         copy = new ConfigCopy(folder.resolve("table"), settings.epoch(), events);
-        Table had = begun(copy.found());
+        Table had = copy.there() ? copy.found() : Store.nothing(settings.epoch());
+        if (voter && had.revision().epoch() > settings.epoch()) {
+            throw new IllegalArgumentException("distribution.epoch: expected " + had.revision().epoch() + " or a later one, as its folder has, found " + settings.epoch());
+        }
         links = new ControlLinks("control-links", settings, settings.name(), secrets::get, new Ears(), events);
         publication = new Publication(links.loop(), links.config(), had, PublisherSettings.USUAL, events);
         subscription = new Subscription(links.loop(), links.config(), settings.name(), settings.zone(), had, SubscriberSettings.USUAL, System.nanoTime(), events, this::told);
-        store = voter ? new Store(had, new Decided()) : null;
+        store = voter ? new Store(had, settings.epoch(), new Decided()) : null;
         log = voter ? log(folder) : null;
         if (!voter) {
             links.loop().execute(() -> {
@@ -143,21 +149,6 @@
         links.loop().scheduleWithFixedDelay(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** A voter whose epoch was raised begins it with what it has. */
-    private Table begun(Table had) {
-        Revision revision = had.revision();
-        if (settings.role() != Role.VOTER || revision.epoch() == settings.epoch()) {
-            return had;
-        }
-        if (revision.epoch() > settings.epoch()) {
-            throw new IllegalArgumentException("distribution.epoch: expected " + revision.epoch() + " or a later one, as its folder has, found " + settings.epoch());
-        }
-        events.event(Level.INFO, "config_epoch", "epoch " + settings.epoch() + " begins with what was there at revision " + revision.number() + " of epoch " + revision.epoch());
-        Table next = had.begun(settings.epoch());
-        copy.write(next, List.of());  // so that it can't go back
-        return next;
-    }
-
     private RaftLog log(Path folder) {
         List<Machine> voters = settings.machines(Role.VOTER);
         Set<String> names = voters.stream().map(Machine::name).collect(Collectors.toSet());
@@ -260,7 +251,7 @@
 
         @Override
         public void event(String name, String text) {
-            events.event(name.equals("config_gap") ? Level.WARN : Level.INFO, name, text);
+            events.event(name.equals("config_epoch") ? Level.INFO : Level.WARN, name, text);
         }
     }
 
@@ -278,16 +269,16 @@
     }
 
     private void decided(Decision decision) {
-        Change change = null;
+        Command command = null;
         try {
-            change = MessageCodec.change(decision.command());
+            command = MessageCodec.command(decision.command());
         } catch (IllegalArgumentException e) {
             events.event(Level.WARN, "config_unreadable", "decision " + decision.ordinal() + " is none that this build can read, and changes nothing: " + e.getMessage());
         }
-        boolean anew = decision.ordinal() > store.table().revision().number();
-        Store.Fate fate = store.decided(decision.ordinal(), decision.id(), change);
+        boolean anew = decision.ordinal() > store.number();
+        Store.Fate fate = store.decided(decision.ordinal(), decision.id(), command);
         readUntil = decision.index();
-        if (anew && fate instanceof Store.Fate.In in) {
+        if (anew && command instanceof Change && fate instanceof Store.Fate.In in) {
             events.event(Level.INFO, "config_decided", "change " + decision.id() + " is in, revision " + in.revision().number(), "id", decision.id(), "number", in.revision().number());
         } else if (anew && fate instanceof Store.Fate.Conflict conflict) {
             events.event(Level.INFO, "config_conflict", "change " + decision.id() + " changed nothing: " + conflict.reason(), "id", decision.id(), "number", decision.ordinal());
@@ -303,6 +294,8 @@
             reply(from, new ControlMessage.Refused(apply.call(), problems));
         } else if (store.fate(change.id()) != null && answer(from, apply.call(), store.fate(change.id()))) {
             return;  // asked again
+        } else if (!store.begun()) {
+            reply(from, new ControlMessage.Unknown(apply.call(), "epoch " + settings.epoch() + " has not begun at " + settings.name() + ", ask again; a first installation begins with epoch 1"));
         } else if (asking >= ASKED_MOST) {
             reply(from, new ControlMessage.Unknown(apply.call(), "expected at most " + ASKED_MOST + " changes that wait, ask again"));
         } else {
@@ -317,6 +310,21 @@
         }
     }
 
+    /** A voter with a table asks that the epoch begins from it, until it hears that the epoch has begun. All ask under one id: the first is in, the others are passed over. */
+    private void begin() {
+        Revision from = votes && !beginning ? store.toBegin() : null;
+        if (from != null) {
+            beginning = true;
+            String id = "epoch-" + settings.epoch() + "-begins";
+            byte[] command = MessageCodec.bytes(new EpochStart(from));
+            proposer.execute(() -> log.append(id, command, fate -> {
+                if (!links.loop().isShuttingDown()) {
+                    links.loop().execute(() -> beginning = false);
+                }
+            }));
+        }
+    }
+
     private void appended(String id, AgreedLog.Fate fate) {
         if (fate instanceof AgreedLog.Fate.In in) {
             if (asked.containsKey(id)) {
@@ -400,13 +408,14 @@
     /** Whether it can't hear where its table comes from: then it says of itself no more that it is current. */
     private boolean hearsNobody() {
         if (store != null) {
-            return !votes || store.missing() != 0 || System.nanoTime() - leaderAt > TimeUnit.MILLISECONDS.toNanos(Alone.MILLIS);
+            return !votes || !store.begun() || store.missing() != 0 || System.nanoTime() - leaderAt > TimeUnit.MILLISECONDS.toNanos(Alone.MILLIS);
         }
         return !subscription.subscriber().ready() || subscription.subscriber().aloneSince() != 0;
     }
 
     private void look() {
         if (store != null) {
+            begin();
             proposer.execute(() -> {
                 RaftLog.Status now = log.status();
                 if (!links.loop().isShuttingDown()) {
--- a/src/test/java/mastdrift/distribution/DistributionWorld.java
+++ b/src/test/java/mastdrift/distribution/DistributionWorld.java
@@ -34,8 +34,8 @@
         }
     }
 
-    /** What is played. */
-    record Plan(int voters, int relays, int gateways, long last, List<Fault> faults, PublisherSettings publisher, SubscriberSettings subscriber, long every) {
+    /** What is played. {@code raised}: when all voters are stopped and the log begins anew in the next epoch; 0 for never. */
+    record Plan(int voters, int relays, int gateways, long last, List<Fault> faults, PublisherSettings publisher, SubscriberSettings subscriber, long every, long raised) {
 
         /** Up to eight faults of the seed, over by {@code last}. */
         static Plan drawn(long seed, boolean forged) {
@@ -61,7 +61,19 @@
                 faults.add(new Fault(kind, from, Math.min(last, from + length), one, random.nextInt(nodes), amount));
             }
             PublisherSettings publisher = new PublisherSettings(200_000, 2 * SECOND, 1 + random.nextInt(4), 64, 8_000 + random.nextInt(20_000), 20 * SECOND, 30 * SECOND, 10 * SECOND, 200 + random.nextInt(2_000));
-            return new Plan(voters, relays, gateways, last, faults, publisher, SubscriberSettings.USUAL, 120_000 + random.nextInt(800_000));
+            return new Plan(voters, relays, gateways, last, faults, publisher, SubscriberSettings.USUAL, 120_000 + random.nextInt(800_000), 0);
+        }
+
+        /** Up to eight faults of the seed, and between them the epoch is raised. From then on voters keep their folders: that of the table which the epoch begins from may be the only one. */
+        static Plan raised(long seed) {
+            Plan drawn = drawn(seed, false);
+            long raised = 12 * SECOND + (long) (new Random(seed * 17 + 3).nextDouble() * 12 * SECOND);
+            List<Fault> faults = new ArrayList<>();
+            for (Fault each : drawn.faults) {
+                boolean loses = (each.kind == Kind.KILL_EMPTY || each.kind == Kind.KILL_OLDER) && each.one < drawn.voters && each.until > raised;
+                faults.add(loses ? new Fault(Kind.KILL, each.from, each.until, each.one, each.other, each.amount) : each);
+            }
+            return new Plan(drawn.voters, drawn.relays, drawn.gateways, drawn.last, faults, drawn.publisher, drawn.subscriber, drawn.every, raised);
         }
     }
 
@@ -137,7 +149,7 @@
             logAt = now;
             logNext = 1;
             if (voter()) {
-                store = new Store(have, new Store.Out() {
+                store = new Store(have, epoch, new Store.Out() {
                     @Override
                     public void table(Table next, List<Delta> deltas) {
                         took(next, deltas);
@@ -213,7 +225,8 @@
             Revision revision = next.revision();
             if (plan.faults.stream().noneMatch(each -> each.kind == Kind.FORGE)) {
                 assertTrue(revision.after(had), () -> name + " goes from " + had + " back to " + revision + ", seed " + seed + " " + plan);
-                assertEquals(truth.get((int) revision.number()).revision(), revision, () -> name + " has a state that was never agreed on, seed " + seed + " " + plan);
+                Table agreed = truth.get((int) revision.epoch() - 1).get((int) revision.number());
+                assertEquals(agreed == null ? null : agreed.revision(), revision, () -> name + " has a state that was never agreed on, seed " + seed + " " + plan);
             } else {
                 assertTrue(revision.after(had) || revision.forkedFrom(had), () -> name + " goes from " + had + " back to " + revision + ", seed " + seed + " " + plan);
             }
@@ -250,7 +263,7 @@
                 subscriber = null;
             }
             if (publisher != null) {
-                boolean alone = voter() ? now - logAt > 6 * SECOND || store.missing() != 0 : subscriber.aloneSince() != 0;
+                boolean alone = voter() ? now - logAt > 6 * SECOND || !store.begun() || store.missing() != 0 : subscriber.aloneSince() != 0;
                 if (alone != publisher.status().alone()) {
                     publisher.alone(now, alone);
                 }
@@ -288,8 +301,9 @@
     private final long seed;
     private final Random random;
     private final PriorityQueue<Event> queue = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
-    private final List<Change> log = new ArrayList<>();
-    private final List<Table> truth = new ArrayList<>();
+    private final List<Command> log = new ArrayList<>();  // of this epoch
+    private final List<List<Table>> truth = new ArrayList<>();  // by epoch and number; null where an epoch has no state by that
+    private long epoch = 1;
     private long now = 1;
     private long numbers;
     long messages;
@@ -308,7 +322,7 @@
     }
 
     private void run() {
-        truth.add(Table.empty(1));
+        truth.add(new ArrayList<>(List.of(Table.empty(1))));
         List<Node> all = new ArrayList<>();
         for (int i = 0; i < plan.voters + plan.relays + plan.gateways; i++) {
             all.add(new Node("n" + i, i));
@@ -316,10 +330,13 @@
         }
         all.forEach(each -> at((long) (random.nextDouble() * 2 * SECOND), () -> {
             if (!each.up && each.life == 0) {
-                each.start(truth.get(0));
+                each.start(nothing(each));
             }
         }));
         decide();
+        if (plan.raised > 0) {
+            at(plan.raised, this::raise);
+        }
         all.subList(0, plan.voters).forEach(this::follow);
         for (Fault fault : plan.faults) {
             Node node = all.get(fault.one);
@@ -343,32 +360,78 @@
         }
         now = end;
         for (Node each : all) {
-            assertEquals(truth.get(log.size()).revision(), each.table().revision(), () -> each.name + " at " + (each.subscriber == null ? "" : each.subscriber.machine()) + " with " + each.events
+            assertEquals(agreed().get(log.size()).revision(), each.table().revision(), () -> each.name + " at " + (each.subscriber == null ? "" : each.subscriber.machine()) + " with " + each.events
                     + " 12 s after the last of seed " + seed + " " + plan);
         }
     }
 
     private Table folder(Node node, Kind kind) {
         if (kind == Kind.FORGE) {
-            Table have = node.disk.isEmpty() ? truth.get(0) : node.disk.get(node.disk.size() - 1);
+            Table have = node.disk.isEmpty() ? nothing(node) : node.disk.get(node.disk.size() - 1);
             return have.revision().number() == 0 ? have : Changes.applied(Table.empty(1).apply(have.revision().number(), Changes.of("forged", Changes.put("n1", "forged")))).table();
         }
         if (kind == Kind.KILL_EMPTY || node.disk.isEmpty()) {
             node.disk.clear();
-            return truth.get(0);
+            return nothing(node);
         }
         return kind == Kind.KILL ? node.disk.get(node.disk.size() - 1) : node.disk.get(random.nextInt(node.disk.size()));
     }
 
+    /** What a process begins with that has no folder. */
+    private Table nothing(Node node) {
+        return node.voter() || node.relay() ? Store.nothing(epoch) : Table.empty(epoch);
+    }
+
+    private List<Table> agreed() {
+        return truth.get((int) epoch - 1);
+    }
+
+    // ---- epochs
+
+    /** The log is lost. Voters are stopped one as late as the other, one of them has lost its folder too, and come again in a later epoch. */
+    private void raise() {
+        epoch++;
+        log.clear();
+        truth.add(new ArrayList<>());
+        truth.get(truth.size() - 1).add(null);
+        int without = random.nextInt(2) - 1;
+        for (Node each : nodes.values()) {
+            if (each.voter()) {
+                if (each.up) {
+                    each.kill();
+                }
+                int kept = each.number == without || each.disk.isEmpty() ? 0 : 1 + random.nextInt(each.disk.size());
+                each.disk.subList(kept, each.disk.size()).clear();
+                at(now + (long) (random.nextDouble() * 3 * SECOND), () -> {
+                    if (!each.up) {
+                        each.start(folder(each, Kind.KILL));
+                    }
+                });
+            }
+        }
+    }
+
+    /** A voter asks that the epoch begins from its table; who is first is heeded. */
+    private void begin(Node voter) {
+        Revision from = voter.store.toBegin();
+        if (from != null && log.isEmpty()) {
+            Table base = voter.store.table();
+            log.add(new EpochStart(from));
+            agreed().add((base.revision().epoch() == epoch ? base : base.begun(epoch)).passed(1).table());
+        }
+    }
+
     // ---- the agreed log
 
     private void decide() {
-        long number = log.size() + 1;
-        Change change = random.nextInt(30) == 0 ? null : Changes.drawn(random, "c" + number);
-        Table before = truth.get(log.size());
-        Outcome outcome = change == null ? new Outcome.Conflict("") : before.apply(number, change);
-        log.add(change);
-        truth.add(outcome instanceof Outcome.Applied applied ? applied.table() : before.passed(number).table());
+        Table before = agreed().get(log.size());
+        if (before != null) {
+            long number = log.size() + 1;
+            Change change = random.nextInt(30) == 0 ? null : Changes.drawn(random, "c" + number);
+            Outcome outcome = change == null ? new Outcome.Conflict("") : before.apply(number, change);
+            log.add(change);
+            agreed().add(outcome instanceof Outcome.Applied applied ? applied.table() : before.passed(number).table());
+        }
         long next = now + (long) (-plan.every * Math.log(1 - random.nextDouble()));
         if (next < plan.last) {
             at(next, this::decide);
@@ -378,7 +441,7 @@
     /** The first decision that the log still has: some have gone, but none that isn't in the folder of one of the majority that keeps them, since that one follows what it decides on itself. */
     private long kept() {
         long safe = nodes.values().stream().filter(each -> each.voter() && each.number >= plan.voters / 2 && !each.disk.isEmpty())
-                .mapToLong(each -> each.disk.get(each.disk.size() - 1).revision().number()).max().orElse(0);
+                .map(each -> each.disk.get(each.disk.size() - 1).revision()).filter(each -> each.epoch() == epoch).mapToLong(Revision::number).max().orElse(0);
         return Math.max(1, Math.min(log.size() - KEPT, safe) + 1);
     }
 
@@ -398,6 +461,9 @@
                     break;
                 }
             }
+            if (random.nextInt(4) == 0) {
+                begin(voter);
+            }
         });
         at(now + 100_000 + late, () -> follow(voter));
     }
--- a/src/test/java/mastdrift/distribution/DistributionWorldTest.java
+++ b/src/test/java/mastdrift/distribution/DistributionWorldTest.java
@@ -1,7 +1,9 @@
 package mastdrift.distribution;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.List;
 import mastdrift.distribution.DistributionWorld.Kind;
 import mastdrift.distribution.DistributionWorld.Plan;
 import org.junit.jupiter.api.Test;
@@ -17,6 +19,25 @@
         }
     }
 
+    /**
+     * The log is lost and the epoch raised with voters that were stopped at different revisions, one without a folder in half of the plays: all end at what the first decision named and what followed, and none
+     * ever shows another state by the same revision.
+     */
+    @Test
+    void anEpochThatIsRaisedBeginsFromOneTable() {
+        int waited = 0;
+        int without = 0;
+        for (long seed = 2_001; seed <= 2_200; seed++) {
+            Plan plan = Plan.raised(seed);
+            DistributionWorld world = DistributionWorld.play(plan, seed);
+            List<String> events = world.nodes.values().stream().flatMap(each -> each.events.stream()).toList();
+            assertEquals(List.of(), events.stream().filter(each -> each.startsWith("config_forked")).toList(), "seed " + seed + " " + plan);
+            waited += events.stream().anyMatch(each -> each.startsWith("config_gap epoch 2 begins from")) ? 1 : 0;
+            without += events.stream().anyMatch(each -> each.startsWith("config_gap epoch 2 begins from") && each.contains("found " + Revision.none(0))) ? 1 : 0;
+        }
+        assertTrue(waited > 130 && without > 50, "of 200 plays one voter or more waited in " + waited + ", one without a folder in " + without);
+    }
+
     /** Folders of another state by the same number are put in place: that is told, and ends. */
     @Test
     void aForkIsToldAndEnds() {
--- a/src/test/java/mastdrift/distribution/StoreTest.java
+++ b/src/test/java/mastdrift/distribution/StoreTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
@@ -55,7 +56,7 @@
     @Test
     void aChangeAskedTwiceUnderOneIdIsInOnce() {
         Decisions log = new Decisions();
-        Store store = new Store(Table.empty(1), new Noted());
+        Store store = new Store(Table.empty(1), 1, new Noted());
         Map<String, Change> asked = Map.of("one", Changes.of("one", new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("1"), Edit.NONE)), "two", Changes.of("two", put("s", "1")));
         long index = 0;
         for (String id : List.of("one", "two", "one", "one", "two")) {
@@ -75,7 +76,7 @@
     /** Writers in two regions that were apart both believe the resource to be as it was: the first in the agreed order is in, the other is told what there is. */
     @Test
     void ofTwoChangesToOneResourceOfRegionsThatWereApartOneConflictIsTold() {
-        Store store = new Store(Table.empty(1), new Noted());
+        Store store = new Store(Table.empty(1), 1, new Noted());
         store.decided(1, "before", Changes.of("before", put("r", "0")));
         Fate first = store.decided(2, "east", Changes.of("east", new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("east"), 1)));
         Fate second = store.decided(3, "west", Changes.of("west", put("also", "1"), new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("west"), 1)));
@@ -92,7 +93,7 @@
     @Property(tries = 150)
     void allWhoHearTheLogHaveTheSameHoweverTheyHeardIt(@ForAll long seed) {
         Random random = new Random(seed);
-        Store whole = new Store(Table.empty(1), new Noted());
+        Store whole = new Store(Table.empty(1), 1, new Noted());
         List<Table> tables = new ArrayList<>(List.of(whole.table()));
         List<Change> log = new ArrayList<>();
         for (int i = 1; i <= 80; i++) {
@@ -102,7 +103,7 @@
             tables.add(whole.table());
         }
         Noted noted = new Noted();
-        Store store = new Store(tables.get(random.nextInt(20)), noted);
+        Store store = new Store(tables.get(random.nextInt(20)), 1, noted);
         Map<String, Fate> fates = new HashMap<>();
         for (int at = 1; at <= 80; at++) {
             if (random.nextInt(12) == 0) {
@@ -132,8 +133,8 @@
     @Test
     void whatWaitsAndWhatIsRememberedIsBounded() {
         Noted noted = new Noted();
-        Store store = new Store(Table.empty(1), noted);
-        Store other = new Store(Table.empty(1), new Noted());
+        Store store = new Store(Table.empty(1), 1, noted);
+        Store other = new Store(Table.empty(1), 1, new Noted());
         for (int i = 1; i <= 9_000; i++) {
             Change change = Changes.of("c" + i, put("r", "" + i));
             other.decided(i, "c" + i, change);
@@ -150,10 +151,102 @@
         assertEquals(1, noted.jumps);
         assertNull(other.fate("c" + (9_000 - Store.FATES_MOST)));
         assertInstanceOf(Fate.In.class, other.fate("c" + (9_001 - Store.FATES_MOST)));
-        Store large = new Store(Table.empty(1), noted);
+        Store large = new Store(Table.empty(1), 1, noted);
         for (int i = 2; i < 1_000; i++) {
             large.decided(i, "c" + i, Changes.of("c" + i, new Edit.Upsert(ResourceKind.POOL, "p", new byte[60_000], Edit.ANY)));
         }
         assertTrue(large.waiting() < 290 && large.waiting() > 250, large.waiting() + " of 60 kB wait");
     }
+
+    private static Table after(int changes) {
+        Table table = Table.empty(1);
+        for (int i = 1; i <= changes; i++) {
+            table = Changes.applied(table.apply(i, Changes.of("c" + i, put("r" + i, "" + i)))).table();
+        }
+        return table;
+    }
+
+    /** Who has the state that the first decision names goes on from it, whatever the number; until then its table is still of the epoch before, and it has not begun. */
+    @Test
+    void anEpochBeginsFromTheRevisionThatItsFirstDecisionNames() {
+        Noted noted = new Noted();
+        Table had = after(7);
+        Store store = new Store(had, 2, noted);
+        assertFalse(store.begun());
+        assertEquals(had.revision(), store.toBegin());
+        assertEquals(had.revision(), store.table().revision(), "nothing new is shown before it is agreed on");
+        Fate fate = store.decided(1, "begin", new EpochStart(had.revision()));
+        assertEquals(new Fate.In(new Revision(2, 1, had.revision().high(), had.revision().low())), fate);
+        assertTrue(store.begun());
+        assertNull(store.toBegin());
+        assertInstanceOf(Fate.In.class, store.decided(2, "next", Changes.of("next", put("r1", "new"))));
+        Store passed = new Store(had.passed(9).table(), 2, new Noted());
+        passed.decided(1, "begin", new EpochStart(had.revision()));
+        passed.decided(2, "next", Changes.of("next", put("r1", "new")));
+        assertEquals(store.table().revision(), passed.table().revision(), "the same resources at another number");
+        assertEquals(new Fate.Conflict("expected a change, found an epoch's beginning behind its first decision"), store.decided(3, "late", new EpochStart(had.revision())));
+        assertEquals(3, store.table().revision().number());
+    }
+
+    /** Voters that were stopped at different revisions and one without a folder: they wait, hold back what follows, and take the table of one that has it. */
+    @Test
+    void aVoterWithAnotherTableThanTheEpochBeginsFromWaitsForOne() {
+        Table had = after(7);
+        Store right = new Store(had, 2, new Noted());
+        right.decided(1, "begin", new EpochStart(had.revision()));
+        Table begun = right.table();
+        Change next = Changes.of("next", put("r1", "new"));
+        right.decided(2, "next", next);
+        for (Table other : List.of(after(5), after(9), Store.nothing(2))) {
+            Noted noted = new Noted();
+            Store store = new Store(other, 2, noted);
+            assertEquals(new Fate.Waiting(1), store.decided(1, "begin", new EpochStart(had.revision())));
+            assertEquals(new Fate.Waiting(1), store.decided(2, "next", next));
+            assertEquals(new Fate.Waiting(1), store.decided(1, "begin", new EpochStart(had.revision())), "heard again");
+            assertFalse(store.begun());
+            assertEquals(1, store.missing());
+            assertNull(store.toBegin(), "it was told what it begins from");
+            assertEquals(other.revision(), store.table().revision());
+            assertFalse(store.take(after(11)), "of the epoch before");
+            assertFalse(store.take(had.begun(2)), "of an epoch before it began");
+            assertFalse(store.take(had.begun(3)), "of a later epoch");
+            assertTrue(store.take(begun));
+            assertEquals(right.table().revision(), store.table().revision());
+            assertEquals(0, store.missing());
+            assertTrue(store.begun());
+            assertEquals(1, noted.events.stream().filter(each -> each.startsWith("config_gap epoch 2 begins from")).count(), noted.events::toString);
+            assertEquals(other.revision().number() == 9, noted.events.stream().anyMatch(each -> each.startsWith("config_epoch_lost")), "loud where this one had more");
+        }
+    }
+
+    /** A voter that knows nothing names nothing, or all would take its empty table. Its own is earlier than whatever others had. */
+    @Test
+    void aVoterWithoutAFolderAsksForNoBeginning() {
+        assertNull(new Store(Store.nothing(2), 2, new Noted()).toBegin());
+        assertTrue(after(1).revision().after(Store.nothing(2).revision()));
+        Store first = new Store(Store.nothing(1), 1, new Noted());
+        assertTrue(first.begun(), "a first epoch begins with an empty table");
+        assertInstanceOf(Fate.In.class, first.decided(1, "one", Changes.of("one", put("r", "1"))));
+    }
+
+    /** Folders and logs of builds that knew no such decision: a copy that is of the epoch already, at number 0, and a log that begins with a change. */
+    @Test
+    void foldersAndLogsOfBuildsBeforeAreReadAsTheyWere() {
+        Table had = after(7).begun(2);
+        Store store = new Store(had, 2, new Noted());
+        assertEquals(had.revision(), store.toBegin());
+        Change change = Changes.of("one", put("r", "1"));
+        assertInstanceOf(Fate.In.class, store.decided(1, "one", change));
+        assertEquals(Changes.applied(had.apply(1, change)).table().revision(), store.table().revision());
+        Store named = new Store(had, 2, new Noted());
+        named.decided(1, "begin", new EpochStart(after(7).revision()));
+        assertEquals(had.passed(1).table().revision(), named.table().revision());
+        Store without = new Store(Store.nothing(2), 2, new Noted());
+        assertEquals(new Fate.Waiting(1), without.decided(1, "one", change), "nobody says what it began from");
+        assertEquals(new Fate.Waiting(1), new Store(after(7), 2, new Noted()).decided(1, "later", null), "a later build's beginning may be any");
+        Store on = new Store(Changes.applied(had.apply(1, change)).table(), 2, new Noted());
+        assertTrue(on.begun());
+        assertInstanceOf(Fate.In.class, on.decided(2, "two", Changes.of("two", put("r", "2"))));
+        assertThrows(IllegalArgumentException.class, () -> new Store(had, 1, new Noted()));
+    }
 }
--- a/src/test/java/mastdrift/serve/ControlMachineTest.java
+++ b/src/test/java/mastdrift/serve/ControlMachineTest.java
@@ -21,6 +21,7 @@
 import mastdrift.distribution.ControlMessage;
 import mastdrift.distribution.Edit;
 import mastdrift.distribution.ResourceKind;
+import mastdrift.distribution.Revision;
 import mastdrift.standin.GatewayFiles;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -45,13 +46,19 @@
     void files() throws Exception {
         net = "127." + (64 + ProcessHandle.current().pid() % 128) + ".253.";
         Files.writeString(folder.resolve("key"), "a key of this test");
+        files(1);
         for (int i = 1; i <= 3; i++) {
-            StringBuilder text = new StringBuilder("[distribution]\nname = \"c" + i + "\"\nrole = \"voter\"\nfolder = \"state\"\nepoch = 1\ninstallation = \"test\"\n[[distribution.key]]\nsecret_file = \"../key\"\n");
+            start("c" + i);
+        }
+    }
+
+    private void files(int epoch) throws Exception {
+        for (int i = 1; i <= 3; i++) {
+            StringBuilder text = new StringBuilder("[distribution]\nname = \"c" + i + "\"\nrole = \"voter\"\nfolder = \"state\"\nepoch = " + epoch + "\ninstallation = \"test\"\n[[distribution.key]]\nsecret_file = \"../key\"\n");
             for (int j = 1; j <= 3; j++) {
                 text.append("[[distribution.machine]]\nname = \"c").append(j).append("\"\naddress = \"").append(net).append(j).append(":7500\"\nzone = \"z\"\nrole = \"voter\"\n");
             }
-            new GatewayFiles(Files.createDirectory(folder.resolve("c" + i))).save("control.toml", text + "# end\n");
-            start("c" + i);
+            new GatewayFiles(Files.createDirectories(folder.resolve("c" + i))).save("control.toml", text + "# end\n");
         }
     }
 
@@ -120,11 +127,7 @@
         try (ControlClient client = client()) {
             await(client, 240);
             machines.remove("c3").close();
-            try (Stream<Path> files = Files.list(folder.resolve("c3").resolve("state").resolve("table"))) {
-                for (Path each : files.toList()) {
-                    Files.delete(each);
-                }
-            }
+            losesTable("c3");
             start("c3");
             await(client, 240);
             assertTrue(said.stream().anyMatch(line -> line.startsWith("c3 config_catches_up")) && said.stream().anyMatch(line -> line.startsWith("c3 config_caught_up")), said.toString());
@@ -135,6 +138,60 @@
         }
     }
 
+    private void losesTable(String name) throws Exception {
+        try (Stream<Path> files = Files.list(folder.resolve(name).resolve("state").resolve("table"))) {
+            for (Path each : files.toList()) {
+                Files.delete(each);
+            }
+        }
+    }
+
+    /** Voters that were stopped at different revisions, and one whose table is lost, begin a later epoch from one table; none says meanwhile that it is current, and no two show another state by one revision. */
+    @Test
+    void votersWithDifferentTablesBeginALaterEpochFromOne() throws Exception {
+        apply(0, 8);
+        try (ControlClient client = client()) {
+            await(client, 8);
+            machines.remove("c3").close();
+            apply(8, 12);
+        }
+        machines.remove("c1").close();
+        machines.remove("c2").close();
+        losesTable("c1");
+        files(2);
+        said.clear();
+        for (int i = 1; i <= 3; i++) {
+            start("c" + i);
+        }
+        try (ControlClient client = client()) {
+            awaitAll(client, 1);
+            ControlMessage answer = client.apply(change(12), WAIT_SECONDS * 1_000L);
+            assertTrue(answer instanceof ControlMessage.Applied, () -> answer + " " + said);
+            awaitAll(client, 2);
+        }
+        assertTrue(said.stream().anyMatch(line -> line.startsWith("c1 config_gap epoch 2 begins from")), said::toString);
+        assertTrue(said.stream().noneMatch(line -> line.contains("config_forked")), said::toString);
+    }
+
+    /** Until all say that they are current at that number of epoch 2; any two that show it meanwhile show one state. */
+    private void awaitAll(ControlClient client, long number) throws InterruptedException {
+        Map<Long, Revision> shown = new HashMap<>();
+        for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);; Thread.sleep(50)) {
+            int there = 0;
+            for (ControlMessage answer : client.status(List.of("c1", "c2", "c3")).values()) {
+                if (answer instanceof ControlMessage.Status status && status.revision().epoch() == 2) {
+                    Revision before = shown.putIfAbsent(status.revision().number(), status.revision());
+                    assertTrue(before == null || before.equals(status.revision()), () -> before + " and " + status.revision() + " " + said);
+                    there += status.revision().number() == number && status.aloneMillis() == 0 ? 1 : 0;
+                }
+            }
+            if (there == 3) {
+                return;
+            }
+            assertTrue(System.nanoTime() < until, () -> shown + " " + said);
+        }
+    }
+
     private void await(ControlClient client, long revision) throws InterruptedException {
         for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS); number(client, "c3") < revision; Thread.sleep(50)) {
             assertTrue(System.nanoTime() < until, said::toString);
