--- a/src/main/java/mastdrift/agreed/edge/PeerRpc.java
+++ b/src/main/java/mastdrift/agreed/edge/PeerRpc.java
@@ -47,15 +47,41 @@
         return text.substring(0, Math.max(0, text.indexOf(SEPARATOR)));
     }
 
-    /** The other side: a request of another member's library; null where it is of another kind. */
-    static byte[] handle(RaftServer server, byte kind, byte[] request) throws IOException {
-        return switch (kind) {
-            case VOTE -> server.requestVote(RequestVoteRequestProto.parseFrom(request)).toByteArray();
-            case APPEND -> server.appendEntries(AppendEntriesRequestProto.parseFrom(request)).toByteArray();
-            case INSTALL -> server.installSnapshot(InstallSnapshotRequestProto.parseFrom(request)).toByteArray();
-            case ELECT -> server.startLeaderElection(StartLeaderElectionRequestProto.parseFrom(request)).toByteArray();
-            default -> null;
-        };
+    /** The other side: a request of another member's library; null where it is of another kind. Throws IOException for one to another folder of this gateway: while a folder that was lost is still in the configuration its
+        leader has requests for both, and a new one that answered for the lost one would vote in its place, or take pieces of two snapshots by turns. */
+    static byte[] handle(RaftServer server, byte kind, byte[] bytes) throws IOException {
+        switch (kind) {
+            case VOTE -> {
+                RequestVoteRequestProto request = RequestVoteRequestProto.parseFrom(bytes);
+                mustBeTo(server, request.getServerRequest());
+                return server.requestVote(request).toByteArray();
+            }
+            case APPEND -> {
+                AppendEntriesRequestProto request = AppendEntriesRequestProto.parseFrom(bytes);
+                mustBeTo(server, request.getServerRequest());
+                return server.appendEntries(request).toByteArray();
+            }
+            case INSTALL -> {
+                InstallSnapshotRequestProto request = InstallSnapshotRequestProto.parseFrom(bytes);
+                mustBeTo(server, request.getServerRequest());
+                return server.installSnapshot(request).toByteArray();
+            }
+            case ELECT -> {
+                StartLeaderElectionRequestProto request = StartLeaderElectionRequestProto.parseFrom(bytes);
+                mustBeTo(server, request.getServerRequest());
+                return server.startLeaderElection(request).toByteArray();
+            }
+            default -> {
+                return null;
+            }
+        }
+    }
+
+    private static void mustBeTo(RaftServer server, RaftRpcRequestProto request) throws IOException {
+        RaftPeerId to = RaftPeerId.valueOf(request.getReplyId());
+        if (!to.equals(server.getId())) {
+            throw new IOException("expected a request to " + server.getId() + ", found one to " + to);
+        }
     }
 
     private byte[] call(RaftRpcRequestProto to, byte kind, byte[] request) throws IOException {
--- a/src/main/java/mastdrift/agreed/edge/RaftLog.java
+++ b/src/main/java/mastdrift/agreed/edge/RaftLog.java
@@ -75,6 +75,7 @@
     private static final int FETCH_MOST = 64;
     private static final long CATCH_UP_MILLIS = 2_000;
     private static final SizeInBytes CHUNK = SizeInBytes.valueOf("128KB");
+    private static final Snapshots SNAPSHOTS = new Snapshots(SNAPSHOT_EVERY, CHUNK);
 
     /**
      * What it is started with.
@@ -88,6 +89,14 @@
      */
     public record Settings(String name, String installation, String begin, List<String> voters, Path folder, long longAway) { }
 
+    /**
+     * How the log is cut.
+     *
+     * @param every entries behind the last snapshot, one is taken
+     * @param chunk bytes of the pieces in which another member is given one
+     */
+    record Snapshots(long every, SizeInBytes chunk) { }
+
     /** What is to be seen of it. */
     public record Status(String role, String why, String leader, long term, long last, Map<String, String> group) { }
 
@@ -98,6 +107,7 @@
     }
 
     private final Settings settings;
+    private final Snapshots snapshots;
     private final Consumer<Decision> reader;
     private final Supplier<Collection<Voters.Eligible>> gateways;
     private final Listener listener;
@@ -128,7 +138,13 @@
 
     /** Starts to meet the others; decisions go to a reader, in their order, on threads of the log. {@code gateways} are those that might vote. */
     public RaftLog(Settings settings, Transport transport, Consumer<Decision> reader, Supplier<Collection<Voters.Eligible>> gateways, Listener listener) {
+        this(settings, SNAPSHOTS, transport, reader, gateways, listener);
+    }
+
+    /** With snapshots of its own. */
+    RaftLog(Settings settings, Snapshots snapshots, Transport transport, Consumer<Decision> reader, Supplier<Collection<Voters.Eligible>> gateways, Listener listener) {
         this.settings = settings;
+        this.snapshots = snapshots;
         this.reader = reader;
         this.gateways = gateways;
         this.listener = listener;
@@ -345,9 +361,9 @@
         RaftServerConfigKeys.Log.setPurgeUptoSnapshotIndex(properties, true);
         RaftServerConfigKeys.Log.setPurgeGap(properties, 64);
         RaftServerConfigKeys.Log.Appender.setBufferByteLimit(properties, CHUNK);
-        RaftServerConfigKeys.Log.Appender.setSnapshotChunkSizeMax(properties, CHUNK);
+        RaftServerConfigKeys.Log.Appender.setSnapshotChunkSizeMax(properties, snapshots.chunk());
         RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(properties, true);
-        RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, SNAPSHOT_EVERY);
+        RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, snapshots.every());
         RaftServerConfigKeys.Snapshot.setRetentionFileNum(properties, 2);
         Parameters parameters = new Parameters();
         parameters.put(PeerRpcType.ENDPOINT, rpc, RpcEndpoint.class);
--- a/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
+++ b/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
@@ -12,6 +12,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
@@ -19,6 +20,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BiConsumer;
 import java.util.function.BooleanSupplier;
 import java.util.stream.LongStream;
@@ -27,6 +29,7 @@
 import mastdrift.agreed.AgreedLog.Decision;
 import mastdrift.agreed.AgreedLog.AppendOutcome;
 import mastdrift.agreed.Voters;
+import org.apache.ratis.util.SizeInBytes;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -45,6 +48,8 @@
     private final Set<String> noEntries = ConcurrentHashMap.newKeySet();  // who is asked to append nothing, and hears all else
     private final Map<String, Member> members = new ConcurrentHashMap<>();
     private final ExecutorService network = Executors.newSingleThreadExecutor();
+    private final Map<String, AtomicInteger> chunks = new ConcurrentHashMap<>();  // of snapshots, by whom they go to
+    private RaftLog.Snapshots snapshots = new RaftLog.Snapshots(RaftLog.SNAPSHOT_EVERY, SizeInBytes.valueOf("128KB"));
     private long longAway = 3_600_000_000L;
 
     private final class Member {
@@ -55,11 +60,14 @@
 
         Member(String name, String begin, List<String> voters) {
             this.name = name;
-            log = new RaftLog(new RaftLog.Settings(name, "test", begin, voters, folder.resolve(name), longAway), new Transport() {
+            log = new RaftLog(new RaftLog.Settings(name, "test", begin, voters, folder.resolve(name), longAway), snapshots, new Transport() {
                 @Override
                 public void send(String gateway, byte[] message) {
                     network.execute(() -> {
                         BiConsumer<String, byte[]> to = receivers.get(gateway);
+                        if (message[0] == PeerRpc.INSTALL) {
+                            chunks.computeIfAbsent(gateway, each -> new AtomicInteger()).incrementAndGet();
+                        }
                         if (to != null && !cut.contains(name) && !cut.contains(gateway)
                                 && !(noEntries.contains(gateway) && message[0] == PeerRpc.APPEND)) {
                             to.accept(name, message);
@@ -323,4 +331,61 @@
         new Member("c", "two", voters);
         await(() -> List.of("aside", "following").contains(members.get("c").log.status().role()), "c comes back and finds that it was replaced");
     }
+
+    private List<String> commitMany(String at, String prefix, int count, int bytes) throws Exception {
+        List<String> ids = new ArrayList<>();
+        List<CompletableFuture<AppendOutcome>> outcomes = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            byte[] command = new byte[bytes];
+            new Random(i).nextBytes(command);
+            ids.add(prefix + i);
+            CompletableFuture<AppendOutcome> outcome = new CompletableFuture<>();
+            outcomes.add(outcome);
+            members.get(at).log.append(prefix + i, command, outcome::complete);
+            if (i % 16 == 15) {
+                outcomes.get(i).get(WAIT_SECONDS, TimeUnit.SECONDS);
+            }
+        }
+        for (CompletableFuture<AppendOutcome> each : outcomes) {
+            assertInstanceOf(AppendOutcome.Committed.class, each.get(WAIT_SECONDS, TimeUnit.SECONDS));
+        }
+        return ids;
+    }
+
+    private List<String> files(String name, String part) throws IOException {
+        try (Stream<Path> paths = Files.walk(folder.resolve(name))) {
+            return paths.map(each -> each.getFileName().toString()).filter(each -> each.contains(part)).sorted().toList();
+        }
+    }
+
+    /** A member without a folder, to whom the log no longer reaches back: it is given a snapshot in many small pieces, from the first to the last, takes part by it and reads every decision once. */
+    @Test
+    void aSnapshotInManyPiecesIsInstalledWhereTheLogWasCut() throws Exception {
+        snapshots = new RaftLog.Snapshots(40, SizeInBytes.valueOf("16KB"));
+        List<String> voters = List.of("a", "b", "c");
+        start("one", voters, "a", "b", "c");
+        members.get("a").commit("first");
+        members.get("c").kill();
+        members.remove("c");
+        delete("c");
+        List<String> ids = new ArrayList<>(List.of("first"));
+        ids.addAll(commitMany("a", "many-", 150, 20_000));
+        for (String each : List.of("a", "b")) {
+            await(() -> {
+                try {
+                    return files(each, "log_").stream().noneMatch(file -> file.startsWith("log_0-")) && !files(each, "snapshot.").isEmpty();
+                } catch (IOException e) {
+                    return false;  // a file went while it was listed
+                }
+            }, each + " has cut its log");
+        }
+        new Member("c", "one", voters);
+        await(() -> members.get("c").log.status().role().equals("voter"), "c takes part");
+        awaitAll(ids, "a", "b", "c");
+        assertTrue(chunks.get("c").get() > 100, () -> chunks + " pieces of 3 MB by 16 KB");
+        await(() -> members.get("c").log.status().last() >= members.get("a").log.status().last(), "its own log goes on from there");
+        ids.add("later");
+        members.get("c").commit("later");
+        awaitAll(ids, "a", "b", "c");
+    }
 }
