--- a/src/test/java/mastdrift/distribution/DistributionWorld.java
+++ b/src/test/java/mastdrift/distribution/DistributionWorld.java
@@ -22,6 +22,7 @@
 final class DistributionWorld {
 
     static final long SECOND = 1_000_000;
+    static final long HOUR = 3_600 * SECOND;
     private static final int KEPT = 40;  // decisions that the log keeps for those who follow
 
     /** What goes wrong. */
@@ -64,6 +65,17 @@
             return new Plan(voters, relays, gateways, last, faults, publisher, SubscriberSettings.USUAL, 120_000 + random.nextInt(800_000), 0);
         }
 
+        /** At a day's rate, 15,000 changes, and for an hour some machines that pass on and some gateways hear nobody else. */
+        static Plan apart(long seed) {
+            Random random = new Random(seed * 13 + 5);
+            int voters = 3;
+            int relays = random.nextInt(3);
+            int gateways = 3 + random.nextInt(2);
+            int first = voters + random.nextInt(relays + gateways);
+            Fault cut = new Fault(Kind.CUT, 10 * SECOND, 10 * SECOND + HOUR, first, 0, 0);
+            return new Plan(voters, relays, gateways, cut.until, List.of(cut), PublisherSettings.USUAL, SubscriberSettings.USUAL, 86_400 * SECOND / 15_000, 0);
+        }
+
         /** Up to eight faults of the seed, and between them the epoch is raised. From then on voters keep their folders: that of the table which the epoch begins from may be the only one. */
         static Plan raised(long seed) {
             Plan drawn = drawn(seed, false);
@@ -307,6 +319,7 @@
     private long now = 1;
     private long numbers;
     long messages;
+    int decided;  // in the last epoch
 
     private DistributionWorld(Plan plan, long seed) {
         this.plan = plan;
@@ -359,6 +372,7 @@
             next.what.run();
         }
         now = end;
+        decided = log.size();
         for (Node each : all) {
             assertEquals(agreed().get(log.size()).revision(), each.table().revision(), () -> each.name + " at " + (each.subscriber == null ? "" : each.subscriber.machine()) + " with " + each.events
                     + " 12 s after the last of seed " + seed + " " + plan);
@@ -445,7 +459,7 @@
         return Math.max(1, Math.min(log.size() - KEPT, safe) + 1);
     }
 
-    /** A voter hears of the log each 0.1 s, of one that is late later; a heartbeat with nothing new counts. */
+    /** A voter hears of the log each 0.1 s, each second in plays of hours; of one that is late later; a heartbeat with nothing new counts. */
     private void follow(Node voter) {
         long late = 0;
         for (Fault each : plan.faults) {
@@ -465,7 +479,7 @@
                 begin(voter);
             }
         });
-        at(now + 100_000 + late, () -> follow(voter));
+        at(now + (plan.last < HOUR ? 100_000 : SECOND) + late, () -> follow(voter));
     }
 
     // ---- time and processes
--- a/src/test/java/mastdrift/distribution/DistributionWorldTest.java
+++ b/src/test/java/mastdrift/distribution/DistributionWorldTest.java
@@ -38,6 +38,21 @@
         assertTrue(waited > 130 && without > 50, "of 200 plays one voter or more waited in " + waited + ", one without a folder in " + without);
     }
 
+    /** A part of the fleet hears nobody for an hour at the day's rate: 12 s after the cut it has all of it, by changes alone and without a snapshot, and is at no other state meanwhile. */
+    @Test
+    void anHourApartIsCaughtUpByChangesAlone() {
+        long decided = 0;
+        for (long seed = 3_001; seed <= 3_200; seed++) {
+            Plan plan = Plan.apart(seed);
+            DistributionWorld world = DistributionWorld.play(plan, seed);
+            decided += world.decided;
+            for (DistributionWorld.Node each : world.nodes.values()) {
+                assertEquals(0, each.jumps, "seed " + seed + " " + each.name + " " + each.events);
+            }
+        }
+        assertTrue(decided > 200 * 500, decided + " changes in 200 hours");
+    }
+
     /** Folders of another state by the same number are put in place: that is told, and ends. */
     @Test
     void aForkIsToldAndEnds() {
