--- a/src/main/java/mastdrift/lab/scale/Tables.java
+++ b/src/main/java/mastdrift/lab/scale/Tables.java
@@ -22,6 +22,15 @@
 
     /** Changes that bring so many resources of each kind into an empty table. */
     public static List<Change> base(long seed, Map<ResourceKind, Integer> counts) {
+        return puts("begin-", seed, counts);
+    }
+
+    /** Changes that replace all tenants, as large as changes may be; another seed gives other values. */
+    public static List<Change> replaced(long seed, int tenants) {
+        return puts("replaced-" + seed + "-", seed, Map.of(ResourceKind.TENANT, tenants));
+    }
+
+    private static List<Change> puts(String id, long seed, Map<ResourceKind, Integer> counts) {
         Random random = new Random(seed);
         List<Change> changes = new ArrayList<>();
         List<Edit> edits = new ArrayList<>();
@@ -30,7 +39,7 @@
             for (int i = 0; i < counts.getOrDefault(kind, 0); i++) {
                 byte[] value = value(kind, i, random).getBytes(StandardCharsets.UTF_8);
                 if (edits.size() == Change.EDITS_MOST || bytes + value.length + EDIT_BYTES > Change.BYTES_MOST) {
-                    changes.add(new Change("begin-" + changes.size(), edits));
+                    changes.add(new Change(id + changes.size(), edits));
                     edits.clear();
                     bytes = 0;
                 }
@@ -38,7 +47,7 @@
                 bytes += value.length + EDIT_BYTES;
             }
         }
-        changes.add(new Change("begin-" + changes.size(), edits));
+        changes.add(new Change(id + changes.size(), edits));
         return changes;
     }
 
--- a/src/main/java/mastdrift/measure/TableMeasurement.java
+++ b/src/main/java/mastdrift/measure/TableMeasurement.java
@@ -1,19 +1,32 @@
 package mastdrift.measure;
 
+import java.util.ArrayDeque;
+import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Deque;
+import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Collectors;
 import mastdrift.distribution.Change;
 import mastdrift.distribution.Delta;
+import mastdrift.distribution.History;
+import mastdrift.distribution.Machine;
+import mastdrift.distribution.Message;
 import mastdrift.distribution.Outcome;
+import mastdrift.distribution.Publisher;
+import mastdrift.distribution.PublisherSettings;
 import mastdrift.distribution.ResourceKind;
+import mastdrift.distribution.Store;
+import mastdrift.distribution.Subscriber;
+import mastdrift.distribution.SubscriberSettings;
 import mastdrift.distribution.Table;
 import mastdrift.distribution.edge.MessageCodec;
 import mastdrift.lab.scale.Tables;
 
 /** A table of the target's resources (28,000 routes, 810 pools, 170,000 tenants, 47,000 hosts), a tenth and a hundredth of it, in one process: heap, and processor time of one change at
-    who agrees on it and at who follows, with and without its bytes. {@code TableMeasurement [CHANGES]} (2000). */
+    who agrees on it and at who follows, with and without its bytes. {@code TableMeasurement [CHANGES]} (2000). With {@code replace [FOLLOWERS]} (4): all of the target's tenants are replaced at once at a voter, and one
+    host by another writer in the middle; when followers have each, by their messages as bytes, and what the voter keeps of it. Links, the agreed log and disks aren't in it. */
 public final class TableMeasurement {
 
     private static final Map<ResourceKind, Integer> TARGET = Map.of(ResourceKind.ROUTE, 28_000, ResourceKind.POOL, 810, ResourceKind.TENANT, 170_000, ResourceKind.HOST, 47_000);
@@ -22,6 +35,12 @@
 
     /** Prints a line each. */
     public static void main(String[] args) throws Exception {
+        if (args.length > 0 && args[0].equals("replace")) {
+            for (int run = 1; run <= 3; run++) {
+                new Replacing(args.length > 1 ? Integer.parseInt(args[1]) : 4).run(run);
+            }
+            return;
+        }
         int changes = args.length > 0 ? Integer.parseInt(args[0]) : 2_000;
         for (int part : new int[] {100, 10, 1, 100, 10, 1, 100, 10, 1}) {
             long before = Heap.used();
@@ -64,4 +83,142 @@
         Arrays.sort(sorted);
         return String.format(Locale.ROOT, "%.1f (p99 %.1f)", sorted[sorted.length / 2], sorted[sorted.length * 99 / 100]);
     }
+
+    /** A voter's table and its followers in one thread: a message is handed over as bytes, one at a time, as the loops of each would. */
+    private static final class Replacing {
+
+        private final Deque<Runnable> queue = new ArrayDeque<>();
+        private final List<Subscriber> followers = new ArrayList<>();
+        private final Publisher publisher;
+        private final Store store;
+        private long bytes;
+        private int snapshots;
+
+        Replacing(int count) {
+            Table table = Tables.made(1, TARGET);
+            publisher = new Publisher(table, PublisherSettings.USUAL, new Publisher.Out() {
+                @Override
+                public void send(String to, Message message) {
+                    byte[] told = MessageCodec.bytes(message);
+                    bytes += told.length;
+                    queue.add(() -> followers.get(Integer.parseInt(to)).heard(now(), "voter", MessageCodec.message(told)));
+                }
+
+                @Override
+                public void drop(String of, String why) {
+                    throw new IllegalStateException(of + " is dropped: " + why);
+                }
+
+                @Override
+                public void event(String name, String text) {
+                    System.out.println(name + " " + text);
+                }
+            });
+            store = new Store(table, 1, new Store.Out() {
+                @Override
+                public void table(Table next, List<Delta> deltas) {
+                    publisher.table(now(), next, deltas);
+                }
+
+                @Override
+                public void event(String name, String text) {
+                    System.out.println(name + " " + text);
+                }
+            });
+            for (int i = 0; i < count; i++) {
+                follow(String.valueOf(i), table);
+            }
+        }
+
+        private void follow(String name, Table table) {
+            followers.add(new Subscriber(name, "z", table, SubscriberSettings.USUAL, 1, new Subscriber.Out() {
+                @Override
+                public void send(String to, Message message) {
+                    byte[] told = MessageCodec.bytes(message);
+                    queue.add(() -> publisher.heard(now(), name, MessageCodec.message(told)));
+                }
+
+                @Override
+                public void leave(String machine) {
+                    throw new IllegalStateException(name + " leaves " + machine);
+                }
+
+                @Override
+                public void table(Table next, List<Delta> deltas) {
+                    snapshots += deltas.isEmpty() ? 1 : 0;
+                    queue.add(() -> followers.get(Integer.parseInt(name)).inForce(now(), next.revision()));
+                }
+
+                @Override
+                public void event(String event, String text) {
+                    System.out.println(name + " " + event + " " + text);
+                }
+            }));
+        }
+
+        private static long now() {
+            return System.nanoTime() / 1_000;
+        }
+
+        /** What is under way, and who wants to be called. */
+        private void turn() {
+            for (int i = queue.size(); i > 0; i--) {
+                queue.poll().run();
+            }
+            if (now() >= publisher.dueAt()) {
+                publisher.tick(now());
+            }
+            for (Subscriber each : followers) {
+                if (now() >= each.dueAt()) {
+                    each.tick(now());
+                }
+            }
+        }
+
+        private double until(long began, long number) {
+            while (!followers.stream().allMatch(each -> each.table().revision().number() >= number)) {
+                turn();
+            }
+            return (System.nanoTime() - began) / 1e9;
+        }
+
+        void run(int seed) {
+            for (Subscriber each : followers) {
+                each.machines(now(), List.of(new Machine("voter", "z")));
+            }
+            turn();
+            List<Change> changes = Tables.replaced(seed + 1, TARGET.get(ResourceKind.TENANT));
+            long began = System.nanoTime();
+            long other = 0;
+            long most = 0;
+            double decided = 0;
+            for (int i = 0; i < changes.size(); i++) {
+                if (i == changes.size() / 2) {
+                    other = System.nanoTime();
+                    decide(Tables.change(0, TARGET.get(ResourceKind.HOST), 1));
+                }
+                long from = System.nanoTime();
+                decide(changes.get(i));
+                decided += (System.nanoTime() - from) / 1e6;
+                most = Math.max(most, publisher.status().deltaBytes());
+                turn();
+            }
+            double otherAfter = until(other, changes.size() / 2 + store.table().revision().number() - changes.size());
+            double all = until(began, store.table().revision().number());
+            for (Subscriber each : followers) {
+                if (!each.table().revision().equals(store.table().revision())) {
+                    throw new IllegalStateException("expected " + store.table().revision() + ", found " + each.table().revision());
+                }
+            }
+            System.out.printf(Locale.ROOT, "%d tenants replaced by %d changes, %d followers: in force at all after %.2f s, another's change after %.2f s at most; a change %.1f ms at the voter; kept at most %d bytes of %d, %d"
+                    + " deltas; told %.1f MB, %d snapshots%n", TARGET.get(ResourceKind.TENANT), changes.size(), followers.size(), all, otherAfter, decided / changes.size(), most, History.BYTES_MOST,
+                    publisher.status().deltas(), bytes / 1e6, snapshots);
+        }
+
+        private void decide(Change change) {
+            if (!(store.decided(store.number() + 1, change.id(), change) instanceof Store.Fate.In)) {
+                throw new IllegalStateException("expected change " + change.id() + " to be in, found " + store.fate(change.id()));
+            }
+        }
+    }
 }
--- a/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
+++ b/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
@@ -49,6 +49,7 @@
     private final Map<String, Member> members = new ConcurrentHashMap<>();
     private final ExecutorService network = Executors.newSingleThreadExecutor();
     private final Map<String, AtomicInteger> chunks = new ConcurrentHashMap<>();  // of snapshots, by whom they go to
+    private final List<Path> links = new ArrayList<>();  // to a disk that is full
     private RaftLog.Snapshots snapshots = new RaftLog.Snapshots(RaftLog.SNAPSHOT_EVERY, SizeInBytes.valueOf("128KB"));
     private long longAway = 3_600_000_000L;
 
@@ -155,9 +156,12 @@
     }
 
     @AfterEach
-    void close() {
+    void close() throws IOException {
         members.values().forEach(each -> each.log.close());
         network.shutdownNow();
+        for (Path each : links) {
+            Files.deleteIfExists(each);
+        }
     }
 
     /** Three voters and one who follows; the leader ends in the middle and starts again with its folder. */
@@ -388,4 +392,41 @@
         members.get("c").commit("later");
         awaitAll(ids, "a", "b", "c");
     }
+
+    /** Each next file of a member's log is one on a full disk from now on. */
+    private void full(String name) throws IOException {
+        Path current;
+        try (Stream<Path> paths = Files.walk(folder.resolve(name))) {
+            current = paths.filter(each -> each.endsWith("current")).findFirst().orElseThrow();
+        }
+        for (int i = 1; i < 64; i++) {
+            Path next = current.resolve("log_inprogress_" + i);
+            if (!Files.exists(next)) {
+                links.add(Files.createSymbolicLink(next, Path.of("/dev/full")));
+            }
+        }
+    }
+
+    /** The disk of a voter is full: what it can't keep doesn't count for a majority, it says that it is out, and the others go on without it. */
+    @Test
+    void aVoterWithAFullDiskDecidesNothingByWhatItCannotKeep() throws Exception {
+        List<String> voters = List.of("a", "b", "c");
+        start("one", voters, "a", "b", "c");
+        members.get("a").commit("first");
+        awaitAll(List.of("first"), "a", "b", "c");
+        String leader = members.get("a").log.status().leader();
+        List<String> others = voters.stream().filter(each -> !each.equals(leader)).toList();
+        full(others.get(0));
+        List<String> ids = new ArrayList<>(List.of("first"));
+        ids.addAll(commitMany(leader, "many-", 40, 50_000));  // 2 MB: two files
+        awaitAll(ids, leader, others.get(1));
+        await(() -> members.get(others.get(0)).log.status().role().equals("aside"), "it says that it is out");
+        cut.add(others.get(1));
+        assertInstanceOf(AppendOutcome.Unknown.class, members.get(leader).append("alone"), "of the two that hear each other one can keep nothing");
+        assertTrue(members.get(leader).ids().size() == ids.size() && members.get(others.get(0)).ids().size() <= ids.size(), "nobody reads it");
+        cut.clear();
+        ids.add("alone");
+        members.get(leader).commit("alone");
+        awaitAll(ids, leader, others.get(1));
+    }
 }
--- a/src/test/java/mastdrift/distribution/PublisherTest.java
+++ b/src/test/java/mastdrift/distribution/PublisherTest.java
@@ -5,6 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -266,4 +269,66 @@
         assertTrue(all.zones().stream().allMatch(each -> each.lagging().size() <= ZoneSummary.LAGGING_MOST));
         assertEquals(63, all.zones().stream().filter(each -> each.zone().equals(Summaries.OTHERS)).findFirst().orElseThrow().lowest().number());
     }
+
+    private static List<Change> tenants(int count, int valueBytes, String to) {
+        List<Change> changes = new ArrayList<>();
+        List<Edit> edits = new ArrayList<>();
+        int each = Math.min(Change.EDITS_MOST, (Change.BYTES_MOST - 200) / (valueBytes + 48));
+        byte[] value = new byte[valueBytes];
+        Arrays.fill(value, (byte) 'x');
+        System.arraycopy(to.getBytes(StandardCharsets.UTF_8), 0, value, 0, to.length());
+        for (int i = 0; i < count; i++) {
+            edits.add(new Edit.Upsert(ResourceKind.TENANT, "tenant-" + i, value, Edit.ANY));
+            if (edits.size() == each || i == count - 1) {
+                changes.add(new Change(to + changes.size(), edits));
+                edits.clear();
+            }
+        }
+        return changes;
+    }
+
+    /** A tenth of the target's tenants, of more bytes than are kept of changes, is replaced at once by changes that are as large as may be: all have it and what another writer changed in the middle within 12 s, also one
+        that was stopped meanwhile and one that is new, and what is kept stays within its bound. */
+    @Test
+    void allTenantsReplacedAtOnceAreInForceAndHoldUpNobody() {
+        Lines lines = new Lines();
+        Table had = Table.empty(1);
+        for (Change each : tenants(17_000, 1_200, "before")) {
+            had = Changes.applied(had.apply(had.revision().number() + 1, each)).table();
+        }
+        Publisher machine = lines.machine("m", had);
+        for (int i = 0; i < 4; i++) {
+            lines.gateway("g" + i, had, "m");
+        }
+        lines.run(2 * Lines.SECOND);
+        lines.frozen.add("g3");
+        List<Change> replaced = tenants(17_000, 1_200, "after");
+        assertTrue(replaced.size() > 300, replaced.size() + " changes");
+        long other = 0;
+        for (int i = 0; i < replaced.size(); i++) {
+            if (i == replaced.size() / 2) {
+                other = lines.change(machine, "route-of-another", "v").to().number();
+            }
+            Outcome.Applied applied = Changes.applied(machine.table().apply(machine.table().revision().number() + 1, replaced.get(i)));
+            machine.table(lines.now, applied.table(), List.of(applied.delta()));
+            assertTrue(machine.status().deltaBytes() <= History.BYTES_MOST);
+        }
+        lines.gateway("new", Table.empty(1), "m");
+        long began = lines.now;
+        while (!lines.subscribers.values().stream().allMatch(each -> each == lines.subscribers.get("g3") || each.table().revision().equals(machine.table().revision()))) {
+            lines.run(Lines.SECOND / 10);
+            assertTrue(lines.now - began < 12 * Lines.SECOND, () -> "after 12 s: " + lines.events);
+        }
+        lines.frozen.clear();
+        long woken = lines.now;
+        while (!lines.subscribers.get("g3").table().revision().equals(machine.table().revision())) {
+            lines.run(Lines.SECOND / 10);
+            assertTrue(lines.now - woken < 12 * Lines.SECOND, () -> "after 12 s: " + lines.events);
+        }
+        for (Subscriber each : lines.subscribers.values()) {
+            assertEquals(other, each.table().get(ResourceKind.ROUTE, "route-of-another").version());
+            assertEquals(17_000, each.table().size(ResourceKind.TENANT));
+        }
+        assertTrue(machine.status().deltaBytes() > History.BYTES_MOST / 2 && machine.status().deltas() < replaced.size(), () -> machine.status() + ": the first are not kept");
+    }
 }
--- a/src/test/java/mastdrift/distribution/edge/PublicationTest.java
+++ b/src/test/java/mastdrift/distribution/edge/PublicationTest.java
@@ -3,20 +3,24 @@
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotSame;
+import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
+import java.time.Clock;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Random;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.Callable;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
 import mastdrift.distribution.Delta;
 import mastdrift.distribution.Machine;
 import mastdrift.distribution.Message;
@@ -24,6 +28,7 @@
 import mastdrift.distribution.Revision;
 import mastdrift.distribution.SubscriberSettings;
 import mastdrift.distribution.Table;
+import mastdrift.events.Events;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
@@ -207,4 +212,112 @@
             return null;
         });
     }
+
+    /** Subscribers of a later build, each with something that this one doesn't know: dropped, said, and nobody else notices. */
+    @Test
+    void subscribersOfALaterBuildAreDroppedAndOthersServed() {
+        Growing tables = new Growing(6);
+        Object[] have = LaterCodec.fields(tables.table().revision());
+        List<byte[]> later = List.of(LaterCodec.bytes(2, 0, new Object[] {0, have, "z"}), LaterCodec.plain(0, have, "z", "cell"), LaterCodec.plain(11, have),
+                LaterCodec.plain(0, new Object[] {1, 0, 0, 0, 0}, "z"), LaterCodec.bytes(1, 0, Map.of("type", 0, "have", have, "zone", "z")));
+        on(() -> {
+            Publication publication = publication(tables);
+            subscribe(publication, "a", tables.table().revision());
+            for (int i = 0; i < later.size(); i++) {
+                publication.heard("later-" + i, later.get(i));
+            }
+            Delta delta = tables.change(100);
+            publication.table(tables.table(), List.of(delta));
+            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(1);
+            while (System.nanoTime() < until) {
+                Thread.onSpinWait();  // what belongs together is told together
+            }
+            publication.alone(false);
+            assertEquals(Drawn.said(new Message.Deltas(List.of(delta))), Drawn.said(MessageCodec.message(wires.last("a"))));
+            assertEquals(1, publication.publisher().status().subscribers());
+            return null;
+        });
+        assertEquals(List.of("drop later-0", "drop later-1", "drop later-2", "drop later-3", "drop later-4"), wires.ended);
+        assertEquals(List.of("WARN config_later", "WARN config_malformed", "WARN config_malformed", "WARN config_malformed", "WARN config_malformed"), List.copyOf(events));
+    }
+
+    /** A machine of a later build: what isn't known is said and taken for nothing, what is known is taken, and the table never goes back. */
+    @Test
+    void aMachineOfALaterBuildIsHeardAsFarAsItIsKnown() {
+        Growing tables = new Growing(7);
+        Delta one = tables.change(100);
+        Table first = tables.table();
+        Delta two = tables.change(100);
+        Object[] to = LaterCodec.fields(two.to());
+        List<byte[]> later = List.of(LaterCodec.bytes(2, 0, new Object[] {7, to}), LaterCodec.plain(7, to, "why"), LaterCodec.plain(12, to),
+                LaterCodec.plain(6, new Object[] {new Object[] {one.to().number(), to, new Object[] {}, new Object[] {}, "by"}}),
+                LaterCodec.plain(6, new Object[] {new Object[] {one.to().number(), to, new Object[] {new Object[] {4, "n", 2, new byte[0]}}, new Object[] {}}}),
+                LaterCodec.plain(9, to, new Object[] {}, true, "more"));
+        List<Table> taken = new ArrayList<>();
+        Subscription subscription = new Subscription(loop, wires, "g", "z", Table.empty(1), new SubscriberSettings(60_000_000, 60_000_000, 1_000, 60_000_000, 1, 60_000_000, 4,
+                600_000_000), 1, (level, name, text, fields) -> events.add(level + " " + name), (table, deltas) -> taken.add(table));
+        on(() -> {
+            subscription.machines(List.of(new Machine("m", "z")));
+            subscription.heard("m", MessageCodec.bytes(new Message.Deltas(List.of(one))));
+            for (byte[] each : later) {
+                subscription.heard("m", each);
+                assertEquals(first.revision(), subscription.subscriber().table().revision());
+            }
+            subscription.heard("m", MessageCodec.bytes(new Message.Deltas(List.of(two))));
+            subscription.heard("m", MessageCodec.bytes(new Message.Deltas(List.of(one))));
+            return null;
+        });
+        assertEquals(List.of(first.revision(), tables.table().revision()), on(() -> taken.stream().map(Table::revision).toList()));
+        assertEquals(List.of("WARN config_later", "WARN config_malformed"), List.copyOf(events));
+        on(() -> {
+            subscription.close();
+            return null;
+        });
+    }
+
+    /** The disk of one that passes on is full: it says so once, and what it hears goes on to its subscribers all the same. */
+    @Test
+    void oneThatPassesOnWithAFullDiskServesOnAndSaysSo() throws Exception {
+        MemoryFiles files = new MemoryFiles(Long.MAX_VALUE, new Random(1));
+        TableFolder folder = new TableFolder(files);
+        assertNull(folder.read().table());
+        Growing tables = new Growing(8);
+        Events hears = (level, name, text, fields) -> events.add(level + " " + name);
+        List<Table> written = new ArrayList<>();
+        try (TableWriter writer = new TableWriter(folder, null, Clock.systemUTC(), hears, 10)) {
+            Publication publication = on(() -> {
+                Publication made = publication(tables);
+                subscribe(made, "a", tables.table().revision());
+                return made;
+            });
+            files.full(true);
+            for (int i = 0; i < 20; i++) {
+                Delta delta = tables.change(100);
+                on(() -> {  // as a control machine does with what it is told
+                    writer.table(tables.table(), List.of(delta));
+                    publication.table(tables.table(), List.of(delta));
+                    return null;
+                });
+                until(() -> on(() -> MessageCodec.message(wires.last("a")) instanceof Message.Deltas deltas && deltas.deltas().get(deltas.deltas().size() - 1).to().equals(delta.to())));
+                on(() -> {
+                    publication.heard("a", MessageCodec.bytes(new Message.Ack(delta.to())));
+                    return null;
+                });
+            }
+            until(() -> files.failed() > 2);
+            assertEquals(List.of("ERROR config_folder_unwritten"), List.copyOf(events));
+            assertEquals(tables.table().revision(), publication.publisher().status().revision());
+            files.full(false);
+            until(() -> tables.table().revision().equals(writer.status().written()));
+            written.add(new TableFolder(files).read().table());
+        }
+        assertEquals(tables.table().revision(), written.get(0).revision());
+        assertEquals(List.of("ERROR config_folder_unwritten", "INFO config_folder_written"), List.copyOf(events));
+    }
+
+    private static void until(BooleanSupplier met) throws InterruptedException {
+        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(30); !met.getAsBoolean(); Thread.sleep(1)) {
+            assertTrue(System.nanoTime() < end, "in time");
+        }
+    }
 }
--- a/src/test/java/mastdrift/serve/ControlMachineTest.java
+++ b/src/test/java/mastdrift/serve/ControlMachineTest.java
@@ -138,6 +138,21 @@
         }
     }
 
+    /** A voter that can't write its copy says so and goes on from memory: its vote counts by its log, which is on a disk that it can write. */
+    @Test
+    void aVoterThatCannotWriteItsCopyGoesOnAndSaysSo() throws Exception {
+        Files.createDirectories(folder.resolve("c3").resolve("state").resolve("table").resolve("snapshot.new").resolve("no-file"));  // where the copy is written first
+        apply(0, 3);
+        try (ControlClient client = client()) {
+            await(client, 3);
+            assertEquals(3, number(client, "c3"));
+        }
+        for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS); said.stream().noneMatch(line -> line.startsWith("c3 config_folder_unwritten")); Thread.sleep(20)) {
+            assertTrue(System.nanoTime() < until, said::toString);
+        }
+        assertTrue(said.stream().noneMatch(line -> line.startsWith("c1 config_folder_unwritten") || line.startsWith("c2 config_folder_unwritten")), said::toString);
+    }
+
     private void losesTable(String name) throws Exception {
         try (Stream<Path> files = Files.list(folder.resolve(name).resolve("state").resolve("table"))) {
             for (Path each : files.toList()) {
