--- a/src/main/java/mastdrift/lab/scale/Member.java
+++ b/src/main/java/mastdrift/lab/scale/HollowGateway.java
@@ -16,32 +16,32 @@
 import mastdrift.peers.edge.PeerLinks;
 
 /** A hollow gateway: the program's own links, codec and subscriber, and nothing else; what comes is in force as soon as it is there. On the loop's thread alone, the beginning too. */
-final class Member implements PeerLinks.Listener, Wires, AutoCloseable {
+final class HollowGateway implements PeerLinks.Listener, Wires, AutoCloseable {
 
     private static final byte CONFIG = 4;  // of messages on links
     private static final int MACHINES = 64;
 
     /** One that may be followed: its name, its zone and where it listens. */
-    record Above(String name, String zone, InetSocketAddress address) { }
+    record Upstream(String name, String zone, InetSocketAddress address) { }
 
     private final BiConsumer<Table, List<Delta>> taken;
     private final PeerLinks links;
-    private final Map<String, InetSocketAddress> above;
+    private final Map<String, InetSocketAddress> upstreams;
     private final Subscription subscription;
     private Table table;
 
     /** Of a name and zone, with the table that it has; {@code taken} hears of each that comes, and what led there. */
-    Member(EventLoop loop, String name, String zone, List<Above> above, Table have, long seed, BiConsumer<Table, List<Delta>> taken) {
+    HollowGateway(EventLoop loop, String name, String zone, List<Upstream> upstreams, Table have, long seed, BiConsumer<Table, List<Delta>> taken) {
         this.taken = taken;
-        this.above = above.stream().collect(Collectors.toMap(Above::name, Above::address));
+        this.upstreams = upstreams.stream().collect(Collectors.toMap(Upstream::name, Upstream::address));
         table = have;
         links = new PeerLinks(loop, Layout.INSTALLATION, name, MACHINES, this);
         links.keys(List.of(Layout.KEY.getBytes(StandardCharsets.UTF_8)));
         links.generation(System.nanoTime());
-        links.addresses(this.above);
+        links.addresses(this.upstreams);
         subscription = new Subscription(loop, this, name, zone, have, SubscriberSettings.USUAL, seed, (level, event, text, fields) -> System.err.println(name + ": " + event + ": " + text),
                 this::take);
-        subscription.machines(above.stream().map(each -> new Machine(each.name, each.zone)).toList());
+        subscription.machines(upstreams.stream().map(each -> new Machine(each.name, each.zone)).toList());
     }
 
     private void take(Table next, List<Delta> deltas) {
@@ -52,7 +52,7 @@
 
     /** Reaches nobody that it follows, or all of them again. */
     void cut(boolean cut) {
-        links.addresses(cut ? Map.of() : above);
+        links.addresses(cut ? Map.of() : upstreams);
     }
 
     /** What is in force. */
--- a/src/main/java/mastdrift/lab/scale/Node.java
+++ b/src/main/java/mastdrift/lab/scale/HollowWorker.java
@@ -25,34 +25,34 @@
 import org.HdrHistogram.Histogram;
 
 /** A process of many hollow gateways on one loop. Does what lines of JSON on its input say, answers each with one, and ends with its input. */
-public final class Node {
+public final class HollowWorker {
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-    private final List<Member> members = new ArrayList<>();
+    private final List<HollowGateway> gateways = new ArrayList<>();
     private final Histogram times = new Histogram(3);
     private final Set<Integer> returning = new HashSet<>();
     private Map<String, Object> begin = Map.of();
-    private List<Member.Above> above = List.of();
-    private int lives;
+    private List<HollowGateway.Upstream> upstreams = List.of();
+    private int generations;
     private long before;
     private long snapshots;
     private long returnedAt;
 
-    private Node() { }
+    private HollowWorker() { }
 
     /** Runs until its input ends. */
     public static void main(String[] args) throws IOException {
-        Node node = new Node();
+        HollowWorker worker = new HollowWorker();
         try (BufferedReader lines = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                Map<String, Object> answer;
+                Map<String, Object> response;
                 try {
-                    Map<String, Object> what = JSON.std.mapFrom(line);
-                    answer = what.get("do").equals("heap") ? Map.of("bytes", Math.max(0, live() - node.before)) : node.onLoop(() -> node.does(what));
+                    Map<String, Object> request = JSON.std.mapFrom(line);
+                    response = request.get("do").equals("heap") ? Map.of("bytes", Math.max(0, live() - worker.before)) : worker.onLoop(() -> worker.execute(request));
                 } catch (Exception e) {
-                    answer = Map.of("error", String.valueOf(e));
+                    response = Map.of("error", String.valueOf(e));
                 }
-                System.out.println(JSON.std.asString(answer));
+                System.out.println(JSON.std.asString(response));
             }
         }
         System.exit(0);
@@ -62,34 +62,34 @@
         return loop.submit(task).get();
     }
 
-    private Map<String, Object> does(Map<String, Object> what) throws Exception {
-        switch (String.valueOf(what.get("do"))) {
+    private Map<String, Object> execute(Map<String, Object> request) throws Exception {
+        switch (String.valueOf(request.get("do"))) {
             case "begin" -> {
-                begin = what;
-                above = ((List<?>) what.get("machines")).stream().map(each -> above((Map<?, ?>) each)).toList();
+                begin = request;
+                upstreams = ((List<?>) request.get("machines")).stream().map(each -> upstream((Map<?, ?>) each)).toList();
                 before = live();
             }
             case "open" -> {
                 for (int i = 0; i < number(begin, "count"); i++) {
-                    members.add(hollow(i, Table.empty(1)));
+                    gateways.add(hollow(i, Table.empty(1)));
                 }
             }
             case "behind" -> {
-                long wanted = number(what, "revision");
-                return Map.of("behind", members.stream().filter(each -> each.table().revision().number() < wanted).count());
+                long wanted = number(request, "revision");
+                return Map.of("behind", gateways.stream().filter(each -> each.table().revision().number() < wanted).count());
             }
             case "times" -> {
                 return times();
             }
-            case "return" -> returns((int) number(what, "count"), Boolean.TRUE.equals(what.get("keep")));
-            case "cut" -> cut(Boolean.TRUE.equals(what.get("on")));
-            default -> throw new IllegalArgumentException("expected something that hollow gateways do, found " + what.get("do"));
+            case "return" -> returns((int) number(request, "count"), Boolean.TRUE.equals(request.get("keep")));
+            case "cut" -> cut(Boolean.TRUE.equals(request.get("on")));
+            default -> throw new IllegalArgumentException("expected something that hollow gateways do, found " + request.get("do"));
         }
         return Map.of();
     }
 
-    private static Member.Above above(Map<?, ?> told) {
-        return new Member.Above(String.valueOf(told.get("name")), String.valueOf(told.get("zone")), Addresses.parse(String.valueOf(told.get("address"))));
+    private static HollowGateway.Upstream upstream(Map<?, ?> told) {
+        return new HollowGateway.Upstream(String.valueOf(told.get("name")), String.valueOf(told.get("zone")), Addresses.parse(String.valueOf(told.get("address"))));
     }
 
     private static long number(Map<String, Object> of, String key) {
@@ -104,10 +104,10 @@
         return Layout.zone(own(index), (int) number(begin, "zones"));
     }
 
-    private Member hollow(int index, Table have) {
+    private HollowGateway hollow(int index, Table have) {
         long[] last = {have.revision().number()};
         long opened = System.nanoTime() / 1_000;
-        return new Member(loop, "hollow-" + own(index), zone(index), above, have, number(begin, "seed") + own(index) + 10_000L * lives, (next, deltas) -> {
+        return new HollowGateway(loop, "hollow-" + own(index), zone(index), upstreams, have, number(begin, "seed") + own(index) + 10_000L * generations, (next, deltas) -> {
             long now = System.nanoTime();
             snapshots += deltas.isEmpty() ? 1 : 0;
             if (last[0] > 0) {
@@ -142,30 +142,30 @@
     private Map<String, Object> times() {
         ByteBuffer bytes = ByteBuffer.allocate(times.getNeededByteBufferCapacity());
         int length = times.encodeIntoCompressedByteBuffer(bytes);
-        Map<String, Object> answer = Map.of("times", Base64.getEncoder().encodeToString(Arrays.copyOf(bytes.array(), length)), "snapshots", snapshots, "returned", returnedAt);
+        Map<String, Object> response = Map.of("times", Base64.getEncoder().encodeToString(Arrays.copyOf(bytes.array(), length)), "snapshots", snapshots, "returned", returnedAt);
         times.reset();
         snapshots = 0;
         returnedAt = 0;
-        return answer;
+        return response;
     }
 
     /** The first ones end, and others of the same names begin. */
     private void returns(int count, boolean keep) {
-        lives++;
-        for (int i = 0; i < Math.min(count, members.size()); i++) {
-            Member old = members.get(i);
+        generations++;
+        for (int i = 0; i < Math.min(count, gateways.size()); i++) {
+            HollowGateway old = gateways.get(i);
             old.close();
             returning.add(i);
-            members.set(i, hollow(i, keep ? old.table() : Table.empty(1)));
+            gateways.set(i, hollow(i, keep ? old.table() : Table.empty(1)));
         }
     }
 
     /** The gateways of the first region reach nobody, or everybody again. */
     private void cut(boolean cut) {
         String region = Layout.zone(0, 1).replaceAll("-.*", "-");
-        for (int i = 0; i < members.size(); i++) {
+        for (int i = 0; i < gateways.size(); i++) {
             if (zone(i).startsWith(region)) {
-                members.get(i).cut(cut);
+                gateways.get(i).cut(cut);
                 if (!cut) {
                     returning.add(i);
                 }
--- a/src/main/java/mastdrift/lab/scale/Need.java
+++ b/src/main/java/mastdrift/lab/scale/Requirements.java
@@ -16,7 +16,7 @@
  * @param machineHeap MiB of heap of a control machine or real gateway
  * @param hollowHeap MiB of heap of a process of hollow gateways
  */
-record Need(int processes, long memory, int descriptors, int hollowProcesses, int machineHeap, int hollowHeap) {
+record Requirements(int processes, long memory, int descriptors, int hollowProcesses, int machineHeap, int hollowHeap) {
 
     /** Processes, fewer than. */
     static final int PROCESSES_BELOW = 200;
@@ -26,45 +26,45 @@
     private static final int TABLE = 64 << 10;  // bytes of one without resources
     private static final int HOLLOW = 96 << 10;  // bytes of a hollow gateway beside its table
     private static final int SPARE = 256;  // descriptors beside links: files, jars, pipes
-    private static final double UNEVEN = 2;  // a relay may have so many times its share of links, while another is away
+    private static final double SKEW = 2;  // a relay may have so many times its share of links, while another is away
 
     /** What this machine has. */
-    record Room(long memory, long free, long descriptors) {
+    record Capacity(long memory, long free, long descriptors) {
 
-        static Room here() {
+        static Capacity ofThisMachine() {
             OperatingSystemMXBean system = (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
             long descriptors = system instanceof UnixOperatingSystemMXBean unix ? unix.getMaxFileDescriptorCount() : Long.MAX_VALUE;
-            return new Room(system.getTotalMemorySize(), Meter.available(), descriptors);
+            return new Capacity(system.getTotalMemorySize(), Meter.available(), descriptors);
         }
     }
 
-    static Need of(ScalePlan plan, ScalePlan.Size size) {
+    static Requirements of(ScalePlan plan, ScalePlan.Size size) {
         int hollow = (size.hollow() + plan.perProcess() - 1) / plan.perProcess();
         long table = TABLE + (long) size.all() * RESOURCE;
         // A machine has the table it serves, the next one while it is put together, and messages under way; a process of hollow ones has a second table of each in its turn.
-        long links = (long) (UNEVEN * size.hollow() / Math.max(1, plan.relays() == 0 ? plan.voters() : plan.relays()));
+        long links = (long) (SKEW * size.hollow() / Math.max(1, plan.relays() == 0 ? plan.voters() : plan.relays()));
         int machineHeap = (int) ((96 * MIB + 4 * table + links * (64 << 10)) / MIB);
         int each = Math.min(plan.perProcess(), size.hollow());
         int hollowHeap = (int) ((64 * MIB + each * (HOLLOW + table) * 3 / 2 + 3 * table) / MIB);
         int machines = plan.voters() + plan.relays() + plan.gateways();
         long memory = MIB * (machines * (long) (machineHeap + BESIDE_HEAP) + hollow * (long) (hollowHeap + BESIDE_HEAP) + 2L * BESIDE_HEAP);
-        int descriptors = SPARE + (int) Math.max(Math.max(links, Math.ceil(UNEVEN * each)), plan.relays());
-        return new Need(machines + hollow + 2, memory, descriptors, hollow, machineHeap, hollowHeap);
+        int descriptors = SPARE + (int) Math.max(Math.max(links, Math.ceil(SKEW * each)), plan.relays());
+        return new Requirements(machines + hollow + 2, memory, descriptors, hollow, machineHeap, hollowHeap);
     }
 
     /** Why it can't be played here, a line each; empty where it can. */
-    List<String> refusals(Room room) {
+    List<String> refusals(Capacity capacity) {
         List<String> lines = new ArrayList<>();
         if (processes >= PROCESSES_BELOW) {
             lines.add("expected fewer than " + PROCESSES_BELOW + " processes, found that it needs " + processes + "; raise per_process");
         }
-        if (memory > room.memory / 2) {
-            lines.add("expected to need at most half of this machine's memory, " + room.memory / 2 / MIB + " MiB, found " + memory / MIB + " MiB");
-        } else if (memory > room.free) {
-            lines.add("expected " + memory / MIB + " MiB of memory that nobody uses now, found " + room.free / MIB + " MiB; others share the machine, try later");
+        if (memory > capacity.memory / 2) {
+            lines.add("expected to need at most half of this machine's memory, " + capacity.memory / 2 / MIB + " MiB, found " + memory / MIB + " MiB");
+        } else if (memory > capacity.free) {
+            lines.add("expected " + memory / MIB + " MiB of memory that nobody uses now, found " + capacity.free / MIB + " MiB; others share the machine, try later");
         }
-        if (descriptors > room.descriptors) {
-            lines.add("expected at least " + descriptors + " descriptors for a process (ulimit -n), found " + room.descriptors);
+        if (descriptors > capacity.descriptors) {
+            lines.add("expected at least " + descriptors + " descriptors for a process (ulimit -n), found " + capacity.descriptors);
         }
         return lines;
     }
--- a/src/main/java/mastdrift/lab/scale/Scale.java
+++ b/src/main/java/mastdrift/lab/scale/Scale.java
@@ -53,8 +53,9 @@
 
     /** Why a plan can't be played on this machine, a line each; empty where it can. */
     public static List<String> refusals(ScalePlan plan) {
-        Need.Room room = Need.Room.here();
-        return plan.sizes().stream().flatMap(size -> Need.of(plan, size).refusals(room).stream().map(line -> size.hollow() + " hollow gateways, " + size.all() + " resources: " + line)).toList();
+        Requirements.Capacity capacity = Requirements.Capacity.ofThisMachine();
+        return plan.sizes().stream().flatMap(size -> Requirements.of(plan, size).refusals(capacity).stream()
+                .map(line -> size.hollow() + " hollow gateways, " + size.all() + " resources: " + line)).toList();
     }
 
     /** Plays one that isn't refused; files and logs of its processes go into folders, one a size. Throws IOException where a process doesn't start or ends by itself. */
@@ -73,14 +74,14 @@
 
         private final Size size;
         private final double at;
-        private final Need need;
+        private final Requirements requirements;
         private final Signals signals;
         private final Path own;
         private final Layout layout;
-        private final List<Child> children = new ArrayList<>();
+        private final List<ChildProcess> children = new ArrayList<>();
         private final AtomicLong revision = new AtomicLong();
-        private final AtomicLong asked = new AtomicLong();
-        private final AtomicLong done = new AtomicLong();
+        private final AtomicLong submitted = new AtomicLong();
+        private final AtomicLong completed = new AtomicLong();
         private final ExecutorService writers = Executors.newFixedThreadPool(WRITERS);
         private ControlClient client;
         private int changes;
@@ -89,7 +90,7 @@
             this.size = size;
             this.signals = signals;
             at = figures.by().startsWith(HOLLOW) ? size.hollow() : size.all();
-            need = Need.of(plan, size);
+            requirements = Requirements.of(plan, size);
             own = Files.createDirectories(folder.resolve("run-" + System.currentTimeMillis() + "-" + size.hollow() + "-" + size.all()));
             layout = new Layout(plan, own);
         }
@@ -105,13 +106,13 @@
                 if (client != null) {
                     client.close();
                 }
-                for (Child each : children) {
+                for (ChildProcess each : children) {
                     each.end();
                 }
             }
         }
 
-        private List<Child> of(String role) {
+        private List<ChildProcess> of(String role) {
             return children.stream().filter(each -> each.role().equals(role) && each.alive()).toList();
         }
 
@@ -120,7 +121,7 @@
         private void start() throws IOException, InterruptedException {
             for (String role : List.of(VOTER, RELAY)) {
                 for (Layout.Machine each : layout.machines(role)) {
-                    children.add(Child.program(each.name(), role, need.machineHeap(), own, signals, "control", "--config", layout.control(each).toString(), "--log", "json"));
+                    children.add(ChildProcess.program(each.name(), role, requirements.machineHeap(), own, signals, "control", "--config", layout.control(each).toString(), "--log", "json"));
                 }
             }
             client = ControlClient.by(layout.control(layout.machines(VOTER).get(0)));
@@ -130,32 +131,33 @@
             figures.add(at, "start", RELAY, "in force, s", await(began, RELAY, START_SECONDS));
             for (int i = 0; i < plan.gateways(); i++) {
                 String name = GATEWAY + "-" + i;
-                children.add(Child.program(name, GATEWAY, need.machineHeap(), own, signals, "serve", "--config", layout.gateway(name, Layout.zone(i, plan.zones())).toString(), "--log", "json"));
+                children.add(ChildProcess.program(name, GATEWAY, requirements.machineHeap(), own, signals, "serve", "--config",
+                        layout.gateway(name, Layout.zone(i, plan.zones())).toString(), "--log", "json"));
             }
             int left = size.hollow();
-            for (int i = 0; i < need.hollowProcesses(); i++) {
-                int count = (left + need.hollowProcesses() - i - 1) / (need.hollowProcesses() - i);
-                Child child = Child.hollow(HOLLOW + "-" + i, need.hollowHeap(), own, signals);
+            for (int i = 0; i < requirements.hollowProcesses(); i++) {
+                int count = (left + requirements.hollowProcesses() - i - 1) / (requirements.hollowProcesses() - i);
+                ChildProcess child = ChildProcess.hollow(HOLLOW + "-" + i, requirements.hollowHeap(), own, signals);
                 children.add(child);
-                child.tell(Map.of("do", "begin", "seed", plan.seed(), "first", size.hollow() - left, "count", count, "zones", plan.zones(), "machines",
+                child.send(Map.of("do", "begin", "seed", plan.seed(), "first", size.hollow() - left, "count", count, "zones", plan.zones(), "machines",
                         layout.followed().stream().map(Layout.Machine::plain).toList()));
                 left -= count;
             }
-            for (Child each : of(HOLLOW)) {
-                each.answer();
+            for (ChildProcess each : of(HOLLOW)) {
+                each.response();
             }
             if (plan.gateways() > 0) {
                 await(System.nanoTime(), GATEWAY, START_SECONDS);
             }
-            List<Child> all = List.copyOf(children);
+            List<ChildProcess> all = List.copyOf(children);
             List<Meter.Used> before = used(all);
             began = System.nanoTime();
-            Child.ask(of(HOLLOW), Map.of("do", "open"));
+            ChildProcess.request(of(HOLLOW), Map.of("do", "open"));
             double took = await(began, HOLLOW, START_SECONDS);
             figures.add(at, "start", HOLLOW, "in force, s", took);
             record("start", all, before, used(all), false);
-            says.accept(String.format(Locale.ROOT, "%d hollow gateways in %d processes, %d resources: all in force %.1f s after they began", size.hollow(), need.hollowProcesses(), size.all(),
-                    took));
+            says.accept(String.format(Locale.ROOT, "%d hollow gateways in %d processes, %d resources: all in force %.1f s after they began", size.hollow(),
+                    requirements.hollowProcesses(), size.all(), took));
         }
 
         /** Has a change agreed on, some time soon; whoever waits for the revision waits for it too. */
@@ -171,14 +173,14 @@
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
-                done.incrementAndGet();
+                completed.incrementAndGet();
             });
-            asked.incrementAndGet();
+            submitted.incrementAndGet();
         }
 
-        /** Seconds from a time on until all changes that were asked for have an answer. */
+        /** Seconds from a time on until all changes that were submitted have an answer. */
         private double written(long since) throws InterruptedException {
-            while (done.get() < asked.get()) {
+            while (completed.get() < submitted.get()) {
                 Thread.sleep(CHECK_MILLIS / 10);
             }
             return (System.nanoTime() - since) / 1e9;
@@ -199,17 +201,17 @@
 
         private long behind(String role) throws IOException, InterruptedException {
             if (role.equals(HOLLOW)) {
-                return Child.ask(of(role), Map.of("do", "behind", "revision", revision.get())).stream().mapToLong(answer -> number(answer, "behind")).sum();
+                return ChildProcess.request(of(role), Map.of("do", "behind", "revision", revision.get())).stream().mapToLong(answer -> number(answer, "behind")).sum();
             }
             long behind = 0;
             if (role.equals(GATEWAY)) {
-                for (Child each : of(role)) {
+                for (ChildProcess each : of(role)) {
                     Path status = layout.folder(each.name()).resolve("status.json");
                     behind += Files.exists(status) && number(JSON.std.mapFrom(Files.readString(status)), "in_force") >= revision.get() ? 0 : 1;
                 }
                 return behind;
             }
-            for (ControlMessage each : client.status(of(role).stream().map(Child::name).toList()).values()) {
+            for (ControlMessage each : client.status(of(role).stream().map(ChildProcess::name).toList()).values()) {
                 behind += each instanceof ControlMessage.Status status && status.revision().number() >= revision.get() ? 0 : 1;
             }
             return behind;
@@ -218,8 +220,8 @@
         // ---- phases
 
         private void phase(Phase phase) throws IOException, InterruptedException {
-            Child.ask(of(HOLLOW), Map.of("do", "times"));  // of what was before
-            List<Child> all = children.stream().filter(Child::alive).toList();
+            ChildProcess.request(of(HOLLOW), Map.of("do", "times"));  // of what was before
+            List<ChildProcess> all = children.stream().filter(ChildProcess::alive).toList();
             List<Meter.Used> before = used(all);
             long began = System.nanoTime();
             long span = phase.seconds() * 1_000_000_000L;
@@ -236,7 +238,7 @@
                 }
                 if (whole == 0 && phase.kind() == Kind.CUT && System.nanoTime() >= began + span / 4 * 3) {
                     whole = System.nanoTime();
-                    Child.ask(of(HOLLOW), Map.of("do", "cut", "on", false));
+                    ChildProcess.request(of(HOLLOW), Map.of("do", "cut", "on", false));
                 }
                 if (phase.rate() > 0 && System.nanoTime() >= next) {
                     change();
@@ -265,22 +267,22 @@
             switch (phase.kind()) {
                 case KILL_RELAY -> of(RELAY).stream().findFirst().orElseThrow().end();
                 case KILL_VOTER -> {
-                    String leads = client.status(of(VOTER).stream().map(Child::name).toList()).values().stream().map(each -> each instanceof ControlMessage.Status status ? status.leader() : "")
-                            .filter(each -> !each.isEmpty()).findFirst().orElse("");
+                    String leads = client.status(of(VOTER).stream().map(ChildProcess::name).toList()).values().stream()
+                            .map(each -> each instanceof ControlMessage.Status status ? status.leader() : "").filter(each -> !each.isEmpty()).findFirst().orElse("");
                     says.accept("the leader is " + leads + " and is killed");
                     of(VOTER).stream().filter(each -> each.name().equals(leads)).findFirst().orElse(of(VOTER).get(0)).end();
                 }
-                case CUT -> Child.ask(of(HOLLOW), Map.of("do", "cut", "on", true));
+                case CUT -> ChildProcess.request(of(HOLLOW), Map.of("do", "cut", "on", true));
                 case RETURN, RETURN_WITH -> {
-                    List<Child> holders = of(HOLLOW);
+                    List<ChildProcess> holders = of(HOLLOW);
                     int left = Math.min(phase.count(), size.hollow());
                     for (int i = 0; i < holders.size(); i++) {
                         int count = (left + holders.size() - i - 1) / (holders.size() - i);
-                        holders.get(i).tell(Map.of("do", "return", "count", count, "keep", phase.kind() == Kind.RETURN_WITH));
+                        holders.get(i).send(Map.of("do", "return", "count", count, "keep", phase.kind() == Kind.RETURN_WITH));
                         left -= count;
                     }
-                    for (Child each : holders) {
-                        each.answer();
+                    for (ChildProcess each : holders) {
+                        each.response();
                     }
                 }
                 default -> { }
@@ -293,13 +295,13 @@
 
         // ---- what came of it
 
-        private List<Meter.Used> used(List<Child> of) {
+        private List<Meter.Used> used(List<ChildProcess> of) {
             return of.stream().map(each -> Meter.used(each.pid())).toList();
         }
 
-        private void record(String phase, List<Child> all, List<Meter.Used> before, List<Meter.Used> after, boolean phased) throws IOException, InterruptedException {
+        private void record(String phase, List<ChildProcess> all, List<Meter.Used> before, List<Meter.Used> after, boolean phased) throws IOException, InterruptedException {
             for (String role : List.of(HOLLOW, GATEWAY, RELAY, VOTER)) {
-                List<Child> alive = of(role);
+                List<ChildProcess> alive = of(role);
                 if (alive.isEmpty()) {
                     continue;
                 }
@@ -330,7 +332,7 @@
         /** What they keep. The heaps of programs that are asked from outside, which stops them for a moment, only where nothing goes on. */
         private void kept(Phase phase) throws IOException, InterruptedException {
             for (String role : List.of(HOLLOW, GATEWAY, RELAY, VOTER)) {
-                List<Child> alive = of(role);
+                List<ChildProcess> alive = of(role);
                 if (alive.isEmpty()) {
                     continue;
                 }
@@ -338,7 +340,8 @@
                 figures.add(at, phase.name(), role, "sockets", open.stream().mapToInt(one -> one[1]).sum() / (double) (role.equals(HOLLOW) ? size.hollow() : alive.size()));
                 figures.add(at, phase.name(), role, "resident, MiB a process", alive.stream().mapToLong(one -> Meter.resident(one.pid())).average().orElse(0) / (1 << 20));
                 if (role.equals(HOLLOW)) {
-                    figures.add(at, phase.name(), role, "heap, KiB", Child.ask(alive, Map.of("do", "heap")).stream().mapToLong(answer -> number(answer, "bytes")).sum() / 1024.0 / size.hollow());
+                    figures.add(at, phase.name(), role, "heap, KiB",
+                            ChildProcess.request(alive, Map.of("do", "heap")).stream().mapToLong(answer -> number(answer, "bytes")).sum() / 1024.0 / size.hollow());
                     continue;
                 }
                 figures.add(at, phase.name(), role, "descriptors, the most of one", open.stream().mapToInt(one -> one[0]).max().orElse(0));
@@ -353,7 +356,7 @@
             Histogram times = new Histogram(3);
             long snapshots = 0;
             long last = 0;
-            for (Map<String, Object> answer : Child.ask(of(HOLLOW), Map.of("do", "times"))) {
+            for (Map<String, Object> answer : ChildProcess.request(of(HOLLOW), Map.of("do", "times"))) {
                 try {
                     times.add(Histogram.decodeFromCompressedByteBuffer(ByteBuffer.wrap(Base64.getDecoder().decode(String.valueOf(answer.get("times")))), 0));
                 } catch (DataFormatException e) {
--- a/src/test/java/mastdrift/lab/scale/ScalePlanTest.java
+++ b/src/test/java/mastdrift/lab/scale/ScalePlanTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 import mastdrift.distribution.ResourceKind;
-import mastdrift.lab.scale.Need.Room;
+import mastdrift.lab.scale.Requirements.Capacity;
 import mastdrift.lab.scale.ScalePlan.Kind;
 import mastdrift.lab.scale.ScalePlan.Size;
 import org.junit.jupiter.api.Test;
@@ -22,7 +22,7 @@
 class ScalePlanTest {
 
     private static final long GIB = 1L << 30;
-    private static final Room LARGE = new Room(64 * GIB, 64 * GIB, 1 << 20);
+    private static final Capacity LARGE = new Capacity(64 * GIB, 64 * GIB, 1 << 20);
 
     private static ScalePlan.Result read(String text) {
         return ScalePlan.read("x.toml", text, null);
@@ -112,62 +112,62 @@
             for (Path each : plans) {
                 ScalePlan.Result result = ScalePlan.read(each, null);
                 assertNotNull(result.plan(), () -> result.problems().toString());
-                result.plan().sizes().forEach(size -> assertEquals(List.of(), Need.of(result.plan(), size).refusals(new Room(23 * GIB, 23 * GIB, 20_000))));
+                result.plan().sizes().forEach(size -> assertEquals(List.of(), Requirements.of(result.plan(), size).refusals(new Capacity(23 * GIB, 23 * GIB, 20_000))));
             }
         }
     }
 
     // ---- guards
 
-    private static Need need(String more, int hollow, int routes) {
+    private static Requirements requirements(String more, int hollow, int routes) {
         ScalePlan plan = plan(more + "\n[[size]]\nhollow = " + hollow + "\nroutes = " + routes + "\n");
-        return Need.of(plan, plan.sizes().get(0));
+        return Requirements.of(plan, plan.sizes().get(0));
     }
 
     @Test
     void moreThanHalfOfTheMemoryIsRefused() {
-        Need need = need("relays = 12", 4_100, 1_000);
-        assertEquals(List.of(), need.refusals(LARGE));
-        List<String> lines = need.refusals(new Room(2 * need.memory() - 2, LARGE.free(), LARGE.descriptors()));
+        Requirements requirements = requirements("relays = 12", 4_100, 1_000);
+        assertEquals(List.of(), requirements.refusals(LARGE));
+        List<String> lines = requirements.refusals(new Capacity(2 * requirements.memory() - 2, LARGE.free(), LARGE.descriptors()));
         assertEquals(1, lines.size());
         assertTrue(lines.get(0).startsWith("expected to need at most half of this machine's memory, "), lines.get(0));
-        assertEquals(List.of(), need.refusals(new Room(2 * need.memory(), need.memory(), LARGE.descriptors())));
+        assertEquals(List.of(), requirements.refusals(new Capacity(2 * requirements.memory(), requirements.memory(), LARGE.descriptors())));
     }
 
     @Test
     void memoryThatOthersUseIsRefused() {
-        Need need = need("", 100, 100);
-        List<String> lines = need.refusals(new Room(LARGE.memory(), need.memory() - 1, LARGE.descriptors()));
+        Requirements requirements = requirements("", 100, 100);
+        List<String> lines = requirements.refusals(new Capacity(LARGE.memory(), requirements.memory() - 1, LARGE.descriptors()));
         assertEquals(1, lines.size());
         assertTrue(lines.get(0).contains("that nobody uses now"), lines.get(0));
     }
 
     @Test
     void moreProcessesThanAFewHundredAreRefused() {
-        assertEquals(List.of("expected fewer than 200 processes, found that it needs 1047; raise per_process"), need("per_process = 4", 4_100, 10).refusals(new Room(4_000 * GIB,
+        assertEquals(List.of("expected fewer than 200 processes, found that it needs 1047; raise per_process"), requirements("per_process = 4", 4_100, 10).refusals(new Capacity(4_000 * GIB,
                 4_000 * GIB, 1 << 20)));
-        Need most = need("per_process = 1\nrelays = 2", 187, 10);
+        Requirements most = requirements("per_process = 1\nrelays = 2", 187, 10);
         assertEquals(199, most.processes());
         assertEquals(List.of(), most.refusals(LARGE));
-        assertEquals(1, need("per_process = 1\nrelays = 2", 188, 10).refusals(LARGE).size());
+        assertEquals(1, requirements("per_process = 1\nrelays = 2", 188, 10).refusals(LARGE).size());
     }
 
     @Test
     void tooFewDescriptorsAreRefused() {
-        Need need = need("voters = 1\nrelays = 0\nper_process = 8200", 4_100, 10);
-        assertTrue(need.descriptors() > 8_200, need::toString);
-        List<String> lines = need.refusals(new Room(LARGE.memory(), LARGE.free(), need.descriptors() - 1));
-        assertEquals(List.of("expected at least " + need.descriptors() + " descriptors for a process (ulimit -n), found " + (need.descriptors() - 1)), lines);
-        assertEquals(List.of(), need.refusals(new Room(LARGE.memory(), LARGE.free(), need.descriptors())));
+        Requirements requirements = requirements("voters = 1\nrelays = 0\nper_process = 8200", 4_100, 10);
+        assertTrue(requirements.descriptors() > 8_200, requirements::toString);
+        List<String> lines = requirements.refusals(new Capacity(LARGE.memory(), LARGE.free(), requirements.descriptors() - 1));
+        assertEquals(List.of("expected at least " + requirements.descriptors() + " descriptors for a process (ulimit -n), found " + (requirements.descriptors() - 1)), lines);
+        assertEquals(List.of(), requirements.refusals(new Capacity(LARGE.memory(), LARGE.free(), requirements.descriptors())));
     }
 
     @Test
     void moreOfEverythingNeedsMoreMemory() {
-        long least = need("", 100, 100).memory();
-        assertTrue(need("", 1_000, 100).memory() > least);
-        assertTrue(need("", 100, 10_000).memory() > least);
-        assertTrue(need("gateways = 9", 100, 100).memory() > least);
-        assertTrue(need("relays = 20", 100, 100).memory() > least);
+        long least = requirements("", 100, 100).memory();
+        assertTrue(requirements("", 1_000, 100).memory() > least);
+        assertTrue(requirements("", 100, 10_000).memory() > least);
+        assertTrue(requirements("gateways = 9", 100, 100).memory() > least);
+        assertTrue(requirements("relays = 20", 100, 100).memory() > least);
     }
 
     @Test
--- a/src/test/java/mastdrift/lab/scale/ScaleTest.java
+++ b/src/test/java/mastdrift/lab/scale/ScaleTest.java
@@ -72,7 +72,7 @@
     /** A process that has nobody any more to tell it what to do ends by itself. */
     @Test
     void aProcessEndsWithItsInput() throws Exception {
-        Process process = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-cp", System.getProperty("java.class.path"), Node.class.getName()).start();
+        Process process = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-cp", System.getProperty("java.class.path"), HollowWorker.class.getName()).start();
         try {
             process.getOutputStream().close();
             assertTrue(process.waitFor(30, TimeUnit.SECONDS));
