--- a/src/main/java/mastdrift/distribution/edge/Publication.java
+++ b/src/main/java/mastdrift/distribution/edge/Publication.java
@@ -28,10 +28,10 @@
     public static final int KEPT_BYTES_MOST = 8 << 20;
 
     private final EventLoop loop;
-    private final Wires wires;
-    private final Notices notices;
+    private final Transport transport;
+    private final RateLimitedEvents events;
     private final Publisher publisher;
-    private final Alarm alarm;
+    private final DeadlineTimer timer;
     private final Map<Message, byte[]> kept = new IdentityHashMap<>();
     private final Set<String> dropping = new HashSet<>();
     private int keptBytes;
@@ -39,12 +39,12 @@
     private boolean closed;
 
     /** Of a table. */
-    public Publication(EventLoop loop, Wires wires, Table table, PublisherSettings settings, Events events) {
+    public Publication(EventLoop loop, Transport transport, Table table, PublisherSettings settings, Events events) {
         this.loop = loop;
-        this.wires = wires;
-        notices = new Notices(events);
-        publisher = new Publisher(table, settings, new Out());
-        alarm = new Alarm(loop, this::tick);
+        this.transport = transport;
+        this.events = new RateLimitedEvents(events);
+        publisher = new Publisher(table, settings, new Actions());
+        timer = new DeadlineTimer(loop, this::tick);
         loop.execute(this::arm);
     }
 
@@ -62,45 +62,45 @@
     public void table(Table next, List<Delta> deltas) {
         kept.clear();
         keptBytes = 0;
-        publisher.table(Alarm.now(), next, deltas);
+        publisher.table(DeadlineTimer.now(), next, deltas);
         arm();
     }
 
     /** Whether where its table comes from can't be heard. */
     public void alone(boolean alone) {
-        publisher.alone(Alarm.now(), alone);
+        publisher.alone(DeadlineTimer.now(), alone);
         arm();
     }
 
     /** A message of a subscriber, on the connection that it opened. */
-    public void heard(String from, byte[] bytes) {
+    public void received(String from, byte[] bytes) {
         Message message;
         try {
             message = MessageCodec.message(bytes);
         } catch (IllegalArgumentException e) {
-            notices.fault(Alarm.now(), e instanceof MessageCodec.LaterVersionException ? "config_later" : "config_malformed", from, e.getMessage());
-            wires.drop(from);
-            gone(from);
+            events.fault(DeadlineTimer.now(), e instanceof MessageCodec.LaterVersionException ? "config_later" : "config_malformed", from, e.getMessage());
+            transport.drop(from);
+            inboundClosed(from);
             return;
         }
-        publisher.heard(Alarm.now(), from, message);
+        publisher.heard(DeadlineTimer.now(), from, message);
         arm();
     }
 
     /** The connection that a subscriber opened has ended. */
-    public void gone(String from) {
-        publisher.gone(Alarm.now(), from);
+    public void inboundClosed(String from) {
+        publisher.gone(DeadlineTimer.now(), from);
         arm();
     }
 
     private void tick() {
-        publisher.tick(Alarm.now());
+        publisher.tick(DeadlineTimer.now());
         arm();
     }
 
     private void arm() {
         if (!closed) {
-            alarm.at(publisher.dueAt());
+            timer.schedule(publisher.dueAt());
         }
     }
 
@@ -108,7 +108,7 @@
     @Override
     public void close() {
         closed = true;
-        alarm.stop();
+        timer.cancel();
     }
 
     private byte[] bytes(Message message) {
@@ -129,7 +129,7 @@
         return bytes;
     }
 
-    private final class Out implements Publisher.Out {
+    private final class Actions implements Publisher.Out {
 
         @Override
         public void send(String to, Message message) {
@@ -137,29 +137,29 @@
                 return;
             }
             try {
-                if (wires.reply(to, bytes(message))) {
+                if (transport.reply(to, bytes(message))) {
                     return;
                 }
-                notices.fault(Alarm.now(), "config_subscriber_full", to, "expected room on its connection, found none: it is dropped");
+                events.fault(DeadlineTimer.now(), "config_subscriber_full", to, "expected room on its connection, found none: it is dropped");
             } catch (IllegalArgumentException e) {
-                notices.fault(Alarm.now(), "config_unwritable", to, e.getMessage());
+                events.fault(DeadlineTimer.now(), "config_unwritable", to, e.getMessage());
             }
             dropping.add(to);
             loop.execute(() -> {  // not in the middle of its turn
                 dropping.remove(to);
-                wires.drop(to);
-                gone(to);
+                transport.drop(to);
+                inboundClosed(to);
             });
         }
 
         @Override
         public void drop(String subscriber, String why) {
-            wires.drop(subscriber);
+            transport.drop(subscriber);
         }
 
         @Override
         public void event(String name, String text) {
-            notices.event(name, text);
+            events.event(name, text);
         }
     }
 }
--- a/src/main/java/mastdrift/distribution/edge/Notices.java
+++ b/src/main/java/mastdrift/distribution/edge/RateLimitedEvents.java
@@ -5,16 +5,16 @@
 import mastdrift.events.Events;
 import mastdrift.events.Events.Level;
 
-/** What deciders and links have to say, as events: faults of one sender once in a while, whatever it sends. */
-final class Notices {
+/** What deciders and links have to say, as events: faults of one sender at most once an interval, whatever it sends. */
+final class RateLimitedEvents {
 
-    private static final long AGAIN = 60_000_000;
+    private static final long INTERVAL = 60_000_000;
     private static final int KEPT_MOST = 256;
 
     private final Events events;
-    private final Map<String, Long> saidAt = new HashMap<>();
+    private final Map<String, Long> emittedAt = new HashMap<>();
 
-    Notices(Events events) {
+    RateLimitedEvents(Events events) {
         this.events = events;
     }
 
@@ -23,20 +23,20 @@
         events.event(name.equals("config_forked") ? Level.ERROR : name.equals("config_snapshot") ? Level.INFO : Level.WARN, name, text);
     }
 
-    /** A fault that may come with each message; said each {@value #AGAIN} us at most, of a sender. */
+    /** A fault that may come with each message; emitted each {@value #INTERVAL} us at most, of a sender. */
     void fault(long now, String name, String of, String text) {
         String key = name + ' ' + of;
-        Long said = saidAt.get(key);
-        if (said != null && now - said < AGAIN) {
+        Long last = emittedAt.get(key);
+        if (last != null && now - last < INTERVAL) {
             return;
         }
-        if (said == null && saidAt.size() >= KEPT_MOST) {
-            saidAt.values().removeIf(at -> now - at >= AGAIN);
-            if (saidAt.size() >= KEPT_MOST) {
+        if (last == null && emittedAt.size() >= KEPT_MOST) {
+            emittedAt.values().removeIf(at -> now - at >= INTERVAL);
+            if (emittedAt.size() >= KEPT_MOST) {
                 return;
             }
         }
-        saidAt.put(key, now);
+        emittedAt.put(key, now);
         events.event(Level.WARN, name, of + ": " + text);
     }
 }
--- a/src/main/java/mastdrift/distribution/edge/Subscription.java
+++ b/src/main/java/mastdrift/distribution/edge/Subscription.java
@@ -22,23 +22,23 @@
 public final class Subscription implements AutoCloseable {
 
     private final EventLoop loop;
-    private final Wires wires;
-    private final Notices notices;
+    private final Transport transport;
+    private final RateLimitedEvents events;
     private final BiConsumer<Table, List<Delta>> tables;
     private final Subscriber subscriber;
-    private final Alarm alarm;
+    private final DeadlineTimer timer;
     private boolean turning;
     private boolean closed;
 
     /** Of a process by its name and zone, from the table that it has; {@code tables} takes each next one, with what led there from the one before (nothing for a jump). */
-    public Subscription(EventLoop loop, Wires wires, String name, String zone, Table have, SubscriberSettings settings, long seed, Events events,
+    public Subscription(EventLoop loop, Transport transport, String name, String zone, Table have, SubscriberSettings settings, long seed, Events events,
             BiConsumer<Table, List<Delta>> tables) {
         this.loop = loop;
-        this.wires = wires;
+        this.transport = transport;
         this.tables = tables;
-        notices = new Notices(events);
-        subscriber = new Subscriber(name, zone, have, settings, seed, new Out());
-        alarm = new Alarm(loop, () -> turn(subscriber::tick));
+        this.events = new RateLimitedEvents(events);
+        subscriber = new Subscriber(name, zone, have, settings, seed, new Actions());
+        timer = new DeadlineTimer(loop, () -> turn(subscriber::tick));
     }
 
     /** What runs; for reading only. */
@@ -52,22 +52,22 @@
     }
 
     /** A reply of a control machine, on the connection that was opened to it. */
-    public void heard(String from, byte[] bytes) {
+    public void received(String from, byte[] bytes) {
         Message message;
         try {
             message = MessageCodec.message(bytes);
         } catch (MessageCodec.LaterVersionException e) {
-            notices.fault(Alarm.now(), "config_later", from, e.getMessage());
+            events.fault(DeadlineTimer.now(), "config_later", from, e.getMessage());
             return;
         } catch (IllegalArgumentException e) {
-            notices.fault(Alarm.now(), "config_malformed", from, e.getMessage());
+            events.fault(DeadlineTimer.now(), "config_malformed", from, e.getMessage());
             return;
         }
         turn(now -> subscriber.heard(now, from, message));
     }
 
     /** The connection that was opened to a control machine has ended, or couldn't be made. */
-    public void ended(String to) {
+    public void outboundClosed(String to) {
         turn(now -> subscriber.ended(now, to));
     }
 
@@ -93,11 +93,11 @@
         } else if (!closed) {
             turning = true;
             try {
-                event.accept(Alarm.now());
+                event.accept(DeadlineTimer.now());
             } finally {
                 turning = false;
             }
-            alarm.at(subscriber.dueAt());
+            timer.schedule(subscriber.dueAt());
         }
     }
 
@@ -105,33 +105,33 @@
     @Override
     public void close() {
         closed = true;
-        alarm.stop();
+        timer.cancel();
         if (subscriber.machine() != null) {
-            wires.leave(subscriber.machine());
+            transport.leave(subscriber.machine());
         }
     }
 
-    private final class Out implements Subscriber.Out {
+    private final class Actions implements Subscriber.Out {
 
         @Override
         public void send(String to, Message message) {
             boolean sent = false;
             try {
-                sent = !closed && wires.send(to, MessageCodec.bytes(message));
+                sent = !closed && transport.send(to, MessageCodec.bytes(message));
             } catch (IllegalArgumentException e) {
-                notices.fault(Alarm.now(), "config_unwritable", to, e.getMessage());
+                events.fault(DeadlineTimer.now(), "config_unwritable", to, e.getMessage());
             }
             if (!sent && !closed) {
                 loop.execute(() -> {  // not in the middle of its turn
-                    wires.leave(to);
-                    ended(to);
+                    transport.leave(to);
+                    outboundClosed(to);
                 });
             }
         }
 
         @Override
         public void leave(String machine) {
-            wires.leave(machine);
+            transport.leave(machine);
         }
 
         @Override
@@ -141,7 +141,7 @@
 
         @Override
         public void event(String name, String text) {
-            notices.event(name, text);
+            events.event(name, text);
         }
     }
 }
--- a/src/main/java/mastdrift/distribution/edge/Wires.java
+++ b/src/main/java/mastdrift/distribution/edge/Transport.java
@@ -1,7 +1,7 @@
 package mastdrift.distribution.edge;
 
 /** The links to other processes, as configuration needs them; each call on the event loop's thread, and none waits. */
-public interface Wires {
+public interface Transport {
 
     /** Sends a message to a control machine, over a connection that is opened for the first; false where it is known not to arrive. */
     boolean send(String to, byte[] message);
--- a/src/main/java/mastdrift/lab/scale/HollowGateway.java
+++ b/src/main/java/mastdrift/lab/scale/HollowGateway.java
@@ -12,11 +12,11 @@
 import mastdrift.distribution.SubscriberSettings;
 import mastdrift.distribution.Table;
 import mastdrift.distribution.edge.Subscription;
-import mastdrift.distribution.edge.Wires;
+import mastdrift.distribution.edge.Transport;
 import mastdrift.peers.edge.PeerLinks;
 
 /** A hollow gateway: the program's own links, codec and subscriber, and nothing else; what comes is in force as soon as it is there. On the loop's thread alone, the beginning too. */
-final class HollowGateway implements PeerLinks.Listener, Wires, AutoCloseable {
+final class HollowGateway implements PeerLinks.Listener, Transport, AutoCloseable {
 
     private static final byte CONFIG = 4;  // of messages on links
     private static final int MACHINES = 64;
@@ -63,13 +63,13 @@
     @Override
     public void received(String from, long generation, byte kind, byte[] message) {
         if (kind == CONFIG) {
-            subscription.heard(from, message);
+            subscription.received(from, message);
         }
     }
 
     @Override
     public void outboundClosed(String to) {
-        subscription.ended(to);
+        subscription.outboundClosed(to);
     }
 
     @Override
--- a/src/main/java/mastdrift/serve/ControlClient.java
+++ b/src/main/java/mastdrift/serve/ControlClient.java
@@ -26,21 +26,21 @@
 import mastdrift.events.Events;
 import mastdrift.files.FileTexts;
 
-/** Asks control machines for an operator, over signed links, under a name of its own. Waits; each question for a bounded time. */
+/** Sends requests to control machines for an operator, over signed links, under a name of its own. Waits; for each request a bounded time. */
 public final class ControlClient implements AutoCloseable {
 
     /** A machine that has not answered by then is away, in milliseconds. */
-    static final long ANSWER_MILLIS = 9_000;
-    private static final long AWAY_MILLIS = 3_000;
-    private static final long AGAIN_MILLIS = 200;
+    static final long RESPONSE_TIMEOUT_MILLIS = 9_000;
+    private static final long QUERY_TIMEOUT_MILLIS = 3_000;
+    private static final long RETRY_MILLIS = 200;
     private static final int BITS = 40;
 
     private final DistributionSettings settings;
     private final ControlLinks links;
-    private final Map<Long, CompletableFuture<ControlMessage>> waiting = new HashMap<>();  // on the loop's thread
-    private final Map<Long, String> askedAt = new HashMap<>();
+    private final Map<Long, CompletableFuture<ControlMessage>> pending = new HashMap<>();  // on the loop's thread
+    private final Map<Long, String> sentTo = new HashMap<>();
     private final LinkListener listener = new LinkListener();
-    private long calls;
+    private long lastCall;
 
     /** By the file of a gateway or of a control machine; throws IllegalArgumentException with all that speaks against it, a line each. */
     public static ControlClient by(Path file) {
@@ -81,20 +81,20 @@
         @Override
         public void received(String from, boolean reply, byte kind, byte[] message) {
             if (kind == ControlLinks.CONTROL && reply) {
-                ControlMessage answer = ControlCodec.message(message);
-                if (from.equals(askedAt.get(answer.call()))) {
-                    askedAt.remove(answer.call());
-                    waiting.remove(answer.call()).complete(answer);
+                ControlMessage response = ControlCodec.message(message);
+                if (from.equals(sentTo.get(response.call()))) {
+                    sentTo.remove(response.call());
+                    pending.remove(response.call()).complete(response);
                 }
             }
         }
 
         @Override
         public void outboundClosed(String to) {
-            for (Map.Entry<Long, String> each : Map.copyOf(askedAt).entrySet()) {
+            for (Map.Entry<Long, String> each : Map.copyOf(sentTo).entrySet()) {
                 if (each.getValue().equals(to)) {
-                    askedAt.remove(each.getKey());
-                    waiting.remove(each.getKey()).complete(new ControlMessage.Unknown(each.getKey(), "no connection"));
+                    sentTo.remove(each.getKey());
+                    pending.remove(each.getKey()).complete(new ControlMessage.Unknown(each.getKey(), "no connection"));
                 }
             }
         }
@@ -105,26 +105,26 @@
         return settings.machines(role).stream().map(Machine::name).toList();
     }
 
-    private CompletableFuture<ControlMessage> ask(String machine, LongFunction<ControlMessage> question, long millis) {
-        CompletableFuture<ControlMessage> answer = new CompletableFuture<>();
+    private CompletableFuture<ControlMessage> request(String machine, LongFunction<ControlMessage> message, long millis) {
+        CompletableFuture<ControlMessage> response = new CompletableFuture<>();
         links.loop().execute(() -> {
-            long call = ++calls;
-            waiting.put(call, answer);
-            askedAt.put(call, machine);
-            if (!links.links().send(machine, ControlLinks.CONTROL, ControlCodec.bytes(question.apply(call)))) {
+            long call = ++lastCall;
+            pending.put(call, response);
+            sentTo.put(call, machine);
+            if (!links.links().send(machine, ControlLinks.CONTROL, ControlCodec.bytes(message.apply(call)))) {
                 listener.outboundClosed(machine);
             }
             links.loop().schedule(() -> {
-                askedAt.remove(call);
-                if (waiting.remove(call) != null) {
-                    answer.complete(new ControlMessage.Unknown(call, "no answer"));
+                sentTo.remove(call);
+                if (pending.remove(call) != null) {
+                    response.complete(new ControlMessage.Unknown(call, "no answer"));
                 }
             }, millis, TimeUnit.MILLISECONDS);
         });
-        return answer;
+        return response;
     }
 
-    private static ControlMessage answer(CompletableFuture<ControlMessage> of) throws InterruptedException {
+    private static ControlMessage response(CompletableFuture<ControlMessage> of) throws InterruptedException {
         try {
             return of.get();
         } catch (ExecutionException e) {
@@ -139,14 +139,14 @@
             return new ControlMessage.AskVoter(0, "expected a voter among the machines of the file, found none");
         }
         Collections.shuffle(voters);
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         ControlMessage last = null;
-        for (int i = 0; last == null || System.nanoTime() < until; i++) {
-            last = answer(ask(voters.get(i % voters.size()), call -> new ControlMessage.Apply(call, change), ANSWER_MILLIS));
+        for (int i = 0; last == null || System.nanoTime() < deadline; i++) {
+            last = response(request(voters.get(i % voters.size()), call -> new ControlMessage.Apply(call, change), RESPONSE_TIMEOUT_MILLIS));
             if (!(last instanceof ControlMessage.Unknown) && !(last instanceof ControlMessage.AskVoter)) {
                 return last;
             }
-            Thread.sleep(AGAIN_MILLIS);
+            Thread.sleep(RETRY_MILLIS);
         }
         return last;
     }
@@ -155,7 +155,7 @@
     public ControlMessage get(ResourceKind kind, String name) throws InterruptedException {
         ControlMessage.Found newest = null;
         for (Role role : List.of(Role.VOTER, Role.RELAY)) {
-            for (ControlMessage each : all(machines(role), call -> new ControlMessage.Get(call, kind, name)).values()) {
+            for (ControlMessage each : requestAll(machines(role), call -> new ControlMessage.Get(call, kind, name)).values()) {
                 newest = each instanceof ControlMessage.Found found && (newest == null || found.revision().after(newest.revision())) ? found : newest;
             }
             if (newest != null) {
@@ -167,18 +167,18 @@
 
     /** How machines do, by name; an {@link ControlMessage.Unknown} for one that doesn't answer. */
     public Map<String, ControlMessage> status(List<String> machines) throws InterruptedException {
-        return all(machines, ControlMessage.GetStatus::new);
+        return requestAll(machines, ControlMessage.GetStatus::new);
     }
 
     /** All at once. */
-    private Map<String, ControlMessage> all(List<String> machines, LongFunction<ControlMessage> question) throws InterruptedException {
-        Map<String, CompletableFuture<ControlMessage>> asked = new LinkedHashMap<>();
-        machines.forEach(each -> asked.put(each, ask(each, question, AWAY_MILLIS)));
-        Map<String, ControlMessage> answers = new LinkedHashMap<>();
-        for (Map.Entry<String, CompletableFuture<ControlMessage>> each : asked.entrySet()) {
-            answers.put(each.getKey(), answer(each.getValue()));
+    private Map<String, ControlMessage> requestAll(List<String> machines, LongFunction<ControlMessage> message) throws InterruptedException {
+        Map<String, CompletableFuture<ControlMessage>> futures = new LinkedHashMap<>();
+        machines.forEach(each -> futures.put(each, request(each, message, QUERY_TIMEOUT_MILLIS)));
+        Map<String, ControlMessage> responses = new LinkedHashMap<>();
+        for (Map.Entry<String, CompletableFuture<ControlMessage>> each : futures.entrySet()) {
+            responses.put(each.getKey(), response(each.getValue()));
         }
-        return answers;
+        return responses;
     }
 
     @Override
--- a/src/main/java/mastdrift/serve/ControlLinks.java
+++ b/src/main/java/mastdrift/serve/ControlLinks.java
@@ -13,7 +13,7 @@
 import mastdrift.config.DistributionSettings;
 import mastdrift.config.SecretRef;
 import mastdrift.distribution.Machine;
-import mastdrift.distribution.edge.Wires;
+import mastdrift.distribution.edge.Transport;
 import mastdrift.events.Events;
 import mastdrift.events.Events.Level;
 import mastdrift.net.Addresses;
@@ -28,14 +28,14 @@
     static final byte CONTROL = 5;
     /** Connections that a gateway or an operator opens, at most. */
     static final int OPENED_MOST = DistributionSettings.MACHINES_MOST;
-    private static final long SAID_EVERY_MILLIS = 5_000;
-    private static final int SAID_MOST = 1_024;
+    private static final long EVENT_INTERVAL_MILLIS = 5_000;
+    private static final int SENDERS_MOST = 1_024;
 
     private final EventLoop loop;
     private final String name;
     private final PeerLinks links;
     private final Events events;
-    private final Map<String, Long> saidAt = new HashMap<>();
+    private final Map<String, Long> emittedAt = new HashMap<>();
 
     /** Of a process of this name; the listener is told on the loop's thread, and what it throws ends nothing but that message. */
     ControlLinks(String thread, DistributionSettings settings, String name, Function<SecretRef, byte[]> secrets, Listener listener, Events events) {
@@ -76,13 +76,13 @@
             }
         }
 
-        /** Once in a while for each and each fault. */
+        /** An event at most once an interval, for each sender and each fault. */
         @Override
         public void refused(String what, String who, String text) {
             long now = System.nanoTime() / 1_000_000;
             String key = what + " " + who.replaceAll(":\\d+$", "");
-            saidAt.values().removeIf(at -> now - at > SAID_EVERY_MILLIS);
-            if (saidAt.size() < SAID_MOST && saidAt.putIfAbsent(key, now) == null) {
+            emittedAt.values().removeIf(at -> now - at > EVENT_INTERVAL_MILLIS);
+            if (emittedAt.size() < SENDERS_MOST && emittedAt.putIfAbsent(key, now) == null) {
                 events.event(Level.WARN, what, "from " + who + ": " + text, "peer", who);
             }
         }
@@ -107,8 +107,8 @@
     }
 
     /** The links as configuration goes over them. */
-    Wires config() {
-        return new Wires() {
+    Transport transport() {
+        return new Transport() {
             @Override
             public boolean send(String to, byte[] message) {
                 return links.send(to, CONFIG, message);
--- a/src/main/java/mastdrift/serve/ControlMachine.java
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -129,8 +129,8 @@
         copy = new ConfigCopy(folder.resolve("table"), settings.epoch(), events);
         Table had = begun(copy.found());
         links = new ControlLinks("control-links", settings, settings.name(), secrets::get, new LinkListener(), events);
-        publication = new Publication(links.loop(), links.config(), had, PublisherSettings.USUAL, events);
-        subscription = new Subscription(links.loop(), links.config(), settings.name(), settings.zone(), had, SubscriberSettings.USUAL, System.nanoTime(), events, this::told);
+        publication = new Publication(links.loop(), links.transport(), had, PublisherSettings.USUAL, events);
+        subscription = new Subscription(links.loop(), links.transport(), settings.name(), settings.zone(), had, SubscriberSettings.USUAL, System.nanoTime(), events, this::told);
         store = voter ? new Store(had, new Decided()) : null;
         log = voter ? log(folder) : null;
         if (!voter) {
@@ -197,9 +197,9 @@
         @Override
         public void received(String from, boolean reply, byte kind, byte[] message) {
             if (kind == ControlLinks.CONFIG && reply) {
-                subscription.heard(from, message);
+                subscription.received(from, message);
             } else if (kind == ControlLinks.CONFIG) {
-                publication.heard(from, message);
+                publication.received(from, message);
             } else if (kind == AGREED) {
                 agreed.accept(from, message);
             } else if (kind == ControlLinks.CONTROL && !reply) {
@@ -211,12 +211,12 @@
 
         @Override
         public void outboundClosed(String to) {
-            subscription.ended(to);
+            subscription.outboundClosed(to);
         }
 
         @Override
         public void inboundClosed(String from) {
-            publication.gone(from);
+            publication.inboundClosed(from);
         }
     }
 
--- a/src/main/java/mastdrift/serve/DistributionService.java
+++ b/src/main/java/mastdrift/serve/DistributionService.java
@@ -41,8 +41,8 @@
  */
 final class DistributionService implements AutoCloseable {
 
-    private static final long LOOK_MILLIS = 500;
-    private static final int STATUS_ANYWAY = 10;  // looks at which nothing has changed
+    private static final long POLL_MILLIS = 500;
+    private static final int STATUS_ANYWAY = 10;  // polls at which nothing has changed
 
     private final Events events;
     private final DistributionSettings settings;
@@ -53,7 +53,7 @@
     private final Subscription subscription;
     private final ConfigCopy copy;
     private final ScheduledThreadPoolExecutor writer = new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("distribution-status", true));
-    private final CountDownLatch first = new CountDownLatch(1);
+    private final CountDownLatch ready = new CountDownLatch(1);
     private final ResourceRoutes routes;
     private volatile TreeSet<String> pools = new TreeSet<>();  // that routes in force name
     private RouteTable fromFile;  // on the gateway's loop, as is the next one
@@ -62,7 +62,7 @@
     private String refused = "";
     private final Alone alone = new Alone();
     private Instant aloneSince;  // null while a machine is heard
-    private String said = "";
+    private String lastStatus = "";
     private int unchanged;
 
     /** Reads the copy; before the gateway serves, since it waits for the disk. {@code gateway} runs what swaps routes. */
@@ -74,21 +74,21 @@
         status = settings.statusFile() == null ? null : new StatusFile(file, settings.statusFile());
         routes = new ResourceRoutes(new RouteChecks(configuration.radius(), configuration.pools()));
         copy = new ConfigCopy(file.toAbsolutePath().resolveSibling(settings.folder()), settings.epoch(), events);
-        Table had = copy.found();
+        Table initial = copy.found();
         if (copy.there()) {
-            routes.all(routesOf(had));
+            routes.all(routesOf(initial));
             pools = new TreeSet<>(routes.pools());
             distributed = tableOf(routes.routes());
         }
         links = new ControlLinks("distribution", settings, settings.name(), secrets, new LinkListener(), events);
-        subscription = new Subscription(links.loop(), links.config(), settings.name(), settings.zone(), had, SubscriberSettings.USUAL, seed, events, this::take);
+        subscription = new Subscription(links.loop(), links.transport(), settings.name(), settings.zone(), initial, SubscriberSettings.USUAL, seed, events, this::take);
         links.loop().execute(() -> {
             if (copy.there()) {
-                acknowledge(had.revision(), routes.problem());
+                acknowledge(initial.revision(), routes.problem());
             }
             subscription.machines(ControlLinks.machines(settings.publishers()));
         });
-        links.loop().scheduleWithFixedDelay(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        links.loop().scheduleWithFixedDelay(this::poll, POLL_MILLIS, POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private static List<Resource> routesOf(Table table) {
@@ -103,10 +103,10 @@
 
     /** Until there is something to serve by: at once where there was a copy. */
     void await() throws InterruptedException {
-        if (first.getCount() > 0) {
+        if (ready.getCount() > 0) {
             events.event(Level.INFO, "config_waits", "waits for the configuration: no copy is there, and control machines are asked");
         }
-        first.await();
+        ready.await();
     }
 
     /** The routes in force: of resources, or where those have none, those of the gateway's file, which are these from now on. On the gateway's loop. */
@@ -129,7 +129,7 @@
             routes.checks(new RouteChecks(next.radius(), next.pools()));
             Table table = subscription.subscriber().table();
             if (inForce != null) {
-                bring(table.revision(), routes.all(routesOf(table)));
+                activate(table.revision(), routes.all(routesOf(table)));
             }
         });
     }
@@ -141,13 +141,13 @@
         @Override
         public void received(String from, boolean reply, byte kind, byte[] message) {
             if (kind == ControlLinks.CONFIG && reply) {
-                subscription.heard(from, message);
+                subscription.received(from, message);
             }
         }
 
         @Override
         public void outboundClosed(String to) {
-            subscription.ended(to);
+            subscription.outboundClosed(to);
         }
     }
 
@@ -160,11 +160,11 @@
         for (Delta each : deltas) {
             changed |= routes.change(each);
         }
-        bring(next.revision(), changed);
+        activate(next.revision(), changed);
     }
 
     /** Puts routes in force, where they have changed, by one event of the gateway's loop, and acknowledges the revision after that. */
-    private void bring(Revision revision, boolean changed) {
+    private void activate(Revision revision, boolean changed) {
         RouteTable next = changed ? tableOf(routes.routes()) : null;
         String problem = routes.problem();
         TreeSet<String> named = changed ? new TreeSet<>(routes.pools()) : pools;
@@ -198,12 +198,12 @@
                     revision.number(), "epoch", revision.epoch(), "routes", routes.routes().size());
         }
         inForce = revision;
-        first.countDown();
+        ready.countDown();
     }
 
     // ---- how it does
 
-    private void look() {
+    private void poll() {
         if (subscription.subscriber().ready() && inForce == null && subscription.subscriber().table().revision().number() == 0) {
             acknowledge(subscription.subscriber().table().revision(), null);  // a machine says that there is nothing yet: the file's routes serve
         }
@@ -218,8 +218,8 @@
         if (status != null && !writer.isShutdown()) {
             Map<String, Object> all = status();
             String now = all.toString();
-            if (!now.equals(said) || ++unchanged >= STATUS_ANYWAY) {
-                said = now;
+            if (!now.equals(lastStatus) || ++unchanged >= STATUS_ANYWAY) {
+                lastStatus = now;
                 unchanged = 0;
                 writer.execute(() -> write(all));
             }
--- a/src/test/java/mastdrift/distribution/edge/PublicationTest.java
+++ b/src/test/java/mastdrift/distribution/edge/PublicationTest.java
@@ -35,7 +35,7 @@
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
-    private static final class Made implements Wires {
+    private static final class FakeTransport implements Transport {
         private final Map<String, List<byte[]>> out = new HashMap<>();
         private final List<String> ended = new ArrayList<>();
         private final List<String> full = new ArrayList<>();
@@ -65,7 +65,7 @@
         }
     }
 
-    private final Made wires = new Made();
+    private final FakeTransport transport = new FakeTransport();
 
     private <T> T on(Callable<T> call) {
         T result = loop.submit(call).syncUninterruptibly().getNow();
@@ -79,11 +79,11 @@
     }
 
     private Publication publication(Growing tables) {
-        return new Publication(loop, wires, tables.table(), AT_ONCE, (level, name, text, fields) -> events.add(level + " " + name));
+        return new Publication(loop, transport, tables.table(), AT_ONCE, (level, name, text, fields) -> events.add(level + " " + name));
     }
 
     private static void subscribe(Publication publication, String name, Revision have) {
-        publication.heard(name, MessageCodec.bytes(new Message.Subscribe(have, "z")));
+        publication.received(name, MessageCodec.bytes(new Message.Subscribe(have, "z")));
     }
 
     /** One change costs one making of bytes, however many hear it. */
@@ -105,10 +105,10 @@
                     Thread.onSpinWait();  // what belongs together is told together
                 }
                 publication.alone(false);
-                byte[] bytes = wires.last("g0");
+                byte[] bytes = transport.last("g0");
                 assertEquals(Drawn.said(new Message.Deltas(List.of(delta))), Drawn.said(MessageCodec.message(bytes)));
                 for (int i = 0; i < 300; i++) {
-                    assertSame(bytes, wires.last("g" + i));
+                    assertSame(bytes, transport.last("g" + i));
                 }
                 assertEquals(before + change, publication.encoded());
             }
@@ -127,7 +127,7 @@
             subscribe(made, "slow", tables.table().revision());
             return made;
         });
-        wires.full.add("slow");
+        transport.full.add("slow");
         on(() -> {
             Table old = tables.table();
             Delta delta = tables.change(100);
@@ -135,7 +135,7 @@
             subscribe(publication, "slow", old.revision());  // tells it again, which fails again
             return null;
         });
-        assertEquals(List.of("drop slow"), wires.ended);
+        assertEquals(List.of("drop slow"), transport.ended);
         assertEquals(1, publication.publisher().status().subscribers());
         assertEquals(List.of("WARN config_subscriber_full"), List.copyOf(events));
     }
@@ -147,17 +147,17 @@
             Publication publication = publication(tables);
             subscribe(publication, "a", tables.table().revision());
             for (int i = 0; i < 5; i++) {
-                publication.heard("bad", new byte[] {1, 0, 7});
+                publication.received("bad", new byte[] {1, 0, 7});
                 byte[] later = MessageCodec.bytes(new Message.Credit(1));
                 later[0]++;
-                publication.heard("later", later);
-                publication.heard("turned", MessageCodec.bytes(new Message.Deltas(List.of(new Growing(4).change(10)))));  // not a subscriber's
+                publication.received("later", later);
+                publication.received("turned", MessageCodec.bytes(new Message.Deltas(List.of(new Growing(4).change(10)))));  // not a subscriber's
             }
             assertEquals(1, publication.publisher().status().subscribers());
             assertEquals(0, publication.publisher().table().revision().number());
             return null;
         });
-        assertEquals(15, wires.ended.size());
+        assertEquals(15, transport.ended.size());
         assertEquals(List.of("WARN config_malformed", "WARN config_later"), List.copyOf(events));
     }
 
@@ -167,7 +167,7 @@
         Growing tables = new Growing(5);
         tables.change(100);
         List<Table> taken = new ArrayList<>();
-        Subscription subscription = new Subscription(loop, wires, "g", "z", Table.empty(1), new SubscriberSettings(60_000_000, 60_000_000, 1_000, 60_000_000, 1, 60_000_000, 4,
+        Subscription subscription = new Subscription(loop, transport, "g", "z", Table.empty(1), new SubscriberSettings(60_000_000, 60_000_000, 1_000, 60_000_000, 1, 60_000_000, 4,
                 600_000_000), 1, (level, name, text, fields) -> events.add(level + " " + name), (table, deltas) -> taken.add(table));
         on(() -> {
             subscription.machines(List.of(new Machine("m1", "z"), new Machine("m2", "z")));
@@ -175,28 +175,28 @@
         });
         String first = subscription.subscriber().machine();
         String other = first.equals("m1") ? "m2" : "m1";
-        assertArrayEquals(MessageCodec.bytes(new Message.Subscribe(Revision.none(1), "z")), wires.last(first));
+        assertArrayEquals(MessageCodec.bytes(new Message.Subscribe(Revision.none(1), "z")), transport.last(first));
         on(() -> {
             for (int i = 0; i < 5; i++) {
-                subscription.heard(first, new byte[] {1, 0, 7});
-                subscription.heard(other, MessageCodec.bytes(new Message.Deltas(List.of(new Growing(5).change(100)))));  // nobody asked it
+                subscription.received(first, new byte[] {1, 0, 7});
+                subscription.received(other, MessageCodec.bytes(new Message.Deltas(List.of(new Growing(5).change(100)))));  // nobody asked it
             }
             return null;
         });
         assertTrue(taken.isEmpty());
         assertEquals(List.of("WARN config_malformed"), List.copyOf(events));
-        wires.full.add(first);
+        transport.full.add(first);
         on(() -> {
-            subscription.heard(first, MessageCodec.bytes(new Message.Current(tables.table().revision())));  // it is behind, and asks
+            subscription.received(first, MessageCodec.bytes(new Message.Current(tables.table().revision())));  // it is behind, and asks
             return null;
         });
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-        while (!on(() -> wires.out.containsKey(other))) {
+        while (!on(() -> transport.out.containsKey(other))) {
             assertTrue(System.nanoTime() < until, "asks the other");
         }
-        assertTrue(on(() -> wires.ended).contains("leave " + first));
+        assertTrue(on(() -> transport.ended).contains("leave " + first));
         on(() -> {
-            subscription.heard(other, MessageCodec.bytes(new Message.Deltas(List.of(new Growing(5).change(100)))));
+            subscription.received(other, MessageCodec.bytes(new Message.Deltas(List.of(new Growing(5).change(100)))));
             return null;
         });
         assertEquals(1, taken.size());
--- a/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
+++ b/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
@@ -48,7 +48,7 @@
     private final Growing tables = new Growing(1);
 
     /** A process: links, and on them what it publishes and what it subscribes to. */
-    private final class Node implements PeerLinks.Listener, Wires {
+    private final class Node implements PeerLinks.Listener, Transport {
         private final String name;
         private final EventLoop loop = group.next();
         private final PeerLinks links;
@@ -148,9 +148,9 @@
         @Override
         public void received(String from, long generation, byte kind, byte[] message) {
             if (kind == CONFIG && generation == 0 && subscription != null) {
-                subscription.heard(from, message);
+                subscription.received(from, message);
             } else if (kind == CONFIG && generation != 0 && publication != null) {
-                publication.heard(from, message);
+                publication.received(from, message);
             }
         }
 
@@ -162,14 +162,14 @@
         @Override
         public void outboundClosed(String to) {
             if (subscription != null) {
-                subscription.ended(to);
+                subscription.outboundClosed(to);
             }
         }
 
         @Override
         public void inboundClosed(String from) {
             if (publication != null) {
-                publication.gone(from);
+                publication.inboundClosed(from);
             }
         }
 
