--- a/src/main/java/mastdrift/config/ResourceRoutes.java
+++ b/src/main/java/mastdrift/config/ResourceRoutes.java
@@ -67,7 +67,7 @@
     public boolean change(Delta delta) {
         Map<String, Resource> upserts = new HashMap<>();
         delta.upserts().stream().filter(each -> each.kind() == ResourceKind.ROUTE).forEach(each -> upserts.put(each.name(), each));
-        List<String> deletes = delta.deletes().stream().filter(each -> each.kind() == ResourceKind.ROUTE).map(Delta.Gone::name).toList();
+        List<String> deletes = delta.deletes().stream().filter(each -> each.kind() == ResourceKind.ROUTE).map(Delta.Deletion::name).toList();
         return (!upserts.isEmpty() || !deletes.isEmpty()) && take(upserts, deletes);
     }
 
--- a/src/main/java/mastdrift/distribution/ChangeCheck.java
+++ b/src/main/java/mastdrift/distribution/ChangeCheck.java
@@ -70,8 +70,8 @@
             } else if (!seen.get(edit.kind().ordinal()).add(edit.name())) {
                 add(problems, most, Table.place(i, edit) + ": expected each resource once, found it again");
             }
-            if (edit.expected() < Edit.ANY) {
-                add(problems, most, Table.place(i, edit) + ": expected: expected a version, 0 for none there or -1 for any, found " + edit.expected());
+            if (edit.expectedVersion() < Edit.ANY) {
+                add(problems, most, Table.place(i, edit) + ": expected: expected a version, 0 for none there or -1 for any, found " + edit.expectedVersion());
             }
             int value = edit instanceof Edit.Upsert upsert ? upsert.value().length : 0;
             if (value > Resource.VALUE_MOST) {
--- a/src/main/java/mastdrift/distribution/ControlMessage.java
+++ b/src/main/java/mastdrift/distribution/ControlMessage.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What an operator asks a control machine, and what it answers. {@code call} is the asker's number, which the answer repeats. */
+/** Requests of an operator to a control machine, and its responses. {@code requestId} is the number of the request, which its response repeats. */
 public sealed interface ControlMessage {
 
     /** Problems of a change that are told, at most. */
@@ -10,30 +10,30 @@
     /** Characters of a line for a person, at most. */
     int TEXT_MOST = 1_024;
 
-    /** Of the question that it is or answers. */
-    long call();
+    /** Of the request, or of the one that it responds to. */
+    long requestId();
 
-    // ---- questions
+    // ---- requests
 
-    /** Have this change agreed on. Asked again under the same id it is in once. */
-    record Apply(long call, Change change) implements ControlMessage { }
+    /** Have this change agreed on. Requested again under the same id it is in once. */
+    record Apply(long requestId, Change change) implements ControlMessage { }
 
     /** What a resource is there. */
-    record Get(long call, ResourceKind kind, String name) implements ControlMessage { }
+    record Get(long requestId, ResourceKind kind, String name) implements ControlMessage { }
 
     /** How the machine and its subscribers do. */
-    record GetStatus(long call) implements ControlMessage { }
+    record GetStatus(long requestId) implements ControlMessage { }
 
-    // ---- answers
+    // ---- responses
 
     /** The change is in; {@code revision} is null where it is known to be in and no longer by which revision. */
-    record Applied(long call, Revision revision) implements ControlMessage { }
+    record Applied(long requestId, Revision revision) implements ControlMessage { }
 
     /** The change was agreed on and changed nothing: a resource had another version than the writer expected. */
-    record Conflicted(long call, String reason) implements ControlMessage { }
+    record Conflicted(long requestId, String reason) implements ControlMessage { }
 
     /** The change isn't in, and never will be as it is. */
-    record Refused(long call, List<String> problems) implements ControlMessage {
+    record Refused(long requestId, List<String> problems) implements ControlMessage {
 
         /** Keeps its own list. */
         public Refused {
@@ -42,18 +42,18 @@
     }
 
     /** It may be in or may come in: ask again under the same id. */
-    record Unknown(long call, String why) implements ControlMessage { }
+    record Unknown(long requestId, String why) implements ControlMessage { }
 
     /** This machine passes on and agrees on nothing: ask a voter. */
-    record AskVoter(long call, String why) implements ControlMessage { }
+    record AskVoter(long requestId, String why) implements ControlMessage { }
 
     /** A resource as it stands in the machine's table of that revision; null where there is none. */
-    record Found(long call, Revision revision, Resource resource) implements ControlMessage { }
+    record Found(long requestId, Revision revision, Resource resource) implements ControlMessage { }
 
     /**
      * How the machine does.
      *
-     * @param call of the question
+     * @param requestId of the request
      * @param revision that it has
      * @param role what it is
      * @param leader of the agreed log as far as it knows; empty for not known, and at one that passes on
@@ -61,7 +61,7 @@
      * @param aloneMillis for how long it has heard nobody of whom its table comes; 0 where it hears one
      * @param zones how subscribers do, at most {@link Summaries#ZONES_MOST}
      */
-    record Status(long call, Revision revision, String role, String leader, int subscribers, long aloneMillis, List<Message.ZoneSummary> zones) implements ControlMessage {
+    record Status(long requestId, Revision revision, String role, String leader, int subscribers, long aloneMillis, List<Message.ZoneSummary> zones) implements ControlMessage {
 
         /** Keeps its own list. */
         public Status {
--- a/src/main/java/mastdrift/distribution/Delta.java
+++ b/src/main/java/mastdrift/distribution/Delta.java
@@ -10,10 +10,10 @@
  * @param upserts resources as they are now, with {@code to.number()} as their version
  * @param deletes resources that are gone
  */
-public record Delta(long from, Revision to, List<Resource> upserts, List<Gone> deletes) {
+public record Delta(long from, Revision to, List<Resource> upserts, List<Deletion> deletes) {
 
     /** A resource that is there no more. */
-    public record Gone(ResourceKind kind, String name) { }
+    public record Deletion(ResourceKind kind, String name) { }
 
     /** Keeps its own lists. */
     public Delta {
--- a/src/main/java/mastdrift/distribution/History.java
+++ b/src/main/java/mastdrift/distribution/History.java
@@ -43,7 +43,7 @@
         for (Resource each : delta.upserts()) {
             bytes += Table.bytes(each);
         }
-        for (Delta.Gone each : delta.deletes()) {
+        for (Delta.Deletion each : delta.deletes()) {
             bytes += Table.RESOURCE_BYTES + each.name().length();
         }
         return bytes;
--- a/src/main/java/mastdrift/distribution/Message.java
+++ b/src/main/java/mastdrift/distribution/Message.java
@@ -12,11 +12,11 @@
     record Subscribe(Revision have, String zone) implements Message { }
 
     /** By a subscriber that was told {@link SnapshotNeeded}: digests of the shards that it has, one for each of the table's; it gets the shards that differ.
-        {@code credit} is how many pieces it takes now. */
+        {@code credit} is how many chunks it takes now. */
     record Fetch(long[] digests, int credit) implements Message { }
 
-    /** By a subscriber: so many pieces more. */
-    record Credit(int pieces) implements Message { }
+    /** By a subscriber: so many chunks more. */
+    record Credit(int chunks) implements Message { }
 
     /** By a subscriber: this revision is in force there, or passed on. */
     record Ack(Revision inForce) implements Message { }
@@ -31,16 +31,16 @@
     record Deltas(List<Delta> deltas) implements Message { }
 
     /** By a publisher, where there was nothing to tell for a while: it is there, and this is what it has. */
-    record Current(Revision revision) implements Message { }
+    record Heartbeat(Revision revision) implements Message { }
 
     /** By a publisher: it can't go on from what the subscriber has, for this reason; {@link Fetch} what differs from this revision. */
     record SnapshotNeeded(Revision revision, String reason) implements Message { }
 
     /** By a publisher: shards of a snapshot of one revision, whole ones and in ascending order; {@code last} with the last of them. */
-    record Piece(Revision revision, List<Shard> shards, boolean last) implements Message { }
+    record SnapshotChunk(Revision revision, List<Shard> shards, boolean last) implements Message { }
 
     /** By a publisher: it serves as many snapshots as it can; come again after so many milliseconds. */
-    record Later(int millis) implements Message { }
+    record RetryAfter(int millis) implements Message { }
 
     /** All resources of one shard of a table. */
     record Shard(int number, List<Resource> resources) { }
--- a/src/main/java/mastdrift/distribution/Publisher.java
+++ b/src/main/java/mastdrift/distribution/Publisher.java
@@ -31,12 +31,12 @@
     private static final int LOUD_MOST = 8;  // refusals of a revision that are events; all are counted
     private static final int REASON_MOST = 200;
     private static final int ZONE_MOST = 64;
-    private static final long LATER_LEAST = 500_000;
-    private static final long LATER_MOST = 30_000_000;
-    private static final long LATER_KEPT = 10_000_000;  // who was told to come again and doesn't is forgotten by then
+    private static final long RETRY_AFTER_LEAST = 500_000;
+    private static final long RETRY_AFTER_MOST = 30_000_000;
+    private static final long RETRY_AFTER_KEPT = 10_000_000;  // who was told to come again and doesn't is forgotten by then
 
     /** What it wants done. Called in the middle of an event: what it leads to comes as another. */
-    public interface Out {
+    public interface Actions {
 
         /** A message to a subscriber. Whether it arrives is not known. The same object goes to many. */
         void send(String to, Message message);
@@ -88,13 +88,13 @@
     }
 
     private final PublisherSettings settings;
-    private final Out out;
+    private final Actions actions;
     private final Map<String, Subscription> subscribers = new LinkedHashMap<>();
     private final Map<String, Long> waiting = new LinkedHashMap<>();  // for a snapshot, and until when they are remembered
     private final Map<Long, Message.Deltas> shared = new HashMap<>();  // by the number that they begin at
     private Table table;
     private History history;
-    private Message.Current current;
+    private Message.Heartbeat heartbeat;
     private boolean alone;
     private boolean changed;  // and not sent yet
     private long flushAt;
@@ -106,12 +106,12 @@
     private int loud;
 
     /** Of a table, of which it knows nothing before. */
-    public Publisher(Table table, PublisherSettings settings, Out out) {
+    public Publisher(Table table, PublisherSettings settings, Actions actions) {
         this.table = table;
         this.settings = settings;
-        this.out = out;
+        this.actions = actions;
         history = new History(table.revision());
-        current = new Message.Current(table.revision());
+        heartbeat = new Message.Heartbeat(table.revision());
     }
 
     // ---- its table
@@ -134,7 +134,7 @@
             return;
         }
         table = next;
-        current = new Message.Current(next.revision());
+        heartbeat = new Message.Heartbeat(next.revision());
         shared.clear();
         if (leads(before, next.revision(), deltas)) {
             deltas.forEach(history::add);
@@ -174,10 +174,10 @@
             }
         }
         if (now >= tickAt) {
-            tickAt = now + Math.min(TICK, settings.current());
+            tickAt = now + Math.min(TICK, settings.heartbeat());
             waiting.values().removeIf(until -> now >= until);
             for (Subscription each : List.copyOf(subscribers.values())) {
-                look(now, each);
+                check(now, each);
             }
         }
     }
@@ -195,23 +195,23 @@
         }
     }
 
-    private void look(long now, Subscription of) {
+    private void check(long now, Subscription of) {
         if (now - of.heardAt > settings.silent()) {
             drop(of, "expected a message within " + settings.silent() / 1_000_000 + " s, found none");
         } else if (of.unackedSince != 0 && now - of.unackedSince > settings.unacked()) {
             drop(of, "expected an acknowledgement within " + settings.unacked() / 1_000_000 + " s, found none");
         } else if (of.stage == Stage.FETCHES && now - of.movedAt > settings.stalled()) {
             drop(of, "expected credit for a snapshot within " + settings.stalled() / 1_000_000 + " s, found none");
-        } else if (!alone && now - of.sentAt >= settings.current()) {
-            send(now, of, current);
+        } else if (!alone && now - of.sentAt >= settings.heartbeat()) {
+            send(now, of, heartbeat);
         }
     }
 
     private void drop(Subscription of, String why) {
         forget(of.name);
         dropped++;
-        out.event("config_subscriber_dropped", of.name + ": " + why);
-        out.drop(of.name, why);
+        actions.event("config_subscriber_dropped", of.name + ": " + why);
+        actions.drop(of.name, why);
     }
 
     private void forget(String name) {
@@ -232,23 +232,23 @@
     }
 
     /** The connection of a subscriber has ended. */
-    public void gone(long now, String from) {
+    public void inboundClosed(long now, String from) {
         forget(from);
     }
 
     private void send(long now, Subscription to, Message message) {
         to.sentAt = now;
-        out.send(to.name, message);
+        actions.send(to.name, message);
     }
 
     /** A message has come from a subscriber; that it is that one has been checked. */
-    public void heard(long now, String from, Message message) {
+    public void received(long now, String from, Message message) {
         stopped(now);
         Subscription of = subscribers.get(from);
         if (of == null && message instanceof Message.Subscribe) {
             if (subscribers.size() >= settings.subscribers()) {
                 dropped++;
-                out.drop(from, "expected at most " + settings.subscribers() + " subscribers");
+                actions.drop(from, "expected at most " + settings.subscribers() + " subscribers");
                 return;
             }
             of = new Subscription(from);
@@ -256,7 +256,7 @@
         }
         if (of == null) {
             dropped++;
-            out.drop(from, "expected subscribe first, found " + message.getClass().getSimpleName());
+            actions.drop(from, "expected subscribe first, found " + message.getClass().getSimpleName());
             return;
         }
         of.heardAt = now;
@@ -272,9 +272,9 @@
             fetch(now, of, fetch);
         } else if (message instanceof Message.Credit credit) {
             if (of.stage == Stage.FETCHES) {
-                of.credit = Math.min(CREDIT_MOST, of.credit + Math.max(0, credit.pieces()));
+                of.credit = Math.min(CREDIT_MOST, of.credit + Math.max(0, credit.chunks()));
                 of.movedAt = now;
-                pieces(now, of);
+                chunks(now, of);
             }
         } else if (message instanceof Message.Summary summary) {
             of.below = summary.zones().size() <= Summaries.ZONES_MOST ? summary.zones() : summary.zones().subList(0, Summaries.ZONES_MOST);
@@ -290,10 +290,10 @@
         of.told = message.have();
         of.acked = message.have().number();
         of.unackedSince = 0;
-        of.sentAt = now - settings.current();
+        of.sentAt = now - settings.heartbeat();
         tell(now, of);
         if (of.stage == Stage.FOLLOWS && of.sentAt != now && !alone) {
-            send(now, of, current);
+            send(now, of, heartbeat);
         }
     }
 
@@ -314,7 +314,7 @@
         }
         if (loud++ < LOUD_MOST) {
             String reason = nack.reason();
-            out.event("config_refused", of.name + " refuses " + nack.refused().number() + ": " + reason.substring(0, Math.min(reason.length(), REASON_MOST)));
+            actions.event("config_refused", of.name + " refuses " + nack.refused().number() + ": " + reason.substring(0, Math.min(reason.length(), REASON_MOST)));
         }
         acked(now, of, nack.refused());
     }
@@ -360,7 +360,7 @@
         boolean forked = to.told.forkedFrom(table.revision()) || history.forked(to.told);
         String reason = forked ? FORKED + "another state is known by the number " + to.told.number() : "the changes behind " + to.told.number() + " of epoch " + to.told.epoch() + " are not kept";
         if (forked) {
-            out.event("config_forked", to.name + " has " + to.told + ", expected another state by that number");
+            actions.event("config_forked", to.name + " has " + to.told + ", expected another state by that number");
         }
         to.stage = Stage.SNAPSHOT_NEEDED;
         to.unackedSince = 0;
@@ -373,7 +373,7 @@
             return;
         }
         if (by.stage != Stage.FETCHES && snapshots >= settings.snapshots()) {
-            later(now, by);
+            retryAfter(now, by);
             return;
         }
         snapshots += by.stage == Stage.FETCHES ? 0 : 1;
@@ -388,20 +388,20 @@
         by.credit = Math.max(1, Math.min(CREDIT_MOST, fetch.credit()));
         by.begunAt = now;
         by.movedAt = now;
-        pieces(now, by);
+        chunks(now, by);
     }
 
     /** Come again: each as many together as are served at once, spread over the time that a snapshot takes. */
-    private void later(long now, Subscription by) {
+    private void retryAfter(long now, Subscription by) {
         waiting.remove(by.name);
         int before = waiting.size();
-        long in = Math.min(LATER_MOST, snapshotTime + snapshotTime * before / settings.snapshots());
-        waiting.put(by.name, now + in + LATER_KEPT);
+        long in = Math.min(RETRY_AFTER_MOST, snapshotTime + snapshotTime * before / settings.snapshots());
+        waiting.put(by.name, now + in + RETRY_AFTER_KEPT);
         by.stage = Stage.SNAPSHOT_NEEDED;
-        send(now, by, new Message.Later((int) (in / 1_000)));
+        send(now, by, new Message.RetryAfter((int) (in / 1_000)));
     }
 
-    private void pieces(long now, Subscription to) {
+    private void chunks(long now, Subscription to) {
         while (to.stage == Stage.FETCHES && to.credit > 0) {
             List<Shard> shards = new ArrayList<>();
             int bytes = 0;
@@ -421,13 +421,13 @@
                 next = to.wanted.nextSetBit(next);
             }
             to.credit--;
-            Message.Piece piece = new Message.Piece(to.snapshot.revision(), shards, next < 0);
+            Message.SnapshotChunk chunk = new Message.SnapshotChunk(to.snapshot.revision(), shards, next < 0);
             if (next < 0) {
-                snapshotTime = Math.max(LATER_LEAST, (snapshotTime * 3 + Math.min(LATER_MOST, now - to.begunAt)) / 4);
+                snapshotTime = Math.max(RETRY_AFTER_LEAST, (snapshotTime * 3 + Math.min(RETRY_AFTER_MOST, now - to.begunAt)) / 4);
                 ends(to);
                 to.stage = Stage.SNAPSHOT_NEEDED;  // until it says what it has now
             }
-            send(now, to, piece);
+            send(now, to, chunk);
         }
     }
 
--- a/src/main/java/mastdrift/distribution/PublisherSettings.java
+++ b/src/main/java/mastdrift/distribution/PublisherSettings.java
@@ -4,7 +4,7 @@
  * How a {@link Publisher} tells and for how long it waits; times in microseconds. Throws IllegalArgumentException for what isn't positive.
  *
  * @param coalesce changes within so long go out together
- * @param current a subscriber that was told nothing for so long is told that the machine is there
+ * @param heartbeat a subscriber that was told nothing for so long is told that the machine is there
  * @param snapshots that are served at once
  * @param subscribers at most
  * @param unackedBytes a subscriber that has so many bytes unanswered is told no more until it answers
@@ -13,7 +13,7 @@
  * @param stalled a snapshot for which no credit came for so long ends, and its subscriber is dropped
  * @param messageBytes of deltas or shards go into one message, about
  */
-public record PublisherSettings(long coalesce, long current, int snapshots, int subscribers, int unackedBytes, long unacked, long silent, long stalled, int messageBytes) {
+public record PublisherSettings(long coalesce, long heartbeat, int snapshots, int subscribers, int unackedBytes, long unacked, long silent, long stalled, int messageBytes) {
 
     /** Snapshots that are served at once. */
     public static final int SNAPSHOTS_MOST = 8;
@@ -24,8 +24,8 @@
 
     /** Checks them. */
     public PublisherSettings {
-        if (coalesce <= 0 || current <= 0 || snapshots <= 0 || subscribers <= 0 || unackedBytes <= 0 || unacked <= 0 || silent <= 0 || stalled <= 0 || messageBytes <= 0) {
-            throw new IllegalArgumentException("expected settings above 0, found " + coalesce + " " + current + " " + snapshots + " " + subscribers + " " + unackedBytes + " " + unacked + " "
+        if (coalesce <= 0 || heartbeat <= 0 || snapshots <= 0 || subscribers <= 0 || unackedBytes <= 0 || unacked <= 0 || silent <= 0 || stalled <= 0 || messageBytes <= 0) {
+            throw new IllegalArgumentException("expected settings above 0, found " + coalesce + " " + heartbeat + " " + snapshots + " " + subscribers + " " + unackedBytes + " " + unacked + " "
                     + silent + " " + stalled + " " + messageBytes);
         }
     }
--- a/src/main/java/mastdrift/distribution/Store.java
+++ b/src/main/java/mastdrift/distribution/Store.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /**
- * What a voter makes of the agreed log: a table, by decisions in their order, and what became of the last {@value #FATES_MOST} for who asks again. A revision's number is the place of a decision
+ * What a voter makes of the agreed log: a table, by decisions in their order, and what became of the last {@value #OUTCOMES_MOST} for who asks again. A revision's number is the place of a decision
  * among all decisions of the log; one that changes nothing (a conflict, or of another build) moves the number on too, so that of any two voters with the same number both have heard all up to it.
  *
  * <p>An epoch after the first begins with a decision that names the revision it begins from ({@link EpochStart}), asked for by a voter that {@linkplain #toBegin has a table}. Who has that state goes on from it, who has another
@@ -17,33 +17,33 @@
  *
  * <p>That an id is in only once is the log's to see to, since all members share its memory of them; a memory of its own would differ from voter to voter, and their tables with it.
  *
- * <p>A decision that doesn't follow (the log has forgotten what came between, or a folder is old) waits, {@value #WAITING_MOST} and {@value #WAITING_BYTES} bytes at most, the newest of them, until it is
+ * <p>A decision that doesn't follow (the log has forgotten what came between, or a folder is old) waits, {@value #PENDING_MOST} and {@value #PENDING_BYTES} bytes at most, the newest of them, until it is
  * {@linkplain #take given} another voter's table. Not safe for use by several threads.
  */
 public final class Store {
 
     /** Outcomes that are remembered. */
-    public static final int FATES_MOST = 4_096;
+    public static final int OUTCOMES_MOST = 4_096;
     /** Decisions that wait for a table, at most. */
-    public static final int WAITING_MOST = 4_096;
+    public static final int PENDING_MOST = 4_096;
     /** Bytes of those, about, at most. */
-    public static final int WAITING_BYTES = 16 << 20;
+    public static final int PENDING_BYTES = 16 << 20;
 
     /** What became of a decision. */
-    public sealed interface Fate {
+    public sealed interface ChangeOutcome {
 
         /** It is in, and made that revision. */
-        record In(Revision revision) implements Fate { }
+        record Applied(Revision revision) implements ChangeOutcome { }
 
         /** It changed nothing, for that reason. */
-        record Conflict(String reason) implements Fate { }
+        record Conflict(String reason) implements ChangeOutcome { }
 
         /** It waits for those from {@code missing} on. */
-        record Waiting(long missing) implements Fate { }
+        record Pending(long missing) implements ChangeOutcome { }
     }
 
     /** What it wants done. */
-    public interface Out {
+    public interface Actions {
 
         /** The next table, and what led there from the one before; with no deltas, another voter's or the first of an epoch. */
         void table(Table next, List<Delta> deltas);
@@ -57,21 +57,21 @@
     private static final long FIRST_EPOCH = 1;  // begins with an empty table at all, so nothing has to be named
 
     private final long epoch;
-    private final Out out;
-    private final Map<String, Fate> fates = new LinkedHashMap<>();
-    private final Deque<Decided> waiting = new ArrayDeque<>();
-    private long waitingBytes;
+    private final Actions actions;
+    private final Map<String, ChangeOutcome> outcomes = new LinkedHashMap<>();
+    private final Deque<Decided> pending = new ArrayDeque<>();
+    private long pendingBytes;
     private Table table;
     private boolean elsewhere;  // the epoch began from another table than the one here
 
     /** In an epoch, from a table of it or of an earlier one: that of the folder, or {@linkplain #nothing none}. Throws IllegalArgumentException for a table of a later epoch. */
-    public Store(Table table, long epoch, Out out) {
+    public Store(Table table, long epoch, Actions actions) {
         if (table.revision().epoch() > epoch) {
             throw new IllegalArgumentException("expected a table of epoch " + epoch + " at most, found one of epoch " + table.revision().epoch());
         }
         this.table = table;
         this.epoch = epoch;
-        this.out = out;
+        this.actions = actions;
     }
 
     /** What a control machine without a folder has in an epoch: it must not be later than what others had before, or who asks it would take an empty table for the newest. */
@@ -104,56 +104,56 @@
     }
 
     /** A decision of the log: {@code ordinal} is its place among all decisions of this epoch, from 1; {@code command} null where it holds none that this build can read. Null for one that the table has
-        already and whose fate isn't remembered here. */
-    public Fate decided(long ordinal, String id, Command command) {
+        already and whose outcome isn't remembered here. */
+    public ChangeOutcome decided(long ordinal, String id, Command command) {
         if (ordinal <= number()) {
-            return fates.get(id);
+            return outcomes.get(id);
         }
-        long last = waiting.isEmpty() ? Math.max(number(), missing()) : waiting.peekLast().ordinal;
+        long last = pending.isEmpty() ? Math.max(number(), missing()) : pending.peekLast().ordinal;
         if (ordinal <= last) {
-            return new Fate.Waiting(missing());  // heard again
+            return new ChangeOutcome.Pending(missing());  // heard again
         }
         Decided decided = new Decided(ordinal, id, command, bytes(command));
         if (missing() != 0 || ordinal != number() + 1) {
             if (missing() == 0) {
-                out.event("config_gap", "expected decision " + (number() + 1) + ", found " + ordinal + ": waits for another voter's table");
+                actions.event("config_gap", "expected decision " + (number() + 1) + ", found " + ordinal + ": waits for another voter's table");
             }
             await(decided, ordinal != last + 1);
-            return new Fate.Waiting(missing());
+            return new ChangeOutcome.Pending(missing());
         }
         if (!begun()) {
             return begin(decided);
         }
         List<Delta> deltas = new ArrayList<>();
-        Fate fate = apply(decided, deltas);
-        out.table(table, deltas);
-        return fate;
+        ChangeOutcome outcome = apply(decided, deltas);
+        actions.table(table, deltas);
+        return outcome;
     }
 
     /** The first decision of an epoch after the first one. */
-    private Fate begin(Decided first) {
+    private ChangeOutcome begin(Decided first) {
         Revision have = table.revision();
         if (first.command instanceof EpochStart start ? !start.from().sameState(have) : first.command == null || isNothing()) {
             elsewhere = true;
-            out.event("config_gap", "epoch " + epoch + " begins from " + (first.command instanceof EpochStart start ? start.from() : "a table that its first decision doesn't name") + ", found " + have
+            actions.event("config_gap", "epoch " + epoch + " begins from " + (first.command instanceof EpochStart start ? start.from() : "a table that its first decision doesn't name") + ", found " + have
                     + ": waits for another voter's table");
             if (first.command instanceof EpochStart start && start.from().epoch() == have.epoch() && have.after(start.from())) {
-                out.event("config_epoch_lost", "epoch " + epoch + " begins from revision " + start.from().number() + " of epoch " + have.epoch() + ": what came behind it up to revision " + have.number()
+                actions.event("config_epoch_lost", "epoch " + epoch + " begins from revision " + start.from().number() + " of epoch " + have.epoch() + ": what came behind it up to revision " + have.number()
                         + ", which this voter has, is not in it");
             }
-            return new Fate.Waiting(missing());
+            return new ChangeOutcome.Pending(missing());
         }
         table = have.epoch() == epoch ? table : table.begun(epoch);
-        Fate fate;
+        ChangeOutcome outcome;
         if (first.command instanceof EpochStart) {
             table = table.passed(first.ordinal).table();
-            fate = remember(first.id, new Fate.In(table.revision()));
+            outcome = remember(first.id, new ChangeOutcome.Applied(table.revision()));
         } else {
-            fate = apply(first, new ArrayList<>());
+            outcome = apply(first, new ArrayList<>());
         }
-        out.event("config_epoch", "epoch " + epoch + " begins from revision " + have.number() + " of epoch " + have.epoch() + ", which is here");
-        out.table(table, List.of());
-        return fate;
+        actions.event("config_epoch", "epoch " + epoch + " begins from revision " + have.number() + " of epoch " + have.epoch() + ", which is here");
+        actions.table(table, List.of());
+        return outcome;
     }
 
     private static int bytes(Command command) {
@@ -166,46 +166,46 @@
 
     private void await(Decided decided, boolean anew) {
         if (anew) {
-            waiting.clear();  // what it needs a table for now makes those before it known too
-            waitingBytes = 0;
+            pending.clear();  // what it needs a table for now makes those before it known too
+            pendingBytes = 0;
         }
-        waiting.add(decided);
-        waitingBytes += decided.bytes;
-        while (waiting.size() > WAITING_MOST || waitingBytes > WAITING_BYTES) {
-            waitingBytes -= waiting.poll().bytes;
+        pending.add(decided);
+        pendingBytes += decided.bytes;
+        while (pending.size() > PENDING_MOST || pendingBytes > PENDING_BYTES) {
+            pendingBytes -= pending.poll().bytes;
         }
     }
 
-    private Fate apply(Decided decided, List<Delta> deltas) {
+    private ChangeOutcome apply(Decided decided, List<Delta> deltas) {
         Outcome outcome = decided.command instanceof Change change ? table.apply(decided.ordinal, change)
                 : new Outcome.Conflict("expected a change, found " + (decided.command == null ? "what this build can't read" : "an epoch's beginning behind its first decision"));
         Outcome.Applied applied = outcome instanceof Outcome.Applied in ? in : table.passed(decided.ordinal);
         table = applied.table();
         deltas.add(applied.delta());
-        return remember(decided.id, outcome instanceof Outcome.Conflict conflict ? new Fate.Conflict(conflict.reason()) : new Fate.In(table.revision()));
+        return remember(decided.id, outcome instanceof Outcome.Conflict conflict ? new ChangeOutcome.Conflict(conflict.reason()) : new ChangeOutcome.Applied(table.revision()));
     }
 
-    private Fate remember(String id, Fate fate) {
-        fates.put(id, fate);
-        if (fates.size() > FATES_MOST) {
-            fates.remove(fates.keySet().iterator().next());
+    private ChangeOutcome remember(String id, ChangeOutcome outcome) {
+        outcomes.put(id, outcome);
+        if (outcomes.size() > OUTCOMES_MOST) {
+            outcomes.remove(outcomes.keySet().iterator().next());
         }
-        return fate;
+        return outcome;
     }
 
     /** What became of a decision; null where it isn't remembered: not decided on, of before a table that was taken, or long ago. */
-    public Fate fate(String id) {
-        return fates.get(id);
+    public ChangeOutcome outcome(String id) {
+        return outcomes.get(id);
     }
 
     /** The last ordinal of those that are missing; 0 where none are. A table of that number or a later one ends the gap. */
     public long missing() {
-        return waiting.isEmpty() ? elsewhere ? 1 : 0 : waiting.peek().ordinal - 1;
+        return pending.isEmpty() ? elsewhere ? 1 : 0 : pending.peek().ordinal - 1;
     }
 
     /** Decisions that wait. */
-    public int waiting() {
-        return waiting.size();
+    public int pending() {
+        return pending.size();
     }
 
     /** Another voter's table; whether it is taken: one that isn't later than the own, or not of this epoch since it began, never is. What waited and follows is applied to it. */
@@ -216,18 +216,18 @@
         }
         table = other;
         elsewhere = false;
-        out.table(table, List.of());
-        while (!waiting.isEmpty() && waiting.peek().ordinal <= table.revision().number()) {
-            waitingBytes -= waiting.poll().bytes;
+        actions.table(table, List.of());
+        while (!pending.isEmpty() && pending.peek().ordinal <= table.revision().number()) {
+            pendingBytes -= pending.poll().bytes;
         }
         List<Delta> deltas = new ArrayList<>();
-        while (!waiting.isEmpty() && waiting.peek().ordinal == table.revision().number() + 1) {
-            Decided next = waiting.poll();
-            waitingBytes -= next.bytes;
+        while (!pending.isEmpty() && pending.peek().ordinal == table.revision().number() + 1) {
+            Decided next = pending.poll();
+            pendingBytes -= next.bytes;
             apply(next, deltas);
         }
         if (!deltas.isEmpty()) {
-            out.table(table, deltas);
+            actions.table(table, deltas);
         }
         return true;
     }
--- a/src/main/java/mastdrift/distribution/Subscriber.java
+++ b/src/main/java/mastdrift/distribution/Subscriber.java
@@ -22,15 +22,15 @@
 public final class Subscriber {
 
     private static final long LATE = 1_000_000;  // it came so much later than it wanted: it was stopped
-    private static final long ASK_LEAST = 500_000;  // from one subscribe at a machine to the next
-    private static final int LATER_MOST = 60_000;
+    private static final long SUBSCRIBE_INTERVAL = 500_000;  // from one subscribe at a machine to the next
+    private static final int RETRY_AFTER_MOST = 60_000;
     private static final int TRIES = 3;  // of a snapshot at one machine
-    private static final int ENDED_SHIFT_MOST = 2;
+    private static final int BACKOFF_SHIFT_MOST = 2;
     private static final int REASON_MOST = 200;
     private static final int ACK_BYTES = 256 << 10;  // of deltas since the last acknowledgement: the next one is told at once
 
     /** What it wants done. Called in the middle of an event: what it leads to comes as another. */
-    public interface Out {
+    public interface Actions {
 
         /** A message to a machine, over a connection that is opened for the first. Whether it arrives is not known. */
         void send(String to, Message message);
@@ -49,7 +49,7 @@
     private final String zone;
     private final SubscriberSettings settings;
     private final Random random;
-    private final Out out;
+    private final Actions actions;
     private final Set<String> disagree = new HashSet<>();  // machines that have another state by the number that is here
     private List<String> machines = List.of();  // in their order
     private Table table;
@@ -57,13 +57,13 @@
     private String at;  // null while it waits to go to the next
     private boolean ready;
     private long nextAt;
-    private int ended;
+    private int failures;
     private long aloneSince;
     private boolean silenceTold;  // once, until somebody is heard
     private boolean begun;
     private long heardAt;
-    private long askedAt;
-    private long askAt = Long.MAX_VALUE;
+    private long subscribedAt;
+    private long subscribeAt = Long.MAX_VALUE;
     private long behindSince;  // 0 for not
     private long homeAt;
     private Table.Assembly assembly;
@@ -71,19 +71,19 @@
     private long fetchAt = Long.MAX_VALUE;
     private long movedAt;
     private int tries;
-    private int used;  // pieces for which no credit was given yet
+    private int used;  // chunks for which no credit was given yet
     private Revision inForce;
     private Message.Nack nack;
     private long ackAt = Long.MAX_VALUE;
     private long unacked;  // bytes of deltas, about
-    private long wanted = Long.MAX_VALUE;
+    private long deadline = Long.MAX_VALUE;
 
     /** Of this name, from the table that it has; {@code seed} is for when it comes again. */
-    public Subscriber(String name, String zone, Table have, SubscriberSettings settings, long seed, Out out) {
+    public Subscriber(String name, String zone, Table have, SubscriberSettings settings, long seed, Actions actions) {
         this.name = name;
         this.zone = zone;
         this.settings = settings;
-        this.out = out;
+        this.actions = actions;
         random = new Random(seed);
         table = have;
         ready = have.revision().number() > 0;
@@ -155,7 +155,7 @@
 
     /** When it wants to be called at the latest. */
     public long dueAt() {
-        return wanted;
+        return deadline;
     }
 
     /** Time has passed. */
@@ -163,10 +163,10 @@
         stopped(now);
         if (!machines.isEmpty()) {
             if (at != null && now - heardAt >= settings.silent()) {
-                next(now, silenceTold ? null : "config_silent", "expected a message within " + settings.silent() / 1_000_000 + " s, found none");
+                failOver(now, silenceTold ? null : "config_silent", "expected a message within " + settings.silent() / 1_000_000 + " s, found none");
                 silenceTold = true;
             } else if (at != null && behindSince != 0 && now - behindSince >= settings.silent()) {
-                next(now, "config_behind", "expected revision " + table.revision().number() + " or a later one, found an earlier one for " + settings.silent() / 1_000_000 + " s");
+                failOver(now, "config_behind", "expected revision " + table.revision().number() + " or a later one, found an earlier one for " + settings.silent() / 1_000_000 + " s");
             } else if (at != null && index != 0 && !fetching && assembly == null && now >= homeAt) {
                 leave(now);
                 index = 0;
@@ -179,23 +179,23 @@
                 work(now);
             }
         }
-        wants(now);
+        schedule(now);
     }
 
     /** It came later than it wanted to: what was not heard meanwhile may be lying unread. */
     private void stopped(long now) {
-        long late = wanted == Long.MAX_VALUE ? 0 : now - wanted;
+        long late = deadline == Long.MAX_VALUE ? 0 : now - deadline;
         if (late > LATE) {
             heardAt += late;
             movedAt += late;
             behindSince = behindSince == 0 ? 0 : behindSince + late;
-            wanted = now;
+            deadline = now;
         }
     }
 
     private void work(long now) {
-        if (now >= askAt || now - Math.max(heardAt, askedAt) >= settings.again()) {
-            ask(now);
+        if (now >= subscribeAt || now - Math.max(heardAt, subscribedAt) >= settings.again()) {
+            subscribe(now);
         }
         if (fetching && now - movedAt >= settings.stalled()) {
             fetchAt = now;
@@ -206,21 +206,21 @@
         if (now >= ackAt) {
             ackAt = now + settings.alive();
             unacked = 0;
-            out.send(at, nack != null ? nack : new Message.Ack(inForce == null ? Revision.none(table.revision().epoch()) : inForce));
+            actions.send(at, nack != null ? nack : new Message.Ack(inForce == null ? Revision.none(table.revision().epoch()) : inForce));
         }
     }
 
-    private void wants(long now) {
+    private void schedule(long now) {
         if (machines.isEmpty()) {
-            wanted = Long.MAX_VALUE;
+            deadline = Long.MAX_VALUE;
         } else if (at == null) {
-            wanted = nextAt;
+            deadline = nextAt;
         } else {
-            long next = Math.min(Math.min(heardAt + settings.silent(), Math.max(heardAt, askedAt) + settings.again()), Math.min(Math.min(askAt, fetchAt), ackAt));
+            long next = Math.min(Math.min(heardAt + settings.silent(), Math.max(heardAt, subscribedAt) + settings.again()), Math.min(Math.min(subscribeAt, fetchAt), ackAt));
             next = fetching ? Math.min(next, movedAt + settings.stalled()) : next;
             next = behindSince == 0 ? next : Math.min(next, behindSince + settings.silent());
             next = index == 0 || fetching || assembly != null ? next : Math.min(next, homeAt);
-            wanted = Math.max(now, next);
+            deadline = Math.max(now, next);
         }
     }
 
@@ -230,17 +230,17 @@
         behindSince = 0;
         homeAt = now + settings.home() + (long) (random.nextDouble() * settings.home());
         ackAt = now + settings.ack();
-        ask(now);
+        subscribe(now);
     }
 
-    private void ask(long now) {
-        askedAt = now;
-        askAt = Long.MAX_VALUE;
-        out.send(at, new Message.Subscribe(table.revision(), zone));
+    private void subscribe(long now) {
+        subscribedAt = now;
+        subscribeAt = Long.MAX_VALUE;
+        actions.send(at, new Message.Subscribe(table.revision(), zone));
     }
 
-    private void askSoon(long now) {
-        askAt = Math.min(askAt, Math.max(now, askedAt + ASK_LEAST));
+    private void subscribeSoon(long now) {
+        subscribeAt = Math.min(subscribeAt, Math.max(now, subscribedAt + SUBSCRIBE_INTERVAL));
     }
 
     private void leave(long now) {
@@ -249,15 +249,15 @@
         aloneSince = aloneSince == 0 ? Math.max(1, now) : aloneSince;
         fetching = false;
         fetchAt = Long.MAX_VALUE;
-        askAt = Long.MAX_VALUE;
+        subscribeAt = Long.MAX_VALUE;
         tries = 0;
-        out.leave(left);
+        actions.leave(left);
     }
 
     /** {@code event} null where operators know already. */
-    private void next(long now, String event, String why) {
+    private void failOver(long now, String event, String why) {
         if (event != null) {
-            out.event(event, at + ": " + why);
+            actions.event(event, at + ": " + why);
         }
         long since = heardAt;
         leave(now);
@@ -268,40 +268,40 @@
     }
 
     /** The connection to a machine has ended, or couldn't be made. */
-    public void ended(long now, String from) {
+    public void outboundClosed(long now, String from) {
         stopped(now);
         if (from.equals(at)) {
             leave(now);
             index = (index + 1) % machines.size();
-            nextAt = now + (long) (random.nextDouble() * (settings.spread() << Math.min(ENDED_SHIFT_MOST, ended)));
-            ended++;
+            nextAt = now + (long) (random.nextDouble() * (settings.spread() << Math.min(BACKOFF_SHIFT_MOST, failures)));
+            failures++;
         }
         tick(now);
     }
 
     /** A message has come from a machine; that it is that one has been checked. */
-    public void heard(long now, String from, Message message) {
+    public void received(long now, String from, Message message) {
         stopped(now);
         if (from.equals(at)) {
             if (aloneSince != 0 && now - aloneSince >= settings.silent()) {
-                out.event("config_heard", at + ": after " + (now - aloneSince) / 1_000_000 + " s without any machine");
+                actions.event("config_heard", at + ": after " + (now - aloneSince) / 1_000_000 + " s without any machine");
             }
             heardAt = now;
             aloneSince = 0;
             silenceTold = false;
-            ended = 0;
+            failures = 0;
             if (message instanceof Message.Deltas deltas) {
                 deltas(now, deltas.deltas());
-            } else if (message instanceof Message.Current current) {
-                current(now, current.revision());
+            } else if (message instanceof Message.Heartbeat heartbeat) {
+                heartbeat(now, heartbeat.revision());
             } else if (message instanceof Message.SnapshotNeeded needed) {
                 needed(now, needed);
-            } else if (message instanceof Message.Piece piece) {
-                piece(now, piece);
-            } else if (message instanceof Message.Later later) {
-                later(now, later);
+            } else if (message instanceof Message.SnapshotChunk chunk) {
+                chunk(now, chunk);
+            } else if (message instanceof Message.RetryAfter retry) {
+                retryAfter(now, retry);
             } else {
-                next(now, "config_unexpected", "expected a publisher's message, found " + message.getClass().getSimpleName());
+                failOver(now, "config_unexpected", "expected a publisher's message, found " + message.getClass().getSimpleName());
             }
         }
         tick(now);
@@ -309,7 +309,7 @@
 
     // ---- deltas
 
-    private void current(long now, Revision revision) {
+    private void heartbeat(long now, Revision revision) {
         if (revision.equals(table.revision())) {
             agrees();
             ready = true;
@@ -318,7 +318,7 @@
         } else if (revision.after(table.revision())) {
             behindSince = 0;
             if (!fetching && fetchAt == Long.MAX_VALUE) {
-                askSoon(now);
+                subscribeSoon(now);
             }
         } else if (behindSince == 0) {
             behindSince = now;
@@ -354,7 +354,7 @@
         if (followed.problem() != null) {
             problem = followed.problem();  // what is said behind that doesn't count
         } else if (gap) {
-            askSoon(now);  // something before it got lost
+            subscribeSoon(now);  // something before it got lost
         }
         if (followed.taken() > 0) {
             List<Delta> applied = follow.subList(0, followed.taken());
@@ -378,7 +378,7 @@
     private void takes(Table next, List<Delta> deltas) {
         table = next;
         ready = true;
-        out.table(next, deltas);
+        actions.table(next, deltas);
     }
 
     /** The machine has another state than what is here: the next one says who of them is right, where there is one. */
@@ -386,12 +386,12 @@
         if (fetching || fetchAt != Long.MAX_VALUE) {
             return;
         }
-        out.event("config_forked", at + ": " + why);
+        actions.event("config_forked", at + ": " + why);
         boolean again = !disagree.add(at);  // nobody agreed in between, or it would not be in there
         if (again || disagree.size() >= Math.min(2, machines.size())) {
             fetchAt = now;
         } else {
-            next(now, "config_asks_another", "another state by the number " + table.revision().number());
+            failOver(now, "config_asks_another", "another state by the number " + table.revision().number());
         }
     }
 
@@ -402,7 +402,7 @@
             differs(now, needed.reason());
         } else if (needed.revision().after(table.revision())) {
             if (!fetching && fetchAt == Long.MAX_VALUE) {
-                out.event("config_snapshot", at + ": from " + table.revision().number() + " to " + needed.revision().number() + ", since " + needed.reason());
+                actions.event("config_snapshot", at + ": from " + table.revision().number() + " to " + needed.revision().number() + ", since " + needed.reason());
                 fetchAt = now;
             }
         }
@@ -414,31 +414,31 @@
         fetchAt = Long.MAX_VALUE;
         movedAt = now;
         used = 0;
-        out.send(at, new Message.Fetch(assembly.digests(), settings.credit()));
+        actions.send(at, new Message.Fetch(assembly.digests(), settings.credit()));
     }
 
-    private void later(long now, Message.Later later) {
-        long wait = Math.max(0, Math.min(LATER_MOST, later.millis())) * 1_000L;
+    private void retryAfter(long now, Message.RetryAfter retry) {
+        long wait = Math.max(0, Math.min(RETRY_AFTER_MOST, retry.millis())) * 1_000L;
         fetching = false;
         fetchAt = now + wait + (long) (random.nextDouble() * settings.spread());
     }
 
-    private void piece(long now, Message.Piece piece) {
+    private void chunk(long now, Message.SnapshotChunk chunk) {
         if (!fetching) {
             return;  // of a snapshot that was given up
         }
-        String problem = assembly.add(piece);
+        String problem = assembly.add(chunk);
         if (problem != null) {
             dropSnapshot();
-            next(now, "config_bad_snapshot", problem);
+            failOver(now, "config_bad_snapshot", problem);
             return;
         }
         movedAt = now;
         used++;
-        if (piece.last()) {
+        if (chunk.last()) {
             finish(now);
         } else if (used >= Math.max(1, settings.credit() / 2)) {
-            out.send(at, new Message.Credit(used));
+            actions.send(at, new Message.Credit(used));
             used = 0;
         }
     }
@@ -447,11 +447,11 @@
         fetching = false;
         Table made = assembly.finish();
         if (made == null && ++tries < TRIES) {
-            fetchAt = now;  // a piece got lost, or it is of two revisions: what differs still
+            fetchAt = now;  // a chunk got lost, or it is of two revisions: what differs still
         } else if (made == null) {
             String problem = assembly.problem();
             dropSnapshot();
-            next(now, "config_bad_snapshot", problem);
+            failOver(now, "config_bad_snapshot", problem);
         } else {
             boolean taken = made.revision().after(table.revision()) || made.revision().forkedFrom(table.revision());
             dropSnapshot();
@@ -459,7 +459,7 @@
             if (taken) {
                 takes(made, List.of());
             }
-            ask(now);
+            subscribe(now);
         }
     }
 
@@ -478,15 +478,15 @@
         nack = new Message.Nack(revision, inForce == null ? Revision.none(revision.epoch()) : inForce,
                 reason.substring(0, Math.min(reason.length(), REASON_MOST)));
         if (at != null) {
-            out.send(at, nack);
+            actions.send(at, nack);
         }
-        wants(now);
+        schedule(now);
     }
 
     /** One that passes on tells how its own subscribers do, also that there are none; it gets lost where no machine is heard. */
     public void summary(List<Message.ZoneSummary> zones) {
         if (at != null) {
-            out.send(at, new Message.Summary(zones));
+            actions.send(at, new Message.Summary(zones));
         }
     }
 }
--- a/src/main/java/mastdrift/distribution/SubscriberSettings.java
+++ b/src/main/java/mastdrift/distribution/SubscriberSettings.java
@@ -9,7 +9,7 @@
  * @param alive it is told again each so often, in case that it got lost, and so that the machine knows that somebody is there
  * @param spread a machine whose connection ended is followed by the next within so long, at random; twice and four times where the next ones end too
  * @param stalled a snapshot of which nothing came for so long is asked for again
- * @param credit pieces of a snapshot that may be under way
+ * @param credit chunks of a snapshot that may be under way
  * @param home who is at another machine than its first one tries that one again after so long, and up to twice that, at random
  */
 public record SubscriberSettings(long silent, long again, long ack, long alive, long spread, long stalled, int credit, long home) {
--- a/src/main/java/mastdrift/distribution/Table.java
+++ b/src/main/java/mastdrift/distribution/Table.java
@@ -183,18 +183,18 @@
     public Outcome apply(long number, Change change) {
         after(number);
         List<Resource> upserts = new ArrayList<>();
-        List<Delta.Gone> deletes = new ArrayList<>();
+        List<Delta.Deletion> deletes = new ArrayList<>();
         String problem = ChangeCheck.shape(change);
         for (int i = 0; problem == null && i < change.edits().size(); i++) {
             Edit edit = change.edits().get(i);
             Resource there = get(edit.kind(), edit.name());
             long version = there == null ? Edit.NONE : there.version();
-            if (edit.expected() != Edit.ANY && edit.expected() != version) {
-                problem = place(i, edit) + ": expected " + version(edit.expected()) + ", found " + version(version);
+            if (edit.expectedVersion() != Edit.ANY && edit.expectedVersion() != version) {
+                problem = place(i, edit) + ": expected " + version(edit.expectedVersion()) + ", found " + version(version);
             } else if (edit instanceof Edit.Upsert upsert) {
                 upserts.add(new Resource(edit.kind(), edit.name(), number, upsert.value()));
             } else if (there != null) {
-                deletes.add(new Delta.Gone(edit.kind(), edit.name()));
+                deletes.add(new Delta.Deletion(edit.kind(), edit.name()));
             }
         }
         if (problem != null) {
@@ -293,7 +293,7 @@
         }
 
         /** Puts in and takes out. The bound that is passed by it, after which this editor is of no use; null for none. */
-        String change(List<Resource> upserts, List<Delta.Gone> deletes) {
+        String change(List<Resource> upserts, List<Delta.Deletion> deletes) {
             upserts.forEach(this::put);
             deletes.forEach(this::remove);
             String problem = bounds(Arrays.stream(nextSizes).sum(), nextValueBytes);
@@ -352,10 +352,10 @@
             count(shard, resource, 1);
         }
 
-        private void remove(Delta.Gone gone) {
-            int number = shardOf(gone.kind(), gone.name());
+        private void remove(Delta.Deletion deletion) {
+            int number = shardOf(deletion.kind(), deletion.name());
             Resource[] there = next(number).resources;
-            int at = find(there, gone.kind(), gone.name());
+            int at = find(there, deletion.kind(), deletion.name());
             if (at >= 0) {
                 Shard shard = own(number);
                 count(shard, there[at], -1);
@@ -384,7 +384,7 @@
 
     // ---- snapshots
 
-    /** Begins to make another table of this one by pieces of a snapshot. */
+    /** Begins to make another table of this one by chunks of a snapshot. */
     public Assembly assembly() {
         return new Assembly(this);
     }
@@ -419,12 +419,12 @@
             return taken;
         }
 
-        /** Takes the shards of a piece, all or none. What is wrong with it, with place, expected and found; null where nothing is. */
-        public String add(Message.Piece piece) {
-            Resource[][] come = new Resource[piece.shards().size()][];
+        /** Takes the shards of a chunk, all or none. What is wrong with it, with place, expected and found; null where nothing is. */
+        public String add(Message.SnapshotChunk chunk) {
+            Resource[][] come = new Resource[chunk.shards().size()][];
             int before = -1;
             for (int i = 0; i < come.length; i++) {
-                Message.Shard shard = piece.shards().get(i);
+                Message.Shard shard = chunk.shards().get(i);
                 if (shard.number() <= before || shard.number() >= SHARDS) {
                     return "piece: expected shards from " + (before + 1) + " to " + (SHARDS - 1) + ", found " + shard.number();
                 }
@@ -436,9 +436,9 @@
                 }
             }
             for (int i = 0; i < come.length; i++) {
-                put(piece.shards().get(i).number(), come[i]);
+                put(chunk.shards().get(i).number(), come[i]);
             }
-            revision = piece.revision();
+            revision = chunk.revision();
             return null;
         }
 
@@ -468,7 +468,7 @@
             taken++;
         }
 
-        /** The table at the revision that the last piece told; null where it isn't that yet, for the reason {@link #problem}. */
+        /** The table at the revision that the last chunk told; null where it isn't that yet, for the reason {@link #problem}. */
         public Table finish() {
             int[] sizes = new int[ResourceKind.values().length];
             long bytes = 0;
--- a/src/main/java/mastdrift/distribution/edge/ControlCodec.java
+++ b/src/main/java/mastdrift/distribution/edge/ControlCodec.java
@@ -106,7 +106,7 @@
 
     private static void head(int type, ControlMessage message, JsonGenerator to) throws IOException {
         to.writeNumber(type);
-        to.writeNumber(message.call());
+        to.writeNumber(message.requestId());
     }
 
     private static void text(String text, JsonGenerator to) throws IOException {
@@ -137,18 +137,18 @@
         CborReader from = new CborReader(bytes, 1, ITEMS_MOST);
         from.open("control");
         int type = (int) from.whole("type", APPLY, STATUS);
-        long call = from.whole("call", 0, Long.MAX_VALUE);
+        long requestId = from.whole("call", 0, Long.MAX_VALUE);
         ControlMessage message = switch (type) {
-            case APPLY -> new ControlMessage.Apply(call, MessageCodec.change(from.bytes("change", Change.BYTES_MOST)));
-            case GET -> new ControlMessage.Get(call, kind(from), from.text("name", 1, Resource.NAME_MOST));
-            case GET_STATUS -> new ControlMessage.GetStatus(call);
-            case APPLIED -> new ControlMessage.Applied(call, revision(from));
-            case CONFLICTED -> new ControlMessage.Conflicted(call, text(from, "reason"));
-            case REFUSED -> new ControlMessage.Refused(call, problems(from));
-            case UNKNOWN -> new ControlMessage.Unknown(call, text(from, "why"));
-            case ASK_VOTER -> new ControlMessage.AskVoter(call, text(from, "why"));
-            case FOUND -> new ControlMessage.Found(call, revision(from), from.flag("there") ? resource(from) : null);
-            default -> new ControlMessage.Status(call, revision(from), text(from, "role"), text(from, "leader"), (int) from.whole("subscribers", 0, Integer.MAX_VALUE),
+            case APPLY -> new ControlMessage.Apply(requestId, MessageCodec.change(from.bytes("change", Change.BYTES_MOST)));
+            case GET -> new ControlMessage.Get(requestId, kind(from), from.text("name", 1, Resource.NAME_MOST));
+            case GET_STATUS -> new ControlMessage.GetStatus(requestId);
+            case APPLIED -> new ControlMessage.Applied(requestId, revision(from));
+            case CONFLICTED -> new ControlMessage.Conflicted(requestId, text(from, "reason"));
+            case REFUSED -> new ControlMessage.Refused(requestId, problems(from));
+            case UNKNOWN -> new ControlMessage.Unknown(requestId, text(from, "why"));
+            case ASK_VOTER -> new ControlMessage.AskVoter(requestId, text(from, "why"));
+            case FOUND -> new ControlMessage.Found(requestId, revision(from), from.flag("there") ? resource(from) : null);
+            default -> new ControlMessage.Status(requestId, revision(from), text(from, "role"), text(from, "leader"), (int) from.whole("subscribers", 0, Integer.MAX_VALUE),
                     from.whole("alone", 0, Long.MAX_VALUE), zones(from));
         };
         from.close();
--- a/src/main/java/mastdrift/distribution/edge/MessageCodec.java
+++ b/src/main/java/mastdrift/distribution/edge/MessageCodec.java
@@ -60,20 +60,20 @@
     private static final int NACK = 4;
     private static final int SUMMARY = 5;
     private static final int DELTAS = 6;
-    private static final int CURRENT = 7;
+    private static final int HEARTBEAT = 7;
     private static final int SNAPSHOT_NEEDED = 8;
-    private static final int PIECE = 9;
-    private static final int LATER = 10;
+    private static final int SNAPSHOT_CHUNK = 9;
+    private static final int RETRY_AFTER = 10;
     private static final int UPSERT = 0;
     private static final int DELETE = 1;
     private static final int EPOCH_START = 0;  // where a change has its id: builds before this one read it as no change, and pass over it
 
     /** Something by a build that says things this one doesn't know. */
-    public static final class LaterVersionException extends IllegalArgumentException {
+    public static final class UnsupportedVersionException extends IllegalArgumentException {
 
         private static final long serialVersionUID = 1L;
 
-        LaterVersionException(int version) {
+        UnsupportedVersionException(int version) {
             super("expected messages of version " + VERSION + " at most, found version " + version);
         }
     }
@@ -109,7 +109,7 @@
                 to.writeNumber(upsert ? UPSERT : DELETE);
                 to.writeNumber(edit.kind().ordinal());
                 text(to, "name", edit.name(), 1, Resource.NAME_MOST);
-                number(to, "expected", edit.expected(), Edit.ANY);
+                number(to, "expected", edit.expectedVersion(), Edit.ANY);
                 if (edit instanceof Edit.Upsert with) {
                     bounded("value", with.value().length, Resource.VALUE_MOST);
                     to.writeBinary(with.value());
@@ -184,7 +184,7 @@
             number(to, "credit", fetch.credit(), 0);
         } else if (message instanceof Message.Credit credit) {
             to.writeNumber(CREDIT);
-            number(to, "pieces", credit.pieces(), 0);
+            number(to, "pieces", credit.chunks(), 0);
         } else if (message instanceof Message.Ack ack) {
             to.writeNumber(ACK);
             write(ack.inForce(), to);
@@ -207,28 +207,28 @@
                 write(delta, to);
             }
             to.writeEndArray();
-        } else if (message instanceof Message.Current current) {
-            to.writeNumber(CURRENT);
-            write(current.revision(), to);
+        } else if (message instanceof Message.Heartbeat heartbeat) {
+            to.writeNumber(HEARTBEAT);
+            write(heartbeat.revision(), to);
         } else if (message instanceof Message.SnapshotNeeded needed) {
             to.writeNumber(SNAPSHOT_NEEDED);
             write(needed.revision(), to);
             text(to, "reason", needed.reason(), 0, REASON_MOST);
-        } else if (message instanceof Message.Piece piece) {
-            to.writeNumber(PIECE);
-            write(piece.revision(), to);
-            to.writeStartArray(null, bounded("shards", piece.shards().size(), Table.SHARDS));
-            for (Message.Shard shard : piece.shards()) {
+        } else if (message instanceof Message.SnapshotChunk chunk) {
+            to.writeNumber(SNAPSHOT_CHUNK);
+            write(chunk.revision(), to);
+            to.writeStartArray(null, bounded("shards", chunk.shards().size(), Table.SHARDS));
+            for (Message.Shard shard : chunk.shards()) {
                 to.writeStartArray(null, 2);
                 to.writeNumber(bounded("shard", shard.number(), Table.SHARDS - 1));
                 write(shard.resources(), to);
                 to.writeEndArray();
             }
             to.writeEndArray();
-            to.writeBoolean(piece.last());
-        } else if (message instanceof Message.Later later) {
-            to.writeNumber(LATER);
-            number(to, "millis", later.millis(), 0);
+            to.writeBoolean(chunk.last());
+        } else if (message instanceof Message.RetryAfter retry) {
+            to.writeNumber(RETRY_AFTER);
+            number(to, "millis", retry.millis(), 0);
         }
         to.writeEndArray();
     }
@@ -257,10 +257,10 @@
         write(delta.to(), to);
         write(delta.upserts(), to);
         to.writeStartArray(null, bounded("deletes", delta.deletes().size(), Change.EDITS_MOST));
-        for (Delta.Gone gone : delta.deletes()) {
+        for (Delta.Deletion deletion : delta.deletes()) {
             to.writeStartArray(null, 2);
-            to.writeNumber(gone.kind().ordinal());
-            text(to, "name", gone.name(), 1, Resource.NAME_MOST);
+            to.writeNumber(deletion.kind().ordinal());
+            text(to, "name", deletion.name(), 1, Resource.NAME_MOST);
             to.writeEndArray();
         }
         to.writeEndArray();
@@ -316,7 +316,7 @@
     public static Message message(byte[] bytes) {
         CborReader from = reader(bytes, BYTES_MOST);
         from.open("message");
-        Message message = switch ((int) from.whole("type", SUBSCRIBE, LATER)) {
+        Message message = switch ((int) from.whole("type", SUBSCRIBE, RETRY_AFTER)) {
             case SUBSCRIBE -> new Message.Subscribe(revision(from, "have"), from.text("zone", 0, NAME_MOST));
             case FETCH -> new Message.Fetch(digests(from), count(from, "credit"));
             case CREDIT -> new Message.Credit(count(from, "pieces"));
@@ -324,10 +324,10 @@
             case NACK -> new Message.Nack(revision(from, "refused"), revision(from, "in_force"), from.text("reason", 0, REASON_MOST));
             case SUMMARY -> new Message.Summary(zones(from));
             case DELTAS -> new Message.Deltas(deltas(from));
-            case CURRENT -> new Message.Current(revision(from, "revision"));
+            case HEARTBEAT -> new Message.Heartbeat(revision(from, "revision"));
             case SNAPSHOT_NEEDED -> new Message.SnapshotNeeded(revision(from, "revision"), from.text("reason", 0, REASON_MOST));
-            case PIECE -> new Message.Piece(revision(from, "revision"), shards(from), from.flag("last"));
-            default -> new Message.Later(count(from, "millis"));
+            case SNAPSHOT_CHUNK -> new Message.SnapshotChunk(revision(from, "revision"), shards(from), from.flag("last"));
+            default -> new Message.RetryAfter(count(from, "millis"));
         };
         from.close();
         from.end();
@@ -386,7 +386,7 @@
             throw new IllegalArgumentException("expected " + HEAD + " to " + most + " bytes, found " + bytes.length);
         }
         if (bytes[0] != VERSION) {
-            throw new LaterVersionException(bytes[0] & 0xFF);
+            throw new UnsupportedVersionException(bytes[0] & 0xFF);
         }
         if (bytes[1] == PLAIN) {
             return new CborReader(bytes, HEAD, ITEMS_MOST);
@@ -481,11 +481,11 @@
         long number = from.whole("from", 0, Long.MAX_VALUE);
         Revision to = revision(from, "to");
         List<Resource> upserts = resources(from, "upserts");
-        List<Delta.Gone> deletes = new ArrayList<>();
+        List<Delta.Deletion> deletes = new ArrayList<>();
         from.list("deletes");
         while (from.next(Change.EDITS_MOST)) {
             from.open("gone");
-            deletes.add(new Delta.Gone(kind(from), from.text("name", 1, Resource.NAME_MOST)));
+            deletes.add(new Delta.Deletion(kind(from), from.text("name", 1, Resource.NAME_MOST)));
             from.close();
         }
         from.close();
--- a/src/main/java/mastdrift/distribution/edge/Publication.java
+++ b/src/main/java/mastdrift/distribution/edge/Publication.java
@@ -43,7 +43,7 @@
         this.loop = loop;
         this.transport = transport;
         this.events = new RateLimitedEvents(events);
-        publisher = new Publisher(table, settings, new Actions());
+        publisher = new Publisher(table, settings, new PublisherActions());
         timer = new DeadlineTimer(loop, this::tick);
         loop.execute(this::arm);
     }
@@ -78,18 +78,18 @@
         try {
             message = MessageCodec.message(bytes);
         } catch (IllegalArgumentException e) {
-            events.fault(DeadlineTimer.now(), e instanceof MessageCodec.LaterVersionException ? "config_later" : "config_malformed", from, e.getMessage());
+            events.fault(DeadlineTimer.now(), e instanceof MessageCodec.UnsupportedVersionException ? "config_later" : "config_malformed", from, e.getMessage());
             transport.drop(from);
             inboundClosed(from);
             return;
         }
-        publisher.heard(DeadlineTimer.now(), from, message);
+        publisher.received(DeadlineTimer.now(), from, message);
         arm();
     }
 
     /** The connection that a subscriber opened has ended. */
     public void inboundClosed(String from) {
-        publisher.gone(DeadlineTimer.now(), from);
+        publisher.inboundClosed(DeadlineTimer.now(), from);
         arm();
     }
 
@@ -118,7 +118,7 @@
         }
         bytes = MessageCodec.bytes(message);
         encoded++;
-        if (message instanceof Message.Deltas || message instanceof Message.Current) {  // others are one subscriber's own
+        if (message instanceof Message.Deltas || message instanceof Message.Heartbeat) {  // others are one subscriber's own
             if (kept.size() >= KEPT_MOST || keptBytes > KEPT_BYTES_MOST) {
                 kept.clear();
                 keptBytes = 0;
@@ -129,7 +129,7 @@
         return bytes;
     }
 
-    private final class Actions implements Publisher.Out {
+    private final class PublisherActions implements Publisher.Actions {
 
         @Override
         public void send(String to, Message message) {
--- a/src/main/java/mastdrift/distribution/edge/Subscription.java
+++ b/src/main/java/mastdrift/distribution/edge/Subscription.java
@@ -37,7 +37,7 @@
         this.transport = transport;
         this.tables = tables;
         this.events = new RateLimitedEvents(events);
-        subscriber = new Subscriber(name, zone, have, settings, seed, new Actions());
+        subscriber = new Subscriber(name, zone, have, settings, seed, new SubscriberActions());
         timer = new DeadlineTimer(loop, () -> turn(subscriber::tick));
     }
 
@@ -56,19 +56,19 @@
         Message message;
         try {
             message = MessageCodec.message(bytes);
-        } catch (MessageCodec.LaterVersionException e) {
+        } catch (MessageCodec.UnsupportedVersionException e) {
             events.fault(DeadlineTimer.now(), "config_later", from, e.getMessage());
             return;
         } catch (IllegalArgumentException e) {
             events.fault(DeadlineTimer.now(), "config_malformed", from, e.getMessage());
             return;
         }
-        turn(now -> subscriber.heard(now, from, message));
+        turn(now -> subscriber.received(now, from, message));
     }
 
     /** The connection that was opened to a control machine has ended, or couldn't be made. */
     public void outboundClosed(String to) {
-        turn(now -> subscriber.ended(now, to));
+        turn(now -> subscriber.outboundClosed(now, to));
     }
 
     /** A table is in force here, or passed on. */
@@ -111,7 +111,7 @@
         }
     }
 
-    private final class Actions implements Subscriber.Out {
+    private final class SubscriberActions implements Subscriber.Actions {
 
         @Override
         public void send(String to, Message message) {
--- a/src/main/java/mastdrift/distribution/edge/TableFolder.java
+++ b/src/main/java/mastdrift/distribution/edge/TableFolder.java
@@ -25,17 +25,17 @@
  * follow, and written on from there. What is read is a table that was written, by the hash in its revision, or none: a kill at any step, a full disk or spoilt bytes cost the
  * newest deltas or the copy, never its truth.
  *
- * <p>Bounded: the journal is folded into a new snapshot where it is larger than that and than {@value #FOLD_LEAST} bytes, or than {@value #FOLD_MOST}; a snapshot has what a
+ * <p>Bounded: the journal is compacted into a new snapshot where it is larger than that and than {@value #COMPACT_LEAST} bytes, or than {@value #COMPACT_MOST}; a snapshot has what a
  * table has; files of more than {@value #FILE_MOST} bytes aren't read. Waits for the disk: not for an event loop. Not safe for use by several threads.
  */
 public final class TableFolder {
 
     /** Of what it writes, and the latest that it reads. */
     public static final int VERSION = 1;
-    /** A journal of so many bytes isn't folded yet. */
-    public static final int FOLD_LEAST = 64 << 10;
-    /** A journal of more bytes is folded. */
-    public static final int FOLD_MOST = 16 << 20;
+    /** A journal of so many bytes isn't compacted yet. */
+    public static final int COMPACT_LEAST = 64 << 10;
+    /** A journal of more bytes is compacted. */
+    public static final int COMPACT_MOST = 16 << 20;
     /** Bytes of a file that is read, at most: twice the largest table. */
     public static final long FILE_MOST = 2 * (Table.VALUE_BYTES_MOST + (long) Table.RESOURCES_MOST * (Resource.NAME_MOST + Table.RESOURCE_BYTES));
     static final String SNAPSHOT = "snapshot";
@@ -44,7 +44,7 @@
     private static final byte[] MAGIC = {'p', 'w', 't', 'b'};
     private static final int HEAD = 2 * Integer.BYTES;
     private static final int RECORD_MOST = Long.BYTES + MessageCodec.BYTES_MOST;
-    private static final int PIECE_BYTES = 128 << 10;
+    private static final int CHUNK_BYTES = 128 << 10;
 
     /**
      * What a folder held.
@@ -109,14 +109,14 @@
             boolean last = false;
             while (!last) {
                 byte[] record = records.next();
-                if (record == null || !(MessageCodec.message(record) instanceof Message.Piece piece)) {
+                if (record == null || !(MessageCodec.message(record) instanceof Message.SnapshotChunk chunk)) {
                     throw new IOException("expected a piece at byte " + records.at + ", found " + (record == null ? "the end" : "another message"));
                 }
-                String problem = assembly.add(piece);
+                String problem = assembly.add(chunk);
                 if (problem != null) {
                     throw new IOException(problem);
                 }
-                last = piece.last();
+                last = chunk.last();
             }
             Table table = assembly.finish();
             if (table == null) {
@@ -182,7 +182,7 @@
                 throw new IOException("expected at most " + FILE_MOST + " bytes, found " + length);
             }
             this.length = length;
-            in = new DataInputStream(new BufferedInputStream(files.read(name), PIECE_BYTES));
+            in = new DataInputStream(new BufferedInputStream(files.read(name), CHUNK_BYTES));
         }
 
         /** The next one; null at the end. */
@@ -232,8 +232,8 @@
             long bytes = 0;
             for (int i = 0; i < Table.SHARDS; i++) {
                 long more = bytes(table.shard(i));
-                if (bytes + more > PIECE_BYTES && !shards.isEmpty()) {
-                    length += put(sink, MessageCodec.bytes(new Message.Piece(table.revision(), shards, false)));
+                if (bytes + more > CHUNK_BYTES && !shards.isEmpty()) {
+                    length += put(sink, MessageCodec.bytes(new Message.SnapshotChunk(table.revision(), shards, false)));
                     shards.clear();
                     bytes = 0;
                 }
@@ -242,7 +242,7 @@
                     shards.add(new Message.Shard(i, table.shard(i)));
                 }
             }
-            length += put(sink, MessageCodec.bytes(new Message.Piece(table.revision(), shards, true)));
+            length += put(sink, MessageCodec.bytes(new Message.SnapshotChunk(table.revision(), shards, true)));
             sink.force();
         } catch (IOException e) {
             room(e);
@@ -290,7 +290,7 @@
             sink.force();
         }
         written = next.revision();
-        if (journalBytes > Math.min(FOLD_MOST, Math.max(FOLD_LEAST, snapshotBytes))) {
+        if (journalBytes > Math.min(COMPACT_MOST, Math.max(COMPACT_LEAST, snapshotBytes))) {
             write(wall, next);
         }
     }
--- a/src/main/java/mastdrift/measure/TableMeasurement.java
+++ b/src/main/java/mastdrift/measure/TableMeasurement.java
@@ -156,12 +156,12 @@
 
         Replacing(int count) {
             Table table = Tables.made(1, TARGET);
-            publisher = new Publisher(table, PublisherSettings.USUAL, new Publisher.Out() {
+            publisher = new Publisher(table, PublisherSettings.USUAL, new Publisher.Actions() {
                 @Override
                 public void send(String to, Message message) {
                     byte[] told = MessageCodec.bytes(message);
                     bytes += told.length;
-                    queue.add(() -> followers.get(Integer.parseInt(to)).heard(now(), "voter", MessageCodec.message(told)));
+                    queue.add(() -> followers.get(Integer.parseInt(to)).received(now(), "voter", MessageCodec.message(told)));
                 }
 
                 @Override
@@ -174,7 +174,7 @@
                     System.out.println(name + " " + text);
                 }
             });
-            store = new Store(table, 1, new Store.Out() {
+            store = new Store(table, 1, new Store.Actions() {
                 @Override
                 public void table(Table next, List<Delta> deltas) {
                     publisher.table(now(), next, deltas);
@@ -191,11 +191,11 @@
         }
 
         private void follow(String name, Table table) {
-            followers.add(new Subscriber(name, "z", table, SubscriberSettings.USUAL, 1, new Subscriber.Out() {
+            followers.add(new Subscriber(name, "z", table, SubscriberSettings.USUAL, 1, new Subscriber.Actions() {
                 @Override
                 public void send(String to, Message message) {
                     byte[] told = MessageCodec.bytes(message);
-                    queue.add(() -> publisher.heard(now(), name, MessageCodec.message(told)));
+                    queue.add(() -> publisher.received(now(), name, MessageCodec.message(told)));
                 }
 
                 @Override
@@ -276,8 +276,8 @@
         }
 
         private void decide(Change change) {
-            if (!(store.decided(store.number() + 1, change.id(), change) instanceof Store.Fate.In)) {
-                throw new IllegalStateException("expected change " + change.id() + " to be in, found " + store.fate(change.id()));
+            if (!(store.decided(store.number() + 1, change.id(), change) instanceof Store.ChangeOutcome.Applied)) {
+                throw new IllegalStateException("expected change " + change.id() + " to be in, found " + store.outcome(change.id()));
             }
         }
     }
--- a/src/main/java/mastdrift/peers/edge/PeerMessageCodec.java
+++ b/src/main/java/mastdrift/peers/edge/PeerMessageCodec.java
@@ -31,11 +31,11 @@
     private static final int SYNC = 4;
 
     /** A message by a build that says things this one doesn't know. */
-    public static final class LaterVersionException extends IllegalArgumentException {
+    public static final class UnsupportedVersionException extends IllegalArgumentException {
 
         private static final long serialVersionUID = 1L;
 
-        LaterVersionException(int version) {
+        UnsupportedVersionException(int version) {
             super("expected messages of version " + VERSION + " at most, found version " + version);
         }
     }
@@ -85,7 +85,7 @@
             throw new IllegalArgumentException("expected a version, found nothing");
         }
         if (bytes[0] != VERSION) {
-            throw new LaterVersionException(bytes[0] & 0xFF);
+            throw new UnsupportedVersionException(bytes[0] & 0xFF);
         }
         Object read;
         try {
--- a/src/main/java/mastdrift/serve/ControlClient.java
+++ b/src/main/java/mastdrift/serve/ControlClient.java
@@ -40,7 +40,7 @@
     private final Map<Long, CompletableFuture<ControlMessage>> pending = new HashMap<>();  // on the loop's thread
     private final Map<Long, String> sentTo = new HashMap<>();
     private final LinkListener listener = new LinkListener();
-    private long lastCall;
+    private long lastRequestId;
 
     /** By the file of a gateway or of a control machine; throws IllegalArgumentException with all that speaks against it, a line each. */
     public static ControlClient by(Path file) {
@@ -82,9 +82,9 @@
         public void received(String from, boolean reply, byte kind, byte[] message) {
             if (kind == ControlLinks.CONTROL && reply) {
                 ControlMessage response = ControlCodec.message(message);
-                if (from.equals(sentTo.get(response.call()))) {
-                    sentTo.remove(response.call());
-                    pending.remove(response.call()).complete(response);
+                if (from.equals(sentTo.get(response.requestId()))) {
+                    sentTo.remove(response.requestId());
+                    pending.remove(response.requestId()).complete(response);
                 }
             }
         }
@@ -108,16 +108,16 @@
     private CompletableFuture<ControlMessage> request(String machine, LongFunction<ControlMessage> message, long millis) {
         CompletableFuture<ControlMessage> response = new CompletableFuture<>();
         links.loop().execute(() -> {
-            long call = ++lastCall;
-            pending.put(call, response);
-            sentTo.put(call, machine);
-            if (!links.links().send(machine, ControlLinks.CONTROL, ControlCodec.bytes(message.apply(call)))) {
+            long requestId = ++lastRequestId;
+            pending.put(requestId, response);
+            sentTo.put(requestId, machine);
+            if (!links.links().send(machine, ControlLinks.CONTROL, ControlCodec.bytes(message.apply(requestId)))) {
                 listener.outboundClosed(machine);
             }
             links.loop().schedule(() -> {
-                sentTo.remove(call);
-                if (pending.remove(call) != null) {
-                    response.complete(new ControlMessage.Unknown(call, "no answer"));
+                sentTo.remove(requestId);
+                if (pending.remove(requestId) != null) {
+                    response.complete(new ControlMessage.Unknown(requestId, "no answer"));
                 }
             }, millis, TimeUnit.MILLISECONDS);
         });
@@ -142,7 +142,7 @@
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         ControlMessage last = null;
         for (int i = 0; last == null || System.nanoTime() < deadline; i++) {
-            last = response(request(voters.get(i % voters.size()), call -> new ControlMessage.Apply(call, change), RESPONSE_TIMEOUT_MILLIS));
+            last = response(request(voters.get(i % voters.size()), requestId -> new ControlMessage.Apply(requestId, change), RESPONSE_TIMEOUT_MILLIS));
             if (!(last instanceof ControlMessage.Unknown) && !(last instanceof ControlMessage.AskVoter)) {
                 return last;
             }
@@ -155,7 +155,7 @@
     public ControlMessage get(ResourceKind kind, String name) throws InterruptedException {
         ControlMessage.Found newest = null;
         for (Role role : List.of(Role.VOTER, Role.RELAY)) {
-            for (ControlMessage each : requestAll(machines(role), call -> new ControlMessage.Get(call, kind, name)).values()) {
+            for (ControlMessage each : requestAll(machines(role), requestId -> new ControlMessage.Get(requestId, kind, name)).values()) {
                 newest = each instanceof ControlMessage.Found found && (newest == null || found.revision().after(newest.revision())) ? found : newest;
             }
             if (newest != null) {
--- a/src/main/java/mastdrift/serve/ControlMachine.java
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -48,23 +48,24 @@
 import mastdrift.net.Addresses;
 
 /**
- * A control machine: a voter agrees with the others on each change and tells relays, a relay passes on what voters tell. Both keep a copy, and both answer operators; only a voter takes changes.
+ * A control machine: a voter agrees with the others on each change and tells relays, a relay passes on what voters tell. Both keep a copy, and both answer requests of operators; only a
+ * voter takes changes.
  *
- * <p>On one event loop, but for the agreed log, which has threads of its own, and the disk. Bounded: {@value #ASKED_MOST} changes that wait for their outcome, each for {@value #WITHIN_MILLIS} ms;
+ * <p>On one event loop, but for the agreed log, which has threads of its own, and the disk. Bounded: {@value #PENDING_MOST} changes that wait for their outcome, each for {@value #TIMEOUT_MILLIS} ms;
  * {@value #READ_MOST} decisions between the log and the table.
  */
 public final class ControlMachine implements AutoCloseable {
 
-    static final int ASKED_MOST = 256;
+    static final int PENDING_MOST = 256;
     static final int READ_MOST = 256;
-    static final long WITHIN_MILLIS = 8_000;
+    static final long TIMEOUT_MILLIS = 8_000;
     private static final byte AGREED = 3;
-    private static final long LOOK_MILLIS = 250;
-    private static final int SUMMARY_LOOKS = 8;  // looks from one summary to the next
+    private static final long POLL_MILLIS = 250;
+    private static final int SUMMARY_POLLS = 8;  // polls from one summary to the next
     private static final long REPLACE_NEVER = Long.MAX_VALUE / 4;  // a voter's place is kept: its folder may be lost, and then joins anew
 
     /** A change that somebody waits for. */
-    private record Asked(String from, long call, long until) { }
+    private record PendingApply(String from, long requestId, long deadline) { }
 
     private final DistributionSettings settings;
     private final Events events;
@@ -77,18 +78,18 @@
     private final ChangeCheck check = new ChangeCheck(ResourceValues::problem);
     private final ScheduledThreadPoolExecutor proposer = new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("control-log", true));
     private final Semaphore reading = new Semaphore(READ_MOST);
-    private final Map<String, List<Asked>> asked = new LinkedHashMap<>();
+    private final Map<String, List<PendingApply>> pending = new LinkedHashMap<>();
     private final Map<String, Long> indices = new HashMap<>();  // of changes that are in and not yet applied here
     private volatile BiConsumer<String, byte[]> agreed = (from, message) -> { };
-    private int asking;
-    private long readUntil;
+    private int pendingCount;
+    private long lastIndex;
     private boolean catchingUp;
     private boolean beginning;  // it has asked the log to begin the epoch, and not heard yet what became of that
     private final Alone alone = new Alone();
     private String leader = "";
     private long leaderAt = System.nanoTime();
     private boolean votes;  // it takes part in the log, and has heard a leader once
-    private int looks;
+    private int polls;
 
     /** Serves as a file says; throws IllegalArgumentException with all that speaks against it, a line each. */
     public static ControlMachine start(Path file, Events events) {
@@ -130,23 +131,23 @@
         boolean voter = settings.role() == Role.VOTER;
         Path folder = file.toAbsolutePath().resolveSibling(settings.folder());
         copy = new ConfigCopy(folder.resolve("table"), settings.epoch(), events);
-        Table had = copy.there() ? copy.found() : Store.nothing(settings.epoch());
-        if (voter && had.revision().epoch() > settings.epoch()) {
-            throw new IllegalArgumentException("distribution.epoch: expected " + had.revision().epoch() + " or a later one, as its folder has, found " + settings.epoch());
+        Table initial = copy.there() ? copy.found() : Store.nothing(settings.epoch());
+        if (voter && initial.revision().epoch() > settings.epoch()) {
+            throw new IllegalArgumentException("distribution.epoch: expected " + initial.revision().epoch() + " or a later one, as its folder has, found " + settings.epoch());
         }
         links = new ControlLinks("control-links", settings, settings.name(), secrets::get, new LinkListener(), events);
-        publication = new Publication(links.loop(), links.transport(), had, PublisherSettings.USUAL, events);
-        subscription = new Subscription(links.loop(), links.transport(), settings.name(), settings.zone(), had, SubscriberSettings.USUAL, System.nanoTime(), events, this::told);
-        store = voter ? new Store(had, settings.epoch(), new Decided()) : null;
+        publication = new Publication(links.loop(), links.transport(), initial, PublisherSettings.USUAL, events);
+        subscription = new Subscription(links.loop(), links.transport(), settings.name(), settings.zone(), initial, SubscriberSettings.USUAL, System.nanoTime(), events, this::taken);
+        store = voter ? new Store(initial, settings.epoch(), new StoreActions()) : null;
         log = voter ? log(folder) : null;
         if (!voter) {
             links.loop().execute(() -> {
-                subscription.inForce(had.revision());
+                subscription.inForce(initial.revision());
                 subscription.machines(ControlLinks.machines(settings.publishers()));
             });
         }
         links.loop().execute(() -> publication.alone(true));  // until it has heard
-        links.loop().scheduleWithFixedDelay(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        links.loop().scheduleWithFixedDelay(this::poll, POLL_MILLIS, POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private RaftLog log(Path folder) {
@@ -194,7 +195,7 @@
             } else if (kind == AGREED) {
                 agreed.accept(from, message);
             } else if (kind == ControlLinks.CONTROL && !reply) {
-                question(from, ControlCodec.message(message));
+                handle(from, ControlCodec.message(message));
             } else {
                 throw new IllegalArgumentException("expected a message of a kind that this build knows, found " + kind);
             }
@@ -213,14 +214,14 @@
 
     // ---- a relay, and a voter that has to catch up
 
-    private void told(Table next, List<Delta> deltas) {
+    private void taken(Table next, List<Delta> deltas) {
         if (store == null) {
             copy.write(next, deltas);
             publication.table(next, deltas);
         }
         links.loop().execute(() -> {  // not in the middle of the subscriber's turn
             if (store != null && store.take(next)) {
-                answerApplied();
+                completeApplied();
                 catchUp();
             }
             subscription.inForce(next.revision());  // passed on, or taken: or the publisher would hold back what follows
@@ -241,7 +242,7 @@
 
     // ---- a voter
 
-    private final class Decided implements Store.Out {
+    private final class StoreActions implements Store.Actions {
 
         @Override
         public void table(Table next, List<Delta> deltas) {
@@ -276,14 +277,14 @@
             events.event(Level.WARN, "config_unreadable", "decision " + decision.ordinal() + " is none that this build can read, and changes nothing: " + e.getMessage());
         }
         boolean anew = decision.ordinal() > store.number();
-        Store.Fate fate = store.decided(decision.ordinal(), decision.id(), command);
-        readUntil = decision.index();
-        if (anew && command instanceof Change && fate instanceof Store.Fate.In in) {
+        Store.ChangeOutcome outcome = store.decided(decision.ordinal(), decision.id(), command);
+        lastIndex = decision.index();
+        if (anew && command instanceof Change && outcome instanceof Store.ChangeOutcome.Applied in) {
             events.event(Level.INFO, "config_decided", "change " + decision.id() + " is in, revision " + in.revision().number(), "id", decision.id(), "number", in.revision().number());
-        } else if (anew && fate instanceof Store.Fate.Conflict conflict) {
+        } else if (anew && outcome instanceof Store.ChangeOutcome.Conflict conflict) {
             events.event(Level.INFO, "config_conflict", "change " + decision.id() + " changed nothing: " + conflict.reason(), "id", decision.id(), "number", decision.ordinal());
         }
-        answerApplied();
+        completeApplied();
         catchUp();
     }
 
@@ -291,16 +292,16 @@
         Change change = apply.change();
         List<String> problems = check.problems(change);
         if (!problems.isEmpty()) {
-            reply(from, new ControlMessage.Refused(apply.call(), problems));
-        } else if (store.fate(change.id()) != null && answer(from, apply.call(), store.fate(change.id()))) {
+            reply(from, new ControlMessage.Refused(apply.requestId(), problems));
+        } else if (store.outcome(change.id()) != null && respond(from, apply.requestId(), store.outcome(change.id()))) {
             return;  // asked again
         } else if (!store.begun()) {
-            reply(from, new ControlMessage.Unknown(apply.call(), "epoch " + settings.epoch() + " has not begun at " + settings.name() + ", ask again; a first installation begins with epoch 1"));
-        } else if (asking >= ASKED_MOST) {
-            reply(from, new ControlMessage.Unknown(apply.call(), "expected at most " + ASKED_MOST + " changes that wait, ask again"));
+            reply(from, new ControlMessage.Unknown(apply.requestId(), "epoch " + settings.epoch() + " has not begun at " + settings.name() + ", ask again; a first installation begins with epoch 1"));
+        } else if (pendingCount >= PENDING_MOST) {
+            reply(from, new ControlMessage.Unknown(apply.requestId(), "expected at most " + PENDING_MOST + " changes that wait, ask again"));
         } else {
-            asking++;
-            asked.computeIfAbsent(change.id(), id -> new ArrayList<>()).add(new Asked(from, apply.call(), System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WITHIN_MILLIS)));
+            pendingCount++;
+            pending.computeIfAbsent(change.id(), id -> new ArrayList<>()).add(new PendingApply(from, apply.requestId(), System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS)));
             byte[] command = MessageCodec.bytes(change);
             proposer.execute(() -> log.append(change.id(), command, outcome -> {
                 if (!links.loop().isShuttingDown()) {
@@ -327,51 +328,51 @@
 
     private void appended(String id, AgreedLog.AppendOutcome outcome) {
         if (outcome instanceof AgreedLog.AppendOutcome.Committed committed) {
-            if (asked.containsKey(id)) {
+            if (pending.containsKey(id)) {
                 indices.put(id, committed.index());
-                answerApplied();
+                completeApplied();
             }
         } else if (outcome instanceof AgreedLog.AppendOutcome.Rejected rejected) {
-            end(id, call -> new ControlMessage.Refused(call, List.of(rejected.why())));
+            complete(id, requestId -> new ControlMessage.Refused(requestId, List.of(rejected.why())));
         } else if (outcome instanceof AgreedLog.AppendOutcome.Unknown unknown) {
-            end(id, call -> new ControlMessage.Unknown(call, unknown.why()));
+            complete(id, requestId -> new ControlMessage.Unknown(requestId, unknown.why()));
         }
     }
 
     /** Those who wait for what is applied by now. */
-    private void answerApplied() {
-        for (String id : List.copyOf(asked.keySet())) {
-            Store.Fate fate = store.fate(id);
-            if (fate instanceof Store.Fate.In in) {
-                end(id, call -> new ControlMessage.Applied(call, in.revision()));
-            } else if (fate instanceof Store.Fate.Conflict conflict) {
-                end(id, call -> new ControlMessage.Conflicted(call, conflict.reason()));
-            } else if (store.missing() == 0 && indices.getOrDefault(id, Long.MAX_VALUE) <= readUntil) {
-                end(id, call -> new ControlMessage.Applied(call, null));  // decided on before what is remembered here
+    private void completeApplied() {
+        for (String id : List.copyOf(pending.keySet())) {
+            Store.ChangeOutcome outcome = store.outcome(id);
+            if (outcome instanceof Store.ChangeOutcome.Applied in) {
+                complete(id, requestId -> new ControlMessage.Applied(requestId, in.revision()));
+            } else if (outcome instanceof Store.ChangeOutcome.Conflict conflict) {
+                complete(id, requestId -> new ControlMessage.Conflicted(requestId, conflict.reason()));
+            } else if (store.missing() == 0 && indices.getOrDefault(id, Long.MAX_VALUE) <= lastIndex) {
+                complete(id, requestId -> new ControlMessage.Applied(requestId, null));  // decided on before what is remembered here
             }
         }
     }
 
-    private boolean answer(String from, long call, Store.Fate fate) {
-        if (fate instanceof Store.Fate.In in) {
-            reply(from, new ControlMessage.Applied(call, in.revision()));
-        } else if (fate instanceof Store.Fate.Conflict conflict) {
-            reply(from, new ControlMessage.Conflicted(call, conflict.reason()));
+    private boolean respond(String from, long requestId, Store.ChangeOutcome outcome) {
+        if (outcome instanceof Store.ChangeOutcome.Applied in) {
+            reply(from, new ControlMessage.Applied(requestId, in.revision()));
+        } else if (outcome instanceof Store.ChangeOutcome.Conflict conflict) {
+            reply(from, new ControlMessage.Conflicted(requestId, conflict.reason()));
         }
-        return !(fate instanceof Store.Fate.Waiting);
+        return !(outcome instanceof Store.ChangeOutcome.Pending);
     }
 
-    /** Makes an answer of the asker's number. */
-    private interface Answer {
-        ControlMessage to(long call);
+    /** Makes the response to a request of that number. */
+    private interface ResponseTo {
+        ControlMessage with(long requestId);
     }
 
-    private void end(String id, Answer answer) {
+    private void complete(String id, ResponseTo response) {
         indices.remove(id);
-        List<Asked> all = asked.remove(id);
+        List<PendingApply> all = pending.remove(id);
         if (all != null) {
-            asking -= all.size();
-            all.forEach(each -> reply(each.from(), answer.to(each.call())));
+            pendingCount -= all.size();
+            all.forEach(each -> reply(each.from(), response.with(each.requestId())));
         }
     }
 
@@ -381,21 +382,21 @@
         links.links().reply(to, ControlLinks.CONTROL, ControlCodec.bytes(message));
     }
 
-    private void question(String from, ControlMessage question) {
-        if (question instanceof ControlMessage.Apply apply) {
+    private void handle(String from, ControlMessage request) {
+        if (request instanceof ControlMessage.Apply apply) {
             if (store == null) {
-                reply(from, new ControlMessage.AskVoter(apply.call(), settings.name() + " passes on and agrees on nothing: ask a voter"));
+                reply(from, new ControlMessage.AskVoter(apply.requestId(), settings.name() + " passes on and agrees on nothing: ask a voter"));
             } else {
                 apply(from, apply);
             }
-        } else if (question instanceof ControlMessage.Get get) {
+        } else if (request instanceof ControlMessage.Get get) {
             Table table = table();
-            reply(from, new ControlMessage.Found(get.call(), table.revision(), table.get(get.kind(), get.name())));
-        } else if (question instanceof ControlMessage.GetStatus status) {
-            reply(from, new ControlMessage.Status(status.call(), table().revision(), settings.role().name().toLowerCase(Locale.ROOT), leader, publication.publisher().status().subscribers(), alone.millis(),
-                    publication.publisher().summary()));
+            reply(from, new ControlMessage.Found(get.requestId(), table.revision(), table.get(get.kind(), get.name())));
+        } else if (request instanceof ControlMessage.GetStatus status) {
+            reply(from, new ControlMessage.Status(status.requestId(), table().revision(), settings.role().name().toLowerCase(Locale.ROOT), leader, publication.publisher().status().subscribers(),
+                    alone.millis(), publication.publisher().summary()));
         } else {
-            throw new IllegalArgumentException("expected a question, found " + question.getClass().getSimpleName());
+            throw new IllegalArgumentException("expected a request, found " + request.getClass().getSimpleName());
         }
     }
 
@@ -413,7 +414,7 @@
         return !subscription.subscriber().ready() || subscription.subscriber().aloneSince() != 0;
     }
 
-    private void look() {
+    private void poll() {
         if (store != null) {
             begin();
             proposer.execute(() -> {
@@ -423,12 +424,12 @@
                 }
             });
             long time = System.nanoTime();
-            for (Map.Entry<String, List<Asked>> each : List.copyOf(asked.entrySet())) {
-                if (each.getValue().get(0).until() - time < 0) {
-                    end(each.getKey(), call -> new ControlMessage.Unknown(call, "not known in time, ask again under the same id"));
+            for (Map.Entry<String, List<PendingApply>> each : List.copyOf(pending.entrySet())) {
+                if (each.getValue().get(0).deadline() - time < 0) {
+                    complete(each.getKey(), requestId -> new ControlMessage.Unknown(requestId, "not known in time, ask again under the same id"));
                 }
             }
-        } else if (++looks % SUMMARY_LOOKS == 0) {
+        } else if (++polls % SUMMARY_POLLS == 0) {
             subscription.summary(publication.publisher().summary());
         }
         boolean nobody = hearsNobody();
--- a/src/main/java/mastdrift/serve/PeerService.java
+++ b/src/main/java/mastdrift/serve/PeerService.java
@@ -281,7 +281,7 @@
                 } else {
                     refused("peer_later", from, "a message of a kind that this build doesn't know: " + kind);
                 }
-            } catch (PeerMessageCodec.LaterVersionException e) {
+            } catch (PeerMessageCodec.UnsupportedVersionException e) {
                 refused("peer_later", from, e.getMessage());
             } catch (IllegalArgumentException e) {
                 refused("peer_malformed", from, e.getMessage());
--- a/src/test/java/mastdrift/config/ChangeReaderTest.java
+++ b/src/test/java/mastdrift/config/ChangeReaderTest.java
@@ -43,7 +43,7 @@
         assertEquals("made-up", read(GOOD.replace("id = \"move-shop\"\n", "")).change().id());
         List<Edit> edits = read(GOOD).change().edits();
         Edit.Upsert route = (Edit.Upsert) edits.get(0);
-        assertEquals("ROUTE shop 12 {\"order\":10,\"path\":\"/shop\",\"pools\":[{\"pool\":\"main\",\"weight\":1.5}]}", route.kind() + " " + route.name() + " " + route.expected() + " "
+        assertEquals("ROUTE shop 12 {\"order\":10,\"path\":\"/shop\",\"pools\":[{\"pool\":\"main\",\"weight\":1.5}]}", route.kind() + " " + route.name() + " " + route.expectedVersion() + " "
                 + new String(route.value(), StandardCharsets.UTF_8));
         assertEquals(ResourceKind.TENANT, edits.get(1).kind());
         assertEquals(new Edit.Delete(ResourceKind.ROUTE, "old", Edit.ANY), edits.get(2));
--- a/src/test/java/mastdrift/config/ResourceRoutesTest.java
+++ b/src/test/java/mastdrift/config/ResourceRoutesTest.java
@@ -70,7 +70,7 @@
     }
 
     private static Delta delta(long number, List<Resource> upserts, String... deletes) {
-        return new Delta(number - 1, new Revision(1, number, number, number), upserts, List.of(deletes).stream().map(name -> new Delta.Gone(ResourceKind.ROUTE, name)).toList());
+        return new Delta(number - 1, new Revision(1, number, number, number), upserts, List.of(deletes).stream().map(name -> new Delta.Deletion(ResourceKind.ROUTE, name)).toList());
     }
 
     private static String names(ResourceRoutes routes) {
--- a/src/test/java/mastdrift/distribution/BuildsTest.java
+++ b/src/test/java/mastdrift/distribution/BuildsTest.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import mastdrift.distribution.Store.Fate;
+import mastdrift.distribution.Store.ChangeOutcome;
 import mastdrift.distribution.edge.ControlCodec;
 import mastdrift.distribution.edge.LaterCodec;
 import mastdrift.distribution.edge.MessageCodec;
@@ -18,7 +18,7 @@
 /** Two builds side by side: what one says and the other doesn't know is said by name, changes nothing, and where it parts their tables that is loud. */
 class BuildsTest {
 
-    private static final Store.Out NOBODY = new Store.Out() {
+    private static final Store.Actions NOBODY = new Store.Actions() {
         @Override
         public void table(Table next, List<Delta> deltas) { }
 
@@ -60,12 +60,12 @@
             Command command = read(each.getValue(), why);
             assertEquals(1, why.size(), each.getKey());
             assertTrue(why.get(0).contains("expected") && why.get(0).contains("found"), why::toString);
-            Fate fate = store.decided(++number, "later-" + number, command);
-            assertEquals(new Fate.Conflict("expected a change, found what this build can't read"), fate, each.getKey());
+            ChangeOutcome outcome = store.decided(++number, "later-" + number, command);
+            assertEquals(new ChangeOutcome.Conflict("expected a change, found what this build can't read"), outcome, each.getKey());
             assertEquals(number, store.table().revision().number());
             assertTrue(store.table().revision().sameState(before), each.getKey());
         }
-        assertInstanceOf(Fate.In.class, store.decided(++number, "known", MessageCodec.command(MessageCodec.bytes(Changes.of("known", put("r", "1"))))));
+        assertInstanceOf(ChangeOutcome.Applied.class, store.decided(++number, "known", MessageCodec.command(MessageCodec.bytes(Changes.of("known", put("r", "1"))))));
     }
 
     /** The other way round: a build that knows no beginning of an epoch refuses it as a change, counts it, and has the same table by the same number where it had the one that is named. */
@@ -92,7 +92,7 @@
         assertEquals("r", read.edits().get(0).name());
         Revision have = new Revision(1, 5, 3, -4);
         assertEquals(new Message.Subscribe(have, "z"), MessageCodec.message(LaterCodec.plain(0, LaterCodec.fields(have), "z")));
-        assertEquals(new Message.Current(have), MessageCodec.message(LaterCodec.plain(7, LaterCodec.fields(have))));
+        assertEquals(new Message.Heartbeat(have), MessageCodec.message(LaterCodec.plain(7, LaterCodec.fields(have))));
         assertEquals(new ControlMessage.GetStatus(3), ControlCodec.message(LaterCodec.bytes(1, -1, new Object[] {2, 3})));
     }
 
--- a/src/test/java/mastdrift/distribution/ChangeCheckTest.java
+++ b/src/test/java/mastdrift/distribution/ChangeCheckTest.java
@@ -61,7 +61,7 @@
             change = new Change(change.id(), twice);
         }
         Outcome outcome = Table.empty(1).apply(1, change);
-        boolean versions = change.edits().stream().anyMatch(each -> each.expected() > 0);
+        boolean versions = change.edits().stream().anyMatch(each -> each.expectedVersion() > 0);
         if (!CHECK.problems(change).isEmpty()) {
             assertInstanceOf(Outcome.Conflict.class, outcome);
         } else {
--- a/src/test/java/mastdrift/distribution/DistributionWorld.java
+++ b/src/test/java/mastdrift/distribution/DistributionWorld.java
@@ -161,7 +161,7 @@
             logAt = now;
             logNext = 1;
             if (voter()) {
-                store = new Store(have, epoch, new Store.Out() {
+                store = new Store(have, epoch, new Store.Actions() {
                     @Override
                     public void table(Table next, List<Delta> deltas) {
                         took(next, deltas);
@@ -176,7 +176,7 @@
                 subscribe(have);
             }
             if (voter() || relay()) {
-                publisher = new Publisher(have, plan.publisher, new Publisher.Out() {
+                publisher = new Publisher(have, plan.publisher, new Publisher.Actions() {
                     @Override
                     public void send(String to, Message message) {
                         back(Node.this, to, message);
@@ -200,7 +200,7 @@
         }
 
         private void subscribe(Table have) {
-            subscriber = new Subscriber(name, zone(), have, plan.subscriber, random.nextLong(), new Subscriber.Out() {
+            subscriber = new Subscriber(name, zone(), have, plan.subscriber, random.nextLong(), new Subscriber.Actions() {
                 @Override
                 public void send(String to, Message message) {
                     out(Node.this, nodes.get(to), message);
@@ -562,7 +562,7 @@
             Connection known = to.accepted.get(connection.subscriber.name);
             if (known == null || known.id <= connection.id) {
                 to.accepted.put(connection.subscriber.name, connection);
-                to.publisher.heard(now, connection.subscriber.name, message);
+                to.publisher.received(now, connection.subscriber.name, message);
             }
         });
     }
@@ -575,7 +575,7 @@
                 connection.lastBack = when;
                 at(connection.subscriber, connection.life, when, () -> {
                     if (connection.subscriber.connections.get(from.name) == connection) {
-                        connection.subscriber.subscriber.heard(now, from.name, message);
+                        connection.subscriber.subscriber.received(now, from.name, message);
                     }
                 });
             }
@@ -588,7 +588,7 @@
         if (when >= 0) {
             at(connection.subscriber, connection.life, when, () -> {
                 if (connection.subscriber.connections.remove(machine.name, connection)) {
-                    connection.subscriber.subscriber.ended(now, machine.name);
+                    connection.subscriber.subscriber.outboundClosed(now, machine.name);
                 }
             });
         }
@@ -599,7 +599,7 @@
         if (when >= 0) {
             at(machine, machine.life, when, () -> {
                 if (machine.accepted.remove(connection.subscriber.name, connection)) {
-                    machine.publisher.gone(now, connection.subscriber.name);
+                    machine.publisher.inboundClosed(now, connection.subscriber.name);
                 }
             });
         }
--- a/src/test/java/mastdrift/distribution/LiesTest.java
+++ b/src/test/java/mastdrift/distribution/LiesTest.java
@@ -31,13 +31,13 @@
         Revision revision = revision(random, near.revision());
         Table of = random.nextBoolean() ? ONE : TWO;
         return switch (random.nextInt(13)) {
-            case 0 -> new Message.Current(revision);
+            case 0 -> new Message.Heartbeat(revision);
             case 1 -> new Message.SnapshotNeeded(revision, random.nextBoolean() ? "forked: so it says" : "old");
-            case 2 -> new Message.Later(random.nextInt());
-            case 3 -> new Message.Piece(revision, List.of(new Message.Shard(random.nextInt(1_100) - 9, of.shard(random.nextInt(Table.SHARDS)))), random.nextBoolean());
-            case 4 -> new Message.Piece(of.revision(), IntStream.range(0, Table.SHARDS).mapToObj(i -> new Message.Shard(i, of.shard(i))).toList(), random.nextBoolean());
+            case 2 -> new Message.RetryAfter(random.nextInt());
+            case 3 -> new Message.SnapshotChunk(revision, List.of(new Message.Shard(random.nextInt(1_100) - 9, of.shard(random.nextInt(Table.SHARDS)))), random.nextBoolean());
+            case 4 -> new Message.SnapshotChunk(of.revision(), IntStream.range(0, Table.SHARDS).mapToObj(i -> new Message.Shard(i, of.shard(i))).toList(), random.nextBoolean());
             case 5 -> new Message.Deltas(List.of());
-            case 6 -> new Message.Deltas(List.of(new Delta(near.revision().number(), revision, List.of(), List.of(new Delta.Gone(ResourceKind.HOST, "none"))), new Delta(random.nextLong(), revision, List.of(), List.of())));
+            case 6 -> new Message.Deltas(List.of(new Delta(near.revision().number(), revision, List.of(), List.of(new Delta.Deletion(ResourceKind.HOST, "none"))), new Delta(random.nextLong(), revision, List.of(), List.of())));
             case 7 -> random.nextBoolean() ? new Message.Deltas(List.of(near.passed(near.revision().number() + 1).delta())) : new Message.Subscribe(revision, "z".repeat(random.nextInt(200)));
             case 8 -> new Message.Fetch(random.nextBoolean() ? of.digests() : new long[random.nextInt(3)], random.nextInt());
             case 9 -> new Message.Credit(random.nextInt());
@@ -56,7 +56,7 @@
             Revision before = gateway.table().revision();
             String at = gateway.machine();
             if (at != null) {
-                gateway.heard(lines.now, at, said(random, gateway.table()));
+                gateway.received(lines.now, at, said(random, gateway.table()));
             }
             Revision after = gateway.table().revision();
             assertTrue(after.equals(before) || after.after(before) || after.forkedFrom(before), before + " " + after);
@@ -78,9 +78,9 @@
         Publisher machine = lines.machine("a", ONE);
         for (int i = 0; i < 150; i++) {
             Revision before = machine.table().revision();
-            machine.heard(lines.now, "g" + random.nextInt(9), said(random, machine.table()));
+            machine.received(lines.now, "g" + random.nextInt(9), said(random, machine.table()));
             if (random.nextInt(9) == 0) {
-                machine.gone(lines.now, "g" + random.nextInt(9));
+                machine.inboundClosed(lines.now, "g" + random.nextInt(9));
             }
             assertEquals(before, machine.table().revision());
             if (random.nextInt(9) == 0) {
--- a/src/test/java/mastdrift/distribution/Lines.java
+++ b/src/test/java/mastdrift/distribution/Lines.java
@@ -43,13 +43,13 @@
     }
 
     Publisher machine(String name, Table table) {
-        Publisher machine = new Publisher(table, settings, new Publisher.Out() {
+        Publisher machine = new Publisher(table, settings, new Publisher.Actions() {
             @Override
             public void send(String to, Message message) {
                 sent.add(new Sent(now, name, to, message));
                 deliver(name, to, message, () -> {
                     if (subscribers.containsKey(to)) {
-                        subscribers.get(to).heard(now, name, message);
+                        subscribers.get(to).received(now, name, message);
                     }
                 });
             }
@@ -59,7 +59,7 @@
                 events.add("dropped " + subscriber + ": " + why);
                 later(STEP, () -> {
                     if (subscribers.containsKey(subscriber)) {
-                        subscribers.get(subscriber).ended(now, name);
+                        subscribers.get(subscriber).outboundClosed(now, name);
                     }
                 });
             }
@@ -75,15 +75,15 @@
 
     /** A gateway that puts in force whatever comes, at once. */
     Subscriber gateway(String name, Table have, String... of) {
-        Subscriber gateway = new Subscriber(name, "z-1", have, SubscriberSettings.USUAL, name.hashCode(), new Subscriber.Out() {
+        Subscriber gateway = new Subscriber(name, "z-1", have, SubscriberSettings.USUAL, name.hashCode(), new Subscriber.Actions() {
             @Override
             public void send(String to, Message message) {
                 sent.add(new Sent(now, name, to, message));
                 deliver(name, to, message, () -> {
                     if (machines.containsKey(to)) {
-                        machines.get(to).heard(now, name, message);
+                        machines.get(to).received(now, name, message);
                     } else {
-                        later(STEP, () -> subscribers.get(name).ended(now, to));
+                        later(STEP, () -> subscribers.get(name).outboundClosed(now, to));
                     }
                 });
             }
@@ -92,7 +92,7 @@
             public void leave(String machine) {
                 later(STEP, () -> {
                     if (machines.containsKey(machine) && !machine.equals(subscribers.get(name).machine())) {
-                        machines.get(machine).gone(now, name);
+                        machines.get(machine).inboundClosed(now, name);
                     }
                 });
             }
@@ -138,7 +138,7 @@
     /** A machine that ends: those who are there are told. */
     void kill(String machine) {
         machines.remove(machine);
-        subscribers.values().forEach(each -> each.ended(now, machine));
+        subscribers.values().forEach(each -> each.outboundClosed(now, machine));
     }
 
     /** Lets time pass. */
--- a/src/test/java/mastdrift/distribution/PublisherTest.java
+++ b/src/test/java/mastdrift/distribution/PublisherTest.java
@@ -18,7 +18,7 @@
 class PublisherTest {
 
     private static void subscribe(Lines lines, Publisher machine, String name) {
-        machine.heard(lines.now, name, new Message.Subscribe(machine.table().revision(), "z-1"));
+        machine.received(lines.now, name, new Message.Subscribe(machine.table().revision(), "z-1"));
     }
 
     /** A burst goes out in few messages, none later than 0.2 s, and all subscribers get the same objects. */
@@ -59,7 +59,7 @@
             bytes = lines.to("mute", Message.Deltas.class).stream().flatMap(each -> each.deltas().stream()).mapToLong(History::bytes).sum();
             assertTrue(bytes <= PublisherSettings.USUAL.unackedBytes() + PublisherSettings.USUAL.messageBytes(), bytes + " bytes");
             if (i % 60 == 59) {
-                machine.heard(lines.now, "mute", new Message.Ack(Revision.none(1)));  // it is there, and answers nothing
+                machine.received(lines.now, "mute", new Message.Ack(Revision.none(1)));  // it is there, and answers nothing
             }
         }
         assertTrue(bytes >= PublisherSettings.USUAL.unackedBytes() - 17_000, "as far as the bound");
@@ -102,20 +102,20 @@
         lines.run(SECOND);
         Revision first = lines.change(machine, "r", "1").to();
         lines.run(SECOND);
-        machine.heard(lines.now, "h", new Message.Ack(first));
+        machine.received(lines.now, "h", new Message.Ack(first));
         Revision second = lines.change(machine, "r", "bad").to();
-        machine.heard(lines.now, "h", new Message.Nack(second, first, "edits: expected a pool, found none called x"));
+        machine.received(lines.now, "h", new Message.Nack(second, first, "edits: expected a pool, found none called x"));
         assertTrue(lines.events.contains("a config_refused h refuses " + second.number() + ": edits: expected a pool, found none called x"), lines.events.toString());
         ZoneSummary zone = machine.summary().get(0);
         assertEquals(1, zone.refused());
         assertEquals(first, zone.lowest());
         assertTrue(zone.lagging().contains("h"));
-        machine.heard(lines.now, "h", new Message.Ack(first));
+        machine.received(lines.now, "h", new Message.Ack(first));
         assertEquals(1, machine.summary().get(0).refused(), "told again that the old is in force: it refuses still");
         Revision third = lines.change(machine, "r", "good").to();
         lines.run(SECOND);
         assertEquals(third, lines.to("h", Message.Deltas.class).get(lines.to("h", Message.Deltas.class).size() - 1).deltas().get(0).to());
-        machine.heard(lines.now, "h", new Message.Ack(third));
+        machine.received(lines.now, "h", new Message.Ack(third));
         assertEquals(0, machine.summary().get(0).refused());
         gateway.refused(lines.now, third, "because " + "x".repeat(1_000));
         lines.run(SECOND);
@@ -150,16 +150,16 @@
             assertTrue(told.stream().allMatch(each -> each.at() - changed <= 205_000));
             lines.sent.removeIf(each -> each.to().startsWith("well"));
             for (int i = 0; i < 3_700; i++) {
-                machine.heard(lines.now, "well" + i, new Message.Ack(delta.to()));
+                machine.received(lines.now, "well" + i, new Message.Ack(delta.to()));
             }
             Revision last = delta.to();
             done = lines.subscribers.values().stream().allMatch(each -> each.table().revision().equals(last)) ? lines.now : 0;
         }
         assertTrue(done != 0, "not all have all: " + machine.status());
         assertTrue(most <= 8 && most >= 4, most + " snapshots at once");
-        List<Integer> laters = lines.sent.stream().filter(each -> each.message() instanceof Message.Later).map(each -> ((Message.Later) each.message()).millis()).toList();
-        assertTrue(laters.size() >= 362 && laters.size() < 370 * 6, laters.size() + " were told to come again");
-        assertTrue(laters.stream().distinct().count() > 40, "at different times");
+        List<Integer> retries = lines.sent.stream().filter(each -> each.message() instanceof Message.RetryAfter).map(each -> ((Message.RetryAfter) each.message()).millis()).toList();
+        assertTrue(retries.size() >= 362 && retries.size() < 370 * 6, retries.size() + " were told to come again");
+        assertTrue(retries.stream().distinct().count() > 40, "at different times");
         assertEquals(0, machine.status().waiting());
         assertTrue(lines.events.stream().noneMatch(each -> each.startsWith("dropped")));
     }
@@ -169,31 +169,31 @@
     void aSnapshotWithoutCreditEnds() {
         Lines lines = new Lines(new PublisherSettings(200_000, 2 * SECOND, 1, 4_096, 1 << 20, 20 * SECOND, 30 * SECOND, 10 * SECOND, 1 << 10));
         Publisher machine = lines.machine("a", Changes.table(1_000));
-        machine.heard(lines.now, "x", new Message.Subscribe(Revision.none(1), "z-1"));
-        machine.heard(lines.now, "x", new Message.Fetch(new long[Table.SHARDS], 1_000));
-        assertEquals(64, lines.to("x", Message.Piece.class).size(), "credit is bounded");
-        machine.heard(lines.now, "y", new Message.Subscribe(Revision.none(1), "z-1"));
-        machine.heard(lines.now, "y", new Message.Fetch(new long[Table.SHARDS], 4));
-        assertEquals(1, lines.to("y", Message.Later.class).size());
+        machine.received(lines.now, "x", new Message.Subscribe(Revision.none(1), "z-1"));
+        machine.received(lines.now, "x", new Message.Fetch(new long[Table.SHARDS], 1_000));
+        assertEquals(64, lines.to("x", Message.SnapshotChunk.class).size(), "credit is bounded");
+        machine.received(lines.now, "y", new Message.Subscribe(Revision.none(1), "z-1"));
+        machine.received(lines.now, "y", new Message.Fetch(new long[Table.SHARDS], 4));
+        assertEquals(1, lines.to("y", Message.RetryAfter.class).size());
         lines.run(11 * SECOND);
         assertTrue(lines.events.contains("dropped x: expected credit for a snapshot within 10 s, found none"), lines.events.toString());
-        machine.heard(lines.now, "y", new Message.Fetch(new long[Table.SHARDS], 4));
-        assertEquals(4, lines.to("y", Message.Piece.class).size());
+        machine.received(lines.now, "y", new Message.Fetch(new long[Table.SHARDS], 4));
+        assertEquals(4, lines.to("y", Message.SnapshotChunk.class).size());
     }
 
     @Test
     void whatASubscriberMayNotSayIsRefused() {
         Lines lines = new Lines(new PublisherSettings(200_000, 2 * SECOND, 8, 2, 1 << 20, 20 * SECOND, 30 * SECOND, 10 * SECOND, 8 << 10));
         Publisher machine = lines.machine("a", Changes.table(10));
-        machine.heard(lines.now, "x", new Message.Credit(1));
+        machine.received(lines.now, "x", new Message.Credit(1));
         subscribe(lines, machine, "x");
         subscribe(lines, machine, "y");
         subscribe(lines, machine, "z");
-        machine.heard(lines.now, "x", new Message.Fetch(new long[3], 1));
-        machine.heard(lines.now, "y", new Message.Later(1));
+        machine.received(lines.now, "x", new Message.Fetch(new long[3], 1));
+        machine.received(lines.now, "y", new Message.RetryAfter(1));
         assertEquals(List.of("dropped x: expected subscribe first, found Credit", "dropped z: expected at most 2 subscribers", "a config_subscriber_dropped x: expected 1024 digests, found 3",
-                "dropped x: expected 1024 digests, found 3", "a config_subscriber_dropped y: expected a subscriber's message, found Later",
-                "dropped y: expected a subscriber's message, found Later"), lines.events);
+                "dropped x: expected 1024 digests, found 3", "a config_subscriber_dropped y: expected a subscriber's message, found RetryAfter",
+                "dropped y: expected a subscriber's message, found RetryAfter"), lines.events);
         assertEquals(0, machine.status().subscribers());
         assertEquals(4, machine.status().dropped());
     }
@@ -229,7 +229,7 @@
         lines.run(5 * SECOND);
         assertEquals(table.revision(), empty.table().revision(), "it serves what it has");
         lines.run(30 * SECOND);
-        assertEquals(List.of(), lines.to("g", Message.Current.class));
+        assertEquals(List.of(), lines.to("g", Message.Heartbeat.class));
         for (String machine : List.of("a", "b")) {
             assertTrue(lines.sent.stream().filter(each -> each.from().equals("g") && each.to().equals(machine) && each.message() instanceof Message.Subscribe).count() >= 4, "it looks elsewhere, and again");
         }
@@ -250,17 +250,17 @@
         subscribe(lines, machine, "relay");
         subscribe(lines, machine, "gateway");
         Revision low = new Revision(1, 3, 0, 0);
-        machine.heard(lines.now, "relay", new Message.Summary(List.of(new ZoneSummary("z-1", 300, low, 2, List.of("p", "q")), new ZoneSummary("z-2", 10, null, 0, List.of()))));
-        machine.heard(lines.now, "gateway", new Message.Ack(machine.table().revision()));
+        machine.received(lines.now, "relay", new Message.Summary(List.of(new ZoneSummary("z-1", 300, low, 2, List.of("p", "q")), new ZoneSummary("z-2", 10, null, 0, List.of()))));
+        machine.received(lines.now, "gateway", new Message.Ack(machine.table().revision()));
         assertEquals(List.of(new ZoneSummary("z-1", 301, low, 2, List.of("p", "q")), new ZoneSummary("z-2", 10, null, 0, List.of())), machine.summary());
-        machine.heard(lines.now, "relay", new Message.Summary(List.of()));
+        machine.received(lines.now, "relay", new Message.Summary(List.of()));
         assertEquals(1, machine.summary().get(0).subscribers(), "one that passes on to nobody is nobody's gateway itself");
         Subscriber relay = lines.gateway("other", machine.table(), "a");
         relay.summary(List.of());
         lines.run(SECOND);
         assertEquals(new Message.Summary(List.of()), lines.to("a", Message.Summary.class).get(0));
         assertEquals(1, machine.summary().get(0).subscribers());
-        machine.gone(lines.now, "relay");
+        machine.inboundClosed(lines.now, "relay");
         assertEquals(List.of(new ZoneSummary("z-1", 1, machine.table().revision(), 0, List.of())), machine.summary());
         Summaries all = new Summaries();
         IntStream.range(0, 1_000).forEach(i -> all.add(new ZoneSummary("zone-" + i, 1, new Revision(1, i, 0, 0), 1, IntStream.range(0, 20).mapToObj(n -> i + "-" + n).toList())));
--- a/src/test/java/mastdrift/distribution/StoreTest.java
+++ b/src/test/java/mastdrift/distribution/StoreTest.java
@@ -17,7 +17,7 @@
 import java.util.Random;
 import mastdrift.agreed.AgreedLog;
 import mastdrift.agreed.Decisions;
-import mastdrift.distribution.Store.Fate;
+import mastdrift.distribution.Store.ChangeOutcome;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
@@ -25,7 +25,7 @@
 class StoreTest {
 
     /** Notes what a store wants, and that its tables only go forward, each by what was told. */
-    private static final class Noted implements Store.Out {
+    private static final class Noted implements Store.Actions {
         private final List<String> events = new ArrayList<>();
         private Table table;
         private int jumps;
@@ -63,13 +63,13 @@
             long before = log.count();
             assertInstanceOf(AgreedLog.AppendOutcome.Committed.class, log.apply(++index, Decisions.append(id, bytes(id))));
             if (log.count() > before) {
-                assertInstanceOf(Fate.In.class, store.decided(log.count(), id, asked.get(id)));
+                assertInstanceOf(ChangeOutcome.Applied.class, store.decided(log.count(), id, asked.get(id)));
             }
         }
         assertEquals(2, store.table().revision().number());
         assertEquals(1, store.table().get(ResourceKind.ROUTE, "r").version());
-        assertEquals(new Fate.In(store.table().revision()), store.fate("two"), "told to who asks again");
-        assertEquals(store.fate("one"), store.decided(1, "one", asked.get("one")), "read once more");
+        assertEquals(new ChangeOutcome.Applied(store.table().revision()), store.outcome("two"), "told to who asks again");
+        assertEquals(store.outcome("one"), store.decided(1, "one", asked.get("one")), "read once more");
         assertEquals(2, store.table().size());
     }
 
@@ -78,14 +78,14 @@
     void ofTwoChangesToOneResourceOfRegionsThatWereApartOneConflictIsTold() {
         Store store = new Store(Table.empty(1), 1, new Noted());
         store.decided(1, "before", Changes.of("before", put("r", "0")));
-        Fate first = store.decided(2, "east", Changes.of("east", new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("east"), 1)));
-        Fate second = store.decided(3, "west", Changes.of("west", put("also", "1"), new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("west"), 1)));
-        assertInstanceOf(Fate.In.class, first);
-        assertEquals(new Fate.Conflict("edits[1] (route r): expected version 1, found version 2"), second);
+        ChangeOutcome first = store.decided(2, "east", Changes.of("east", new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("east"), 1)));
+        ChangeOutcome second = store.decided(3, "west", Changes.of("west", put("also", "1"), new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("west"), 1)));
+        assertInstanceOf(ChangeOutcome.Applied.class, first);
+        assertEquals(new ChangeOutcome.Conflict("edits[1] (route r): expected version 1, found version 2"), second);
         assertEquals("east", new String(store.table().get(ResourceKind.ROUTE, "r").value(), StandardCharsets.UTF_8));
         assertNull(store.table().get(ResourceKind.ROUTE, "also"), "nothing of it");
         assertEquals(3, store.table().revision().number(), "the place of what was decided");
-        assertEquals(new Fate.Conflict("expected a change, found what this build can't read"), store.decided(4, "newer", null));
+        assertEquals(new ChangeOutcome.Conflict("expected a change, found what this build can't read"), store.decided(4, "newer", null));
         assertEquals(4, store.table().revision().number());
     }
 
@@ -104,7 +104,7 @@
         }
         Noted noted = new Noted();
         Store store = new Store(tables.get(random.nextInt(20)), 1, noted);
-        Map<String, Fate> fates = new HashMap<>();
+        Map<String, ChangeOutcome> outcomes = new HashMap<>();
         for (int at = 1; at <= 80; at++) {
             if (random.nextInt(12) == 0) {
                 at = Math.min(80, at + random.nextInt(10));  // a gap
@@ -112,9 +112,9 @@
             if (random.nextInt(10) == 0) {
                 at = Math.max(1, at - random.nextInt(10));  // again
             }
-            Fate fate = store.decided(at, "c" + at, log.get(at - 1));
-            if (fate != null && !(fate instanceof Fate.Waiting)) {
-                fates.put("c" + at, fate);
+            ChangeOutcome outcome = store.decided(at, "c" + at, log.get(at - 1));
+            if (outcome != null && !(outcome instanceof ChangeOutcome.Pending)) {
+                outcomes.put("c" + at, outcome);
             }
             if (store.missing() != 0 && random.nextInt(4) == 0) {
                 store.take(tables.get(Math.min(80, random.nextInt(at + 20))));
@@ -126,7 +126,7 @@
         }
         store.decided(80, "c80", log.get(79));
         assertEquals(tables.get(80).revision(), store.table().revision());
-        fates.forEach((id, fate) -> assertEquals(whole.fate(id), fate));
+        outcomes.forEach((id, outcome) -> assertEquals(whole.outcome(id), outcome));
         assertFalse(store.take(tables.get(79)), "never back");
     }
 
@@ -139,23 +139,23 @@
             Change change = Changes.of("c" + i, put("r", "" + i));
             other.decided(i, "c" + i, change);
             if (i > 10) {
-                assertInstanceOf(Fate.Waiting.class, store.decided(i, "c" + i, change));
+                assertInstanceOf(ChangeOutcome.Pending.class, store.decided(i, "c" + i, change));
             }
         }
-        assertEquals(Store.WAITING_MOST, store.waiting());
-        assertEquals(9_000 - Store.WAITING_MOST, store.missing());
+        assertEquals(Store.PENDING_MOST, store.pending());
+        assertEquals(9_000 - Store.PENDING_MOST, store.missing());
         assertEquals(List.of("config_gap expected decision 1, found 11: waits for another voter's table"), noted.events);
         assertTrue(store.take(other.table()));
         assertEquals(0, store.missing());
-        assertEquals(0, store.waiting());
+        assertEquals(0, store.pending());
         assertEquals(1, noted.jumps);
-        assertNull(other.fate("c" + (9_000 - Store.FATES_MOST)));
-        assertInstanceOf(Fate.In.class, other.fate("c" + (9_001 - Store.FATES_MOST)));
+        assertNull(other.outcome("c" + (9_000 - Store.OUTCOMES_MOST)));
+        assertInstanceOf(ChangeOutcome.Applied.class, other.outcome("c" + (9_001 - Store.OUTCOMES_MOST)));
         Store large = new Store(Table.empty(1), 1, noted);
         for (int i = 2; i < 1_000; i++) {
             large.decided(i, "c" + i, Changes.of("c" + i, new Edit.Upsert(ResourceKind.POOL, "p", new byte[60_000], Edit.ANY)));
         }
-        assertTrue(large.waiting() < 290 && large.waiting() > 250, large.waiting() + " of 60 kB wait");
+        assertTrue(large.pending() < 290 && large.pending() > 250, large.pending() + " of 60 kB wait");
     }
 
     private static Table after(int changes) {
@@ -175,16 +175,16 @@
         assertFalse(store.begun());
         assertEquals(had.revision(), store.toBegin());
         assertEquals(had.revision(), store.table().revision(), "nothing new is shown before it is agreed on");
-        Fate fate = store.decided(1, "begin", new EpochStart(had.revision()));
-        assertEquals(new Fate.In(new Revision(2, 1, had.revision().high(), had.revision().low())), fate);
+        ChangeOutcome outcome = store.decided(1, "begin", new EpochStart(had.revision()));
+        assertEquals(new ChangeOutcome.Applied(new Revision(2, 1, had.revision().high(), had.revision().low())), outcome);
         assertTrue(store.begun());
         assertNull(store.toBegin());
-        assertInstanceOf(Fate.In.class, store.decided(2, "next", Changes.of("next", put("r1", "new"))));
+        assertInstanceOf(ChangeOutcome.Applied.class, store.decided(2, "next", Changes.of("next", put("r1", "new"))));
         Store passed = new Store(had.passed(9).table(), 2, new Noted());
         passed.decided(1, "begin", new EpochStart(had.revision()));
         passed.decided(2, "next", Changes.of("next", put("r1", "new")));
         assertEquals(store.table().revision(), passed.table().revision(), "the same resources at another number");
-        assertEquals(new Fate.Conflict("expected a change, found an epoch's beginning behind its first decision"), store.decided(3, "late", new EpochStart(had.revision())));
+        assertEquals(new ChangeOutcome.Conflict("expected a change, found an epoch's beginning behind its first decision"), store.decided(3, "late", new EpochStart(had.revision())));
         assertEquals(3, store.table().revision().number());
     }
 
@@ -200,9 +200,9 @@
         for (Table other : List.of(after(5), after(9), Store.nothing(2))) {
             Noted noted = new Noted();
             Store store = new Store(other, 2, noted);
-            assertEquals(new Fate.Waiting(1), store.decided(1, "begin", new EpochStart(had.revision())));
-            assertEquals(new Fate.Waiting(1), store.decided(2, "next", next));
-            assertEquals(new Fate.Waiting(1), store.decided(1, "begin", new EpochStart(had.revision())), "heard again");
+            assertEquals(new ChangeOutcome.Pending(1), store.decided(1, "begin", new EpochStart(had.revision())));
+            assertEquals(new ChangeOutcome.Pending(1), store.decided(2, "next", next));
+            assertEquals(new ChangeOutcome.Pending(1), store.decided(1, "begin", new EpochStart(had.revision())), "heard again");
             assertFalse(store.begun());
             assertEquals(1, store.missing());
             assertNull(store.toBegin(), "it was told what it begins from");
@@ -226,7 +226,7 @@
         assertTrue(after(1).revision().after(Store.nothing(2).revision()));
         Store first = new Store(Store.nothing(1), 1, new Noted());
         assertTrue(first.begun(), "a first epoch begins with an empty table");
-        assertInstanceOf(Fate.In.class, first.decided(1, "one", Changes.of("one", put("r", "1"))));
+        assertInstanceOf(ChangeOutcome.Applied.class, first.decided(1, "one", Changes.of("one", put("r", "1"))));
     }
 
     /** Folders and logs of builds that knew no such decision: a copy that is of the epoch already, at number 0, and a log that begins with a change. */
@@ -236,17 +236,17 @@
         Store store = new Store(had, 2, new Noted());
         assertEquals(had.revision(), store.toBegin());
         Change change = Changes.of("one", put("r", "1"));
-        assertInstanceOf(Fate.In.class, store.decided(1, "one", change));
+        assertInstanceOf(ChangeOutcome.Applied.class, store.decided(1, "one", change));
         assertEquals(Changes.applied(had.apply(1, change)).table().revision(), store.table().revision());
         Store named = new Store(had, 2, new Noted());
         named.decided(1, "begin", new EpochStart(after(7).revision()));
         assertEquals(had.passed(1).table().revision(), named.table().revision());
         Store without = new Store(Store.nothing(2), 2, new Noted());
-        assertEquals(new Fate.Waiting(1), without.decided(1, "one", change), "nobody says what it began from");
-        assertEquals(new Fate.Waiting(1), new Store(after(7), 2, new Noted()).decided(1, "later", null), "a later build's beginning may be any");
+        assertEquals(new ChangeOutcome.Pending(1), without.decided(1, "one", change), "nobody says what it began from");
+        assertEquals(new ChangeOutcome.Pending(1), new Store(after(7), 2, new Noted()).decided(1, "later", null), "a later build's beginning may be any");
         Store on = new Store(Changes.applied(had.apply(1, change)).table(), 2, new Noted());
         assertTrue(on.begun());
-        assertInstanceOf(Fate.In.class, on.decided(2, "two", Changes.of("two", put("r", "2"))));
+        assertInstanceOf(ChangeOutcome.Applied.class, on.decided(2, "two", Changes.of("two", put("r", "2"))));
         assertThrows(IllegalArgumentException.class, () -> new Store(had, 1, new Noted()));
     }
 }
--- a/src/test/java/mastdrift/distribution/SubscriberTest.java
+++ b/src/test/java/mastdrift/distribution/SubscriberTest.java
@@ -52,7 +52,7 @@
         for (int i = 0; i < 9; i++) {
             turned.add(0, lines.change(machine, "t", "v" + i));
         }
-        turned.forEach(each -> gateway.heard(lines.now, "a", new Message.Deltas(List.of(each))));
+        turned.forEach(each -> gateway.received(lines.now, "a", new Message.Deltas(List.of(each))));
         assertEquals(before.revision().number() + 1, gateway.table().revision().number(), "only the first fits, which came last");
         lines.fate = (from, to, message) -> true;
         lines.run(4 * SECOND);
@@ -103,7 +103,7 @@
             }
         }
         lines.events.clear();
-        gateway.heard(lines.now, "a", new Message.Deltas(deltas));
+        gateway.received(lines.now, "a", new Message.Deltas(deltas));
         assertEquals(expected.revision(), gateway.table().revision());
         List<String> events = new ArrayList<>();
         if (expected != begin) {
@@ -133,18 +133,18 @@
         for (Table older : List.of(old, before)) {
             Revision revision = older.revision();
             List<Message.Shard> shards = IntStream.range(0, Table.SHARDS).mapToObj(i -> new Message.Shard(i, older.shard(i))).toList();
-            for (Message each : List.of(new Message.Current(revision), new Message.SnapshotNeeded(revision, "x"), new Message.SnapshotNeeded(revision, "forked: x"),
-                    new Message.Piece(revision, shards, true), new Message.Deltas(List.of(new Delta(0, revision, List.of(), List.of()))))) {
-                gateway.heard(lines.now, "a", each);
+            for (Message each : List.of(new Message.Heartbeat(revision), new Message.SnapshotNeeded(revision, "x"), new Message.SnapshotNeeded(revision, "forked: x"),
+                    new Message.SnapshotChunk(revision, shards, true), new Message.Deltas(List.of(new Delta(0, revision, List.of(), List.of()))))) {
+                gateway.received(lines.now, "a", each);
                 assertSame(have, gateway.table());
                 assertEquals(List.of(), lines.to("a", Message.Fetch.class), "nothing of it is wanted");
             }
         }
-        gateway.heard(lines.now, "a", new Message.SnapshotNeeded(new Revision(2, 7, 0, 0), "it promises a later one, and has it not"));
+        gateway.received(lines.now, "a", new Message.SnapshotNeeded(new Revision(2, 7, 0, 0), "it promises a later one, and has it not"));
         assertEquals(1, lines.to("a", Message.Fetch.class).size());
         lines.run(2 * SECOND);
         assertSame(have, gateway.table());
-        assertEquals(List.of(before.revision()), lines.to("g", Message.Piece.class).stream().map(Message.Piece::revision).distinct().toList());
+        assertEquals(List.of(before.revision()), lines.to("g", Message.SnapshotChunk.class).stream().map(Message.SnapshotChunk::revision).distinct().toList());
         lines.machine("b", have);
         gateway.machines(lines.now, List.of(new Machine("a", "z-1"), new Machine("b", "z-1")));
         lines.run(8 * SECOND);
@@ -190,7 +190,7 @@
         Publisher other = lines.machine("b", table);
         Subscriber gateway = lines.gateway("g", Table.empty(1), "a", "b");
         assertFalse(gateway.ready());
-        while (lines.to("g", Message.Piece.class).size() < 40) {
+        while (lines.to("g", Message.SnapshotChunk.class).size() < 40) {
             lines.run(Lines.STEP);
         }
         if (gateway.machine().equals("b")) {
@@ -202,27 +202,27 @@
         together(lines, other, gateway);
         assertTrue(gateway.ready());
         long filled = IntStream.range(0, Table.SHARDS).filter(i -> !table.shard(i).isEmpty()).count();
-        List<Message.Piece> pieces = lines.to("g", Message.Piece.class);
-        long fetched = pieces.stream().mapToLong(each -> each.shards().size()).sum();
-        long piece = pieces.stream().mapToLong(each -> each.shards().size()).max().orElse(0);
-        assertTrue(fetched <= filled + 1 + SubscriberSettings.USUAL.credit() * piece, fetched + " shards were sent of " + filled + ", but for those under way at the end and the one that changed");
+        List<Message.SnapshotChunk> chunks = lines.to("g", Message.SnapshotChunk.class);
+        long fetched = chunks.stream().mapToLong(each -> each.shards().size()).sum();
+        long chunk = chunks.stream().mapToLong(each -> each.shards().size()).max().orElse(0);
+        assertTrue(fetched <= filled + 1 + SubscriberSettings.USUAL.credit() * chunk, fetched + " shards were sent of " + filled + ", but for those under way at the end and the one that changed");
         assertEquals(2, lines.to("a", Message.Fetch.class).size() + lines.to("b", Message.Fetch.class).size());
     }
 
-    /** A piece that gets lost is asked for again, and one of nonsense leads elsewhere. */
+    /** A chunk that gets lost is asked for again, and one of nonsense leads elsewhere. */
     @Test
-    void aPieceThatIsLostIsAskedForAgainAndOneThatIsWrongLeadsElsewhere() {
+    void aChunkThatIsLostIsAskedForAgainAndOneThatIsWrongLeadsElsewhere() {
         Lines lines = new Lines(new PublisherSettings(200_000, 2 * SECOND, 8, 4_096, 1 << 20, 20 * SECOND, 30 * SECOND, 10 * SECOND, 8 << 10));
         Publisher machine = lines.machine("a", Changes.table(3_000));
         int[] count = new int[1];
-        lines.fate = (from, to, message) -> !(message instanceof Message.Piece) || ++count[0] % 9 != 0;
+        lines.fate = (from, to, message) -> !(message instanceof Message.SnapshotChunk) || ++count[0] % 9 != 0;
         Subscriber gateway = lines.gateway("g", Table.empty(1), "a");
         lines.run(10 * SECOND);
         together(lines, machine, gateway);
         Subscriber second = lines.gateway("h", Table.empty(1), "a");
-        lines.fate = (from, to, message) -> !(message instanceof Message.Piece) || !to.equals("h");
+        lines.fate = (from, to, message) -> !(message instanceof Message.SnapshotChunk) || !to.equals("h");
         lines.run(200_000);
-        second.heard(lines.now, "a", new Message.Piece(machine.table().revision(), List.of(new Message.Shard(1, machine.table().shard(0))), true));
+        second.received(lines.now, "a", new Message.SnapshotChunk(machine.table().revision(), List.of(new Message.Shard(1, machine.table().shard(0))), true));
         assertTrue(lines.events.stream().anyMatch(each -> each.startsWith("h config_bad_snapshot a: shard 1: expected its own resources, found ")), lines.events.toString());
         lines.fate = (from, to, message) -> true;
         lines.run(5 * SECOND);
@@ -296,11 +296,11 @@
         TreeSet<Long> fetched = new TreeSet<>();
         for (int i = 0; i < 20; i++) {
             Subscriber each = lines.gateway("g" + i, Table.empty(1), "a");
-            each.heard(lines.now, "a", new Message.SnapshotNeeded(lines.machines.get("a").table().revision(), "x"));
-            each.heard(lines.now, "a", new Message.Later(3_000));
+            each.received(lines.now, "a", new Message.SnapshotNeeded(lines.machines.get("a").table().revision(), "x"));
+            each.received(lines.now, "a", new Message.RetryAfter(3_000));
             long due = IntStream.range(1, 2_000).mapToLong(step -> lines.now + step * Lines.STEP).filter(at -> {
                 int before = lines.to("a", Message.Fetch.class).size();
-                each.heard(at, "a", new Message.Current(lines.machines.get("a").table().revision()));
+                each.received(at, "a", new Message.Heartbeat(lines.machines.get("a").table().revision()));
                 return lines.to("a", Message.Fetch.class).size() > before;
             }).findFirst().orElseThrow();
             fetched.add(due);
@@ -328,7 +328,7 @@
     }
 
     private static Subscriber subscriber(String name, String zone, List<Machine> machines) {
-        Subscriber made = new Subscriber(name, zone, Table.empty(1), SubscriberSettings.USUAL, name.hashCode(), new Subscriber.Out() {
+        Subscriber made = new Subscriber(name, zone, Table.empty(1), SubscriberSettings.USUAL, name.hashCode(), new Subscriber.Actions() {
             @Override
             public void send(String to, Message message) {
                 // nobody is there
@@ -360,13 +360,13 @@
         int[] halves = new int[2];
         for (int i = 0; i < 370; i++) {
             Subscriber each = subscriber("g" + i, "z", machines);
-            each.ended(SECOND, each.machine());
+            each.outboundClosed(SECOND, each.machine());
             assertTrue(each.dueAt() >= SECOND && each.dueAt() <= 1_500_000);
             halves[each.dueAt() < 1_250_000 ? 0 : 1]++;
             long now = each.dueAt();
             for (int again = 0; again < 10; again++) {
                 each.tick(now);
-                each.ended(now, each.machine());
+                each.outboundClosed(now, each.machine());
                 assertTrue(each.dueAt() - now <= 2 * SECOND);
                 now = each.dueAt();
             }
@@ -422,7 +422,7 @@
         Subscriber gateway = lines.gateway("g", table, "a");
         lines.run(2 * SECOND);
         together(lines, machine, gateway);
-        assertEquals(0, lines.to("g", Message.Piece.class).stream().mapToInt(each -> each.shards().size()).sum());
+        assertEquals(0, lines.to("g", Message.SnapshotChunk.class).stream().mapToInt(each -> each.shards().size()).sum());
     }
 
     @Test
--- a/src/test/java/mastdrift/distribution/TableTest.java
+++ b/src/test/java/mastdrift/distribution/TableTest.java
@@ -22,7 +22,7 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import mastdrift.distribution.Message.Piece;
+import mastdrift.distribution.Message.SnapshotChunk;
 import mastdrift.distribution.Message.Shard;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -66,7 +66,7 @@
             boolean conflict = false;
             for (Edit edit : change.edits()) {
                 Resource there = model.get(edit.kind() + " " + edit.name());
-                conflict |= edit.expected() != Edit.ANY && edit.expected() != (there == null ? 0 : there.version());
+                conflict |= edit.expectedVersion() != Edit.ANY && edit.expectedVersion() != (there == null ? 0 : there.version());
                 next.remove(edit.kind() + " " + edit.name());
                 if (edit instanceof Edit.Upsert upsert) {
                     next.put(edit.kind() + " " + edit.name(), new Resource(edit.kind(), edit.name(), number, upsert.value()));
@@ -98,7 +98,7 @@
         }
     }
 
-    /** What it holds makes the hash, and not how it came: edits in another order, by way of resources that are gone again, or in pieces of a snapshot. */
+    /** What it holds makes the hash, and not how it came: edits in another order, by way of resources that are gone again, or in chunks of a snapshot. */
     @Property(tries = 80)
     void theSameResourcesHaveTheSameHashHoweverTheyCame(@ForAll long seed) {
         Random random = new Random(seed);
@@ -113,7 +113,7 @@
         Table.Assembly assembly = Table.empty(1).assembly();
         List<Shard> shards = new ArrayList<>(IntStream.range(0, Table.SHARDS).mapToObj(i -> new Shard(i, one.shard(i))).filter(each -> !each.resources().isEmpty()).toList());
         Collections.shuffle(shards, random);
-        shards.forEach(each -> assertNull(assembly.add(new Piece(one.revision(), List.of(each), false))));
+        shards.forEach(each -> assertNull(assembly.add(new SnapshotChunk(one.revision(), List.of(each), false))));
         assertEquals(one.revision(), assembly.finish().revision());
         assertNotEquals(one.revision(), applied(one.apply(10, Changes.of("z", put("n1", "else")))).table().revision());
     }
@@ -225,7 +225,7 @@
             deltas.add(applied.delta());
         }
         deltas.add(new Delta(23, new Revision(1, 24, 0, 0), List.of(new Resource(ResourceKind.POOL, names.get(23), 24, value)), List.of()));
-        deltas.add(new Delta(24, new Revision(1, 25, table.revision().high(), table.revision().low()), List.of(), List.of(new Delta.Gone(ResourceKind.POOL, names.get(23)))));
+        deltas.add(new Delta(24, new Revision(1, 25, table.revision().high(), table.revision().low()), List.of(), List.of(new Delta.Deletion(ResourceKind.POOL, names.get(23)))));
         Table.Followed followed = Table.empty(1).follow(deltas);
         assertEquals(23, followed.taken());
         assertEquals(table.revision(), followed.table().revision());
@@ -249,7 +249,7 @@
         all.stream().sorted(Comparator.comparing(Resource::name)).forEach(each -> shards.get(Table.shardOf(each.kind(), each.name())).add(each));
         long[] hash = hash(all);
         Table.Assembly assembly = Table.empty(1).assembly();
-        assertNull(assembly.add(new Piece(new Revision(1, 1, hash[0], hash[1]), IntStream.range(0, Table.SHARDS).mapToObj(i -> new Shard(i, shards.get(i))).toList(), true)));
+        assertNull(assembly.add(new SnapshotChunk(new Revision(1, 1, hash[0], hash[1]), IntStream.range(0, Table.SHARDS).mapToObj(i -> new Shard(i, shards.get(i))).toList(), true)));
         Table table = assembly.finish();
         Outcome.Conflict conflict = assertInstanceOf(Outcome.Conflict.class, table.apply(1_000, Changes.of("d", put("r", "1"))));
         assertEquals("expected at most 500000 resources, found 500001", conflict.reason());
@@ -284,7 +284,7 @@
         Table.Assembly assembly = have.assembly();
         int half = random.nextInt(Table.SHARDS);
         for (int i = 0; i < half; i++) {
-            assertNull(assembly.add(new Piece(first.revision(), List.of(new Shard(i, first.shard(i))), false)));
+            assertNull(assembly.add(new SnapshotChunk(first.revision(), List.of(new Shard(i, first.shard(i))), false)));
         }
         Table later = applied(first.apply(99, Changes.of("x", put("resource-4", "else"), put("new", "1"), new Edit.Delete(ResourceKind.POOL, "resource-9", Edit.ANY)))).table();
         long[] digests = assembly.digests();
@@ -292,7 +292,7 @@
         for (int i = 0; i < Table.SHARDS; i++) {
             if (digests[i] != later.digest(i)) {
                 differ++;
-                assertEquals(null, assembly.add(new Piece(later.revision(), List.of(new Shard(i, later.shard(i))), false)));
+                assertEquals(null, assembly.add(new SnapshotChunk(later.revision(), List.of(new Shard(i, later.shard(i))), false)));
             }
         }
         assertTrue(differ <= Table.SHARDS - half + 3, differ + " differ");
@@ -304,19 +304,19 @@
     }
 
     @Test
-    void aPieceThatIsWrongIsToldAndNothingOfItIsTaken() {
+    void aChunkThatIsWrongIsToldAndNothingOfItIsTaken() {
         Table table = Changes.table(4_000);
         Table.Assembly assembly = Table.empty(1).assembly();
         assertEquals(Revision.none(1), assembly.finish().revision(), "nothing came, so it is what it began from");
         Shard zero = new Shard(0, table.shard(0));
         List<Resource> turned = new ArrayList<>(table.shard(0));
         Collections.reverse(turned);
-        assertTrue(assembly.add(new Piece(table.revision(), List.of(new Shard(1, table.shard(0))), true)).startsWith("shard 1: expected its own resources, found "));
-        assertTrue(assembly.add(new Piece(table.revision(), List.of(new Shard(0, turned)), true)).startsWith("shard 0: expected resources in their order, found "));
-        assertEquals("piece: expected shards from 1 to 1023, found 0", assembly.add(new Piece(table.revision(), List.of(zero, zero), true)));
-        assertEquals("piece: expected shards from 0 to 1023, found 1024", assembly.add(new Piece(table.revision(), List.of(new Shard(1_024, List.of())), true)));
+        assertTrue(assembly.add(new SnapshotChunk(table.revision(), List.of(new Shard(1, table.shard(0))), true)).startsWith("shard 1: expected its own resources, found "));
+        assertTrue(assembly.add(new SnapshotChunk(table.revision(), List.of(new Shard(0, turned)), true)).startsWith("shard 0: expected resources in their order, found "));
+        assertEquals("piece: expected shards from 1 to 1023, found 0", assembly.add(new SnapshotChunk(table.revision(), List.of(zero, zero), true)));
+        assertEquals("piece: expected shards from 0 to 1023, found 1024", assembly.add(new SnapshotChunk(table.revision(), List.of(new Shard(1_024, List.of())), true)));
         assertEquals(0, assembly.taken());
-        assertNull(assembly.add(new Piece(table.revision(), List.of(zero), true)));
+        assertNull(assembly.add(new SnapshotChunk(table.revision(), List.of(zero), true)));
         assertNull(assembly.finish());
         assertTrue(assembly.problem().startsWith("snapshot of 14: expected what makes "), assembly.problem());
     }
--- a/src/test/java/mastdrift/distribution/edge/ControlCodecTest.java
+++ b/src/test/java/mastdrift/distribution/edge/ControlCodecTest.java
@@ -42,7 +42,7 @@
         byte[] value = new byte[] {'{', '}'};
         ControlMessage.Apply apply = new ControlMessage.Apply(1, new Change("id", List.of(new Edit.Upsert(ResourceKind.ROUTE, "a", value, 3))));
         Edit.Upsert read = (Edit.Upsert) ((ControlMessage.Apply) ControlCodec.message(ControlCodec.bytes(apply))).change().edits().get(0);
-        assertEquals("a 3", read.name() + " " + read.expected());
+        assertEquals("a 3", read.name() + " " + read.expectedVersion());
         assertArrayEquals(value, read.value());
     }
 
--- a/src/test/java/mastdrift/distribution/edge/Drawn.java
+++ b/src/test/java/mastdrift/distribution/edge/Drawn.java
@@ -64,9 +64,9 @@
     }
 
     Delta delta() {
-        List<Delta.Gone> gone = new ArrayList<>();
+        List<Delta.Deletion> gone = new ArrayList<>();
         for (int i = random.nextInt(4); i > 0; i--) {
-            gone.add(new Delta.Gone(KINDS[random.nextInt(KINDS.length)], text(1, Resource.NAME_MOST)));
+            gone.add(new Delta.Deletion(KINDS[random.nextInt(KINDS.length)], text(1, Resource.NAME_MOST)));
         }
         return new Delta(number(), revision(), resources(5), gone);
     }
@@ -108,16 +108,16 @@
                 }
                 yield new Message.Deltas(deltas);
             }
-            case 7 -> new Message.Current(revision());
+            case 7 -> new Message.Heartbeat(revision());
             case 8 -> new Message.SnapshotNeeded(revision(), text(0, MessageCodec.REASON_MOST));
             case 9 -> {
                 List<Message.Shard> shards = new ArrayList<>();
                 for (int i = random.nextInt(6); i > 0; i--) {
                     shards.add(new Message.Shard(random.nextInt(1_024), resources(4)));
                 }
-                yield new Message.Piece(revision(), shards, random.nextBoolean());
+                yield new Message.SnapshotChunk(revision(), shards, random.nextBoolean());
             }
-            default -> new Message.Later(count());
+            default -> new Message.RetryAfter(count());
         };
     }
 
@@ -129,8 +129,8 @@
         if (message instanceof Message.Deltas deltas) {
             return "Deltas " + deltas.deltas().stream().map(Drawn::said).toList();
         }
-        if (message instanceof Message.Piece piece) {
-            return "Piece " + piece.revision() + piece.shards().stream().map(shard -> shard.number() + " " + said(shard.resources())).toList() + piece.last();
+        if (message instanceof Message.SnapshotChunk chunk) {
+            return "SnapshotChunk " + chunk.revision() + chunk.shards().stream().map(shard -> shard.number() + " " + said(shard.resources())).toList() + chunk.last();
         }
         return message.toString();
     }
@@ -144,7 +144,7 @@
     }
 
     static String said(Change change) {
-        return change.id() + change.edits().stream().map(edit -> edit instanceof Edit.Upsert upsert ? upsert.kind() + upsert.name() + upsert.expected()
+        return change.id() + change.edits().stream().map(edit -> edit instanceof Edit.Upsert upsert ? upsert.kind() + upsert.name() + upsert.expectedVersion()
                 + Arrays.toString(upsert.value()) : edit.toString()).toList();
     }
 }
--- a/src/test/java/mastdrift/distribution/edge/MessageCodecTest.java
+++ b/src/test/java/mastdrift/distribution/edge/MessageCodecTest.java
@@ -98,7 +98,7 @@
     void laterVersionsAndFormsAreRefusedByName() {
         byte[] later = MessageCodec.bytes(new Message.Credit(1));
         later[0] = MessageCodec.VERSION + 1;
-        assertEquals("expected messages of version 1 at most, found version 2", assertThrows(MessageCodec.LaterVersionException.class, () -> MessageCodec.message(later)).getMessage());
+        assertEquals("expected messages of version 1 at most, found version 2", assertThrows(MessageCodec.UnsupportedVersionException.class, () -> MessageCodec.message(later)).getMessage());
         byte[] form = MessageCodec.bytes(new Message.Credit(1));
         form[1] = 2;
         assertTrue(refused(form).startsWith("form: expected 0 or 1"));
@@ -168,7 +168,7 @@
         List<Resource> many = Collections.nCopies(MessageCodec.ITEMS_MOST / 2, resource("n", 0));
         shards.add(new Message.Shard(1, many));
         shards.add(new Message.Shard(2, many));
-        assertTrue(refused(MessageCodec.bytes(new Message.Piece(REVISION, shards, true))).contains("expected at most 65536 in all, found more"));
+        assertTrue(refused(MessageCodec.bytes(new Message.SnapshotChunk(REVISION, shards, true))).contains("expected at most 65536 in all, found more"));
     }
 
     @Test
@@ -181,16 +181,16 @@
             random.nextBytes(value);
             resources.add(new Resource(ResourceKind.HOST, "h" + i, 1, value));
         }
-        assertTrue(unwritten(new Message.Piece(REVISION, List.of(new Message.Shard(0, resources)), true)).startsWith("a message: expected at most 524288 bytes, found 65"));
-        byte[] fits = MessageCodec.bytes(new Message.Piece(REVISION, List.of(new Message.Shard(0, resources.subList(0, 31))), true));
+        assertTrue(unwritten(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, resources)), true)).startsWith("a message: expected at most 524288 bytes, found 65"));
+        byte[] fits = MessageCodec.bytes(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, resources.subList(0, 31))), true));
         assertTrue(fits.length <= PeerLinks.MESSAGE_MOST);
         List<Resource> alike = Collections.nCopies(200, resource("n", Resource.VALUE_MOST));
-        assertTrue(unwritten(new Message.Piece(REVISION, List.of(new Message.Shard(0, alike)), true)).startsWith("a message: expected at most 2097152 bytes before they are deflated"));
-        assertTrue(unwritten(new Message.Piece(REVISION, List.of(new Message.Shard(1_024, List.of())), true)).startsWith("shard: expected at most 1023, found 1024"));
+        assertTrue(unwritten(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, alike)), true)).startsWith("a message: expected at most 2097152 bytes before they are deflated"));
+        assertTrue(unwritten(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(1_024, List.of())), true)).startsWith("shard: expected at most 1023, found 1024"));
         assertTrue(unwritten(new Message.Fetch(new long[1_025], 1)).startsWith("digests: expected at most 1024"));
         assertTrue(unwritten(new Message.Nack(REVISION, REVISION, "r".repeat(1_025))).startsWith("reason: expected 0 to 1024 characters, found 1025"));
         assertTrue(unwritten(new Message.Subscribe(REVISION, "\ud800")).contains("expected text in UTF-8"));
-        assertTrue(unwritten(new Message.Later(-1)).startsWith("millis: expected at least 0, found -1"));
+        assertTrue(unwritten(new Message.RetryAfter(-1)).startsWith("millis: expected at least 0, found -1"));
         List<Edit> edits = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             edits.add(new Edit.Upsert(ResourceKind.HOST, "h" + i, resources.get(i).value(), Edit.ANY));
--- a/src/test/java/mastdrift/distribution/edge/PublicationTest.java
+++ b/src/test/java/mastdrift/distribution/edge/PublicationTest.java
@@ -192,7 +192,7 @@
         assertEquals(List.of("WARN config_malformed"), List.copyOf(events));
         transport.full.add(first);
         on(() -> {
-            subscription.received(first, MessageCodec.bytes(new Message.Current(tables.table().revision())));  // it is behind, and asks
+            subscription.received(first, MessageCodec.bytes(new Message.Heartbeat(tables.table().revision())));  // it is behind, and asks
             return null;
         });
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
--- a/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
+++ b/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
@@ -54,9 +54,9 @@
         private final PeerLinks links;
         private final ConcurrentLinkedQueue<String> events = new ConcurrentLinkedQueue<>();
         private final AtomicInteger jumps = new AtomicInteger();
-        private final AtomicInteger pieces = new AtomicInteger();
+        private final AtomicInteger chunks = new AtomicInteger();
         private volatile Table table;
-        private IntConsumer pieceSent = count -> { };
+        private IntConsumer chunkSent = count -> { };
         private TableWriter writer;
         private Publication publication;
         private Subscription subscription;
@@ -181,8 +181,8 @@
         @Override
         public boolean reply(String to, byte[] message) {
             boolean sent = links.reply(to, CONFIG, message);
-            if (sent && MessageCodec.message(message) instanceof Message.Piece) {
-                pieceSent.accept(pieces.incrementAndGet());
+            if (sent && MessageCodec.message(message) instanceof Message.SnapshotChunk) {
+                chunkSent.accept(chunks.incrementAndGet());
             }
             return sent;
         }
@@ -278,7 +278,7 @@
         Node two = new Node("two", KEY).publishes(tables.table());
         AtomicInteger sentByFirst = new AtomicInteger();
         for (Node each : List.of(one, two)) {
-            each.pieceSent = count -> {
+            each.chunkSent = count -> {
                 if (count == 6 && sentByFirst.compareAndSet(0, count)) {
                     each.loop.execute(each.links::close);
                 }
@@ -287,19 +287,19 @@
         Node gateway = new Node("gateway", KEY).subscribes(Table.empty(1), Map.of("one", one.address(), "two", two.address()));
         follow(List.of(gateway));
         assertEquals(6, sentByFirst.get());
-        int all = one.pieces.get() + two.pieces.get();
+        int all = one.chunks.get() + two.chunks.get();
         int whole = wholeSnapshot();
-        assertTrue(all <= whole + 4, "expected about " + whole + " pieces in all, found " + all + ": what was heard isn't sent again");
+        assertTrue(all <= whole + 4, "expected about " + whole + " chunks in all, found " + all + ": what was heard isn't sent again");
         assertEquals(1, gateway.jumps.get());
         assertTrue(gateway.on(() -> gateway.subscription.subscriber().ready()));
     }
 
-    /** Pieces of one that isn't broken off. */
+    /** Chunks of one that isn't broken off. */
     private int wholeSnapshot() throws Exception {
         Node machine = new Node("machine", KEY).publishes(tables.table());
         Node gateway = new Node("whole", KEY).subscribes(Table.empty(1), Map.of("machine", machine.address()));
         follow(List.of(gateway));
-        return machine.pieces.get();
+        return machine.chunks.get();
     }
 
     /** Nothing of what the machine says arrives at one of two: it is let go, the other hears on, and it catches up later. */
--- a/src/test/java/mastdrift/distribution/edge/TableFolderTest.java
+++ b/src/test/java/mastdrift/distribution/edge/TableFolderTest.java
@@ -79,9 +79,9 @@
         same(tables.table(), read(files).table());
     }
 
-    /** A large table, of many pieces. */
+    /** A large table, of many chunks. */
     @Test
-    void aSnapshotOfManyPiecesIsReadAgain() throws IOException {
+    void aSnapshotOfManyChunksIsReadAgain() throws IOException {
         MemoryFiles files = memory();
         Growing tables = new Growing(2);
         for (int i = 0; i < 200; i++) {
@@ -276,7 +276,7 @@
             int length = journal == null || folder.bytes() == files.bytes(TableFolder.SNAPSHOT).length ? 0 : journal.length;
             folds += length < before ? 1 : 0;
             before = length;
-            assertTrue(length <= Math.max(TableFolder.FOLD_LEAST, files.bytes(TableFolder.SNAPSHOT).length), length + " bytes");
+            assertTrue(length <= Math.max(TableFolder.COMPACT_LEAST, files.bytes(TableFolder.SNAPSHOT).length), length + " bytes");
         }
         assertTrue(folds >= 1 && folds < 20, folds + " folds");
         same(tables.table(), read(files).table());
--- a/src/test/java/mastdrift/peers/edge/PeerMessageCodecTest.java
+++ b/src/test/java/mastdrift/peers/edge/PeerMessageCodecTest.java
@@ -94,7 +94,7 @@
         assertThrows(IllegalArgumentException.class, () -> PeerMessageCodec.message(PeerMessageCodec.bytes(new PeerMessage.Ping(1, many.subList(0, PeerMessage.UPDATES_MOST + 1)))));
         byte[] later = PeerMessageCodec.bytes(new PeerMessage.Nack(1, List.of()));
         later[0] = 2;
-        assertThrows(PeerMessageCodec.LaterVersionException.class, () -> PeerMessageCodec.message(later));
+        assertThrows(PeerMessageCodec.UnsupportedVersionException.class, () -> PeerMessageCodec.message(later));
         Update long64 = new Update(new Member("g".repeat(65), 1, "z", "b", "s"), 0, MemberState.ALIVE, "g");
         assertThrows(IllegalArgumentException.class, () -> PeerMessageCodec.message(PeerMessageCodec.bytes(new PeerMessage.Ping(1, List.of(long64)))));
         assertThrows(IllegalArgumentException.class, () -> PeerMessageCodec.message(new byte[0]));
