--- a/src/main/java/mastdrift/cli/ConfigCommand.java
+++ b/src/main/java/mastdrift/cli/ConfigCommand.java
@@ -40,7 +40,7 @@
 
         @Override
         public Integer call() throws InterruptedException {
-            return new ConfigQuestions(spec.commandLine().getOut(), spec.commandLine().getErr()).apply(config, file, id, seconds);
+            return new ConfigRequests(spec.commandLine().getOut(), spec.commandLine().getErr()).apply(config, file, id, seconds);
         }
     }
 
@@ -61,7 +61,7 @@
 
         @Override
         public Integer call() throws InterruptedException {
-            return new ConfigQuestions(spec.commandLine().getOut(), spec.commandLine().getErr()).get(config, kind, name);
+            return new ConfigRequests(spec.commandLine().getOut(), spec.commandLine().getErr()).get(config, kind, name);
         }
     }
 
@@ -76,7 +76,7 @@
 
         @Override
         public Integer call() throws InterruptedException {
-            return new ConfigQuestions(spec.commandLine().getOut(), spec.commandLine().getErr()).status(config);
+            return new ConfigRequests(spec.commandLine().getOut(), spec.commandLine().getErr()).status(config);
         }
     }
 }
--- a/src/main/java/mastdrift/cli/ConfigQuestions.java
+++ b/src/main/java/mastdrift/cli/ConfigRequests.java
@@ -20,8 +20,8 @@
 import mastdrift.files.FileTexts;
 import mastdrift.serve.ControlClient;
 
-/** What {@link ConfigCommand} asks control machines, and how it shows the answers. Apart from the commands, whose methods' types are loaded with every command. */
-final class ConfigQuestions {
+/** Requests of {@link ConfigCommand} to control machines, and how it shows the responses. Apart from the commands, whose methods' types are loaded with every command. */
+final class ConfigRequests {
 
     private static final int REFUSED = 1;
     private static final int WORDS = 2;
@@ -30,18 +30,18 @@
     private final PrintWriter out;
     private final PrintWriter err;
 
-    ConfigQuestions(PrintWriter out, PrintWriter err) {
+    ConfigRequests(PrintWriter out, PrintWriter err) {
         this.out = out;
         this.err = err;
     }
 
-    private interface Asking {
-        int ask(ControlClient client) throws InterruptedException;
+    private interface Request {
+        int send(ControlClient client) throws InterruptedException;
     }
 
-    private int by(Path config, Asking asking) throws InterruptedException {
+    private int by(Path config, Request request) throws InterruptedException {
         try (ControlClient client = ControlClient.by(config)) {
-            return asking.ask(client);
+            return request.send(client);
         } catch (IllegalArgumentException e) {
             err.println(e.getMessage());
             return REFUSED;
