--- a/src/main/java/mastdrift/lab/rig/RigGateway.java
+++ b/src/main/java/mastdrift/lab/rig/RigGateway.java
@@ -15,6 +15,7 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.stream.Stream;
 
 /** A gateway of the rig, in its starts: a process that serves by a file in a folder of its own, on an address of its own. Every line of its log that is an event goes into the history. */
@@ -35,7 +36,7 @@
     private final Signals signals;
     private Process process;
     private CountDownLatch serves;
-    private volatile boolean meantToEnd;
+    private AtomicBoolean meantToEnd;  // this process: the log of the one before may still be read to its end
 
     RigGateway(String name, String address, Path folder, History history, Signals signals) {
         this.name = name;
@@ -77,7 +78,7 @@
     }
 
     private void start(int listeners) throws IOException {
-        meantToEnd = false;
+        meantToEnd = new AtomicBoolean();
         serves = new CountDownLatch(listeners);
         List<String> command = List.of(System.getProperty("java.home") + "/bin/java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xmx96m",
                 "-cp", System.getProperty("java.class.path"), "mastdrift.cli.Main", "serve", "--config", file().toString(), "--log", "json", "--cold");
@@ -86,7 +87,8 @@
         history.add(history.now(), name, "started", "pid", process.pid());
         Process mine = process;
         CountDownLatch mineServes = serves;
-        Thread log = new Thread(() -> read(mine, mineServes), "rig-log-" + name);
+        AtomicBoolean meant = meantToEnd;
+        Thread log = new Thread(() -> read(mine, mineServes, meant), "rig-log-" + name);
         log.setDaemon(true);
         log.start();
     }
@@ -98,7 +100,7 @@
         }
     }
 
-    private void read(Process of, CountDownLatch latch) {
+    private void read(Process of, CountDownLatch latch, AtomicBoolean meant) {
         try (BufferedReader log = new BufferedReader(new InputStreamReader(of.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = log.readLine(); line != null; line = log.readLine()) {
                 Map<String, Object> fields = fields(line);
@@ -126,7 +128,7 @@
         }
         latch.countDown();
         latch.countDown();
-        history.add(history.now(), name, meantToEnd ? "ended" : "crashed", "status", of.isAlive() ? -1 : of.exitValue());
+        history.add(history.now(), name, meant.get() ? "ended" : "crashed", "status", of.isAlive() ? -1 : of.exitValue());
     }
 
     /** What an event of the log has, by name, its text among them; empty for another line. */
@@ -165,7 +167,7 @@
 
     /** Killed, or told to end; waits until it has. */
     void end(boolean told) throws InterruptedException {
-        meantToEnd = true;
+        meantToEnd.set(true);
         signals.send(told ? "TERM" : "KILL", process);
         if (!process.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
             process.destroyForcibly().waitFor();
