--- a/src/main/java/mastdrift/lab/rig/Chaos.java
+++ b/src/main/java/mastdrift/lab/rig/Chaos.java
@@ -92,6 +92,7 @@
                 servesAt = history.now();
                 says.accept(plan.gateways() + " gateways serve after " + servesAt / 1_000 + " ms");
                 try (RigClients clients = new RigClients(gateways.stream().map(RigGateway::http).toList(), plan.clients(), plan.seed(), history)) {
+                    clients.start();
                     faults();
                     Thread.sleep(Math.max(0, servesAt + plan.seconds() * 1_000_000L - history.now()) / 1_000);
                 }
--- a/src/main/java/mastdrift/lab/rig/RigClients.java
+++ b/src/main/java/mastdrift/lab/rig/RigClients.java
@@ -25,13 +25,21 @@
     private final List<InetSocketAddress> gateways;
     private final History history;
     private final CountDownLatch ended;
+    private final int clients;
+    private final long seed;
     private final AtomicLong ids = new AtomicLong();
     private volatile boolean over;
 
     RigClients(List<InetSocketAddress> gateways, int clients, long seed, History history) {
         this.gateways = gateways;
         this.history = history;
+        this.clients = clients;
+        this.seed = seed;
         ended = new CountDownLatch(clients);
+    }
+
+    /** They ask until {@link #close}. Once. */
+    void start() {
         for (int i = 0; i < clients; i++) {
             Random random = new Random(seed * 1_000 + i);
             Thread thread = new Thread(() -> run(random), "rig-client-" + i);
--- a/src/test/java/mastdrift/net/DescriptorsTest.java
+++ b/src/test/java/mastdrift/net/DescriptorsTest.java
@@ -245,13 +245,12 @@
         once there is room. */
     @Test
     void aDialWithoutADescriptorIsHeardOnTheLoop() throws Exception {
-        try (Server one = host("one"); Server nobody = host("none"); Server discovery = new Server(message -> {
+        try (Server one = host("one"); Server discovery = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             tell(message.socket(), list(5, true, entry("s1", "127.0.0.1:7", "a", "in_service")));
         })) {
-            nobody.close();
             Process process = new ProcessBuilder("sh", "-c", "ulimit -n " + LIMIT + "; exec \"$0\" -Xmx64m -cp \"$1\" 'mastdrift.net.DescriptorsTest$Full' $2 $3 $4",
-                    System.getProperty("java.home") + "/bin/java", classPath(), discovery.address(), one.address(), nobody.address())
+                    System.getProperty("java.home") + "/bin/java", classPath(), discovery.address(), one.address(), Loopback.nobody())
                     .redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
             try {
                 assertTrue(process.waitFor(Loopback.WAIT_SECONDS, TimeUnit.SECONDS), log());
--- a/src/test/java/mastdrift/net/LatenessTest.java
+++ b/src/test/java/mastdrift/net/LatenessTest.java
@@ -314,18 +314,15 @@
     /** Nobody listens there, which is known at once: that the loop had other things to do for part of that moment excuses nothing. */
     @Test
     void whatFailsAtOnceIsTheHosts() throws Exception {
-        try (Server discovery = discovery(); Server gone = Loopback.host("x")) {
-            gone.close();
-            try (Held gateway = new Held(discovery, up("s1", gone))) {
-                Told last = null;
-                for (int i = 0; i < 5; i++) {  // the first ones load classes
-                    Socket client = gateway.connect();
-                    write(client, read(20_000));
-                    assertEquals(503, Loopback.read(client).status());
-                    last = gateway.told.isEmpty() ? last : gateway.told.poll();
-                }
-                assertEquals(Outcome.DIAL_FAILED, last.outcome());
+        try (Server discovery = discovery(); Held gateway = new Held(discovery, entry("s1", Loopback.nobody(), "a", "in_service"))) {
+            Told last = null;
+            for (int i = 0; i < 5; i++) {  // the first ones load classes
+                Socket client = gateway.connect();
+                write(client, read(20_000));
+                assertEquals(503, Loopback.read(client).status());
+                last = gateway.told.isEmpty() ? last : gateway.told.poll();
             }
+            assertEquals(Outcome.DIAL_FAILED, last.outcome());
         }
     }
 }
--- a/src/test/java/mastdrift/net/Loopback.java
+++ b/src/test/java/mastdrift/net/Loopback.java
@@ -164,6 +164,13 @@
         }
     }
 
+    /** An address at which nobody listens any more. */
+    static String nobody() throws IOException {
+        try (Server gone = host("gone")) {
+            return gone.address();
+        }
+    }
+
     static Server host(String body) throws IOException {
         return new Server(message -> write(message.socket(), answer("200 OK", body)));
     }
