--- a/src/main/java/mastdrift/net/CallSchedule.java
+++ b/src/main/java/mastdrift/net/CallSchedule.java
@@ -8,21 +8,9 @@
  *
  * <p>A change counts as told 6 s after discovery had it and could be reached, whatever calls before have come to. A single call can't keep
  * that: one that hangs looks like one that waits for its turn, and giving it up early would give its place away. So a call that says
- * nothing is hedged: another one begins beside it, and the first to tell a line ends the others. So is a watch whose line is late. The hedge
- * comes later than calls wait where discovery has too many callers and refuses some, so that a crowd is not made larger by it. And whoever
- * asks again after failures, by a back-off of its own, is waited for no longer than leaves a call the time to wait for its turn.
- *
- * <p>What the 6 s leave the call that answers to wait for its turn, at the worst, from the moment of the change:
- *
- * <ul>
- * <li>behind a silent watch: 6 s less {@link #DOUBT} 2.25 s and {@link #HEDGE_DIAL} 0.25 s for each dial that hangs, up to two: 3.75, 3.5, 3.25 s;
- * <li>where the new watch is silent too: {@link #HEDGE} 2.25 s less, 1.5 s. A hedge at 1.5 s would leave 2.25 s, and would have a discovery that all
- *     gateways call together tell fewer of them in time (docs/design/crossings.md);
- * <li>behind a refusal: 6 s less {@link #PAUSE_MOST} 2.25 s: 3.75 s; 1.5 s behind a silent call or a second refusal, too;
- * <li>behind a call that a crowd took as it ended, and refuses after 2.1 s: 6 s less {@link #ROUND} 4 s: 2 s. One that is refused so twice, 2.1 s each, has
- *     1.8 s left for two pauses and its answer: with pauses that short a crowd would have 1.6 times the calls of a back-off of 2 s;
- * <li>of an address that discovery has moved to, 6 s less what had gone by as it moved.
- * </ul>
+ * nothing is hedged: another one begins beside it, and the first to tell a line ends the others. The hedge comes later than calls
+ * wait where discovery has too many callers and refuses some, so that a crowd is not made larger by it. And whoever asks again after
+ * failures, by a back-off of its own, is waited for no longer than leaves a call the time to wait for its turn.
  *
  * <p>Times are in microseconds of one clock that doesn't run back. Not safe for use by several threads.
  *
@@ -34,25 +22,20 @@
     static final long TURN = 3_500_000;
     /** An agent of the gateway's own machine has no turns: it answers at once, or is silent while it hears nothing itself. */
     static final long AGENT_TURN = 1_000_000;
-    /** A watch that has begun has an empty line every 2 s at least (PROTOCOL, Discovery): so long after one it is broken. */
+    /** A watch that has begun has an empty line every 2 s at least (PROTOCOL, Discovery). */
     static final long SILENCE = 2_500_000;
-    /** Likewise, and it may be: another call begins beside it. A line whose packet was lost comes some 200 ms late. */
-    static final long DOUBT = 2_250_000;
-    /** A dial whose first packet was lost sends another one after 1 s (RFC 6298); with so many out at a time as {@link #OPEN_MOST}, one begins every 1 s at least. */
-    private static final long DIAL = 1_500_000;
+    private static final long DIAL = 2_000_000;
     /** After a move, what discovery tells has to be heard within 4 s: for so long a call is repeated soon, and its failure is one of the move and not told. */
     static final long MOVE = 4_000_000;
     private static final long MOVE_HEDGE = 1_500_000;
     private static final long MOVE_DIAL = 500_000;
     private static final long MOVE_PAUSE = 150_000;
-    /** A dial that is not up by then may never be: the way there and back takes milliseconds. Another one costs discovery nothing. */
-    static final long HEDGE_DIAL = 250_000;
+    /** A dial that is not up by then may never be; another one costs discovery nothing. */
+    static final long HEDGE_DIAL = 500_000;
     /** A call that has told nothing by then may never do so. With {@link #TURN} behind it, this is less than 6 s. */
     static final long HEDGE = 2_250_000;
-    /** From a failure to the next call, like {@link #HEDGE}. */
+    /** Likewise: from a failure to the next call. */
     static final long PAUSE_MOST = 2_250_000;
-    /** From the beginning of a call that waits in vain to the next one. */
-    static final long ROUND = 4_000_000;
     /** Spread below that, or who failed together would ask together. */
     private static final long PAUSE_SPREAD = 500_000;
     /** Calls out at a time. */
@@ -61,16 +44,13 @@
 
     private static final class Open<C> {
         private final C call;
-        private final long begun;
         private long due;  // to be up, or to have told a line
         private long bound;
         private long hedge = NEVER;
         private boolean up;
-        private boolean told;
 
-        Open(C call, long begun) {
+        Open(C call) {
             this.call = call;
-            this.begun = begun;
         }
 
         void within(long now, long micros) {
@@ -153,7 +133,7 @@
     void began(long now, C call) {
         ahead = owed;
         next = NEVER;
-        Open<C> out = new Open<>(call, now);
+        Open<C> out = new Open<>(call);
         out.within(now, moving(now) ? MOVE_DIAL : DIAL);
         out.hedge = now + HEDGE_DIAL;
         open.add(out);
@@ -195,9 +175,8 @@
         }
         List<C> others = open.stream().filter(other -> other != out).map(other -> other.call).toList();
         open.removeIf(other -> other != out);
-        out.told = true;
         out.within(now, SILENCE);
-        out.hedge = now + DOUBT;
+        out.hedge = NEVER;
         owed = false;
         ahead = false;
         return others;
@@ -220,7 +199,7 @@
         boolean moving = moving(now);
         open.remove(out);
         if (open.isEmpty()) {
-            next = now + (moving ? MOVE_PAUSE : pause(now, out) - random.applyAsLong(PAUSE_SPREAD));
+            next = now + (moving ? MOVE_PAUSE : PAUSE_MOST - random.applyAsLong(PAUSE_SPREAD));
         } else if (last && now < out.due) {  // refused, say: then the one that is left is not hedged at once again
             newest().hedge = Math.max(newest().hedge, now + (moving ? MOVE_HEDGE : HEDGE));
         }
@@ -233,16 +212,10 @@
         }
         boolean tells = !owed;
         owed = true;
-        ahead = ahead || open.stream().anyMatch(other -> !other.told);
+        ahead = ahead || !open.isEmpty();
         return tells;
     }
 
-    /** From its failure to the next call at most: the less, the longer it has waited in vain, as far as calls wait that are not hedged. */
-    private static long pause(long now, Open<?> out) {
-        long waited = out.told ? 0 : Math.min(HEDGE, now - out.begun);
-        return Math.min(PAUSE_MOST, ROUND - waited);
-    }
-
     /** Those that have had their time, each to be told by {@link #failed} and closed. */
     List<C> overdue(long now) {
         return open.stream().filter(out -> now >= out.due).map(out -> out.call).toList();
