--- a/src/test/java/mastdrift/lab/rig/JudgeTest.java
+++ b/src/test/java/mastdrift/lab/rig/JudgeTest.java
@@ -70,6 +70,33 @@
         assertEquals(List.of(), broken(List.of(), history -> asked(history, 5 * SECOND, 1, 200, "h0 id-1", 100)));
     }
 
+    /** How long a start takes is the machine's: it owes nothing until it serves and a while after. Then it owes all, and that it ever serves. */
+    @Test
+    void starts() {
+        List<Fault> killed = List.of(new Fault(Kind.KILL, 3 * SECOND, 4 * SECOND, List.of(1), 0));
+        assertEquals(List.of(), broken(killed, history -> slow(history, 16, 17)));
+        assertEquals(List.of("each request gets one final answer"), broken(killed, history -> slow(history, 16, 20)));
+        assertEquals(List.of("each request gets one final answer"), broken(killed, history -> slow(history, 7, 12)));
+        assertEquals(List.of("each request gets one final answer"), broken(killed, history -> {
+            slow(history, 16, 17);
+            asked(history, 17 * SECOND, 2, 0, "", 100);
+        }));
+        assertEquals(List.of("a start ends in serving", "each request gets one final answer"), broken(killed, history -> {
+            slow(history, 65, 12);
+            history.add(66 * SECOND, "rig", "end");
+        }));
+    }
+
+    /** g1 is started at 5 s, knows the others at once, and serves only later; what is asked of it meanwhile fails. */
+    private static void slow(History history, int serves, int asked) {
+        history.add(5 * SECOND, "g1", "started", "pid", 7);
+        history.add(5 * SECOND, "g1", "peer_joined", "peer", "g0", "by", "g0");
+        history.add(5 * SECOND, "g1", "peer_joined", "peer", "g2", "by", "g2");
+        history.add(serves * SECOND, "g1", "listening", "protocol", "peers");
+        history.add(serves * SECOND, "g1", "listening", "protocol", "http");
+        asked(history, asked * SECOND, 1, 0, "", 100);
+    }
+
     @Test
     void processesAndViews() {
         assertEquals(List.of("no gateway crashes"), broken(List.of(), history -> history.add(5 * SECOND, "g1", "crashed", "status", 1)));
