--- a/src/main/java/mastdrift/net/Discovery.java
+++ b/src/main/java/mastdrift/net/Discovery.java
@@ -40,6 +40,7 @@
 public final class Discovery {
 
     private static final int MOST = 4 << 20;
+    private static final int LOOKS = 16;  // at what stands unread on a call that ends: some hundred KB, more than a list of the largest days has
 
     private final EventLoop loop;
     private InetSocketAddress at;
@@ -167,6 +168,21 @@
             step();
         }
 
+        /** Another call has told a line. What stands unread on these was told as well, and may be newer: it is taken before they end, or it would come
+            only with the next line of the one that goes on. */
+        private void end(List<Channel> calls, Call by) {
+            for (Channel channel : calls) {
+                Call call = channel.pipeline().get(Call.class);
+                if (call != null) {
+                    call.last = true;
+                    call.known = guard.rev();
+                    Look.through(channel, LOOKS);
+                    by.known = guard.rev();
+                }
+                channel.close();
+            }
+        }
+
         private void failed(Channel channel, String cause) {
             if (schedule.failed(now(), channel)) {
                 failures.accept(cause);
@@ -182,6 +198,8 @@
         private final JsonLines lines = new JsonLines();
         private ByteBuf text;
         private int looked;  // so many bytes of it are known to hold no end
+        private boolean last;  // another call goes on in its place: what stands unread is taken, and nobody hears its end
+        private long known = Long.MIN_VALUE;  // as another call has told: what it tells itself may well be older
         private String cause = "the connection ended";
 
         Call(Asked asked) {
@@ -205,7 +223,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) throws IOException {
-            if (part.decoderResult().isFailure() || !asked.schedule.out(context.channel())) {
+            if (part.decoderResult().isFailure() || !last && !asked.schedule.out(context.channel())) {
                 context.close();
                 return;
             }
@@ -218,24 +236,28 @@
             }
         }
 
-        private void read(ChannelHandlerContext context, boolean last) throws IOException {
+        private void read(ChannelHandlerContext context, boolean whole) throws IOException {
             while (watching && looked < text.readableBytes()) {
                 if (lines.ends(text.getByte(text.readerIndex() + looked++))) {
                     int length = looked - 1;
                     looked = 0;
                     take(length);
                     text.skipBytes(1);
-                    asked.schedule.heard(now(), context.channel()).forEach(Channel::close);
+                    if (!last) {
+                        asked.end(asked.schedule.heard(now(), context.channel()), this);
+                    }
                 }
             }
-            if (last && !watching) {
+            if (whole && !watching) {
                 take(text.readableBytes());
-                asked.schedule.answered(context.channel()).forEach(Channel::close);
+                if (!last) {
+                    asked.end(asked.schedule.answered(context.channel()), this);
+                }
             }
             if (text.readableBytes() > MOST) {
                 cause = "expected a line of " + MOST + " bytes at most, found no end";
                 context.close();
-            } else if (last) {
+            } else if (whole) {
                 context.close();
             }
         }
@@ -246,8 +268,8 @@
                 return;
             }
             HostList list = HostList.parse(JSON.std.anyFrom(line));
-            if (!watching && list.rev() < guard.rev()) {
-                return;  // the watch has told of more since it was fetched
+            if (list.rev() < (watching ? known : guard.rev())) {
+                return;  // another call has told of more meanwhile
             }
             ListGuard.Finding found = guard.check(clock.now(), list.rev(), list.all(),
                     list.entries().stream().map(Member::host).toList());
--- a/src/test/java/mastdrift/net/WatchCrossingTest.java
+++ b/src/test/java/mastdrift/net/WatchCrossingTest.java
@@ -27,6 +27,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
@@ -196,6 +197,40 @@
         }
     }
 
+    /** Two calls are out, and both are told in one turn of the loop; the one that is read first ends the other, whose line then stands unread. That was told
+        as well: what is newer in it is in force, what is older is no fault, and the one that goes on is heard. */
+    @ParameterizedTest
+    @CsvSource(delimiter = '|', value = {"0, 5 | 5 | true", "0, 5 | 5 | false", "5, 6 | 6 | true", "6, 5 | 6 | true", "5, 5 | 5 | false"})
+    void whatStandsUnreadOnACallThatAnotherEndsIsTaken(String told, long newest, boolean hedgeFirst) throws Exception {
+        String[] lines = told.split(", ");
+        try (Server discovery = new Server(message -> { }); Server one = host("one"); Server two = host("two");
+                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one), up("s2", two)), SETTINGS))) {
+            Socket call = await(discovery.received).socket();
+            Socket hedge = await(discovery.received).socket();
+            CountDownLatch held = new CountDownLatch(1);
+            CountDownLatch written = new CountDownLatch(1);
+            Future<?> turn = node.loop.submit(() -> {
+                held.countDown();
+                return written.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
+            });
+            held.await();
+            List<Socket> order = hedgeFirst ? List.of(hedge, call) : List.of(call, hedge);
+            for (int i = 0; i < 2; i++) {
+                int rev = Integer.parseInt(lines[i]);
+                write(order.get(i), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                part(order.get(i), rev == 0 ? "\n" : list(rev, false, entry("s1", one.address(), "a", "terminating")) + "\n");
+            }
+            written.countDown();
+            assertEquals(true, turn.get());
+            eventually(() -> log(node).contains("list " + newest));
+            assertEquals("two", node.ask(read(20_000)).text());
+            eventually(() -> discovery.ended.contains(call) || discovery.ended.contains(hedge));
+            Loopback.tell(discovery.ended.contains(call) ? hedge : call, list(9, false, entry("s3", one.address(), "a", "in_service")));
+            eventually(() -> log(node).contains("list 9"));
+            assertTrue(!log(node).contains("failed"), log(node));
+        }
+    }
+
     private static int dialling(int port) throws IOException {
         String to = String.format(":%04X 02 ", port);  // SYN_SENT
         return (int) Stream.concat(Files.readAllLines(Path.of("/proc/net/tcp")).stream(), Files.readAllLines(Path.of("/proc/net/tcp6")).stream())
