--- a/src/main/java/mastdrift/engine/Ledger.java
+++ b/src/main/java/mastdrift/engine/Ledger.java
@@ -22,6 +22,10 @@
     // Of the 250 ms in which a drain has to be heard. What may have waited for longer waits until all that came is read: a
     // list may be behind it.
     private static final long LATE = 100_000;
+    /** What may have stood unread for longer, in microseconds, is looked at before something is decided that it would change: a client's end, news of hosts.
+        Longer than the loop ever waits, so that it costs nothing while the loop keeps up, and short enough to leave 40 ms for the ways from a client and to
+        a host where no attempt may begin more than 0.1 s after its client has left; less than any grace seen. */
+    public static final long LOOK_AFTER = 60_000;
     // A standing queue of the gateway's own is said from here on, once in a while.
     private static final long LATE_SAID = 50_000;
     private static final long SAID_EVERY = 10_000_000;
@@ -35,6 +39,8 @@
     private final ServiceCount count = new ServiceCount();
     private final Queue<Runnable> events = new ArrayDeque<>();
     private Witness witness;  // null where nobody asks
+    private Runnable news = () -> { };
+    private long newsAt;
     private boolean inEvent;
     private boolean deferred;
     private long saidAt = -SAID_EVERY;
@@ -81,6 +87,12 @@
         witness = by;
     }
 
+    /** {@code read} reads what has been told of hosts and stands unread. It is called on the loop's thread, ahead of events and of first bytes, where a
+        turn has taken long: what was told since the turn began would otherwise be heard only in the next one. */
+    public void news(Runnable read) {
+        news = read;
+    }
+
     /** Final answers so far. */
     public ServiceCount count() {
         return count;
@@ -202,14 +214,38 @@
     private void play() {
         inEvent = true;
         try {
-            for (Runnable next = events.poll(); next != null; next = events.poll()) {
-                next.run();
+            while (!events.isEmpty()) {
+                hear();
+                events.poll().run();
             }
         } finally {
             inEvent = false;  // or no event would ever be heard again
         }
     }
 
+    /** Hears what may have been told too long ago to be unread; what comes of it is played ahead of what waits. */
+    void hear() {
+        long now = now();
+        if (turns.most(now) <= LOOK_AFTER || now - newsAt <= LOOK_AFTER) {
+            return;
+        }
+        newsAt = now;
+        boolean within = inEvent;
+        int waiting = events.size();
+        inEvent = true;
+        try {
+            news.run();
+        } finally {
+            inEvent = within;
+        }
+        for (int i = 0; i < waiting; i++) {
+            events.add(events.poll());
+        }
+        if (!within && !deferred) {
+            play();
+        }
+    }
+
     // ---- ends
 
     void served(Exchange exchange, Answer answer) {
--- a/src/main/java/mastdrift/engine/Pool.java
+++ b/src/main/java/mastdrift/engine/Pool.java
@@ -173,6 +173,7 @@
         public void step() {
             long now = ledger.now();
             own += Math.min(ledger.turns().own(now), now - sentAt);
+            ledger.hear();  // a drain told meanwhile is one for what has not left yet
         }
 
         @Override
--- a/src/main/java/mastdrift/net/CallSchedule.java
+++ b/src/main/java/mastdrift/net/CallSchedule.java
@@ -106,7 +106,7 @@
     }
 
     private List<C> forget() {
-        List<C> before = open.stream().map(out -> out.call).toList();
+        List<C> before = calls();
         open.clear();
         next = NEVER;
         return before;
@@ -139,6 +139,11 @@
         open.add(out);
     }
 
+    /** The calls that are out. */
+    List<C> calls() {
+        return open.stream().map(out -> out.call).toList();
+    }
+
     /** Whether a call is out: what others say doesn't count. */
     boolean out(C call) {
         return find(call) != null;
--- a/src/main/java/mastdrift/net/ClientSide.java
+++ b/src/main/java/mastdrift/net/ClientSide.java
@@ -74,9 +74,6 @@
     static final int COUNTED_MOST = 1_024;
     // Stands for one of those that were only counted.
     private static final FullHttpRequest COUNTED = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "", Unpooled.EMPTY_BUFFER);
-    // No attempt may begin more than 0.1 s after its client has left. An end that may stand unread for longer than this is looked for ahead of each: longer
-    // than the loop ever waits, so that it costs nothing while the loop keeps up, and short enough to leave 40 ms for the ways from the client and to the host.
-    private static final long LOOK_AFTER = 60_000;
     // Where reading had to pause, an end stands behind all that is unread: it is looked for by so many reads of 64 KiB at the most, and whoever has sent more
     // counts as gone.
     private static final int PAUSED_LOOKS = 16;
@@ -522,7 +519,7 @@
                     flooded = !Look.through(channel, PAUSED_LOOKS);
                     beginNow(arrived);
                 });
-            } else if (unheard > LOOK_AFTER) {
+            } else if (unheard > Ledger.LOOK_AFTER) {
                 loop.execute(() -> {  // not within the read that brought it
                     Look.at(channel);
                     beginNow(arrived);
@@ -640,7 +637,7 @@
             if (!channel.config().isAutoRead()) {
                 return Look.through(channel, PAUSED_LOOKS) && channel.isActive();
             }
-            if (ledger.unseen() > LOOK_AFTER) {
+            if (ledger.unseen() > Ledger.LOOK_AFTER) {
                 Look.at(channel);
             }
             return channel.isActive();
--- a/src/main/java/mastdrift/net/Discovery.java
+++ b/src/main/java/mastdrift/net/Discovery.java
@@ -87,6 +87,18 @@
         fetch.step();
     }
 
+    /** Reads what stands unread on its calls: in force once this returns. On the loop's thread, within an event of a call too, which is then passed over. */
+    void look() {
+        for (Asked asked : List.of(watch, fetch)) {
+            for (Channel channel : asked.schedule.calls()) {
+                Call call = channel.pipeline().get(Call.class);
+                if (call != null && !call.reading) {
+                    Look.through(channel, LOOKS);
+                }
+            }
+        }
+    }
+
     /** From now on nothing counts that the old address says, nor that it ends. */
     void move(InetSocketAddress to) {
         if (to.equals(at)) {
@@ -198,6 +210,7 @@
         private final JsonLines lines = new JsonLines();
         private ByteBuf text;
         private int looked;  // so many bytes of it are known to hold no end
+        private boolean reading;
         private boolean last;  // another call goes on in its place: what stands unread is taken, and nobody hears its end
         private long known = Long.MIN_VALUE;  // as another call has told: what it tells itself may well be older
         private String cause = "the connection ended";
@@ -232,7 +245,12 @@
                 context.close();
             } else if (part instanceof HttpContent content) {
                 text.discardReadBytes().writeBytes(content.content());
-                read(context, part instanceof LastHttpContent);
+                reading = true;
+                try {
+                    read(context, part instanceof LastHttpContent);
+                } finally {
+                    reading = false;
+                }
             }
         }
 
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -61,6 +61,7 @@
         pool = new Pool("hosts", ledger, module, config.settings(), hosts);
         discovery = new Discovery(loop, config.discovery(), !config.settings().registryOnRequest(), config.known(), lists, failures,
                 calls);
+        ledger.news(discovery::look);
         pool.start(source, config.known().entries());
         logList(config.known());
         if (!config.settings().registryOnRequest()) {
--- a/src/test/java/mastdrift/net/LatenessTest.java
+++ b/src/test/java/mastdrift/net/LatenessTest.java
@@ -6,6 +6,7 @@
 import static mastdrift.net.Loopback.discovery;
 import static mastdrift.net.Loopback.entry;
 import static mastdrift.net.Loopback.environment;
+import static mastdrift.net.Loopback.host;
 import static mastdrift.net.Loopback.list;
 import static mastdrift.net.Loopback.read;
 import static mastdrift.net.Loopback.tell;
@@ -17,6 +18,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
+import java.io.UncheckedIOException;
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Proxy;
 import java.net.InetSocketAddress;
@@ -33,7 +35,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.locks.LockSupport;
+import java.util.function.IntConsumer;
 import mastdrift.Balance;
 import mastdrift.Balancer;
 import mastdrift.Balancer.Outcome;
@@ -62,6 +66,8 @@
         private final Map<Object, Long> asked = new ConcurrentHashMap<>();
         private final List<Socket> sockets = new ArrayList<>();
         private final ClientSide clients;
+        private final AtomicInteger requests = new AtomicInteger();
+        private volatile IntConsumer requested = number -> { };  // once the module has had the request of that number, from 1 up
 
         Held(Server discovery, String... entries) throws Exception {
             Config config = Config.read(environment(folder, discovery, list(1, true, entries), SETTINGS));
@@ -85,7 +91,11 @@
                                     (Long) arguments[0] - asked.get(arguments[1]), (Long) arguments[5]));
                         }
                         try {
-                            return method.invoke(module, arguments);
+                            Object none = method.invoke(module, arguments);
+                            if (method.getName().equals("request")) {
+                                requested.accept(requests.incrementAndGet());
+                            }
+                            return none;
                         } catch (InvocationTargetException e) {
                             throw e.getCause();
                         }
@@ -100,6 +110,17 @@
             return socket;
         }
 
+        /** A request of each is there before one is read: one turn takes them. */
+        void inOneTurn(List<Socket> clients) throws Exception {
+            CountDownLatch written = new CountDownLatch(1);
+            hold(0, written);
+            for (Socket client : clients) {
+                int number = clients.indexOf(client);
+                write(client, read(20_000).replace("9b1f", "id-" + number).replace("7f3a", "key-" + number));
+            }
+            written.countDown();
+        }
+
         /** The loop does nothing else for a while from the moment at which this returns. */
         CountDownLatch hold(long micros) throws InterruptedException {
             return hold(micros, new CountDownLatch(0));
@@ -232,6 +253,82 @@
         }
     }
 
+    /** Three requests are there as a turn begins. The first takes longer than the loop may be late, as code does that runs for the first time, so the others are
+        held back until all that is there has been read. Then the second takes half a second, in which the only host is drained for another one: the third,
+        for which an idle connection stands there, goes to the other. */
+    @Test
+    void aDrainToldWhileEventsThatWereHeldBackArePlayedIsKept() throws Exception {
+        CountDownLatch met = new CountDownLatch(3);
+        Script together = message -> {  // the first three meet, so that three connections stand
+            met.countDown();
+            held(met);
+            write(message.socket(), answer("200 OK", "one"));
+        };
+        try (Server discovery = discovery(); Server one = new Server(together); Server two = host("two"); Held gateway = new Held(discovery, up("s1", one))) {
+            Message watch = await(discovery.received);
+            List<Socket> clients = List.of(gateway.connect(), gateway.connect(), gateway.connect());
+            gateway.inOneTurn(clients);
+            for (Socket client : clients) {
+                assertEquals("one", Loopback.read(client).text());
+            }
+            one.received.clear();
+            pause(100_000);  // connections rest for 25 ms behind an answer
+            gateway.requested = number -> {
+                if (number == clients.size() + 1) {
+                    pause(HOLD);
+                } else if (number == clients.size() + 2) {
+                    drain(watch, two);
+                    pause(2 * HOLD);
+                }
+            };
+            gateway.inOneTurn(clients);
+            List<String> answers = new ArrayList<>();
+            for (Socket client : clients) {
+                answers.add(Loopback.read(client).text());
+            }
+            assertEquals(List.of("one", "one", "two"), answers.stream().sorted().toList(), "sent to a host half a second after its drain was told");
+        }
+    }
+
+    /** Likewise, while a connection has come up that a task of the same turn sends on. */
+    @Test
+    void aDrainToldBetweenADialAndItsFirstByteIsKept() throws Exception {
+        try (Server discovery = discovery(); Server one = host("one"); Server two = host("two"); Held gateway = new Held(discovery, up("s1", one))) {
+            Message watch = await(discovery.received);
+            Socket first = gateway.connect();
+            Socket second = gateway.connect();
+            for (int i = 0; i < 3; i++) {
+                gateway.timed.loop().submit(() -> { }).get();  // both are accepted by then
+            }
+            CountDownLatch dialled = new CountDownLatch(1);
+            CountDownLatch written = new CountDownLatch(1);
+            gateway.requested = number -> {
+                if (number == 1) {
+                    gateway.timed.loop().execute(() -> held(written));  // the next wait finds the dial up and the second's request there
+                    dialled.countDown();
+                } else if (number == 2) {
+                    drain(watch, two);
+                    pause(2 * HOLD);
+                }
+            };
+            write(first, read(20_000));
+            held(dialled);
+            write(second, read(20_000).replace("9b1f", "second").replace("7f3a", "other"));
+            written.countDown();
+            assertEquals("two", Loopback.read(first).text());
+            assertEquals("two", Loopback.read(second).text());
+            assertTrue(one.received.isEmpty(), "sent to a host half a second after its drain was told");
+        }
+    }
+
+    private static void drain(Message watch, Server other) {
+        try {
+            tell(watch.socket(), list(7, true, up("s2", other)));
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
     /** Every turn of the loop is long, and more connections have come than one turn takes: the last of them is accepted some turns
         after its request was there. However often it was passed over, its time counts from the client's send, but for one turn more. */
     @Test
