--- a/src/main/java/mastdrift/engine/Ledger.java
+++ b/src/main/java/mastdrift/engine/Ledger.java
@@ -276,8 +276,12 @@
         }
     }
 
-    /** The module owes an answer in time, and this keeps the promise where it doesn't. */
+    /** The module owes an answer in time, and this keeps the promise where it doesn't. What it would answer by may have been held back: timers come once all
+        that is there has been read, so that is played first. */
     void overdue(Exchange exchange) {
+        if (deferred && !inEvent) {
+            play();
+        }
         if (!exchange.ended) {
             fail(exchange, true);
             departedFrom(exchange);
--- a/src/test/java/mastdrift/net/LatenessTest.java
+++ b/src/test/java/mastdrift/net/LatenessTest.java
@@ -46,6 +46,8 @@
 import mastdrift.net.Loopback.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** A gateway whose loop is held up, by tasks that do nothing: what is its own, what is the hosts', and the rules meanwhile. */
 class LatenessTest {
@@ -230,9 +232,10 @@
     }
 
     /** Whoever's time is up by the end of a hold hears at once; what came during it, with less time than the hold took, is
-        turned away and not sent. */
-    @Test
-    void afterAHoldNobodyWaitsInVain() throws Exception {
+        turned away and not sent. So it is where the turn behind the hold is long itself, and its events are held back. */
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void afterAHoldNobodyWaitsInVain(boolean longTurn) throws Exception {
         try (Server discovery = discovery(); Server host = new Server(message -> { });
                 Held gateway = new Held(discovery, up("s1", host))) {
             Socket first = gateway.connect();  // loads classes, which takes longer than the other's whole time
@@ -240,14 +243,22 @@
             await(host.received);
             Socket out = gateway.connect();
             Socket coming = gateway.connect();
+            Socket behind = gateway.connect();
             long hold = 5 * HOLD;  // the time until the first send may not be a part of it that counts
             write(out, read((int) hold / 3_000).replace("9b1f", "out"));
             await(host.received);
             CountDownLatch over = gateway.hold(hold);
             write(coming, read((int) hold / 3_000).replace("9b1f", "coming"));
+            if (longTurn) {
+                gateway.requested = number -> pause(HOLD);
+                write(behind, read(60_000).replace("9b1f", "long"));
+            }
             assertTrue(over.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
             assertEquals(503, Loopback.read(out).status());
             assertEquals(503, Loopback.read(coming).status());
+            if (longTurn) {
+                assertTrue(await(host.received).head().contains("long"));
+            }
             assertEquals(0, host.received.size(), "nothing more was sent");
             assertEquals(Outcome.EXPIRED, await(gateway.told).outcome(), "the host had most of that time for itself, or all");
         }
