--- a/src/main/java/mastdrift/lab/scale/Figures.java
+++ b/src/main/java/mastdrift/lab/scale/Figures.java
@@ -9,7 +9,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import mastdrift.lab.report.SlopePicture;
+import mastdrift.lab.report.FitChart;
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 
@@ -62,12 +62,12 @@
     }
 
     /** A line through each series, by its phase, role and quantity. */
-    public Map<String, Slope> slopes() {
-        Map<String, List<Slope.Point>> points = new LinkedHashMap<>();
-        all.forEach(each -> points.computeIfAbsent(each.series(), series -> new ArrayList<>()).add(new Slope.Point(each.size, each.value)));
-        Map<String, Slope> slopes = new LinkedHashMap<>();
-        points.forEach((series, of) -> slopes.put(series, Slope.of(of)));
-        return slopes;
+    public Map<String, LinearFit> fits() {
+        Map<String, List<LinearFit.Point>> points = new LinkedHashMap<>();
+        all.forEach(each -> points.computeIfAbsent(each.series(), series -> new ArrayList<>()).add(new LinearFit.Point(each.size, each.value)));
+        Map<String, LinearFit> fits = new LinkedHashMap<>();
+        points.forEach((series, of) -> fits.put(series, LinearFit.of(of)));
+        return fits;
     }
 
     /** A row for each figure. */
@@ -88,8 +88,8 @@
         plain.put("shortfalls", shortfalls);
         plain.put("figures", all.stream().map(each -> Map.of("size", each.size, "phase", each.phase, "role", each.role, "quantity", each.quantity, "value", each.value)).toList());
         Map<String, Object> lines = new TreeMap<>();
-        slopes().forEach((series, slope) -> lines.put(series, Map.of("slope", slope.slope(), "intercept", slope.intercept(), "largest", slope.largest(), "measured", slope.measured(),
-                "foretold", Double.isNaN(slope.foretold()) ? "none" : slope.foretold())));
+        fits().forEach((series, fit) -> lines.put(series, Map.of("slope", fit.slope(), "intercept", fit.intercept(), "largest", fit.largest(), "measured", fit.measured(),
+                "foretold", Double.isNaN(fit.predicted()) ? "none" : fit.predicted())));
         plain.put("lines", lines);
         return JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asString(plain);
     }
@@ -97,9 +97,9 @@
     /** A table for a person. */
     public String table() {
         StringBuilder text = new StringBuilder(String.format(Locale.ROOT, "%-58s %14s %14s %14s %14s %9s%n", "phase, role, quantity", "per 1 of " + by, "at none", "foretold", "largest", "off by"));
-        slopes().forEach((series, slope) -> text.append(String.format(Locale.ROOT, "%-58s %14.5g %14.5g %14s %14.5g %9s%n", series, slope.slope(), slope.intercept(),
-                Double.isNaN(slope.foretold()) ? "-" : String.format(Locale.ROOT, "%.5g", slope.foretold()), slope.measured(),
-                Double.isNaN(slope.distance()) ? "-" : String.format(Locale.ROOT, "%+.1f%%", slope.distance() * 100))));
+        fits().forEach((series, fit) -> text.append(String.format(Locale.ROOT, "%-58s %14.5g %14.5g %14s %14.5g %9s%n", series, fit.slope(), fit.intercept(),
+                Double.isNaN(fit.predicted()) ? "-" : String.format(Locale.ROOT, "%.5g", fit.predicted()), fit.measured(),
+                Double.isNaN(fit.relativeError()) ? "-" : String.format(Locale.ROOT, "%+.1f%%", fit.relativeError() * 100))));
         return text.toString();
     }
 
@@ -108,12 +108,12 @@
         StringBuilder html = new StringBuilder("<!doctype html><html><head><meta charset=\"utf-8\"><title>").append(name).append("</title></head><body><h1>").append(name).append("</h1>\n");
         shortfalls.forEach(line -> html.append("<p>").append(line.replace("&", "&amp;").replace("<", "&lt;")).append("</p>\n"));
         int number = 0;
-        for (Map.Entry<String, Slope> each : slopes().entrySet()) {
-            Slope slope = each.getValue();
+        for (Map.Entry<String, LinearFit> each : fits().entrySet()) {
+            LinearFit fit = each.getValue();
             List<double[]> points = all.stream().filter(figure -> figure.series().equals(each.getKey())).map(figure -> new double[] {figure.size, figure.value}).toList();
-            html.append("<h2>").append(each.getKey()).append("</h2>\n").append(SlopePicture.svg("s" + number++, by, points,
-                    List.of(new double[] {0, slope.intercept()}, new double[] {slope.largest(), slope.at(slope.largest())}),
-                    Double.isNaN(slope.foretold()) ? null : new double[] {slope.largest(), slope.foretold()})).append('\n');
+            html.append("<h2>").append(each.getKey()).append("</h2>\n").append(FitChart.svg("s" + number++, by, points,
+                    List.of(new double[] {0, fit.intercept()}, new double[] {fit.largest(), fit.at(fit.largest())}),
+                    Double.isNaN(fit.predicted()) ? null : new double[] {fit.largest(), fit.predicted()})).append('\n');
         }
         return html.append("</body></html>\n").toString();
     }
