--- a/src/test/java/mastdrift/serve/ServiceTest.java
+++ b/src/test/java/mastdrift/serve/ServiceTest.java
@@ -11,10 +11,13 @@
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import java.util.stream.Collectors;
+import mastdrift.Balancer;
 import mastdrift.engine.ServiceCount;
 import mastdrift.lab.load.Counts.Of;
 import mastdrift.lab.load.LoadPlan;
@@ -380,6 +383,10 @@
                 .mapToLong(ServiceCount.Of::failed).sum()));
     }
 
+    private Map<Balancer.Why, Long> refusedReads() {
+        return rig.service.count(count -> Arrays.stream(Balancer.Why.values()).collect(Collectors.toMap(why -> why, why -> count.of("session-read").refused(why))));
+    }
+
     /** 10,000 nodes are read, judged and put in force without holding up the loop; the bound is wide for slow machines, the
         measurement has the figure. */
     @Test
@@ -398,7 +405,7 @@
             long slowest = 0;
             while (!rig.log().endsWith("changed pools [main]\n") || rig.log().split("changed pools").length < 3) {
                 StandInClient.Answer answer = rig.ask(client, null);
-                assertEquals(200, answer.status());
+                assertEquals(200, answer.status(), () -> answer + ", refused " + refusedReads() + "; log:\n" + rig.log());
                 slowest = Math.max(slowest, answer.micros());
                 Thread.sleep(5);
             }
