--- a/src/test/java/mastdrift/net/ClientGoneTest.java
+++ b/src/test/java/mastdrift/net/ClientGoneTest.java
@@ -527,6 +527,64 @@
         }
     }
 
+    /** It stands behind another one of its own client, whose answer was found in the turn in which the loop stands still for longer than the term. */
+    @ParameterizedTest
+    @CsvSource({"close,true,true", "close,true,false", "close,false,true", "close,false,false", "half,true,true", "half,false,true", "reset,true,true", "reset,false,true"})
+    void onALateLoopWhoseTurnFoundTheAnswerAheadOfIt(String how, boolean cancel, boolean copies) throws Exception {
+        CountDownLatch met = new CountDownLatch(3);  // so that a connection stands idle for it, and one for the holder
+        CountDownLatch answered = new CountDownLatch(1);
+        CountDownLatch begun = new CountDownLatch(1);
+        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch rest = new CountDownLatch(1);
+        try (Server discovery = discovery();
+                Server host = new Server(message -> {
+                    if (message.header("X-Trace-Id").startsWith("met")) {
+                        met.countDown();
+                        met.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
+                    }
+                    if (message.header("X-Trace-Id").equals("ahead")) {
+                        // Its rest comes once the loop stands still, so that nothing can come of it before.
+                        answered.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
+                        write(message.socket(), "HTTP/1.1 200 OK\r\n");
+                        begun.countDown();
+                        rest.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
+                        write(message.socket(), "Content-Length: 1\r\n\r\nx");
+                        go.countDown();
+                    } else {
+                        write(message.socket(), answer("200 OK", "x"));
+                    }
+                });
+                Node node = node(discovery, cancel, copies, up("s1", host.address()))) {
+            Socket client = met(node);
+            Socket holder = met(node);
+            List<Socket> warm = List.of(client, holder, met(node));
+            for (int i = 0; i < warm.size(); i++) {
+                write(warm.get(i), id(read(60_000), "met" + i).replace("7f3a", "object" + i));
+            }
+            for (Socket each : warm) {
+                assertEquals(200, Loopback.read(each).status());
+            }
+            host.received.clear();
+            passTerm();  // connections rest behind an answer
+            write(client, id(read(60_000), "ahead") + id(read(60_000), "gone"));
+            await(host.received);
+            CountDownLatch turn = hold(node);
+            CountDownLatch held = holdAtNextRequest(node, go);
+            write(holder, id(read(60_000), "holder"));
+            answered.countDown();
+            assertTrue(begun.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+            turn.countDown();
+            assertTrue(held.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+            leaveForGood(client, how);
+            node.gateway.ledger().witness(null);
+            rest.countDown();
+            assertEquals(200, Loopback.read(holder).status());
+            Set<String> ids = seen(node, host);
+            assertTrue(ids.remove("holder"));
+            assertEquals(Set.of(), ids);
+        }
+    }
+
     /** The request came while the loop was held, and its client left longer ago than the term when the loop goes on, or in the last moment: read together with
         its end, which stands behind it, nothing is sent; nor where there is no host yet, one that has just started, or one to be dialled. */
     @ParameterizedTest
