--- a/src/main/java/mastdrift/net/Discovery.java
+++ b/src/main/java/mastdrift/net/Discovery.java
@@ -51,6 +51,7 @@
     private final ListGuard guard;
     private final Asked watch;
     private final Asked fetch;
+    private int reading;  // calls, one within another where one ends others
 
     /** Hears lists and failures on the loop's thread; {@code known} is the list in force already. Calls may have to wait for their turn. */
     public Discovery(EventLoop loop, InetSocketAddress at, HostList known, Consumer<HostList> lists, Consumer<String> failures) {
@@ -87,12 +88,15 @@
         fetch.step();
     }
 
-    /** Reads what stands unread on its calls: in force once this returns. On the loop's thread, within an event of a call too, which is then passed over. */
+    /** Reads what stands unread on its calls: in force once this returns. On the loop's thread. While a call is being read nothing is: what it tells comes first. */
     void look() {
+        if (reading > 0) {
+            return;
+        }
         for (Asked asked : List.of(watch, fetch)) {
             for (Channel channel : asked.schedule.calls()) {
                 Call call = channel.pipeline().get(Call.class);
-                if (call != null && !call.reading) {
+                if (call != null) {
                     Look.through(channel, LOOKS);
                 }
             }
@@ -210,7 +214,6 @@
         private final JsonLines lines = new JsonLines();
         private ByteBuf text;
         private int looked;  // so many bytes of it are known to hold no end
-        private boolean reading;
         private boolean last;  // another call goes on in its place: what stands unread is taken, and nobody hears its end
         private long known = Long.MIN_VALUE;  // as another call has told: what it tells itself may well be older
         private String cause = "the connection ended";
@@ -245,11 +248,11 @@
                 context.close();
             } else if (part instanceof HttpContent content) {
                 text.discardReadBytes().writeBytes(content.content());
-                reading = true;
+                reading++;
                 try {
                     read(context, part instanceof LastHttpContent);
                 } finally {
-                    reading = false;
+                    reading--;
                 }
             }
         }
