--- a/src/main/java/mastdrift/Balance.java
+++ b/src/main/java/mastdrift/Balance.java
@@ -134,6 +134,7 @@
     private boolean homeSparse;
     private double queueSum;
     private int outSum;
+    private long sentAt;  // to any server
     private double recentSum;
     private double fleetPressure;
     private boolean manyFull;
@@ -915,15 +916,16 @@
     /** What the gateway itself is late by counts on the way there and back; unlike a server's queue, another
         place wouldn't be better, so refusals begin only where it uses up the aim.
         What is beyond a share first, up to FIRST that alone. Then new keys, rising; remembered ones only when
-        refusing all new ones isn't enough. */
+        refusing all new ones isn't enough. Whoever refuses all learns no more: one goes where nothing
+        was sent in the span that admission looks at. */
     private boolean refuses(long now, Held req, Share share, boolean remembered, Server server) {
         boolean over = share != null && !req.within;
-        double late = 2.0 * ownStanding / tightestAim;
-        double own = Math.min(1, (late - OWN_AC) / (OWN_FULL - OWN_AC));
+        double own = Math.min(1, (2.0 * ownStanding / tightestAim - OWN_AC) / (OWN_FULL - OWN_AC));
         double pressure = Math.max(pressure(now, server), own);
         double rest = share == null ? pressure : Math.max(0, (pressure - FIRST) / (1 - FIRST));
         double chance = over ? OVER * pressure : remembered ? 2 * rest - 1 : 2 * rest;
-        if (chance > 0 && random.nextDouble() < chance * (1.2 - 0.4 * req.type.worth() / mostWorth)) {
+        if (chance > 0 && now - sentAt < SERVED_SPAN
+                && random.nextDouble() < chance * (1.2 - 0.4 * req.type.worth() / mostWorth)) {
             req.why = over ? Why.SHARE : own > 0 && own >= filled(now, server) ? Why.GATEWAY : Why.HOSTS;
             return true;
         }
@@ -947,10 +949,8 @@
         req.attempts.add(attempt);
         server.out.add(attempt);
         freshen(now, server, attempt);
-        if (server.unanswered++ == 0) {
-            server.unansweredSince = now;
-        }
-        server.sentAt = now;
+        server.unansweredSince = server.unanswered++ == 0 ? now : server.unansweredSince;
+        server.sentAt = sentAt = now;
         server.recent++;
         recentSum++;
         outSum++;
--- a/src/test/java/mastdrift/AdmissionTest.java
+++ b/src/test/java/mastdrift/AdmissionTest.java
@@ -103,6 +103,30 @@
         assertTrue(gateway.refused.size() > 20, "refused " + gateway.refused.size());
     }
 
+    /** An overload that is over: twenty late answers, then sound servers. As long as all is refused nobody can know, so one goes every 2 s at the latest;
+        by the late answers alone, which a quiet gateway keeps for 8 s, none went for 8.6 s. */
+    @Test
+    void whoRefusesAllAsksOnceInAWhile() {
+        Gateway gateway = new Gateway().start(300);
+        Deque<Gateway.Sent> out = new ArrayDeque<>();
+        long longest = 0;
+        long sentAt = gateway.now;
+        int refusedAtOnce = 0;
+        for (int i = 0; i < 200; i++) {
+            Deque<Gateway.Sent> sent = new ArrayDeque<>(gateway.sends(gateway.request("read", null, 10_000L + i, 1_000_000)));
+            longest = Math.max(longest, gateway.now - sentAt);
+            sentAt = sent.isEmpty() ? sentAt : gateway.now;
+            refusedAtOnce += sent.isEmpty() ? 1 : 0;
+            out.addAll(sent);
+            gateway.advance(100_000);
+            while (!out.isEmpty() && gateway.now - out.peek().at() >= (i < 30 ? 900_000 : 50_000)) {
+                gateway.end(out.poll(), Outcome.DELIVERED);
+            }
+        }
+        assertTrue(refusedAtOnce > 20, "refused at once: " + refusedAtOnce);
+        assertTrue(longest <= 2_100_000, "nothing was sent for " + longest + " us");
+    }
+
     /** Queues of servers that never stop work grow for as long as nobody refuses: a few samples must do. */
     @Test
     void aQuietGatewayDoesNotWaitForTwentySamples() {
