--- a/src/main/java/mastdrift/lab/rig/Chaos.java
+++ b/src/main/java/mastdrift/lab/rig/Chaos.java
@@ -13,6 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
@@ -62,7 +63,7 @@
     private final List<RigGateway> gateways = new ArrayList<>();
     private final Map<String, Relay> relays = new HashMap<>();
     private final List<StandInHost> hosts = new ArrayList<>();
-    private final Map<RigGateway, Boolean> stopped = new HashMap<>();
+    private final Map<RigGateway, Boolean> stopped = new ConcurrentHashMap<>();  // by the clock's thread, and forgotten by the one that plays
     private final List<Fault> played = new ArrayList<>();  // with the times at which they were
     private long servesAt;
     private volatile long held;  // the plan is so late, since starts took longer than it gives them
--- a/src/main/java/mastdrift/lab/rig/RigGateway.java
+++ b/src/main/java/mastdrift/lab/rig/RigGateway.java
@@ -34,7 +34,7 @@
     private final Path folder;
     private final History history;
     private final Signals signals;
-    private Process process;
+    private volatile Process process;  // also looked at by who stops and wakes it
     private CountDownLatch serves;
     private AtomicBoolean meantToEnd;  // this process: the log of the one before may still be read to its end
 
--- a/src/test/java/mastdrift/lab/rig/ChaosTest.java
+++ b/src/test/java/mastdrift/lab/rig/ChaosTest.java
@@ -57,10 +57,10 @@
         assertTrue(said(outcome, "g2", "peer_left", "g0") && said(outcome, "g2", "peer_left", "g1"), "each said that it ends");
     }
 
-    /** A start on a fifth of a core takes longer than plans give it: what comes behind it in the plan comes as long after it serves as was planned. */
+    /** A start that stands still for nearly as long as plans give it takes longer: what comes behind it in the plan comes as long after it serves as was planned. */
     @Test
     void whatIsPlannedBehindASlowStartWaitsForIt() throws Exception {
-        Chaos.Outcome outcome = play(2, 10, new Fault(Kind.KILL, SECOND, 2 * SECOND, List.of(1), 0), new Fault(Kind.STARVE, 2 * SECOND, 5_500_000, List.of(1), 0.2),
+        Chaos.Outcome outcome = play(2, 10, new Fault(Kind.KILL, SECOND, 2 * SECOND, List.of(1), 0), new Fault(Kind.FREEZE, 2 * SECOND, 4_900_000, List.of(1), 0),
                 new Fault(Kind.RESTART, 6 * SECOND, 7 * SECOND, List.of(0), 0));
         long started = outcome.faults().get(0).until();
         long serves = outcome.history().lines().stream().filter(line -> line.who().equals("g1") && line.what().equals("listening") && line.at() > started).findFirst()
