--- a/src/main/java/mastdrift/Balance.java
+++ b/src/main/java/mastdrift/Balance.java
@@ -12,108 +12,201 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import mastdrift.State.Attempt;
-import mastdrift.State.Held;
-import mastdrift.State.Pool;
+import mastdrift.State.PendingRequest;
+import mastdrift.State.KindStats;
 import mastdrift.State.Server;
 import mastdrift.State.Session;
 
 /**
- * Headroom split: every decision of one gateway. Its interface, types and units are in Balancer.java;
- * docs/design.md says what follows Bartolini et al. and where and when this departs from it.
+ * Headroom split: the decision module of one gateway. It selects the server of each request, admits or
+ * refuses requests, spends the retry and probe budgets, and limits what cold hosts are sent. Its interface,
+ * types and units are in {@link Balancer}, its data in {@link State}; docs/design.md says what follows
+ * Bartolini et al., "Distributed Server Selection and Admission Control in Replicated Web Systems", and where
+ * and when this departs from the paper.
+ * <p>Times and spans are in microseconds unless a name says otherwise. Latencies without a unit are
+ * normalized: multiples of the typical latency of the request's class.
  */
 public final class Balance implements Balancer {
 
-    // Spans in microseconds.
-    private static final long REFRESH = 500_000;        // T_obs: troubles last seconds, so must the shares
-    private static final long WINDOW = 10_000_000;      // T: samples older than most troubles mislead
-    private static final long KEY_MEMORY = 30_000_000;  // a key unseen for this long is a new session
-    private static final long REPORT_FRESH = 1_000_000; // a queue reported earlier than this says nothing
-    private static final long DOWN_AFTER = 1_000_000;   // no answer for this long makes a refusal a sign
-    private static final long TOLD_WITHIN = 6_000_000;  // a change counts as told by then, heard or not
-    private static final long HELD_UP = 150_000;        // between a clock's reading and a first byte, at most
-    private static final int SILENT = 3;                // attempts with no answer for so long: it is silent
-    private static final long UNSURE = 100_000;        // own lateness that makes leaving say little
-    private static final long TRIAL = 3_000_000;        // without probes, who is down is tried so much later
-    private static final long SUSPECT_SPAN = 6_000_000; // by then the registry has told of a restart
-    // Counts and ratios.
-    private static final int SAMPLES = 32;              // kept a server: enough for a 95th percentile
-    private static final double PRIOR = 60;             // samples that hold three above a 95th percentile
-    private static final double FAILING = 0.05;         // failures beyond a twentieth: p95 is unbounded
-    private static final double FAR = 2;                // times the fleet's failures: a failure of its own
-    private static final double UNBOUNDED = 1e6;        // in usual latencies: beyond any real one
-    private static final double LOWEST = 0.1;           // quantile that stands for r~: no one server decides
-    private static final double RISE = 0.1;             // share regained a refresh: a way back, no flood
-    private static final double T_AC = 1.0;             // lateness at which refusals begin
-    private static final double T_FULL = 1.6;           // lateness at which every new session is refused
-    private static final long SERVED_SPAN = 2_000_000;  // admission looks at what was served just now
-    private static final long SERVED_MOST = 8_000_000;  // or, where requests are few, in up to this time
-    private static final int SERVED = 256;              // served latencies kept for admission
-    private static final double LOST = 2;               // lateness of what came to nothing
-    private static final double SERVED_FEW = 20;        // fewer than this carry no 95th percentile
-    private static final double SERVED_LEAST = 8;       // but a quiet gateway can't wait for so many
-    private static final double MANY = 0.2;             // of the servers known full: no few bad ones
-    private static final double QUEUE_AC = 0.15;        // of the tightest aim: such a queue starts refusals
-    private static final double QUEUE_FULL = 0.5;       // of the tightest aim: little more would be in time
-    private static final double OWN_AC = 0.5;           // of the tightest aim: own lateness, refusals begin
-    private static final double OWN_FULL = 1.0;         // of the tightest aim: nothing would be in time
-    private static final double OVER = 10;              // times the pressure: refusals beyond a share
-    private static final double FIRST = 0.5;            // pressure below which refusals are beyond shares
-    private static final double BURST = 6;              // requests a tenant may save up at any size
-    private static final int LEAST_OF = 4;              // answers whose shortest shows the queue
-    private static final double BOUND = 1.25;           // of the mean burden: what one server may hold
-    private static final double CROWD = 1.25;           // of its part of what was sent lately: likewise
-    private static final double STICKY = 1.3;           // a warm key saves work, so it gets more
-    private static final double SPLIT = 0.3;            // of a server's mean traffic: more splits a key
-    private static final double UNSEEN = 1 / Math.E;    // what a key had that was never met: see split
-    private static final double DEAD = 0.1;            // places of servers that are gone, before all move
-    private static final double HISTORY = 4;            // sends a server that count as lately
-    private static final int CANDIDATES = 6;            // draws within S* before the least burdened is taken
-    private static final int PLACES = 4096;             // of the table: enough for even parts of 500 servers
-    private static final int NEAR_FIRST = 32;           // draws for the own zone alone, where crossing costs
-    private static final int DRAWS = 64;                // draws in all, a bound on the work a request costs
-    private static final double SURE = 8;               // draws expected to fit: one in 3,000 finds none
-    private static final double RETRY_SHARE = 0.1;      // retry budget: of the requests that came in
-    private static final double PROBE_SHARE = 0.02;     // probe budget: likewise
-    private static final double BUDGET_MOST = 20;       // what an unused budget may save up
-    private static final int KEYS_MOST = 50_000;        // remembered keys, a bound on memory
-    private static final double CREDIT = 0.8;           // part of that for cold hosts: their keys cost more
-    private static final double HEAVY = 11;             // times the usual work: two in 100,000 are heavier
-    private static final double EWMA = 0.2;             // weight of the newest refresh in send rates
-    private static final double USUAL = 0.01;           // weight of one sample in a class's usual latency
-    private static final double USUAL_CPU = 0.1;        // weight of one report in its kind's use of cores
-    private static final double AWAY = 0.3;             // of a share, in another zone
-    private static final double EVEN = 0.2;             // part of the way to even use that a refresh goes
-    private static final double UNEVEN = 8;             // kinds differ by no more than this
-    // Of the time in which the registry must be asked: what gateways that start together spread their first
-    // calls over, and the least mean of a pause after a failed call, which doubles so often.
-    private static final int ASK_SPREAD = 20;
-    private static final int ASK_LEAST = 40;
-    private static final int ASK_DOUBLED = 3;
-    private static final long ASK_PAUSE = 250_000;      // likewise, at the least
-    private static final long ASK_SOON = 10_000;        // likewise where the registry pushes
-    private static final String TIMER = "refresh";
-    private static final String ASK = "ask";
-
-    /** A tenant's share at this gateway. Only what is admitted draws on it: clients whose requests are
-        refused try again, and their tries must not make a quiet tenant look greedy. */
-    private static final class Share {
-        private final double even;  // requests a second where all gateways have as many
+    /** T_obs: the time between two refreshes. Faults last seconds, so the shares have to follow sooner. */
+    private static final long REFRESH_INTERVAL_MICROS = 500_000;
+    /** T: samples older than most faults last would mislead the estimate. */
+    private static final long SAMPLE_WINDOW_MICROS = 10_000_000;
+    /** A key that has not been seen for this long begins a new session. */
+    private static final long SESSION_TTL_MICROS = 30_000_000;
+    /** A queue length that was reported longer ago than this is ignored. */
+    private static final long MAX_REPORT_AGE_MICROS = 1_000_000;
+    /**
+     * A failed connect, or unanswered attempts, mark a server as down once it has not answered for this long.
+     */
+    private static final long DOWN_TIMEOUT_MICROS = 1_000_000;
+    /** Longest time that discovery takes to report a change; it counts as known by then, received or not. */
+    private static final long MAX_DISCOVERY_DELAY_MICROS = 6_000_000;
+    /** Longest delay between reading the clock for a send and its first byte. */
+    private static final long MAX_SEND_DELAY_MICROS = 150_000;
+    /** Unanswered attempts from which on a server counts as silent. */
+    private static final int MIN_SILENT_ATTEMPTS = 3;
+    /** The gateway's own lag above which a client's departure says little about the host. */
+    private static final long MAX_TRUSTED_LAG_MICROS = 100_000;
+    /** Without probes, a server that is down is tried again this long after the last send to it. */
+    private static final long DOWN_RETRY_INTERVAL_MICROS = 3_000_000;
+    /**
+     * How long a server that answers again is treated as cold: by then the registry has reported a restart.
+     */
+    private static final long RESTART_SUSPICION_MICROS = 6_000_000;
+    /** Samples kept for each server: enough for a 95th percentile. */
+    private static final int MAX_SAMPLES = 32;
+    /**
+     * Samples that the mean of the kind counts for in an estimate: three of them lie above a 95th percentile.
+     */
+    private static final double PRIOR_SAMPLES = 60;
+    /** Failures beyond this fraction of the attempts, a twentieth, make the 95th percentile unbounded. */
+    private static final double MAX_FAILURE_FRACTION = 0.05;
+    /** Multiple of the fleet's failure fraction beyond which a server's failures count as its own. */
+    private static final double FLEET_FAILURE_MULTIPLE = 2;
+    /** Normalized latency that stands for a failure: beyond any real one. */
+    private static final double UNBOUNDED_LATENCY = 1e6;
+    /** Quantile of the servers' resp_time that stands for r~, so that no single server decides it. */
+    private static final double R_TILDE_QUANTILE = 0.1;
+    /** Most share that a server regains in a refresh: it recovers without being flooded. */
+    private static final double MAX_SHARE_RISE = 0.1;
+    /** Lateness (1 at the aim, 2 at the deadline) at which refusals begin. */
+    private static final double T_AC = 1.0;
+    /** Lateness at which every new session is refused. */
+    private static final double T_AC_FULL = 1.6;
+    /** Admission looks at what was served within this span. */
+    private static final long SERVED_SPAN_MICROS = 2_000_000;
+    /** The longest span that admission looks at, where requests are few. */
+    private static final long MAX_SERVED_SPAN_MICROS = 8_000_000;
+    /** Latencies of served requests that are kept for admission. */
+    private static final int MAX_SERVED_SAMPLES = 256;
+    /** Lateness of a request that failed. */
+    private static final double FAILED_LATENESS = 2;
+    /** Served requests that a 95th percentile takes at a busy gateway. */
+    private static final double MIN_SERVED_SAMPLES_BUSY = 20;
+    /** Served requests that it takes at a gateway with little traffic, which can't wait for as many. */
+    private static final double MIN_SERVED_SAMPLES_QUIET = 8;
+    /**
+     * More full servers than this fraction of the sampled ones are an overload of the fleet, not a few bad
+     * servers.
+     */
+    private static final double MANY_FULL_FRACTION = 0.2;
+    /** Queue wait, as a fraction of the tightest aim, at which refusals begin. */
+    private static final double QUEUE_AC_FRACTION = 0.15;
+    /** Queue wait, as a fraction of the tightest aim, at which little more would be served in time. */
+    private static final double QUEUE_FULL_FRACTION = 0.5;
+    /** The gateway's own delay, as a fraction of the tightest aim, at which refusals begin. */
+    private static final double OWN_DELAY_AC_FRACTION = 0.5;
+    /**
+     * The gateway's own delay, as a fraction of the tightest aim, at which nothing would be served in time.
+     */
+    private static final double OWN_DELAY_FULL_FRACTION = 1.0;
+    /** Requests beyond a tenant's share are refused with the pressure times this as their probability. */
+    private static final double OVER_SHARE_REFUSAL_MULTIPLE = 10;
+    /** Pressure up to which only requests beyond a tenant's share are refused. */
+    private static final double OVER_SHARE_ONLY_PRESSURE = 0.5;
+    /** Requests that a tenant may save up at the least, however small its share. */
+    private static final double MIN_BURST_REQUESTS = 6;
+    /** Answers of which the shortest shows the queue's wait. */
+    private static final int ANSWERS_PER_WAIT_ESTIMATE = 4;
+    /** Outstanding requests that a server may have, as a multiple of its part by share of all. */
+    private static final double MAX_OUTSTANDING_RATIO = 1.25;
+    /** Recent sends that a server may have, as a multiple of its part by share of all. */
+    private static final double MAX_RECENT_SENDS_RATIO = 1.25;
+    /**
+     * Burden up to which a session stays at its server; more than the 1 of other requests, since a warm key
+     * saves work.
+     */
+    private static final double MAX_SESSION_BURDEN = 1.3;
+    /** A key with more than this fraction of a server's mean traffic is split. */
+    private static final double MAX_KEY_TRAFFIC_FRACTION = 0.3;
+    /** Requests counted for a key beyond those that this gateway has seen; see {@link #splitKey}. */
+    private static final double UNSEEN_KEY_REQUESTS = 1 / Math.E;
+    /**
+     * Departed or restarted servers in the table, as a fraction of all servers, above which it is rewritten.
+     */
+    private static final double MAX_STALE_FRACTION = 0.1;
+    /** Sends per server that count as recent. */
+    private static final double RECENT_SENDS_PER_SERVER = 4;
+    /** Servers of S* that are considered before the least burdened of them is taken. */
+    private static final int MAX_CANDIDATES = 6;
+    /** Slots of the table, at the least: enough for even parts of 500 servers. */
+    private static final int MIN_TABLE_SLOTS = 4096;
+    /** Draws for the gateway's own zone alone, where crossing zones has a cost. */
+    private static final int OWN_ZONE_DRAWS = 32;
+    /** Draws for a request in all: bounds the work that it costs. */
+    private static final int MAX_DRAWS = 64;
+    /**
+     * Draws that are expected to fit, at the least, or all servers are searched: with 8, one request in 3,000
+     * finds none.
+     */
+    private static final double MIN_EXPECTED_HITS = 8;
+    /** Retries allowed, as a fraction of the requests that came in. */
+    private static final double RETRY_BUDGET_FRACTION = 0.1;
+    /** Probes allowed, as a fraction of the requests that came in. */
+    private static final double PROBE_BUDGET_FRACTION = 0.02;
+    /** Retries or probes that an unused budget may save up. */
+    private static final double MAX_BUDGET = 20;
+    /** Remembered keys: bounds the memory. */
+    private static final int MAX_SESSIONS = 50_000;
+    /**
+     * Fraction of its part of the warm rate that a cold host is sent: requests cost it more, since their keys
+     * are new to it.
+     */
+    private static final double COLD_RATE_FRACTION = 0.8;
+    /** Work of a heavy request, as a multiple of the typical one: two requests in 100,000 are heavier. */
+    private static final double HEAVY_REQUEST_MULTIPLE = 11;
+    /** Weight of the newest refresh in moving averages of rates. */
+    private static final double RATE_EWMA_WEIGHT = 0.2;
+    /** Weight of one sample in a class's typical latency. */
+    private static final double LATENCY_EWMA_WEIGHT = 0.01;
+    /** Weight of one report in its kind's CPU use. */
+    private static final double CPU_EWMA_WEIGHT = 0.1;
+    /** Fraction of a server's share that counts if it is in another zone. */
+    private static final double OTHER_ZONE_FRACTION = 0.3;
+    /**
+     * Exponent of the correction of kind sizes: the part of the way to even CPU use that one refresh goes.
+     */
+    private static final double KIND_SIZE_EXPONENT = 0.2;
+    /** Largest size factor of a kind; the smallest is its inverse. */
+    private static final double MAX_KIND_SIZE_FACTOR = 8;
+    /** Gateways that start together spread their first watch calls over {@code mustAskIn} divided by this. */
+    private static final int FIRST_WATCH_SPREAD_DIVISOR = 20;
+    /** The mean pause after a failed watch call is {@code mustAskIn} divided by this, at the least. */
+    private static final int WATCH_PAUSE_DIVISOR = 40;
+    /** How often the mean pause is doubled while watch calls go on failing. */
+    private static final int MAX_WATCH_PAUSE_DOUBLINGS = 3;
+    /** Mean pause after a failed watch call, at the least; where the registry pushes, at the most. */
+    private static final long WATCH_PAUSE_MICROS = 250_000;
+    /** Mean pause after a failed watch call where the registry pushes, at the least. */
+    private static final long MIN_PUSH_WATCH_PAUSE_MICROS = 10_000;
+    private static final String REFRESH_TIMER = "refresh";
+    private static final String WATCH_TIMER = "ask";
+
+    /**
+     * A tenant's token bucket at this gateway. Only admitted requests draw on it: clients whose requests are
+     * refused try again, and these retries must not make a tenant of little traffic look greedy.
+     */
+    private static final class TenantShare {
+        private final double evenPerSecond;  // requests a second if all gateways have the same traffic
         private double perSecond;
-        private double left;
-        private double came;  // lately, whatever became of it
-        private long at;
+        private double tokens;
+        private double recentRequests;  // requests lately, admitted or not, with exponential decay
+        private long refilledAt;
 
-        Share(double even, long now) {
-            this.even = even;
-            perSecond = even;
-            left = Math.max(even, BURST);
-            at = now;
+        TenantShare(double evenPerSecond, long now) {
+            this.evenPerSecond = evenPerSecond;
+            perSecond = evenPerSecond;
+            tokens = Math.max(evenPerSecond, MIN_BURST_REQUESTS);
+            refilledAt = now;
         }
 
-        boolean holds(long now) {
-            left = Math.min(Math.max(perSecond, BURST), left + perSecond * (now - at) / 1e6);
-            at = now;
-            return left >= 1;
+        /** Refills the bucket and returns whether it holds a request. */
+        boolean refillAndCheck(long now) {
+            tokens = Math.min(Math.max(perSecond, MIN_BURST_REQUESTS),
+                    tokens + perSecond * (now - refilledAt) / 1e6);
+            refilledAt = now;
+            return tokens >= 1;
         }
     }
 
@@ -121,620 +214,721 @@
     private Actions actions;
     private SplittableRandom random;
     private final Map<String, Integer> classes = new HashMap<>();
-    private final Map<String, Share> tenants = new HashMap<>();
-    private double[] usual;
-    private double mostWorth;
-    private boolean weighted;
+    private final Map<String, TenantShare> tenants = new HashMap<>();
+    // latency of each class, a moving average: the unit of normalized latencies
+    private double[] typicalLatencyMicros;
+    private double maxWorth;
+    private boolean usesWeights;
     private final Map<String, Server> servers = new LinkedHashMap<>();
-    private final Map<String, Pool> kinds = new LinkedHashMap<>();
-    private Server[] order = new Server[0];  // all servers: to walk through a long list, a map costs far more
+    private final Map<String, KindStats> kinds = new LinkedHashMap<>();
+    // all servers as an array: iterating over the map costs far more where the list is long
+    private Server[] serverArray = new Server[0];
     private Server[] table = new Server[0];
     private double shareSum;
-    private double shareMost;
+    private double maxShare;
+    // whether draws may miss hosts that take requests, in all zones or in the own one: see hosts()
     private boolean sparse;
-    private boolean homeSparse;
+    private boolean ownZoneSparse;
     private double queueSum;
-    private int outSum;
-    private long sentAt;  // to any server
-    private double recentSum;
+    private int outstandingSum;
+    private long lastSentAt;  // to any server
+    private double recentSendsSum;
     private double fleetPressure;
-    private boolean manyFull;
-    private double theta = UNBOUNDED;
-    private double aimUsual = UNBOUNDED;
-    private double fleetFailing;
-    private double traffic;
+    private boolean manyServersFull;
+    // the threshold of S* and the tightest aim, normalized
+    private double theta = UNBOUNDED_LATENCY;
+    private double normalizedAim = UNBOUNDED_LATENCY;
+    private double fleetFailureFraction;
+    // requests of the last SESSION_TTL_MICROS, with exponential decay
+    private double recentRequests;
     private long startedAt;
-    private int sharing;
-    private int dead;
-    private int restarted;
-    private final Map<String, Server> left = new HashMap<>();  // gone, with a place in the table
-    private final List<Server> ready = new ArrayList<>();  // cold, and it is this gateway's turn
-    private double[] values = new double[SAMPLES];
-    private double[] times = new double[0];
-    private final Map<Long, Held> held = new LinkedHashMap<>();
+    private int serversInSet;
+    // departed and restarted servers with slots in the table
+    private int departedInTable;
+    private int restartedInTable;
+    private final Map<String, Server> departedServers = new HashMap<>();  // departed, but still in the table
+    // cold servers that this gateway may now send one request
+    private final List<Server> readyColdServers = new ArrayList<>();
+    private double[] sampleBuffer = new double[MAX_SAMPLES];
+    private double[] fleetBuffer = new double[0];
+    private final Map<Long, PendingRequest> pendingRequests = new LinkedHashMap<>();
     private final LinkedHashMap<Long, Session> sessions = new LinkedHashMap<>(64, 0.75f, true);
-    private final long[] servedAt = new long[SERVED];
-    private final double[] served = new double[SERVED];
+    private final long[] servedAt = new long[MAX_SERVED_SAMPLES];
+    private final double[] servedLateness = new double[MAX_SERVED_SAMPLES];
     private int servedCount;
-    private int arrived;
-    private double few = SERVED_LEAST;
-    private long tightestAim = Long.MAX_VALUE;
-    private double retryBudget = BUDGET_MOST / 2;
+    private int requestsSinceRefresh;
+    // served requests needed for a percentile, by the gateway's traffic
+    private double minServedSamples = MIN_SERVED_SAMPLES_QUIET;
+    private long tightestAimMicros = Long.MAX_VALUE;
+    private double retryBudget = MAX_BUDGET / 2;
     private double probeBudget;
     private long refreshedAt;
-    private int askFailures;
-    private double servedRate;
+    private int watchFailures;
+    private double servedPerSecond;
     private final IdleTimeout idleTimeout = new IdleTimeout();
-    private boolean told;  // discovery has told the list: what it tells from then on has come about since
-    private Elsewhere others;
-    private long ownStanding;
-    private long ownBehind;
+    // Discovery has sent a list: hosts that it reports from then on as started did so since.
+    private boolean discoveryHeard;
+    private Elsewhere otherGateways;
+    // how late the gateway itself is: the wait of what comes to it, and the span whose events may be missing
+    private long ownQueueDelayMicros;
+    private long ownLagMicros;
 
     // ---- events
 
     @Override
-    public void start(long now, Settings given, Actions asked) {
-        check(given);
-        settings = given;
-        actions = asked;
-        random = new SplittableRandom(given.seed());
-        usual = new double[given.classes().size()];
-        for (RequestClass type : given.classes()) {
-            usual[classes.size()] = type.aim() / 4.0;
-            classes.put(type.name(), classes.size());
-            mostWorth = Math.max(mostWorth, type.worth());
-            tightestAim = Math.min(tightestAim, type.aim());
-        }
-        for (Tenant tenant : given.tenants()) {
-            tenants.put(tenant.name(), new Share(tenant.quotaPerSecond() / given.site().gateways(), now));
+    public void start(long now, Settings startSettings, Actions gatewayActions) {
+        validate(startSettings);
+        settings = startSettings;
+        actions = gatewayActions;
+        random = new SplittableRandom(startSettings.seed());
+        typicalLatencyMicros = new double[startSettings.classes().size()];
+        for (RequestClass requestClass : startSettings.classes()) {
+            typicalLatencyMicros[classes.size()] = requestClass.aim() / 4.0;
+            classes.put(requestClass.name(), classes.size());
+            maxWorth = Math.max(maxWorth, requestClass.worth());
+            tightestAimMicros = Math.min(tightestAimMicros, requestClass.aim());
+        }
+        for (Tenant tenant : startSettings.tenants()) {
+            tenants.put(tenant.name(),
+                    new TenantShare(tenant.quotaPerSecond() / startSettings.site().gateways(), now));
         }
         refreshedAt = now;
         startedAt = now;
-        actions.timer(now + 1 + random.nextLong(REFRESH), TIMER);
-        weighted = given.weights() == Weights.NOMINAL || given.weights() == Weights.ROUGH;
-        if (given.registryOnRequest()) {
-            actions.timer(now + 1 + random.nextLong(given.rules().mustAskIn() / ASK_SPREAD + 1), ASK);
+        actions.timer(now + 1 + random.nextLong(REFRESH_INTERVAL_MICROS), REFRESH_TIMER);
+        usesWeights = startSettings.weights() == Weights.NOMINAL || startSettings.weights() == Weights.ROUGH;
+        if (startSettings.registryOnRequest()) {
+            actions.timer(now + 1 + random.nextLong(
+                    startSettings.rules().mustAskIn() / FIRST_WATCH_SPREAD_DIVISOR + 1), WATCH_TIMER);
         }
     }
 
-    private static void check(Settings given) {
-        require(given.classes().size(), "classes");
-        for (RequestClass type : given.classes()) {
-            require(type.aim(), type.name() + " aim");
-            require(type.deadline(), type.name() + " deadline");
+    private static void validate(Settings startSettings) {
+        requirePositive(startSettings.classes().size(), "classes");
+        for (RequestClass requestClass : startSettings.classes()) {
+            requirePositive(requestClass.aim(), requestClass.name() + " aim");
+            requirePositive(requestClass.deadline(), requestClass.name() + " deadline");
         }
-        require(given.site().gateways(), "gateways");
-        require(given.limits().maxAttempts(), "max attempts");
-        require(given.rules().coldFrom(), "cold from");
-        require(given.rules().fallMultiple(), "fall multiple");
+        requirePositive(startSettings.site().gateways(), "gateways");
+        requirePositive(startSettings.limits().maxAttempts(), "max attempts");
+        requirePositive(startSettings.rules().coldFrom(), "cold from");
+        requirePositive(startSettings.rules().fallMultiple(), "fall multiple");
     }
 
-    private static void require(double value, String name) {
+    private static void requirePositive(double value, String name) {
         if (!(value > 0)) {
             throw new IllegalArgumentException(name + " can't be " + value);
         }
     }
 
     @Override
-    public void own(long now, long standing, long behind) {
-        ownStanding = standing;
-        ownBehind = behind;
+    public void own(long now, long queueDelay, long lag) {
+        ownQueueDelayMicros = queueDelay;
+        ownLagMicros = lag;
     }
 
     @Override
-    public void elsewhere(Elsewhere told) {
-        others = told;
+    public void elsewhere(Elsewhere gateways) {
+        otherGateways = gateways;
     }
 
     @Override
     public void request(long now, Request request) {
-        Integer cls = classes.get(request.className());
-        if (cls == null || held.containsKey(request.id())) {
-            throw new IllegalArgumentException("unknown class or repeated id: " + request);
+        Integer classIndex = classes.get(request.className());
+        if (classIndex == null || pendingRequests.containsKey(request.id())) {
+            throw new IllegalArgumentException("unknown request class or duplicate request id: " + request);
         }
         long key = request.key() == null ? random.nextLong() : request.key();
-        Held req = new Held(request, settings.classes().get(cls), cls, key, now);
-        held.put(req.id, req);
-        Share share = request.tenant() == null ? null : tenants.get(request.tenant());
-        if (share != null) {
-            share.came++;
-        }
-        req.within = share != null ? share.holds(now) : req.crossing == null;
-        arrived++;
-        retryBudget = Math.min(BUDGET_MOST, retryBudget + RETRY_SHARE);
-        probeBudget = Math.min(BUDGET_MOST, probeBudget + PROBE_SHARE);
-        if (req.ends - now <= ownStanding) {  // no host's answer would be read in time
-            req.why = Why.GATEWAY;
-            answer(req);
+        PendingRequest pending = new PendingRequest(request, settings.classes().get(classIndex), classIndex,
+                key, now);
+        pendingRequests.put(pending.id, pending);
+        TenantShare tenantShare = request.tenant() == null ? null : tenants.get(request.tenant());
+        if (tenantShare != null) {
+            tenantShare.recentRequests++;
+        }
+        pending.withinShare = tenantShare != null ? tenantShare.refillAndCheck(now)
+                : pending.crossing == null;
+        requestsSinceRefresh++;
+        retryBudget = Math.min(MAX_BUDGET, retryBudget + RETRY_BUDGET_FRACTION);
+        probeBudget = Math.min(MAX_BUDGET, probeBudget + PROBE_BUDGET_FRACTION);
+        if (pending.expiresAt - now <= ownQueueDelayMicros) {  // no host's answer could be read in time
+            pending.refusalReason = Why.GATEWAY;
+            refuseOrFail(pending);
             return;
         }
-        Session session = req.keyed ? sessions.get(key) : null;
-        split(now, req, session);
-        Server server = session == null ? null : stick(now, req, session);
-        boolean queued = server != null && share == null && filled(now, server) > FIRST;
-        server = server == null ? turn(now, req) : queued ? null : server;  // before it is refused there
-        server = server == null ? draw(now, req) : server;
-        boolean refused = server == null || refuses(now, req, share, session != null, server);
-        place(now, req, refused ? null : server);
+        Session session = pending.hasKey ? sessions.get(key) : null;
+        splitKey(now, pending, session);
+        Server server = session == null ? null : sessionServer(now, pending, session);
+        boolean leavesQueue = server != null && tenantShare == null
+                && queueFill(now, server) > OVER_SHARE_ONLY_PRESSURE;
+        // moves on, as its server would refuse it
+        server = server == null ? takeReadyColdServer(now, pending) : leavesQueue ? null : server;
+        server = server == null ? drawServer(now, pending) : server;
+        boolean isRefused = server == null || shouldRefuse(now, pending, tenantShare, session != null,
+                server);
+        sendOrAnswer(now, pending, isRefused ? null : server);
     }
 
-    private void place(long now, Held req, Server server) {
-        if (server == null || !send(now, req, server)) {
-            answer(req);
-        } else if (req.keyed) {
-            sessions.put(req.key, new Session(server, now, req.seen));
+    private void sendOrAnswer(long now, PendingRequest pending, Server server) {
+        if (server == null || !send(now, pending, server)) {
+            refuseOrFail(pending);
+        } else if (pending.hasKey) {
+            sessions.put(pending.key, new Session(server, now, pending.recentKeyRequests));
         }
     }
 
     @Override
     public void streaming(long now, long id, int attempt) {
-        if (held.containsKey(id)) {
-            held.get(id).streaming = true;
+        if (pendingRequests.containsKey(id)) {
+            pendingRequests.get(id).streaming = true;
         }
     }
 
     @Override
-    public void resolved(long now, long id, int number, String address, Outcome outcome, long elapsed,
-            boolean over, LoadReport report) {
-        Held req = held.get(id);
-        learnReport(now, servers.get(address), report);
-        boolean known = req != null && number >= 0 && number < req.attempts.size();
-        Attempt attempt = known ? req.attempts.get(number) : null;
-        if (attempt == null || !attempt.out) {
-            return;  // late or repeated: counted once, or the sums of what is out drift
+    public void resolved(long now, long id, int attemptIndex, String address, Outcome outcome, long elapsed,
+            boolean requestEnded, LoadReport report) {
+        PendingRequest pending = pendingRequests.get(id);
+        recordLoadReport(now, servers.get(address), report);
+        boolean known = pending != null && attemptIndex >= 0 && attemptIndex < pending.attempts.size();
+        Attempt attempt = known ? pending.attempts.get(attemptIndex) : null;
+        if (attempt == null || !attempt.outstanding) {
+            return;  // late or repeated event: counted once, or the sums of outstanding attempts would drift
         }
-        settle(now, req, attempt, outcome, elapsed);
-        if (counts(now, attempt.server) && outcome != Outcome.REVOKED && outcome != Outcome.UNUSED) {
-            servedAt[servedCount % SERVED] = now;
-            served[servedCount++ % SERVED] = outcome == Outcome.DELIVERED ? lateness(now, req) : LOST;
+        recordOutcome(now, pending, attempt, outcome, elapsed);
+        if (countsForAdmission(now, attempt.server) && outcome != Outcome.REVOKED
+                && outcome != Outcome.UNUSED) {
+            servedAt[servedCount % MAX_SERVED_SAMPLES] = now;
+            servedLateness[servedCount++ % MAX_SERVED_SAMPLES] = outcome == Outcome.DELIVERED
+                    ? lateness(now, pending) : FAILED_LATENESS;
         }
-        if (over) {
-            end(req);
-        } else if (req.attempts.stream().noneMatch(a -> a.out)) {
-            retry(now, req);
+        if (requestEnded) {
+            finish(pending);
+        } else if (pending.attempts.stream().noneMatch(a -> a.outstanding)) {
+            retry(now, pending);
         }
     }
 
     @Override
     public void departed(long now, long id) {
-        Held req = held.get(id);
-        if (req != null) {
-            for (Attempt attempt : req.attempts) {
-                if (attempt.out && ownBehind > UNSURE && 2 * ownBehind > now - attempt.sentAt) {
-                    unheard(attempt.server);
+        PendingRequest pending = pendingRequests.get(id);
+        if (pending != null) {
+            for (Attempt attempt : pending.attempts) {
+                if (attempt.outstanding && ownLagMicros > MAX_TRUSTED_LAG_MICROS
+                        && 2 * ownLagMicros > now - attempt.sentAt) {
+                    uncountUnanswered(attempt.server);
                 }
             }
-            end(req);
+            finish(pending);
         }
     }
 
-    /** Whether it would have answered isn't known, by the gateway's own fault: that is no silence. */
-    private static void unheard(Server server) {
-        server.unanswered = Math.max(0, server.unanswered - 1);
+    /**
+     * Takes back one unanswered attempt. Whether the server would have answered is unknown by the gateway's
+     * own doing (its lag, or since it withdrew or never sent the attempt), so that the missing answer does
+     * not count as silence.
+     */
+    private static void uncountUnanswered(Server server) {
+        server.unansweredAttempts = Math.max(0, server.unansweredAttempts - 1);
     }
 
     @Override
     public void timer(long now, String handle) {
-        if (handle.equals(TIMER)) {
-            actions.timer(now + REFRESH, TIMER);  // first: a fault in what follows must not end the refreshes
+        if (handle.equals(REFRESH_TIMER)) {
+            // set first: an exception in what follows must not end the refreshes
+            actions.timer(now + REFRESH_INTERVAL_MICROS, REFRESH_TIMER);
             refresh(now);
-            probeSome();
-        } else if (handle.equals(ASK)) {
+            sendProbes();
+        } else if (handle.equals(WATCH_TIMER)) {
             actions.watch(true);
         }
     }
 
     // ---- server estimate: resp_time(s)
 
-    private void settle(long now, Held req, Attempt attempt, Outcome outcome, long elapsed) {
+    private void recordOutcome(long now, PendingRequest pending, Attempt attempt, Outcome outcome,
+            long elapsed) {
         Server server = attempt.server;
-        attempt.out = false;
+        attempt.outstanding = false;
         attempt.neverRan = outcome.neverRan();
-        server.out.remove(attempt);
-        outSum--;
+        server.outstanding.remove(attempt);
+        outstandingSum--;
         if (outcome == Outcome.DELIVERED || outcome == Outcome.DROPPED || outcome == Outcome.EXPIRED) {
-            idleTimeout.learn(now, attempt.idle, outcome != Outcome.DELIVERED);
+            idleTimeout.recordAttempt(now, attempt.connectionIdleMicros, outcome != Outcome.DELIVERED);
         }
         if (outcome == Outcome.SHED || outcome == Outcome.DIAL_FAILED) {
-            setWait(now, server, tightestAim);
+            setWait(now, server, tightestAimMicros);
         } else if (outcome == Outcome.DELIVERED || outcome == Outcome.EXPIRED) {
-            learnWait(now, server, elapsed);
+            recordWait(now, server, elapsed);
         }
         switch (outcome) {
             case DELIVERED -> {
-                server.usedAt = now;
-                usual[req.cls] += USUAL * (elapsed - usual[req.cls]);
-                server.delivered++;
-                server.overtook = Math.max(server.overtook, attempt.sentAt - elapsed);
-                answered(now, server);
-                learn(now, server, elapsed / usual[req.cls]);
+                server.lastDeliveredAt = now;
+                typicalLatencyMicros[pending.classIndex] += LATENCY_EWMA_WEIGHT
+                        * (elapsed - typicalLatencyMicros[pending.classIndex]);
+                server.deliveredSinceRefresh++;
+                server.overtakenBefore = Math.max(server.overtakenBefore, attempt.sentAt - elapsed);
+                recordAnswer(now, server);
+                addSample(now, server, elapsed / typicalLatencyMicros[pending.classIndex]);
             }
-            case REVOKED, UNUSED -> unheard(server);
-            default -> failed(now, server, outcome);
+            case REVOKED, UNUSED -> uncountUnanswered(server);
+            default -> recordFailure(now, server, outcome);
         }
     }
 
-    private void failed(long now, Server server, Outcome outcome) {
+    private void recordFailure(long now, Server server, Outcome outcome) {
         if (outcome == Outcome.ERROR || outcome == Outcome.SHED) {
-            answered(now, server);
-        } else if (outcome == Outcome.DIAL_FAILED && now - server.answeredAt > DOWN_AFTER) {
+            recordAnswer(now, server);
+        } else if (outcome == Outcome.DIAL_FAILED && now - server.lastAnsweredAt > DOWN_TIMEOUT_MICROS) {
             markDown(now, server);
         }
-        learn(now, server, UNBOUNDED);
-        measure(now, server);
-        estimate(server);
-        server.share = Math.min(server.share, target(now, server));
+        addSample(now, server, UNBOUNDED_LATENCY);
+        measureWindow(now, server);
+        estimateRespTime(server);
+        server.share = Math.min(server.share, targetShare(now, server));
     }
 
-    /** Once half of a zone is down, so is what has been silent there as long: a zone cut off or lost should
-        not cost a request for each of its servers. */
+    /**
+     * Marks a server as down. Once more than half of a zone is down, so is each server in it that has not
+     * answered for {@link #DOWN_TIMEOUT_MICROS}: a zone that is cut off or lost should not cost a request for
+     * each of its servers.
+     */
     private void markDown(long now, Server server) {
         server.down = true;
-        String name = server.host.zone();
-        List<Server> zone = servers.values().stream().filter(s -> s.host.zone().equals(name)).toList();
-        if (2 * zone.stream().filter(s -> s.down).count() > zone.size()) {
-            zone.stream().filter(s -> now - s.answeredAt > DOWN_AFTER).forEach(s -> s.down = true);
-        }
-        zone.stream().filter(s -> s.down).forEach(s -> s.share = 0);
-    }
-
-    /** A server that was silent may have restarted before the registry knows: it comes back as if cold. */
-    private void answered(long now, Server server) {
-        server.answeredAt = now;
-        server.unanswered = 0;
+        String zoneName = server.host.zone();
+        List<Server> zoneServers = servers.values().stream().filter(s -> s.host.zone().equals(zoneName))
+                .toList();
+        if (2 * zoneServers.stream().filter(s -> s.down).count() > zoneServers.size()) {
+            zoneServers.stream().filter(s -> now - s.lastAnsweredAt > DOWN_TIMEOUT_MICROS)
+                    .forEach(s -> s.down = true);
+        }
+        zoneServers.stream().filter(s -> s.down).forEach(s -> s.share = 0);
+    }
+
+    /**
+     * Records an answer. A server that was silent may have restarted before the registry reports it, so that
+     * it returns as if cold.
+     */
+    private void recordAnswer(long now, Server server) {
+        server.lastAnsweredAt = now;
+        server.unansweredAttempts = 0;
         if (server.down) {
             server.down = false;
-            chill(now, server, now, SUSPECT_SPAN);
+            markCold(now, server, now, RESTART_SUSPICION_MICROS);
         }
     }
 
-    private void learn(long now, Server server, double value) {
-        if (server.sampleAt.length == 0) {
-            server.sampleAt = new long[SAMPLES];
-            server.sample = new double[SAMPLES];
+    private void addSample(long now, Server server, double value) {
+        if (server.sampledAt.length == 0) {
+            server.sampledAt = new long[MAX_SAMPLES];
+            server.sampleValues = new double[MAX_SAMPLES];
         }
-        int at = server.samples++ % SAMPLES;
-        server.sampleAt[at] = now;
-        server.sample[at] = value;
+        int index = server.sampleCount++ % MAX_SAMPLES;
+        server.sampledAt[index] = now;
+        server.sampleValues[index] = value;
     }
 
-    private static void learnReport(long now, Server server, LoadReport report) {
+    private static void recordLoadReport(long now, Server server, LoadReport report) {
         if (server != null && !Double.isNaN(report.cpu()) && server.coldSince == 0) {
-            Pool kind = server.kind;
-            kind.cpu += (kind.reports++ == 0 ? 1 : USUAL_CPU) * (report.cpu() - kind.cpu);
+            KindStats kind = server.kind;
+            kind.cpuUse += (kind.reportCount++ == 0 ? 1 : CPU_EWMA_WEIGHT) * (report.cpu() - kind.cpuUse);
         }
         if (server != null && !Double.isNaN(report.waiting())) {
-            server.queue = report.waiting();
-            server.queueAt = now;
+            server.reportedQueue = report.waiting();
+            server.queueReportedAt = now;
         }
     }
 
-    /** The server's own window; attempts still out count as at least their age, so a freeze shows early. */
-    private void measure(long now, Server server) {
-        if (quiet(now, server)) {
-            server.ownP95 = server.ownCount = server.ownFailures = 0;
-            return;  // of a long list nearly all
+    /**
+     * Computes the figures of a server's own window. Outstanding attempts count with at least their age, so
+     * that a stalled server shows early.
+     */
+    private void measureWindow(long now, Server server) {
+        if (isIdle(now, server)) {
+            server.ownP95 = server.ownSampleCount = server.ownFailures = 0;
+            return;  // the case for nearly all servers of a long list
         }
-        if (values.length < SAMPLES + server.out.size()) {
-            values = new double[2 * (SAMPLES + server.out.size())];
+        if (sampleBuffer.length < MAX_SAMPLES + server.outstanding.size()) {
+            sampleBuffer = new double[2 * (MAX_SAMPLES + server.outstanding.size())];
         }
         int count = 0;
         int failures = 0;
-        for (int i = 0; i < Math.min(SAMPLES, server.samples); i++) {
-            if (now - server.sampleAt[i] > WINDOW) {
+        for (int i = 0; i < Math.min(MAX_SAMPLES, server.sampleCount); i++) {
+            if (now - server.sampledAt[i] > SAMPLE_WINDOW_MICROS) {
                 continue;
             }
-            if (server.sample[i] >= UNBOUNDED) {
+            if (server.sampleValues[i] >= UNBOUNDED_LATENCY) {
                 failures++;
             } else {
-                values[count++] = server.sample[i];
+                sampleBuffer[count++] = server.sampleValues[i];
             }
         }
-        for (Attempt attempt : server.out) {
-            double age = (now - ownBehind - attempt.sentAt) / usual[attempt.cls];
+        for (Attempt attempt : server.outstanding) {
+            double age = (now - ownLagMicros - attempt.sentAt) / typicalLatencyMicros[attempt.classIndex];
             if (age > server.respTime) {
-                values[count++] = age;
+                sampleBuffer[count++] = age;
             }
         }
-        Arrays.sort(values, 0, count);
-        server.ownP95 = count == 0 ? 0 : values[(int) Math.ceil(0.95 * count) - 1];
-        server.ownCount = count;
+        Arrays.sort(sampleBuffer, 0, count);
+        server.ownP95 = count == 0 ? 0 : sampleBuffer[(int) Math.ceil(0.95 * count) - 1];
+        server.ownSampleCount = count;
         server.ownFailures = failures;
     }
 
-    private static boolean quiet(long now, Server server) {
-        return server.out.isEmpty()
-                && (server.samples == 0 || now - server.sampleAt[(server.samples - 1) % SAMPLES] > WINDOW);
-    }
-
-    /** Blends the own window with that of the kind, the fewer samples the more. */
-    private void estimate(Server server) {
-        int n = server.ownCount;
-        Pool kind = server.kind;
-        double peers = kind.samples == 0 ? 1 : kind.latency / kind.samples;
-        double finite = (n * server.ownP95 + PRIOR * (peers + (n == 0 ? server.probeTrip : 0))) / (n + PRIOR);
-        server.respTime = failing(server) ? UNBOUNDED : finite;
-        server.serving = (n + PRIOR) / (n + server.ownFailures + PRIOR);
-    }
-
-    /** Over a twentieth of attempts, and beyond what chance makes of that. Where the whole fleet fails more,
-        as in an overload, the bar goes with it: emptying S* would crush the few servers left in it. */
-    private boolean failing(Server server) {
-        double expected = Math.max(FAILING, FAR * fleetFailing) * (server.ownCount + server.ownFailures);
+    private static boolean isIdle(long now, Server server) {
+        return server.outstanding.isEmpty()
+                && (server.sampleCount == 0
+                || now - server.sampledAt[(server.sampleCount - 1) % MAX_SAMPLES] > SAMPLE_WINDOW_MICROS);
+    }
+
+    /**
+     * Blends the server's own window with the mean of its kind; the fewer its samples, the more the kind
+     * counts.
+     */
+    private void estimateRespTime(Server server) {
+        int sampleCount = server.ownSampleCount;
+        KindStats kind = server.kind;
+        double kindLatency = kind.sampleCount == 0 ? 1 : kind.latencySum / kind.sampleCount;
+        double blended = (sampleCount * server.ownP95
+                + PRIOR_SAMPLES * (kindLatency + (sampleCount == 0 ? server.probeLatency : 0)))
+                / (sampleCount + PRIOR_SAMPLES);
+        server.respTime = isFailing(server) ? UNBOUNDED_LATENCY : blended;
+        server.servingFraction = (sampleCount + PRIOR_SAMPLES)
+                / (sampleCount + server.ownFailures + PRIOR_SAMPLES);
+    }
+
+    /**
+     * Whether more than a twentieth of the attempts failed, beyond random variation. Where the whole fleet
+     * fails more often, as in an overload, the limit rises with it: emptying S* would overload the few
+     * servers left in it.
+     */
+    private boolean isFailing(Server server) {
+        double expected = Math.max(MAX_FAILURE_FRACTION, FLEET_FAILURE_MULTIPLE * fleetFailureFraction)
+                * (server.ownSampleCount + server.ownFailures);
         return server.ownFailures - 1 > expected + Math.sqrt(expected);
     }
 
     // ---- shares and S*
 
     private void refresh(long now) {
-        double span = Math.max(1, now - refreshedAt) / 1e6;
+        double elapsedSeconds = Math.max(1, now - refreshedAt) / 1e6;
         refreshedAt = now;
-        few += EWMA * (Math.max(SERVED_LEAST, Math.min(SERVED_FEW, arrived)) - few);
-        traffic = traffic * Math.exp(-span * 1e6 / KEY_MEMORY) + arrived;
-        arrived = 0;
-        shareOut(now, span);
-        kinds.values().forEach(Pool::clear);
-        if (times.length < order.length) {
-            times = new double[order.length];
-        }
-        int failing = 0;
-        for (Server server : order) {
-            long silent = now - ownBehind - server.unansweredSince;
-            if (server.unanswered >= SILENT && silent > DOWN_AFTER && !server.down) {
+        minServedSamples += RATE_EWMA_WEIGHT
+                * (Math.max(MIN_SERVED_SAMPLES_QUIET, Math.min(MIN_SERVED_SAMPLES_BUSY, requestsSinceRefresh))
+                - minServedSamples);
+        recentRequests = recentRequests * Math.exp(-elapsedSeconds * 1e6 / SESSION_TTL_MICROS)
+                + requestsSinceRefresh;
+        requestsSinceRefresh = 0;
+        scaleTenantShares(now, elapsedSeconds);
+        kinds.values().forEach(KindStats::clearSums);
+        if (fleetBuffer.length < serverArray.length) {
+            fleetBuffer = new double[serverArray.length];
+        }
+        int measuredServers = 0;
+        for (Server server : serverArray) {
+            long silentMicros = now - ownLagMicros - server.unansweredSince;
+            if (server.unansweredAttempts >= MIN_SILENT_ATTEMPTS && silentMicros > DOWN_TIMEOUT_MICROS
+                    && !server.down) {
                 markDown(now, server);
             }
-            if (server.down && !settings.limits().probes() && now - server.sentAt > TRIAL) {
-                answered(now, server);  // as if cold, or nothing would ever tell that it is back
+            if (server.down && !settings.limits().probes()
+                    && now - server.lastSentAt > DOWN_RETRY_INTERVAL_MICROS) {
+                // as if cold; without probes nothing else would show that it is back
+                recordAnswer(now, server);
             }
-            measure(now, server);
-            for (Attempt attempt : server.out) {
-                if (attempt.sentAt > server.overtook) {
-                    long age = now - ownBehind - attempt.sentAt;
-                    if (age > waiting(now, server)) {
+            measureWindow(now, server);
+            for (Attempt attempt : server.outstanding) {
+                if (attempt.sentAt > server.overtakenBefore) {
+                    long age = now - ownLagMicros - attempt.sentAt;
+                    if (age > currentWaitMicros(now, server)) {
                         setWait(now, server, age);
                     }
                     break;
                 }
             }
-            server.kind.latency += server.ownCount * server.ownP95;
-            server.kind.samples += server.ownCount;
+            server.kind.latencySum += server.ownSampleCount * server.ownP95;
+            server.kind.sampleCount += server.ownSampleCount;
             if (server.coldSince == 0 && server.host.health() == Health.UP) {
-                server.kind.warm++;
-                server.kind.delivered += server.delivered;
+                server.kind.warmServers++;
+                server.kind.delivered += server.deliveredSinceRefresh;
             }
-            server.delivered = 0;
-            int seen = server.ownCount + server.ownFailures;
-            if (!server.down && seen > 0) {
-                times[failing++] = (double) server.ownFailures / seen;
+            server.deliveredSinceRefresh = 0;
+            int attempts = server.ownSampleCount + server.ownFailures;
+            if (!server.down && attempts > 0) {
+                fleetBuffer[measuredServers++] = (double) server.ownFailures / attempts;
             }
         }
-        Arrays.sort(times, 0, failing);
-        fleetFailing = failing == 0 ? 0 : times[failing / 2];
-        for (Pool kind : kinds.values()) {
-            double rate = kind.warm == 0 ? 0 : kind.delivered / kind.warm / span;
-            double weight = rate > kind.rate ? EWMA : REFRESH / (double) settings.rules().warmWithin();
-            kind.rate += kind.warm == 0 ? 0 : weight * (rate - kind.rate);
-        }
-        idleTimeout.advance(now);
-        sizeKinds();
-        setThreshold();
-        double fade = Math.min(1, HISTORY * servers.size() / Math.max(1, recentSum));
-        recentSum = 0;
+        Arrays.sort(fleetBuffer, 0, measuredServers);
+        fleetFailureFraction = measuredServers == 0 ? 0 : fleetBuffer[measuredServers / 2];
+        for (KindStats kind : kinds.values()) {
+            double rate = kind.warmServers == 0 ? 0 : kind.delivered / kind.warmServers / elapsedSeconds;
+            double weight = rate > kind.servedPerSecond ? RATE_EWMA_WEIGHT
+                    : REFRESH_INTERVAL_MICROS / (double) settings.rules().warmWithin();
+            kind.servedPerSecond += kind.warmServers == 0 ? 0 : weight * (rate - kind.servedPerSecond);
+        }
+        idleTimeout.expireLimit(now);
+        updateKindSizes();
+        updateThreshold();
+        double decay = Math.min(1, RECENT_SENDS_PER_SERVER * servers.size() / Math.max(1, recentSendsSum));
+        recentSendsSum = 0;
         shareSum = 0;
-        shareMost = 0;
+        maxShare = 0;
         queueSum = 0;
-        sharing = 0;
-        int known = 0;
-        int full = 0;
-        ready.clear();
-        for (Server server : order) {
-            double target = target(now, server);
-            server.share = Math.min(target, server.share + RISE);
-            server.inSet = target > 0;
+        serversInSet = 0;
+        int sampledServers = 0;
+        int fullServers = 0;
+        readyColdServers.clear();
+        for (Server server : serverArray) {
+            double target = targetShare(now, server);
+            server.share = Math.min(target, server.share + MAX_SHARE_RISE);
+            server.inServerSet = target > 0;
             shareSum += server.share;
-            shareMost = Math.max(shareMost, server.share);
-            queueSum += queue(now, server);
-            server.recent *= fade;
-            recentSum += server.recent;
-            sharing += server.inSet ? 1 : 0;
-            known += server.ownCount + server.ownFailures > 0 ? 1 : 0;
-            full += full(now, server) ? 1 : 0;
-            if (server.coldSince > 0 && server.inSet && credit(now, server) >= 1
-                    && rate(now, server) * lapse() < 1) {
-                ready.add(server);
+            maxShare = Math.max(maxShare, server.share);
+            queueSum += freshReportedQueue(now, server);
+            server.recentSends *= decay;
+            recentSendsSum += server.recentSends;
+            serversInSet += server.inServerSet ? 1 : 0;
+            sampledServers += server.ownSampleCount + server.ownFailures > 0 ? 1 : 0;
+            fullServers += isFull(now, server) ? 1 : 0;
+            if (server.coldSince > 0 && server.inServerSet && refillColdCredit(now, server) >= 1
+                    && coldRatePerSecond(now, server) * maxDelaySeconds() < 1) {
+                readyColdServers.add(server);
             }
         }
-        manyFull = full > MANY * known;
-        setPressure(now);
-        forget(now);
-    }
-
-    /** A gateway that has several times its part of the traffic has that part of every tenant's: an even
-        share there refuses those whose use of the whole is small. How much it has tells the tenant in the
-        middle, by what comes of it against its even share; who is greedy is beyond that one everywhere. In an
-        overload all come often, since they try again: shares hold no more than what is served here. */
-    private void shareOut(long now, double span) {
-        double filled = 1 - Math.exp(-Math.max(SERVED_SPAN, now - startedAt) / (double) SERVED_MOST);
-        double[] parts = new double[tenants.size()];
-        double even = 0;
+        manyServersFull = fullServers > MANY_FULL_FRACTION * sampledServers;
+        updateFleetPressure(now);
+        evictSessions(now);
+    }
+
+    /**
+     * Scales the tenants' shares with this gateway's part of the traffic. A gateway with several times the
+     * mean traffic has as much more of every tenant's, and an even share there would refuse tenants that use
+     * little of the whole. The scale is that of the median tenant: its recent requests over its even share;
+     * greedy tenants are beyond the median at every gateway. In an overload the requests of all tenants are
+     * many, since clients retry, so the shares together are at most what is served here.
+     */
+    private void scaleTenantShares(long now, double elapsedSeconds) {
+        double windowFilled = 1 - Math.exp(
+                -Math.max(SERVED_SPAN_MICROS, now - startedAt) / (double) MAX_SERVED_SPAN_MICROS);
+        double[] multiples = new double[tenants.size()];
+        double evenSum = 0;
         int count = 0;
-        for (Share share : tenants.values()) {
-            even += share.even;
-            parts[count++] = share.came / (filled * SERVED_MOST / 1e6) / Math.max(share.even, 1e-9);
-            share.came *= Math.exp(-span * 1e6 / SERVED_MOST);
-        }
-        Arrays.sort(parts);
-        double done = Arrays.stream(order).mapToInt(server -> server.delivered).sum() / span;
-        servedRate += Math.min(1, span * 1e6 / SERVED_MOST) * (done - servedRate);
-        double most = servedRate / Math.max(even, 1e-9);
-        double has = count == 0 ? 1 : Math.max(1, Math.min(most, parts[(count - 1) / 2]));
-        tenants.values().forEach(share -> share.perSecond = has * share.even);
-    }
-
-    /** Where reports tell how busy cores are and no weight tells sizes, kinds are given more or less until
-        all are alike busy: at full size no gateway sees enough of one server, but soon enough of a kind. */
-    private void sizeKinds() {
-        double mean = kinds.values().stream().filter(k -> k.reports > 0).mapToDouble(k -> k.cpu)
+        for (TenantShare share : tenants.values()) {
+            evenSum += share.evenPerSecond;
+            multiples[count++] = share.recentRequests / (windowFilled * MAX_SERVED_SPAN_MICROS / 1e6)
+                    / Math.max(share.evenPerSecond, 1e-9);
+            share.recentRequests *= Math.exp(-elapsedSeconds * 1e6 / MAX_SERVED_SPAN_MICROS);
+        }
+        Arrays.sort(multiples);
+        double deliveredPerSecond = Arrays.stream(serverArray)
+                .mapToInt(server -> server.deliveredSinceRefresh).sum() / elapsedSeconds;
+        servedPerSecond += Math.min(1, elapsedSeconds * 1e6 / MAX_SERVED_SPAN_MICROS)
+                * (deliveredPerSecond - servedPerSecond);
+        double maxScale = servedPerSecond / Math.max(evenSum, 1e-9);
+        double scale = count == 0 ? 1 : Math.max(1, Math.min(maxScale, multiples[(count - 1) / 2]));
+        tenants.values().forEach(share -> share.perSecond = scale * share.evenPerSecond);
+    }
+
+    /**
+     * Adapts the size factors of kinds until all report the same CPU use, for fleets whose list carries no
+     * weights: at full size no gateway sees enough reports of one server, but soon enough of a kind.
+     */
+    private void updateKindSizes() {
+        double meanCpuUse = kinds.values().stream().filter(k -> k.reportCount > 0).mapToDouble(k -> k.cpuUse)
                 .average().orElse(0);
-        for (Pool kind : kinds.values()) {
-            if (kind.reports > 0 && mean > 0) {
-                double turn = Math.pow(mean / Math.max(kind.cpu, mean / UNEVEN), EVEN);
-                kind.size = Math.max(1 / UNEVEN, Math.min(UNEVEN, kind.size * turn));
+        for (KindStats kind : kinds.values()) {
+            if (kind.reportCount > 0 && meanCpuUse > 0) {
+                double correction = Math.pow(
+                        meanCpuUse / Math.max(kind.cpuUse, meanCpuUse / MAX_KIND_SIZE_FACTOR),
+                        KIND_SIZE_EXPONENT);
+                kind.sizeFactor = Math.max(1 / MAX_KIND_SIZE_FACTOR,
+                        Math.min(MAX_KIND_SIZE_FACTOR, kind.sizeFactor * correction));
             }
         }
     }
 
-    /** theta = k * T_SS with k = ceil(r~ / T_SS). T_SS is the tightest deadline, the upper end of what the
-        design allows: S* holds every server that still answers in time, and shares of sound ones don't follow
-        the noise of a 95th percentile, which would move keys away from the servers that have them warm. */
-    private void setThreshold() {
+    /**
+     * theta = k * T_SS with k = ceil(r~ / T_SS). T_SS is the tightest deadline, the upper end of what the
+     * design allows: S* holds every server that still answers in time, and the shares of healthy servers
+     * don't follow the noise of a 95th percentile, which would move keys away from the servers that have them
+     * warm.
+     */
+    private void updateThreshold() {
         int count = 0;
-        for (Server server : order) {
-            estimate(server);
+        for (Server server : serverArray) {
+            estimateRespTime(server);
             if (!server.down && server.host.health() == Health.UP) {
-                times[count++] = server.respTime;
+                fleetBuffer[count++] = server.respTime;
             }
         }
         if (count == 0) {
             return;
         }
-        Arrays.sort(times, 0, count);
-        double tss = UNBOUNDED;
-        aimUsual = UNBOUNDED;
-        for (int i = 0; i < usual.length; i++) {
-            tss = Math.min(tss, settings.classes().get(i).deadline() / usual[i]);
-            aimUsual = Math.min(aimUsual, settings.classes().get(i).aim() / usual[i]);
+        Arrays.sort(fleetBuffer, 0, count);
+        double tss = UNBOUNDED_LATENCY;
+        normalizedAim = UNBOUNDED_LATENCY;
+        for (int i = 0; i < typicalLatencyMicros.length; i++) {
+            tss = Math.min(tss, settings.classes().get(i).deadline() / typicalLatencyMicros[i]);
+            normalizedAim = Math.min(normalizedAim,
+                    settings.classes().get(i).aim() / typicalLatencyMicros[i]);
         }
-        theta = tss * Math.ceil(times[(int) (LOWEST * count)] * 1.01 / tss);
+        theta = tss * Math.ceil(fleetBuffer[(int) (R_TILDE_QUANTILE * count)] * 1.01 / tss);
     }
 
-    /** (theta - resp_time(s)) / theta, no more than the capacity there is while cold, in the part in which it
-        serves (failures leave no latencies), and less in another zone: crossing costs time and points. */
-    private double target(long now, Server server) {
+    /**
+     * (theta - resp_time(s)) / theta, scaled by the server's size, by the capacity that it has while cold,
+     * and by the fraction of attempts that it serves (failures leave no latencies); less in another zone,
+     * since crossing costs time and counts against the result.
+     */
+    private double targetShare(long now, Server server) {
         if (server.down || server.host.health() != Health.UP || server.respTime > theta) {
             return 0;
         }
-        double size = (near(server) ? 1 : AWAY) * server.kind.size * size(server.host);
-        return (theta - server.respTime) / theta * size * warmth(now, server) * server.serving;
+        double size = (isInOwnZone(server) ? 1 : OTHER_ZONE_FRACTION)
+                * server.kind.sizeFactor * weightOf(server.host);
+        return (theta - server.respTime) / theta * size
+                * minCapacityFraction(now, server) * server.servingFraction;
     }
 
-    private boolean near(Server server) {
+    private boolean isInOwnZone(Server server) {
         return server.host.zone().equals(settings.site().zone());
     }
 
-    private double size(Host host) {
-        return weighted ? host.weight() : 1;
+    private double weightOf(Host host) {
+        return usesWeights ? host.weight() : 1;
     }
 
-    private double queue(long now, Server server) {
-        return now - server.queueAt < REPORT_FRESH ? server.queue : 0;
+    private double freshReportedQueue(long now, Server server) {
+        return now - server.queueReportedAt < MAX_REPORT_AGE_MICROS ? server.reportedQueue : 0;
     }
 
-    // ---- draw and stickiness
+    // ---- server selection and session affinity
 
-    /** What a key has is judged by what it has here, against what a server has from here on the mean: how
-        many gateways there are cancels out, so nobody needs to know. A key with more than SPLIT of a
-        server's is split into as many keys as keep each to that, and a request is of any of them. What each
-        of n gateways meets less than once a memory T goes unseen: by its first sight at each, a key of r
-        requests a second brings its first server r e^(-r T / n), at most n / (e T); as if each had met it 1
-        / e times. */
-    private void split(long now, Held req, Session session) {
-        req.seed = req.key;
-        if (!req.keyed || table.length == 0) {
+    /**
+     * Splits a popular key over several servers. The traffic of a key here is compared with the mean traffic
+     * that a server gets from here: the number of gateways cancels out, so that it need not be known. A key
+     * with more than {@link #MAX_KEY_TRAFFIC_FRACTION} of a server's traffic is split into as many parts as
+     * keep each below that, and a request belongs to one of them at random.
+     * <p>A key that each of n gateways meets less than once in T (the session TTL) goes unseen: by its first
+     * request at each gateway, a key of r requests a second brings its first server r e^(-r T / n), at most n
+     * / (e T); this is counted as if each gateway had met it 1 / e times.
+     */
+    private void splitKey(long now, PendingRequest pending, Session session) {
+        pending.drawSeed = pending.key;
+        if (!pending.hasKey || table.length == 0) {
             return;
         }
-        req.seen = session == null ? 1
-                : 1 + session.seen() * Math.exp((session.at() - now) / (double) KEY_MEMORY);
-        double filled = 1 - Math.exp(-Math.max(REFRESH, now - startedAt) / (double) KEY_MEMORY);
-        double mean = (traffic + arrived) / filled / Math.max(1, sharing == 0 ? servers.size() : sharing);
-        double parts = Math.min(servers.size(), (req.seen - 1 + UNSEEN) / (SPLIT * mean));
-        if (parts > 1 && session != null && req.type.repeat() == Repeat.KEYED) {
-            req.home = session.server().host;  // a repeat has to stay where it is dropped
+        pending.recentKeyRequests = session == null ? 1
+                : 1 + session.recentRequests()
+                * Math.exp((session.lastUsedAt() - now) / (double) SESSION_TTL_MICROS);
+        double windowFilled = 1 - Math.exp(
+                -Math.max(REFRESH_INTERVAL_MICROS, now - startedAt) / (double) SESSION_TTL_MICROS);
+        double meanPerServer = (recentRequests + requestsSinceRefresh) / windowFilled
+                / Math.max(1, serversInSet == 0 ? servers.size() : serversInSet);
+        double parts = Math.min(servers.size(),
+                (pending.recentKeyRequests - 1 + UNSEEN_KEY_REQUESTS)
+                / (MAX_KEY_TRAFFIC_FRACTION * meanPerServer));
+        if (parts > 1 && session != null && pending.requestClass.repeat() == Repeat.KEYED) {
+            // a repeat has to stay in the group that would drop it
+            pending.groupHost = session.server().host;
         }
         int part = parts <= 1 ? 0 : (int) (random.nextDouble() * parts);
         if (part > 0) {
-            req.seed = mix(req.key ^ part * 0xD1342543DE82EF95L);
+            pending.drawSeed = mixBits(pending.key ^ part * 0xD1342543DE82EF95L);
         }
     }
 
-    /** A cold server whose turn it is here: in a long list draws would seldom meet it in that time. */
-    private Server turn(long now, Held req) {
-        while (!ready.isEmpty() && req.home == null) {
-            Server server = ready.get(ready.size() - 1);
-            if (!listed(server) || credit(now, server) < 1 || filled(now, server) > 0) {
-                ready.remove(ready.size() - 1);
+    /**
+     * Takes a cold server that this gateway may send one request now: in a long list, draws would seldom hit
+     * it in time.
+     */
+    private Server takeReadyColdServer(long now, PendingRequest pending) {
+        while (!readyColdServers.isEmpty() && pending.groupHost == null) {
+            Server server = readyColdServers.get(readyColdServers.size() - 1);
+            if (!isListed(server) || refillColdCredit(now, server) < 1 || queueFill(now, server) > 0) {
+                readyColdServers.remove(readyColdServers.size() - 1);
                 continue;
             }
-            boolean fits = crossing(now, req, server) == 1 && maySend(now, req, server);
+            boolean fits = crossingFraction(now, pending, server) == 1 && maySend(now, pending, server);
             if (fits) {
-                ready.remove(ready.size() - 1);
+                readyColdServers.remove(readyColdServers.size() - 1);
             }
             return fits ? server : null;
         }
         return null;
     }
 
-    /** Gateways that agree on the shares draw the same server for a key, since the key seeds the draw. Within
-        a share, a request passes on from a server with a queue: it would be refused while others have none.
-        What is beyond shares doesn't: that would crowd these. */
-    private Server draw(long now, Held req) {
-        Server least = null;
-        Server crowded = null;  // the first of the own zone with a queue: taken where the other has no better
+    /**
+     * Draws a server by the shares. The key seeds the draw, so that gateways that agree on the shares draw
+     * the same server for a key. A request within its tenant's share avoids servers with a queue: it would be
+     * refused there while other servers have none. Requests beyond a share don't, since they would crowd
+     * these others.
+     */
+    private Server drawServer(long now, PendingRequest pending) {
+        Server leastBurdened = null;
+        // the first of the own zone with a queue: taken if no server of another zone is without
+        Server queuedInOwnZone = null;
         double leastBurden = Double.MAX_VALUE;
-        int found = 0;
-        for (int i = 0; i < DRAWS && found < CANDIDATES && table.length > 0; i++) {
-            long hash = mix(req.seed + i * 0x9E3779B97F4A7C15L);
-            Server server = present(table[(int) hash & (table.length - 1)]);
-            boolean far = req.crossing != null && !near(server);
-            if (far && crowded == null && (i < NEAR_FIRST || found > 0)) {
-                continue;  // a crossing costs: the own zone first, the other one for its queues
+        int candidates = 0;
+        for (int i = 0; i < MAX_DRAWS && candidates < MAX_CANDIDATES && table.length > 0; i++) {
+            long hash = mixBits(pending.drawSeed + i * 0x9E3779B97F4A7C15L);
+            Server server = currentServer(table[(int) hash & (table.length - 1)]);
+            boolean otherZone = pending.crossing != null && !isInOwnZone(server);
+            if (otherZone && queuedInOwnZone == null && (i < OWN_ZONE_DRAWS || candidates > 0)) {
+                // crossing has a cost: the own zone first, other zones only if there are queues in it
+                continue;
             }
-            if (req.home != null && !sameGroup(req.type.group(), req.home, server.host)) {
+            if (pending.groupHost != null && !sameGroup(pending.requestClass.group(), pending.groupHost,
+                    server.host)) {
                 continue;
             }
-            double share = server.share * crossing(now, req, server);
-            if ((mix(hash) >>> 11) * 0x1.0p-53 * shareMost >= share || !maySend(now, req, server)) {
+            double share = server.share * crossingFraction(now, pending, server);
+            if ((mixBits(hash) >>> 11) * 0x1.0p-53 * maxShare >= share || !maySend(now, pending, server)) {
                 continue;
             }
-            found++;
-            double burden = burden(now, server) + (req.within || far ? Math.max(0, filled(now, server)) : 0);
-            if (burden <= 1 && req.crossing != null && !far && pressure(now, server) > 0) {
-                crowded = crowded == null ? server : crowded;
+            candidates++;
+            double burden = burden(now, server)
+                    + (pending.withinShare || otherZone ? Math.max(0, queueFill(now, server)) : 0);
+            if (burden <= 1 && pending.crossing != null && !otherZone && pressure(now, server) > 0) {
+                queuedInOwnZone = queuedInOwnZone == null ? server : queuedInOwnZone;
                 continue;
             }
             if (burden <= 1) {
                 return server;
             }
             if (burden < leastBurden) {
-                least = server;
+                leastBurdened = server;
                 leastBurden = burden;
             }
         }
-        if (crowded != null) {
-            return crowded;
+        if (queuedInOwnZone != null) {
+            return queuedInOwnZone;
         }
-        if (found == 0 && req.home != null) {  // its group has nobody free, or is too small to be met
-            req.home = null;
-            req.seed = req.key;
-            return draw(now, req);
+        if (candidates == 0 && pending.groupHost != null) {
+            // its group has no free server, or is too small to be drawn
+            pending.groupHost = null;
+            pending.drawSeed = pending.key;
+            return drawServer(now, pending);
         }
-        return found == 0 && (req.crossing == null ? sparse : homeSparse) ? search(now, req) : least;
+        return candidates == 0 && (pending.crossing == null ? sparse : ownZoneSparse)
+                ? searchAllServers(now, pending) : leastBurdened;
     }
 
-    /** For lists that are sparse: most servers take nothing, or few have nearly all of the weight, so that
-        draws may miss them. Every server is looked at: the lowest -ln(u) / share wins, with u from the key
-        (weighted rendezvous, as in routing), so that gateways still agree and parts are as the shares say.
-        Elsewhere draws that find nobody say that few may be sent to, and all that comes would crush those. */
-    private Server search(long now, Held req) {
+    /**
+     * For sparse lists: most servers take nothing, or few have nearly all of the weight, so that draws may
+     * miss them. Every server is looked at, and the lowest -ln(u) / share wins, with u from the key (weighted
+     * rendezvous hashing, as in routing), so that gateways still agree and traffic is divided by the shares.
+     * In other lists, draws that find no server mean that few may be sent to, and a search would send
+     * everything to those.
+     */
+    private Server searchAllServers(long now, PendingRequest pending) {
         Server best = null;
-        double lowest = Double.MAX_VALUE;
-        for (Server server : order) {
-            if (server.share > 0 && maySend(now, req, server)) {
-                long hash = mix(req.seed ^ mix(server.host.address().hashCode()));
-                double share = server.share * crossing(now, req, server);
+        double lowestScore = Double.MAX_VALUE;
+        for (Server server : serverArray) {
+            if (server.share > 0 && maySend(now, pending, server)) {
+                long hash = mixBits(pending.drawSeed ^ mixBits(server.host.address().hashCode()));
+                double share = server.share * crossingFraction(now, pending, server);
                 double score = -Math.log(((hash >>> 11) + 0.5) * 0x1.0p-53) / share;
-                if (score < lowest) {
-                    lowest = score;
+                if (score < lowestScore) {
+                    lowestScore = score;
                     best = server;
                 }
             }
@@ -742,75 +936,82 @@
         return best;
     }
 
-    /** What a server holds with one more, against its part by share of what all hold; small counts pass.
-        Of many gateways none holds much, so what it was sent lately is weighed alike: a popular key is
-        spread over the servers next in its order at every gateway, though none sees a crowd. */
+    /**
+     * A server's outstanding requests, with one more, over its part by share of all outstanding requests; up
+     * to two always pass. Where there are many gateways, each has few outstanding requests, so that recent
+     * sends are weighed in the same way: every gateway then spreads a popular key over the next servers in
+     * the key's order, even if it never has many requests outstanding.
+     */
     private double burden(long now, Server server) {
-        double holds = server.out.size() + queue(now, server) + 1;
-        double all = outSum + queueSum + 1;
-        if (others != null) {
-            holds += others.out(server.host.address());
-            all += others.total();
+        double outstanding = server.outstanding.size() + freshReportedQueue(now, server) + 1;
+        double allOutstanding = outstandingSum + queueSum + 1;
+        if (otherGateways != null) {
+            outstanding += otherGateways.out(server.host.address());
+            allOutstanding += otherGateways.total();
         }
-        double part = server.share / Math.max(shareSum, 1e-9);
-        double crowd = (server.recent + 1) / (recentSum * part + 1);
-        double burden = holds <= 2 ? holds / 2 : holds / Math.max(all * part, 1);
-        return Math.max(crowd / CROWD, burden / BOUND);
+        double shareFraction = server.share / Math.max(shareSum, 1e-9);
+        double recentRatio = (server.recentSends + 1) / (recentSendsSum * shareFraction + 1);
+        double burden = outstanding <= 2 ? outstanding / 2
+                : outstanding / Math.max(allOutstanding * shareFraction, 1);
+        return Math.max(recentRatio / MAX_RECENT_SENDS_RATIO, burden / MAX_OUTSTANDING_RATIO);
     }
 
-    private Server stick(long now, Held req, Session session) {
+    private Server sessionServer(long now, PendingRequest pending, Session session) {
         Server server = session.server();
-        // What a warm key saves is no reason to cross, unless crossing weighs nothing.
-        boolean fits = server.inSet && !server.down && crossing(now, req, server) == 1
-                && maySend(now, req, server);
-        return fits && burden(now, server) <= STICKY ? server : null;
+        // A warm key is no reason to cross zones, unless crossing is free.
+        boolean fits = server.inServerSet && !server.down && crossingFraction(now, pending, server) == 1
+                && maySend(now, pending, server);
+        return fits && burden(now, server) <= MAX_SESSION_BURDEN ? server : null;
     }
 
-    private void forget(long now) {
+    private void evictSessions(long now) {
         Iterator<Session> eldest = sessions.values().iterator();
         while (eldest.hasNext()) {
-            if (now - eldest.next().at() < KEY_MEMORY && sessions.size() <= KEYS_MOST) {
+            if (now - eldest.next().lastUsedAt() < SESSION_TTL_MICROS && sessions.size() <= MAX_SESSIONS) {
                 return;
             }
             eldest.remove();
         }
     }
 
-    /** Gives every server as many places as the next, taken in turn in an order of its own: the same at every
-        gateway whatever the order of its list, and a server that comes or goes moves few places of others. */
-    private void seat() {
-        left.clear();
-        dead = 0;
-        restarted = 0;
-        Server[] order = servers.values().toArray(new Server[0]);
-        Arrays.sort(order, Comparator.comparing(server -> server.host.address()));
-        int size = PLACES;
-        while (size < 8 * order.length) {
-            size *= 2;
-        }
-        table = new Server[order.length == 0 ? 0 : size];
-        long[] next = new long[order.length];
-        for (int taken = 0; taken < table.length; taken++) {
-            int turn = taken % order.length;
-            long own = mix(order[turn].host.address().hashCode() + 0x9E3779B97F4A7C15L);
-            int place;
+    /**
+     * Gives all servers the same number of slots, give or take one. Servers take slots in turn, each in an
+     * order of its own (as in Maglev hashing): the table is the same at every gateway whatever the order of
+     * its list, and a server that joins or leaves moves few slots of others.
+     */
+    private void buildTable() {
+        departedServers.clear();
+        departedInTable = 0;
+        restartedInTable = 0;
+        Server[] sorted = servers.values().toArray(new Server[0]);
+        Arrays.sort(sorted, Comparator.comparing(server -> server.host.address()));
+        int slots = MIN_TABLE_SLOTS;
+        while (slots < 8 * sorted.length) {
+            slots *= 2;
+        }
+        table = new Server[sorted.length == 0 ? 0 : slots];
+        long[] nextStep = new long[sorted.length];
+        for (int filledSlots = 0; filledSlots < table.length; filledSlots++) {
+            int index = filledSlots % sorted.length;
+            long hash = mixBits(sorted[index].host.address().hashCode() + 0x9E3779B97F4A7C15L);
+            int slot;
             do {
-                place = (int) (own + next[turn]++ * (own >>> 32 | 1)) & size - 1;
-            } while (table[place] != null);
-            table[place] = order[turn];
+                slot = (int) (hash + nextStep[index]++ * (hash >>> 32 | 1)) & slots - 1;
+            } while (table[slot] != null);
+            table[slot] = sorted[index];
         }
     }
 
-    /** Who has a place now: a server that started again keeps the place of its address. */
-    private static Server present(Server seated) {
-        Server server = seated;
+    /** The server that owns a slot now: a restarted server keeps the slots of its address. */
+    private static Server currentServer(Server slotOwner) {
+        Server server = slotOwner;
         while (server.successor != null) {
             server = server.successor;
         }
         return server;
     }
 
-    private static long mix(long value) {
+    private static long mixBits(long value) {
         long z = (value ^ value >>> 30) * 0xBF58476D1CE4E5B9L;
         z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
         return z ^ z >>> 31;
@@ -818,190 +1019,238 @@
 
     // ---- admission
 
-    /** The design's figure: the 95th percentile of what S* served just now. Where few servers are full by
-        their own queue, without those: a tenth would have all refuse. What waits late and isn't overtaken
-        counts as served; what failed does only once half of all is late or lost: then nothing is served. */
-    private void setPressure(long now) {
-        int kept = Math.min(SERVED, servedCount);
-        double[] values = new double[kept + held.size()];
-        double[] all = new double[kept + held.size()];
-        int count = 0;
-        int total = 0;
-        for (int i = servedCount - 1; i >= servedCount - kept; i--) {
-            long age = now - servedAt[i % SERVED];
-            if (age >= SERVED_SPAN && (total >= few || age >= SERVED_MOST)) {
+    /**
+     * Sets the fleet's pressure by the design's figure: the 95th percentile of the lateness of what S* served
+     * just now. Where only few servers are full, these are left out: otherwise a tenth of the servers would
+     * have every request refused. A pending request that is late and was not overtaken counts as served.
+     * Failures count only once half of all requests is late or failed: then nothing is served.
+     */
+    private void updateFleetPressure(long now) {
+        int keptCount = Math.min(MAX_SERVED_SAMPLES, servedCount);
+        double[] served = new double[keptCount + pendingRequests.size()];
+        double[] withFailures = new double[keptCount + pendingRequests.size()];
+        int servedCountInSpan = 0;
+        int withFailuresCount = 0;
+        for (int i = servedCount - 1; i >= servedCount - keptCount; i--) {
+            long age = now - servedAt[i % MAX_SERVED_SAMPLES];
+            if (age >= SERVED_SPAN_MICROS && (withFailuresCount >= minServedSamples
+                    || age >= MAX_SERVED_SPAN_MICROS)) {
                 break;
             }
-            all[total++] = served[i % SERVED];
-            if (served[i % SERVED] < LOST) {
-                values[count++] = served[i % SERVED];
+            withFailures[withFailuresCount++] = servedLateness[i % MAX_SERVED_SAMPLES];
+            if (servedLateness[i % MAX_SERVED_SAMPLES] < FAILED_LATENESS) {
+                served[servedCountInSpan++] = servedLateness[i % MAX_SERVED_SAMPLES];
             }
         }
-        // A busy gateway's kept answers are of a part of the span: that part counts of those that wait, too.
-        long back = kept == SERVED ? now - servedAt[servedCount % SERVED] : SERVED_SPAN;
-        double part = Math.min(1, Math.max(1, back) / (double) SERVED_SPAN);
-        double taken = 0;
-        for (Held req : held.values()) {
-            taken += part;
-            if (taken < 1) {
+        // A busy gateway keeps the answers of only a part of the span: the same part of the pending requests
+        // counts.
+        long keptSpanMicros = keptCount == MAX_SERVED_SAMPLES
+                ? now - servedAt[servedCount % MAX_SERVED_SAMPLES] : SERVED_SPAN_MICROS;
+        double keptFraction = Math.min(1, Math.max(1, keptSpanMicros) / (double) SERVED_SPAN_MICROS);
+        double selected = 0;
+        for (PendingRequest pending : pendingRequests.values()) {
+            selected += keptFraction;
+            if (selected < 1) {
                 continue;
             }
-            taken--;
-            Attempt attempt = req.attempts.get(req.attempts.size() - 1);
-            if (now - req.since > req.type.aim() && counts(now, attempt.server)) {
-                all[total++] = lateness(now, req);
-                if (attempt.sentAt > attempt.server.overtook) {
-                    values[count++] = lateness(now, req);
+            selected--;
+            Attempt attempt = pending.attempts.get(pending.attempts.size() - 1);
+            if (now - pending.arrivedAt > pending.requestClass.aim()
+                    && countsForAdmission(now, attempt.server)) {
+                withFailures[withFailuresCount++] = lateness(now, pending);
+                if (attempt.sentAt > attempt.server.overtakenBefore) {
+                    served[servedCountInSpan++] = lateness(now, pending);
                 }
             }
         }
-        double late = Math.max(quantile(values, count, 0.95), quantile(all, total, 0.5));
-        fleetPressure = Math.max(0, Math.min(1, (late - T_AC) / (T_FULL - T_AC)));
+        double lateness = Math.max(quantile(served, servedCountInSpan, 0.95),
+                quantile(withFailures, withFailuresCount, 0.5));
+        fleetPressure = Math.max(0, Math.min(1, (lateness - T_AC) / (T_AC_FULL - T_AC)));
     }
 
-    private double quantile(double[] values, int count, double part) {
+    private double quantile(double[] values, int count, double fraction) {
         Arrays.sort(values, 0, count);
-        return count < few ? 0 : values[Math.min(count - 2, (int) Math.ceil(part * count) - 1)];
-    }
-
-    /** Up to the aim its part of that, then 1 plus the part of the way on to the deadline. */
-    private static double lateness(long now, Held req) {
-        double waited = now - req.since;
-        long aim = req.type.aim();
-        return waited <= aim ? waited / aim : 1 + (waited - aim) / Math.max(1, req.type.deadline() - aim);
-    }
-
-    /** How far a server's queue fills the tightest aim: 0 up to QUEUE_AC, 1 from QUEUE_FULL. Judged server by
-        server by its shortest answer: long requests lift a percentile, only a queue lifts the shortest. */
+        return count < minServedSamples ? 0
+                : values[Math.min(count - 2, (int) Math.ceil(fraction * count) - 1)];
+    }
+
+    /**
+     * Waiting time over the aim, up to 1; from there on 1 plus the part of the way from the aim to the
+     * deadline.
+     */
+    private static double lateness(long now, PendingRequest pending) {
+        double waited = now - pending.arrivedAt;
+        long aim = pending.requestClass.aim();
+        return waited <= aim ? waited / aim
+                : 1 + (waited - aim) / Math.max(1, pending.requestClass.deadline() - aim);
+    }
+
+    /**
+     * The pressure at a server, from 0 to 1: the fleet's, or that of its own queue if higher. Queues are
+     * judged for each server by its shortest answer: long requests raise a percentile, only a queue raises
+     * the shortest.
+     */
     private double pressure(long now, Server server) {
-        return Math.max(fleetPressure, Math.min(1, filled(now, server)));
+        return Math.max(fleetPressure, Math.min(1, queueFill(now, server)));
     }
 
-    private boolean counts(long now, Server server) {
-        return server.inSet && (manyFull || !full(now, server));
+    private boolean countsForAdmission(long now, Server server) {
+        return server.inServerSet && (manyServersFull || !isFull(now, server));
     }
 
-    /** By its queue, or by its own 95th percentile: a slow server that gets little soon shows no queue. */
-    private boolean full(long now, Server server) {
-        return filled(now, server) > 0 || server.ownP95 > aimUsual;
+    /**
+     * By its queue, or by its own 95th percentile: a slow server that gets few requests soon shows no queue.
+     */
+    private boolean isFull(long now, Server server) {
+        return queueFill(now, server) > 0 || server.ownP95 > normalizedAim;
     }
 
-    private double filled(long now, Server server) {
-        return (waiting(now, server) / tightestAim - QUEUE_AC) / (QUEUE_FULL - QUEUE_AC);
+    /**
+     * How far a server's queue fills the tightest aim: 0 or less up to {@link #QUEUE_AC_FRACTION}, 1 or more
+     * from {@link #QUEUE_FULL_FRACTION} on.
+     */
+    private double queueFill(long now, Server server) {
+        return (currentWaitMicros(now, server) / tightestAimMicros - QUEUE_AC_FRACTION)
+                / (QUEUE_FULL_FRACTION - QUEUE_AC_FRACTION);
     }
 
-    /** Takes the shortest of every few answers; a shorter one counts at once. */
-    private void learnWait(long now, Server server, double wait) {
-        server.least = Math.min(server.least, wait);
-        if (++server.leastOf >= LEAST_OF || wait < waiting(now, server)) {
-            setWait(now, server, server.least);
+    /**
+     * Takes the shortest of every {@link #ANSWERS_PER_WAIT_ESTIMATE} answers; one that is below the present
+     * estimate counts at once.
+     */
+    private void recordWait(long now, Server server, double wait) {
+        server.shortestAnswerMicros = Math.min(server.shortestAnswerMicros, wait);
+        if (++server.answersSinceEstimate >= ANSWERS_PER_WAIT_ESTIMATE
+                || wait < currentWaitMicros(now, server)) {
+            setWait(now, server, server.shortestAnswerMicros);
         }
     }
 
     private void setWait(long now, Server server, double wait) {
-        server.wait = wait;
-        server.waitAt = now;
-        server.least = Double.MAX_VALUE;
-        server.leastOf = 0;
-    }
-
-    /** A queue that nobody adds to drains as time goes by. */
-    private static double waiting(long now, Server server) {
-        return Math.max(0, server.wait - (now - server.waitAt));
-    }
-
-    /** What the gateway itself is late by counts on the way there and back; unlike a server's queue, another
-        place wouldn't be better, so refusals begin only where it uses up the aim.
-        What is beyond a share first, up to FIRST that alone. Then new keys, rising; remembered ones only when
-        refusing all new ones isn't enough. Whoever refuses all learns no more: one goes where nothing
-        was sent in the span that admission looks at. */
-    private boolean refuses(long now, Held req, Share share, boolean remembered, Server server) {
-        boolean over = share != null && !req.within;
-        double own = Math.min(1, (2.0 * ownStanding / tightestAim - OWN_AC) / (OWN_FULL - OWN_AC));
-        double pressure = Math.max(pressure(now, server), own);
-        double rest = share == null ? pressure : Math.max(0, (pressure - FIRST) / (1 - FIRST));
-        double chance = over ? OVER * pressure : remembered ? 2 * rest - 1 : 2 * rest;
-        if (chance > 0 && now - sentAt < SERVED_SPAN
-                && random.nextDouble() < chance * (1.2 - 0.4 * req.type.worth() / mostWorth)) {
-            req.why = over ? Why.SHARE : own > 0 && own >= filled(now, server) ? Why.GATEWAY : Why.HOSTS;
+        server.queueWaitMicros = wait;
+        server.queueWaitSetAt = now;
+        server.shortestAnswerMicros = Double.MAX_VALUE;
+        server.answersSinceEstimate = 0;
+    }
+
+    /** The present wait: a queue to which nothing is added drains as time passes. */
+    private static double currentWaitMicros(long now, Server server) {
+        return Math.max(0, server.queueWaitMicros - (now - server.queueWaitSetAt));
+    }
+
+    /**
+     * Decides whether a request is refused. The gateway's own delay counts twice, on the way to the host and
+     * back; unlike a server's queue, it can't be avoided by another choice, so that refusals begin only where
+     * it uses up the aim.
+     * <p>Requests beyond a tenant's share are refused first, and up to {@link #OVER_SHARE_ONLY_PRESSURE} only
+     * those; then new keys, with rising probability; remembered keys only where refusing all new ones is not
+     * enough. A gateway that refuses everything learns nothing any more, so a request passes if nothing was
+     * sent within {@link #SERVED_SPAN_MICROS}.
+     */
+    private boolean shouldRefuse(long now, PendingRequest pending, TenantShare tenantShare,
+            boolean remembered, Server server) {
+        boolean beyondShare = tenantShare != null && !pending.withinShare;
+        double ownPressure = Math.min(1,
+                (2.0 * ownQueueDelayMicros / tightestAimMicros - OWN_DELAY_AC_FRACTION)
+                / (OWN_DELAY_FULL_FRACTION - OWN_DELAY_AC_FRACTION));
+        double pressure = Math.max(pressure(now, server), ownPressure);
+        double pressureWithinShares = tenantShare == null ? pressure
+                : Math.max(0, (pressure - OVER_SHARE_ONLY_PRESSURE) / (1 - OVER_SHARE_ONLY_PRESSURE));
+        double probability = beyondShare ? OVER_SHARE_REFUSAL_MULTIPLE * pressure
+                : remembered ? 2 * pressureWithinShares - 1 : 2 * pressureWithinShares;
+        if (probability > 0 && now - lastSentAt < SERVED_SPAN_MICROS
+                && random.nextDouble() < probability
+                * (1.2 - 0.4 * pending.requestClass.worth() / maxWorth)) {
+            pending.refusalReason = beyondShare ? Why.SHARE
+                    : ownPressure > 0 && ownPressure >= queueFill(now, server) ? Why.GATEWAY : Why.HOSTS;
             return true;
         }
-        if (share != null && !over) {
-            share.left--;
+        if (tenantShare != null && !beyondShare) {
+            tenantShare.tokens--;
         }
         return false;
     }
 
     // ---- the guards of the four rules
 
-    /** The one gate of every send: drains, repeats, parallel tries and cold hosts are kept here. */
-    private boolean send(long now, Held req, Server server) {
-        if (!maySend(now, req, server)) {
+    /**
+     * The only place that sends: drains, repeats, parallel tries and cold hosts are checked here for every
+     * attempt.
+     */
+    private boolean send(long now, PendingRequest pending, Server server) {
+        if (!maySend(now, pending, server)) {
             return false;
         }
         if (server.coldSince > 0) {
             server.coldCredit--;
         }
-        Attempt attempt = new Attempt(server, req.cls, now);
-        req.attempts.add(attempt);
-        server.out.add(attempt);
-        freshen(now, server, attempt);
-        server.unansweredSince = server.unanswered++ == 0 ? now : server.unansweredSince;
-        server.sentAt = sentAt = now;
-        server.recent++;
-        recentSum++;
-        outSum++;
-        actions.send(req.id, server.host.address(), req.ends - now, repeatable(now, req));
+        Attempt attempt = new Attempt(server, pending.classIndex, now);
+        pending.attempts.add(attempt);
+        server.outstanding.add(attempt);
+        closeStaleConnections(now, server, attempt);
+        server.unansweredSince = server.unansweredAttempts++ == 0 ? now : server.unansweredSince;
+        server.lastSentAt = lastSentAt = now;
+        server.recentSends++;
+        recentSendsSum++;
+        outstandingSum++;
+        actions.send(pending.id, server.host.address(), pending.expiresAt - now, timeToLeave(now, pending));
         return true;
     }
 
-    /** For how long the newest attempt may leave: repeats are dropped in their window alone. */
-    private static long repeatable(long now, Held req) {
-        long until = req.ends;
-        for (Attempt before : req.attempts.subList(0, req.attempts.size() - 1)) {
-            boolean mayHaveRun = req.type.repeat() == Repeat.KEYED && !before.neverRan;
-            until = mayHaveRun ? Math.min(until, before.sentAt + req.type.dedupWindow() - HELD_UP) : until;
+    /** For how long the newest attempt may still leave: hosts drop repeats only within their dedup window. */
+    private static long timeToLeave(long now, PendingRequest pending) {
+        long leaveBy = pending.expiresAt;
+        for (Attempt earlier : pending.attempts.subList(0, pending.attempts.size() - 1)) {
+            boolean mayHaveRun = pending.requestClass.repeat() == Repeat.KEYED && !earlier.neverRan;
+            leaveBy = mayHaveRun
+                    ? Math.min(leaveBy,
+                            earlier.sentAt + pending.requestClass.dedupWindow() - MAX_SEND_DELAY_MICROS)
+                    : leaveBy;
         }
-        return until - now;
+        return leaveBy - now;
     }
 
-    /** Connections idle for longer than losses on such allow are closed before the send. */
-    private void freshen(long now, Server server, Attempt attempt) {
-        long idle = server.out.size() > 1 || server.usedAt == 0 ? 0 : now - server.usedAt;
+    /** Closes connections before the send that have been idle for longer than the observed losses allow. */
+    private void closeStaleConnections(long now, Server server, Attempt attempt) {
+        long idle = server.outstanding.size() > 1 || server.lastDeliveredAt == 0 ? 0
+                : now - server.lastDeliveredAt;
         if (idleTimeout.isTooLong(idle)) {
             actions.closeIdle(server.host.address());
         } else if (idle < settings.links().idle()) {
-            attempt.idle = idle;
+            attempt.connectionIdleMicros = idle;
         }
     }
 
-    private boolean maySend(long now, Held req, Server server) {
-        return listed(server) && req.ends > now && !req.streaming
-                && req.attempts.size() < settings.limits().maxAttempts()
-                && crossing(now, req, server) > 0 && mayRepeat(now, req, server)
-                && coldAllows(now, req, server);
+    private boolean maySend(long now, PendingRequest pending, Server server) {
+        return isListed(server) && pending.expiresAt > now && !pending.streaming
+                && pending.attempts.size() < settings.limits().maxAttempts()
+                && crossingFraction(now, pending, server) > 0 && mayRepeat(now, pending, server)
+                && coldHostAllows(now, pending, server);
     }
 
-    /** The part of its share that a server has for a request, by the zone that it is in. */
-    private static double crossing(long now, Held req, Server server) {
-        return req.crossing == null ? 1 : req.crossing.part(now, server.host.zone());
+    /** The fraction of its share that a server has for a request, by the server's zone. */
+    private static double crossingFraction(long now, PendingRequest pending, Server server) {
+        return pending.crossing == null ? 1 : pending.crossing.part(now, server.host.zone());
     }
 
-    private boolean listed(Server server) {
+    private boolean isListed(Server server) {
         return server.host.health() == Health.UP && servers.get(server.host.address()) == server;
     }
 
-    /** An attempt that may have run binds what follows: never, or to its group within the window. */
-    private boolean mayRepeat(long now, Held req, Server server) {
-        for (Attempt attempt : req.attempts) {
-            if (attempt.out && !settings.limits().parallelTries() || attempt.server == server) {
+    /**
+     * An attempt that may have run restricts the next one: to none, or to its group within the dedup window.
+     */
+    private boolean mayRepeat(long now, PendingRequest pending, Server server) {
+        for (Attempt attempt : pending.attempts) {
+            if (attempt.outstanding && !settings.limits().parallelTries() || attempt.server == server) {
                 return false;
             }
-            if (attempt.neverRan || req.type.repeat() == Repeat.SAFE) {
+            if (attempt.neverRan || pending.requestClass.repeat() == Repeat.SAFE) {
                 continue;
             }
-            if (req.type.repeat() == Repeat.UNSAFE || now - attempt.sentAt >= req.type.dedupWindow() - HELD_UP
-                    || !sameGroup(req.type.group(), attempt.server.host, server.host)) {
+            if (pending.requestClass.repeat() == Repeat.UNSAFE
+                    || now - attempt.sentAt >= pending.requestClass.dedupWindow() - MAX_SEND_DELAY_MICROS
+                    || !sameGroup(pending.requestClass.group(), attempt.server.host, server.host)) {
                 return false;
             }
         }
@@ -1016,103 +1265,124 @@
         };
     }
 
-    /** The one gate of every refusal and failure: a refusal only where a new try is proved harmless. */
-    private void answer(Held req) {
-        boolean harmless = req.type.repeat() == Repeat.SAFE
-                || req.type.repeat() == Repeat.KEYED && req.type.group() == Group.ALL
-                || req.attempts.stream().allMatch(a -> a.neverRan);
-        if (harmless) {
-            if (req.why == Why.HOSTS && req.crossing != null && req.crossing.heldBack()) {
-                req.why = Why.ZONES;
+    /** The only place that refuses and fails: refuses only where a retry by the client is proved harmless. */
+    private void refuseOrFail(PendingRequest pending) {
+        boolean retryIsHarmless = pending.requestClass.repeat() == Repeat.SAFE
+                || pending.requestClass.repeat() == Repeat.KEYED && pending.requestClass.group() == Group.ALL
+                || pending.attempts.stream().allMatch(a -> a.neverRan);
+        if (retryIsHarmless) {
+            if (pending.refusalReason == Why.HOSTS && pending.crossing != null
+                    && pending.crossing.heldBack()) {
+                pending.refusalReason = Why.ZONES;
             }
-            long after = settings.limits().retryAfter() ? settings.limits().maxRetryAfter() : 0;
-            actions.refuse(req.id, after, req.why);
+            long retryAfter = settings.limits().retryAfter() ? settings.limits().maxRetryAfter() : 0;
+            actions.refuse(pending.id, retryAfter, pending.refusalReason);
         } else {
-            actions.fail(req.id);
+            actions.fail(pending.id);
         }
-        end(req);
+        finish(pending);
     }
 
-    private void end(Held req) {
-        held.remove(req.id);
-        for (int i = 0; i < req.attempts.size(); i++) {
-            Attempt attempt = req.attempts.get(i);
-            if (attempt.out) {
-                attempt.out = false;
-                attempt.server.out.remove(attempt);
-                outSum--;
+    private void finish(PendingRequest pending) {
+        pendingRequests.remove(pending.id);
+        for (int i = 0; i < pending.attempts.size(); i++) {
+            Attempt attempt = pending.attempts.get(i);
+            if (attempt.outstanding) {
+                attempt.outstanding = false;
+                attempt.server.outstanding.remove(attempt);
+                outstandingSum--;
                 if (settings.limits().cancel()) {
-                    actions.cancel(req.id, i);
+                    actions.cancel(pending.id, i);
                 }
             }
         }
     }
 
-    /** A cold host may take its part of what warm hosts of its kind take, and no more than it answers: keys
-        that warm hosts know, requests that clients give up, all make the part a guess in any surge. */
-    private boolean coldAllows(long now, Held req, Server server) {
-        if (server.coldSince == 0 || warmth(now, server) == 1) {
+    /**
+     * A cold host may be sent its part of what warm hosts of its kind serve, and no more than it answers:
+     * keys that warm hosts know and requests that clients give up make that part a guess in any surge.
+     */
+    private boolean coldHostAllows(long now, PendingRequest pending, Server server) {
+        if (server.coldSince == 0 || minCapacityFraction(now, server) == 1) {
             return true;
         }
-        double answering = 2 * rate(now, server) * usual[req.cls] / 1e6;
-        return bears(now, req, server) && credit(now, server) >= 1
-                && (server.unanswered == 0 || server.unanswered < answering
-                || now - server.sentAt >= settings.rules().fallSpan());
-    }
-
-    /** Whether it bears a single heavy request: what it has in store holds HEAVY usual ones. It does at least
-        one at a time in the usual time, and what all gateways have its like do. */
-    private boolean bears(long now, Held req, Server server) {
-        double able = Math.max(likeRate(server) * settings.site().gateways(), 1e6 / usual[req.cls]);
+        double usuallyOutstanding = 2 * coldRatePerSecond(now, server)
+                * typicalLatencyMicros[pending.classIndex] / 1e6;
+        return bearsHeavyRequest(now, pending, server) && refillColdCredit(now, server) >= 1
+                && (server.unansweredAttempts == 0 || server.unansweredAttempts < usuallyOutstanding
+                || now - server.lastSentAt >= settings.rules().fallSpan());
+    }
+
+    /**
+     * Whether the host bears a single heavy request: what it can take in {@code fallSpan} without being
+     * overloaded has to be at least {@link #HEAVY_REQUEST_MULTIPLE} typical requests. When warm, it serves at
+     * least one request at a time, each in the typical latency, and as much as all gateways are served by a
+     * warm host of its kind.
+     */
+    private boolean bearsHeavyRequest(long now, PendingRequest pending, Server server) {
+        double capacityPerSecond = Math.max(warmRatePerSecond(server) * settings.site().gateways(),
+                1e6 / typicalLatencyMicros[pending.classIndex]);
         Rules rules = settings.rules();
-        return rules.fallMultiple() * warmth(now, server) * able * rules.fallSpan() / 1e6 >= HEAVY;
+        return rules.fallMultiple() * minCapacityFraction(now, server) * capacityPerSecond
+                * rules.fallSpan() / 1e6 >= HEAVY_REQUEST_MULTIPLE;
     }
 
-    /** Requests a second that a cold server may have from here. */
-    private double rate(long now, Server server) {
-        return CREDIT * warmth(now, server) * likeRate(server);
+    /** Requests a second that this gateway may send to a cold server. */
+    private double coldRatePerSecond(long now, Server server) {
+        return COLD_RATE_FRACTION * minCapacityFraction(now, server) * warmRatePerSecond(server);
     }
 
-    /** How long, in seconds, one of many gateways may put off what it may send: what all may send in that
-        time, the server bears at once beside what goes on; half of it is for chance in phases and work. */
-    private double lapse() {
+    /**
+     * How long, in seconds, one of many gateways may delay what it may send: the server bears at once what
+     * all of them may send in that time, on top of what goes on; half of that allows for random phases and
+     * work.
+     */
+    private double maxDelaySeconds() {
         Rules rules = settings.rules();
-        return 0.5 * Math.max(0, rules.fallMultiple() - CREDIT) / CREDIT * rules.fallSpan() / 1e6;
-    }
-
-    /** What a cold server may be sent now. Where that is less than one request a lapse, what is not sent in
-        its time is not saved up: gateways with one in hand each would all spend it on one popular key. */
-    private double credit(long now, Server server) {
-        double rate = rate(now, server);
-        server.coldCredit += rate * (now - server.creditAt) / 1e6;
-        server.creditAt = now;
-        double slot = rate * lapse();
-        if (slot >= 1) {
-            double most = Math.max(1, rate * settings.rules().fallSpan() / 2e6);
-            server.coldCredit = Math.min(most, server.coldCredit);
+        return 0.5 * Math.max(0, rules.fallMultiple() - COLD_RATE_FRACTION) / COLD_RATE_FRACTION
+                * rules.fallSpan() / 1e6;
+    }
+
+    /**
+     * Refills and returns the number of requests that a cold server may be sent now. Where this is less than
+     * one request in {@link #maxDelaySeconds}, credit that is not used in its time is not saved up: gateways
+     * with one request each in hand would all spend it on one popular key.
+     */
+    private double refillColdCredit(long now, Server server) {
+        double rate = coldRatePerSecond(now, server);
+        server.coldCredit += rate * (now - server.creditUpdatedAt) / 1e6;
+        server.creditUpdatedAt = now;
+        double slotFraction = rate * maxDelaySeconds();
+        if (slotFraction >= 1) {
+            double maxCredit = Math.max(1, rate * settings.rules().fallSpan() / 2e6);
+            server.coldCredit = Math.min(maxCredit, server.coldCredit);
         } else if (server.coldCredit >= 1) {
             double phase = server.coldCredit % 1;
-            server.coldCredit = phase <= slot ? 1 + phase : phase;
+            server.coldCredit = phase <= slotFraction ? 1 + phase : phase;
         }
         return server.coldCredit;
     }
 
-    /** What warm hosts of the kind last served a second. Not what they were sent: in an overload that is many
-        times what they can do, and a cold host given its part of it falls. Kept while no host is warm, and
-        for about a warm-up when they serve less: in a collapse the newcomers are what ends it. */
-    private double likeRate(Server server) {
-        if (server.kind.rate > 0) {
-            return server.kind.rate;
+    /**
+     * Requests a second that a warm host of the kind last served here. Served, not sent: in an overload,
+     * hosts are sent many times what they can serve, and a cold host given its part of that would be
+     * overloaded. The rate is kept while no host is warm, and for about the warm-up time when they serve
+     * less: in a collapse, only the new hosts end it.
+     */
+    private double warmRatePerSecond(Server server) {
+        if (server.kind.servedPerSecond > 0) {
+            return server.kind.servedPerSecond;
         }
-        return kinds.values().stream().filter(k -> k.rate > 0).mapToDouble(k -> k.rate).min().orElse(0);
+        return kinds.values().stream().filter(k -> k.servedPerSecond > 0).mapToDouble(k -> k.servedPerSecond)
+                .min().orElse(0);
     }
 
-    /** The least part of its capacity that a host can have by now. */
-    private double warmth(long now, Server server) {
+    /** The smallest fraction of its capacity that a host can have by now. */
+    private double minCapacityFraction(long now, Server server) {
         if (server.down) {
             server.coldSince = now;
         }
-        if (server.coldSince == 0 || now - server.coldSince >= server.coldSpan) {
+        if (server.coldSince == 0 || now - server.coldSince >= server.coldSpanMicros) {
             server.coldSince = 0;
             return 1;
         }
@@ -1120,47 +1390,52 @@
         return from + (1 - from) * (now - server.coldSince) / settings.rules().warmWithin();
     }
 
-    private void chill(long now, Server server, long since, long span) {
+    private void markCold(long now, Server server, long since, long span) {
         if (now - since < span) {
             server.coldSince = Math.max(1, since);
-            server.coldSpan = span;
-            // Gateways in turn, another first at each host, so that their single requests don't coincide.
-            int all = settings.site().gateways();
-            int slot = Math.floorMod(mix(server.host.address().hashCode()) + settings.site().me(), all);
-            server.coldCredit = 1 - (slot + random.nextDouble()) / all;
-            server.creditAt = now;
+            server.coldSpanMicros = span;
+            // Gateways take turns, with another first one at each host, so that their single requests don't
+            // coincide.
+            int gateways = settings.site().gateways();
+            int slot = Math.floorMod(mixBits(server.host.address().hashCode()) + settings.site().me(),
+                    gateways);
+            server.coldCredit = 1 - (slot + random.nextDouble()) / gateways;
+            server.creditUpdatedAt = now;
         }
     }
 
     // ---- retries
 
-    private void retry(long now, Held req) {
-        boolean pays = req.ends - now > usual[req.cls] / 2;
-        // Only what failed at a silent server is free: a full table fails too, and free retries keep it full.
-        double cost = req.attempts.get(req.attempts.size() - 1).server.down ? 0 : 1;
-        Server server = pays && retryBudget >= cost ? draw(now, req) : null;
+    private void retry(long now, PendingRequest pending) {
+        boolean timeIsLeft = pending.expiresAt - now > typicalLatencyMicros[pending.classIndex] / 2;
+        // Only a retry after a failure at a server that is down is free: dials fail by full connection
+        // tables, too, and free retries would keep these full.
+        double cost = pending.attempts.get(pending.attempts.size() - 1).server.down ? 0 : 1;
+        Server server = timeIsLeft && retryBudget >= cost ? drawServer(now, pending) : null;
         if (server != null) {
             retryBudget -= cost;
         }
-        place(now, req, server);
+        sendOrAnswer(now, pending, server);
     }
 
     // ---- probes and registry
 
-    /** Servers that are down, then servers short of samples, within the budget; from a random place, so that
-        late entries of a long list don't starve, and one probe at a time. */
-    private void probeSome() {
+    /**
+     * Probes servers that are down, then servers without samples, within the budget. Starts at a random
+     * server, so that the last entries of a long list don't starve, and sends a server one probe at a time.
+     */
+    private void sendProbes() {
         if (!settings.limits().probes()) {
             return;
         }
-        int all = order.length;
-        int from = random.nextInt(Math.max(1, all));
-        for (int i = 0; i < 2 * all && probeBudget >= 1; i++) {
-            Server server = order[(from + i) % all];
-            boolean wanted = i < all ? server.down : server.ownCount == 0;
-            if (wanted && !server.probing && server.host.health() == Health.UP) {
+        int count = serverArray.length;
+        int first = random.nextInt(Math.max(1, count));
+        for (int i = 0; i < 2 * count && probeBudget >= 1; i++) {
+            Server server = serverArray[(first + i) % count];
+            boolean wanted = i < count ? server.down : server.ownSampleCount == 0;
+            if (wanted && !server.probeOutstanding && server.host.health() == Health.UP) {
                 probeBudget--;
-                server.probing = true;
+                server.probeOutstanding = true;
                 actions.probe(server.host.address());
             }
         }
@@ -1172,106 +1447,121 @@
         if (server == null) {
             return;
         }
-        server.probing = false;
-        learnReport(now, server, report);
+        server.probeOutstanding = false;
+        recordLoadReport(now, server, report);
         if (outcome == Outcome.DELIVERED) {
-            answered(now, server);
-            server.probeTrip = elapsed / usual[0];
+            recordAnswer(now, server);
+            server.probeLatency = elapsed / typicalLatencyMicros[0];
         } else {
-            failed(now, server, outcome);
+            recordFailure(now, server, outcome);
         }
     }
 
     @Override
     public void hosts(long now, ListForm form, List<Host> hosts) {
         if (form == ListForm.FAILED) {
-            // Told seconds later, heard or not: soon again, then more seldom; spread, or who failed together
-            // would ask together. What an agent hears once it is back counts at once: within the grace.
-            long least = Math.max(ASK_PAUSE, settings.rules().mustAskIn() / ASK_LEAST);
-            long mean = settings.registryOnRequest() ? least << Math.min(ASK_DOUBLED, askFailures++)
-                    : Math.max(ASK_SOON, Math.min(ASK_PAUSE, settings.rules().drainGrace() / 4));
-            actions.timer(now + 1 + mean / 2 + random.nextLong(mean + 1), ASK);
+            // Changes count as known some seconds later, received or not: ask again soon, then less often,
+            // after random pauses, or gateways whose calls failed together would ask together. What an agent
+            // that pushes receives once it is back counts at once, so that the pause is within the drain
+            // grace.
+            long minPause = Math.max(WATCH_PAUSE_MICROS, settings.rules().mustAskIn() / WATCH_PAUSE_DIVISOR);
+            long meanPause = settings.registryOnRequest()
+                    ? minPause << Math.min(MAX_WATCH_PAUSE_DOUBLINGS, watchFailures++)
+                    : Math.max(MIN_PUSH_WATCH_PAUSE_MICROS,
+                    Math.min(WATCH_PAUSE_MICROS, settings.rules().drainGrace() / 4));
+            actions.timer(now + 1 + meanPause / 2 + random.nextLong(meanPause + 1), WATCH_TIMER);
             return;
         }
-        askFailures = 0;
+        watchFailures = 0;
         if (form != ListForm.DELTA) {
-            Set<String> named = new HashSet<>();
-            hosts.forEach(host -> named.add(host.address()));
-            List.copyOf(servers.keySet()).stream().filter(a -> !named.contains(a)).forEach(this::gone);
+            Set<String> listed = new HashSet<>();
+            hosts.forEach(host -> listed.add(host.address()));
+            List.copyOf(servers.keySet()).stream().filter(a -> !listed.contains(a))
+                    .forEach(this::removeServer);
         }
-        boolean news = false;
+        boolean needsSlots = false;
         for (Host host : hosts) {
-            news |= admit(now, host);
-        }
-        if (news || dead > DEAD * servers.size()) {
-            seat();  // costs as much as thousands of requests where lists are long
-        } else if (restarted > DEAD * servers.size()) {
-            restarted = 0;
-            Arrays.setAll(table, i -> present(table[i]));
-        }
-        told |= form != ListForm.CACHED;
-        order = servers.values().toArray(order.length == servers.size() ? order : new Server[0]);
-        // Whether the draws for a request are too few to be sure of a host that the list gives weight. By
-        // the list alone: where hosts are cold or failing, draws that find nobody keep the rest upright.
-        double sum = 0;
-        double home = 0;
-        double most = 0;
-        for (Server server : order) {
+            needsSlots |= addOrUpdate(now, host);
+        }
+        if (needsSlots || departedInTable > MAX_STALE_FRACTION * servers.size()) {
+            buildTable();  // costs as much as thousands of requests where lists are long
+        } else if (restartedInTable > MAX_STALE_FRACTION * servers.size()) {
+            restartedInTable = 0;
+            Arrays.setAll(table, i -> currentServer(table[i]));
+        }
+        discoveryHeard |= form != ListForm.CACHED;
+        serverArray = servers.values().toArray(
+                serverArray.length == servers.size() ? serverArray : new Server[0]);
+        // Whether the draws for a request are too few to reliably hit a host that has weight in the list.
+        // Judged by the list alone: where hosts are cold or failing, draws that find no server protect the
+        // rest.
+        double weightSum = 0;
+        double ownZoneWeight = 0;
+        double maxWeight = 0;
+        for (Server server : serverArray) {
             boolean up = server.host.health() == Health.UP;
-            double size = up ? size(server.host) : 0;
-            shareMost = Math.max(shareMost, up ? server.share : 0);  // or weights would not count yet
-            sum += size;
-            home += near(server) ? size : 0;
-            most = Math.max(most, size);
-        }
-        sparse = DRAWS * sum < SURE * most * servers.size();
-        homeSparse = DRAWS * home < SURE * most * servers.size();  // for who may not leave the zone
-    }
-
-    /** Its place stays until somebody needs one, or too many are empty: draws pass over it. */
-    private void gone(String address) {
+            double weight = up ? weightOf(server.host) : 0;
+            // or weights would not count before the next refresh
+            maxShare = Math.max(maxShare, up ? server.share : 0);
+            weightSum += weight;
+            ownZoneWeight += isInOwnZone(server) ? weight : 0;
+            maxWeight = Math.max(maxWeight, weight);
+        }
+        sparse = MAX_DRAWS * weightSum < MIN_EXPECTED_HITS * maxWeight * servers.size();
+        // for requests that may not leave the zone
+        ownZoneSparse = MAX_DRAWS * ownZoneWeight < MIN_EXPECTED_HITS * maxWeight * servers.size();
+    }
+
+    /**
+     * Removes a server. Its slots stay until a new server needs slots or too many are vacant: draws skip
+     * them.
+     */
+    private void removeServer(String address) {
         Server server = servers.remove(address);
         if (server != null) {
-            left.put(address, server);
-            dead++;
+            departedServers.put(address, server);
+            departedInTable++;
         }
     }
 
-    /** When a host started at the earliest. Its own word is in Unix time, and this machine's clock may have
-        been wrong as the gateway began: by a fast one every start looks old, and the host warm. But a start
-        that is heard of only now was listed no longer ago than discovery takes to tell; what was listed when
-        the gateway began may be of any age, and its own word is all there is. */
-    private long startedAt(long now, Host host) {
-        return Math.max(Math.min(now, host.born()), told ? now - TOLD_WITHIN : 0);
+    /**
+     * The earliest time at which a host can have started. The host reports its start in Unix time, and this
+     * machine's clock may have been wrong when the gateway started: if it was fast, every start looks old and
+     * the host warm. But a start that is first reported now was listed no longer ago than discovery takes to
+     * report it. What was listed when the gateway started may be of any age, and the host's report is all
+     * there is.
+     */
+    private long earliestStart(long now, Host host) {
+        return Math.max(Math.min(now, host.born()), discoveryHeard ? now - MAX_DISCOVERY_DELAY_MICROS : 0);
     }
 
-    /** Returns whether it has no place yet. */
-    private boolean admit(long now, Host host) {
+    /** Adds or updates a host of the list; returns whether it has no slot in the table yet. */
+    private boolean addOrUpdate(long now, Host host) {
         if (host.health() == Health.GONE) {
-            gone(host.address());
+            removeServer(host.address());
             return false;
         }
         Server known = servers.get(host.address());
-        Server seated = known == null ? left.remove(host.address()) : known;
+        Server slotOwner = known == null ? departedServers.remove(host.address()) : known;
         Server server = known;
         if (server == null || host.born() > server.host.born()) {
             server = new Server();
-            server.answeredAt = now;
-            server.share = 0.5 * size(host);
-            if (seated != null) {
-                seated.successor = server;
-                restarted++;
+            server.lastAnsweredAt = now;
+            server.share = 0.5 * weightOf(host);
+            if (slotOwner != null) {
+                slotOwner.successor = server;
+                restartedInTable++;
             }
         }
-        boolean fresh = server != known;
-        dead -= known == null && seated != null ? 1 : 0;
+        boolean isNewStart = server != known;
+        departedInTable -= known == null && slotOwner != null ? 1 : 0;
         server.host = host;
-        server.kind = kinds.computeIfAbsent(host.kind(), k -> new Pool());
+        server.kind = kinds.computeIfAbsent(host.kind(), k -> new KindStats());
         servers.put(host.address(), server);
-        if (fresh && host.born() > 0) {
-            chill(now, server, startedAt(now, host), settings.rules().warmWithin());
+        if (isNewStart && host.born() > 0) {
+            markCold(now, server, earliestStart(now, host), settings.rules().warmWithin());
             server.share = 0;
         }
-        return seated == null;
+        return slotOwner == null;
     }
 }
--- a/src/main/java/mastdrift/Balancer.java
+++ b/src/main/java/mastdrift/Balancer.java
@@ -3,36 +3,34 @@
 import java.util.List;
 
 /**
- * The interface of the decision module: what a gateway tells it (events, the methods below) and what it
- * asks of the gateway ({@link Actions}).
- *
- * <p>Units: every time and span is in microseconds on the gateway's own clock, which must not run back.
- * The caller owns the clock and passes {@code now} with each event. Threading: one instance a gateway,
- * driven by one thread; actions are called from within the event they answer. The caller delivers
- * {@link #start} first, a server list in the same moment, then every event as it happens, exactly one
- * {@link #resolved} for each send, and each timer once at or after the time it was asked for.
- * Outcomes and departures of requests that have ended are legal and passed over. Nothing is shared
- * between instances.
+ * The interface of the decision module: the events that a gateway reports to it (the methods below) and what it asks of
+ * the gateway ({@link Actions}).
+ * <p>Units: all times and spans are in microseconds on the gateway's own clock, which must not run backwards. The
+ * caller owns the clock and passes {@code now} with each event. Threading: one instance per gateway, driven by one
+ * thread; actions are called from within the event that they answer. The caller delivers {@link #start} first, a server
+ * list at the same time, then every event as it happens, exactly one {@link #resolved} for each send, and each timer
+ * once at or after the time it was requested for. Outcomes and departures of requests that have ended are allowed and
+ * ignored. Instances share nothing.
  */
 public interface Balancer {
 
-    /** How often a request of a class may take effect. */
+    /** Whether a request of a class may be executed more than once. */
     enum Repeat {
-        /** May be run again at any time. */
+        /** May be executed any number of times. */
         SAFE,
-        /** Repeats are dropped by a group of hosts for a while. */
+        /** A group of hosts drops repeats for some time, the dedup window. */
         KEYED,
-        /** Must not run twice. */
+        /** Must not be executed twice. */
         UNSAFE
     }
 
     /** The hosts that drop repeats of one another's keyed requests. */
     enum Group { ALL, ZONE, CELL }
 
-    /** A host's standing in the list. */
+    /** A host's state in the list. */
     enum Health { UP, LEAVING, GONE }
 
-    /** What a message from the registry holds. */
+    /** What a message from the registry contains. */
     enum ListForm { DELTA, FULL, CACHED, FAILED }
 
     /** How an attempt ended. */
@@ -52,177 +50,206 @@
         }
     }
 
-    /** What a refusal comes of: the hosts, the tenant's share, the gateway itself, which can't keep up, a bound on what may cross
-        zones, or a list of hosts that may not be relied on. */
+    /**
+     * The reason of a refusal: the hosts, the tenant's share, an overload of the gateway itself, a limit on zone
+     * crossings, or a host list that is not reliable.
+     */
     enum Why { HOSTS, SHARE, GATEWAY, ZONES, LIST }
 
-    /** What it weighs for one request to go to a zone; asked at each choice, so that the answer is of the moment. */
+    /** The limit on zone crossings for one request; queried at each selection, so that the values are current. */
     interface Crossing {
-        /** The part of its share that a host of a zone has for this request, from 0 (not at all) to 1 (as if nothing crossed). */
+        /**
+         * The fraction of its share that a host of the zone has for this request, from 0 (not at all) to 1 (as if in
+         * the own zone).
+         */
         double part(long now, String zone);
 
         /** Whether it has kept the request from a zone so far. */
         boolean heldBack();
     }
 
-    /** Work that other gateways have out, as far as they tell of it; asked at each choice. What it says may be late or wrong. */
+    /**
+     * Outstanding requests of other gateways, as far as they report them; queried at each selection. The values may be
+     * late or wrong.
+     */
     interface Elsewhere {
-        /** Requests that others have out at a host, 0 or more. */
+        /** Requests that other gateways have outstanding at a host, 0 or more. */
         double out(String address);
 
-        /** Requests that others have out at all hosts, 0 or more. */
+        /** Requests that other gateways have outstanding at all hosts, 0 or more. */
         double total();
     }
 
-    /** What the weights of the list mean: nothing, registered size, rough size, size over present load. */
+    /** What the weights of the list mean: nothing, registered size, rough size, or size over present load. */
     enum Weights { OFF, NOMINAL, ROUGH, LIVE }
 
-    /** Where load reports come: with outcomes and probes, with probes alone, nowhere. */
+    /** Where load reports are sent: with outcomes and probes, with probes only, or not at all. */
     enum Reports { INLINE, ON_PROBE, OFF }
 
-    /** A class of requests; {@code lateWorth} is the part of the worth earned after the aim. The aim grows
-        by {@code aimStretch} times the request's own work. The dedup window counts for KEYED alone. */
+    /**
+     * A class of requests; {@code lateWorth} is the fraction of the worth that is earned after the aim. The aim grows
+     * by {@code aimStretch} times the request's own work. The dedup window applies to KEYED only.
+     */
     record RequestClass(String name, long aim, double aimStretch, long deadline, double worth, double lateWorth,
             Repeat repeat, Group group, long dedupWindow, boolean stream) { }
 
-    /** A tenant, its part of the service, and the requests a second within its share, over all gateways. */
+    /** A tenant, its fraction of the service, and its quota over all gateways. */
     record Tenant(String name, double fraction, double quotaPerSecond) { }
 
-    /** What the gateway and its site allow; a retry-after of 0 where clients get none. */
+    /** What the gateway and its site allow; refusals carry a retry-after of 0 where {@code retryAfter} is false. */
     record Limits(boolean cancel, boolean probes, boolean parallelTries, boolean peers, int maxAttempts,
             int maxOpen, boolean retryAfter, long maxRetryAfter) { }
 
-    /** Connections to hosts: time to open one, idle time after which it is closed, attempts on one at once. */
+    /** Connections to hosts: time to open one, idle time after which it is closed, concurrent attempts on one. */
     record Links(long dialTimeout, long idle, int streams) { }
 
-    /** CPU this instance may use; the mean cost of a request is 0 where it isn't limited. */
+    /** CPU that this instance may use; the mean cost of a request is 0 where CPU isn't limited. */
     record Cpu(long perSecond, double perRequest) { }
 
-    /** The figures of the four rules; {@code mustAskIn} is 0 where the registry pushes. */
+    /**
+     * The parameters of the four rules; {@code mustAskIn} is 0 where the registry pushes. A cold host has the fraction
+     * {@code coldFrom} of its capacity at its start and all of it after {@code warmWithin}; a host is overloaded by
+     * more than {@code fallMultiple} times its capacity during {@code fallSpan}.
+     */
     record Rules(long answerSlack, long drainGrace, long mustAskIn, double coldFrom, long warmWithin,
             double fallMultiple, long fallSpan) { }
 
-    /** Weights of the parts of the result. */
+    /** Weights of the parts of the overall result. */
     record Goal(double whole, double worstWindow, double worstClass, double worstTenant) { }
 
-    /** What is taken off the result, each for a full unit; 0 for what costs nothing. */
+    /** Deductions from the overall result, each for a full unit; 0 for what costs nothing. */
     record Prices(double crossZone, double waste, double connection, double handshake, double origin,
             double probe, double peer, double lateFail, double moves, double registry, double fleet) { }
 
-    /** How the users value what is served. */
+    /** How users value the requests that are served. */
     record Value(Goal goal, Prices prices, double overShareWorth, boolean byWork) { }
 
-    /** Where this instance stands: its number, how many there are, its zone and all zones, the machine
-        kinds, and the tiers with the one it sends to. */
+    /**
+     * The position of this instance: its number, the number of gateways, its zone and all zones, the machine kinds, and
+     * the tiers with the index of the one that it sends to.
+     */
     record Site(int me, int gateways, String zone, List<String> zones, List<String> kinds, int layer,
             List<String> stages) { }
 
-    /** What hosts and clients do: whether hosts serve a recent key with less work and pass deadlines on,
-        which load reports come, whether clients mark their repeats. */
+    /**
+     * The behaviour of hosts and clients: whether hosts serve a recent key with less work and propagate deadlines,
+     * which load reports there are, and whether clients mark their retries.
+     */
     record Habits(boolean warmKeys, boolean passesDeadline, Reports reports, List<String> reportNames,
             boolean marksRetry) { }
 
-    /** All start settings of one instance; {@code resolution} is the least time between two moments. */
+    /** All settings of one instance; {@code resolution} is the smallest difference between two times. */
     record Settings(List<RequestClass> classes, List<Tenant> tenants, Limits limits, Links links, Cpu cpu,
             Rules rules, Value value, Site site, Habits habits, boolean registryOnRequest, Weights weights,
             String service, long resolution, long seed) { }
 
-    /** One entry of the server list; {@code born} is the start of its process, 0 for long ago. */
+    /** One entry of the server list; {@code born} is the start of its process, 0 if that was long ago. */
     record Host(String address, String zone, int cell, String kind, double weight, Health health,
             long born) { }
 
-    /** A client's request; {@code key} and {@code tenant} may be null; {@code left} ends this try; the
-        expected work is 0 where there is no hint; {@code crossing} is null where nothing bounds what crosses zones. */
+    /**
+     * A client's request; {@code key} and {@code tenant} may be null; {@code left} is the time that is left for this
+     * try; the expected work is 0 if there is no hint; {@code crossing} is null where nothing limits zone crossings.
+     */
     record Request(long id, String className, String tenant, Long key, long left, long work, boolean repeated,
             boolean write, Crossing crossing) {
-        /** Where nothing bounds what crosses zones. */
-        public Request(long id, String className, String tenant, Long key, long left, long work, boolean repeated, boolean write) {
+        /** Creates a request without a limit on zone crossings. */
+        public Request(long id, String className, String tenant, Long key, long left, long work, boolean repeated,
+                boolean write) {
             this(id, className, tenant, key, left, work, repeated, write, null);
         }
 
-        /** A first try without a hint. */
+        /** Creates a first try without a hint on its work. */
         public Request(long id, String className, String tenant, Long key, long left) {
             this(id, className, tenant, key, left, 0, false, false);
         }
     }
 
-    /** A host's own report; a value it doesn't give is NaN. */
+    /** A host's load report; a value that it doesn't contain is NaN. */
     record LoadReport(double active, double waiting, double cpu, double serviceMillis, double rps,
             double errorsPerSecond) {
-        /** Of a host that gave none. */
+        /** The report of a host that sent none. */
         public static final LoadReport NONE =
                 new LoadReport(Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
     /** What the module asks of its gateway. */
     interface Actions {
-        /** Sends the request to a host; attempts are numbered from 0 in the order of these calls. What has not left after
-            {@code leaveWithin}, since it waited for a connection, say, does not leave any more. */
+        /**
+         * Sends the request to a host; attempts are numbered from 0 in the order of these calls. An attempt that has
+         * not left within {@code leaveWithin}, for instance since it waits for a connection, must not leave any more.
+         */
         void send(long id, String address, long timeout, long leaveWithin);
 
         /** Stops waiting for one attempt. */
         void cancel(long id, int attempt);
 
-        /** Final answer: refused, and a new try does no harm. */
+        /** Final answer: refused; a retry by the client is harmless. */
         void refuse(long id, long retryAfter, Why why);
 
-        /** Final answer: failed, with no claim about its effect. */
+        /** Final answer: failed; the request may have had an effect or not. */
         void fail(long id);
 
-        /** Asks for {@link Balancer#timer} at or after a time. */
+        /** Requests a call of {@link Balancer#timer} at or after a time. */
         void timer(long at, String handle);
 
-        /** Checks a host; answered by {@link Balancer#probed}. */
+        /** Probes a host; answered by {@link Balancer#probed}. */
         void probe(String address);
 
-        /** Subscribes to changes of the server list, or ends that; the answer comes by {@link Balancer#hosts}. */
+        /** Subscribes to changes of the server list, or ends the subscription; answered by {@link Balancer#hosts}. */
         void watch(boolean active);
 
-        /** Asks for the whole server list, once. */
+        /** Requests the whole server list, once. */
         void fetch();
 
         /** Closes this gateway's idle connections to a host. */
         void closeIdle(String address);
 
-        /** Sends up to 256 bytes to one peer, or to all for a number below 0. */
+        /** Sends up to 256 bytes to one peer, or to all peers if the number is negative. */
         void tell(int peer, byte[] message);
 
-        /** A line for the operator. */
+        /** Logs a line for the operator. */
         void log(String line);
     }
 
-    /** Starts the instance; throws IllegalArgumentException for settings it can't run with. */
+    /** Starts the instance; throws IllegalArgumentException for settings that it can't run with. */
     void start(long now, Settings settings, Actions actions);
 
-    /** A server list or its changes; FAILED carries no hosts. */
+    /** A server list or changes to it; FAILED carries no hosts. */
     void hosts(long now, ListForm form, List<Host> hosts);
 
-    /** How late the gateway itself is; told ahead of events that tell of hosts' time. Whatever comes to it has to wait
-        {@code standing} at least, and what came in the last {@code behind} may not have been told yet. */
-    default void own(long now, long standing, long behind) { }
+    /**
+     * Reports how late the gateway itself is; called before events that depend on the time hosts take. Everything that
+     * reaches the gateway has to wait {@code queueDelay} at least, and events of the last {@code lag} may not have been
+     * reported yet.
+     */
+    default void own(long now, long queueDelay, long lag) { }
 
-    /** What others have out is known from now on; told ahead of {@link #start}. A module that has no use for it passes it over. */
-    default void elsewhere(Elsewhere others) { }
+    /** Provides the outstanding requests of other gateways; called before {@link #start}. A module may ignore it. */
+    default void elsewhere(Elsewhere otherGateways) { }
 
-    /** A client's request has come in; it is owed exactly one final answer. */
+    /** A client's request has come in; it must get exactly one final answer. */
     void request(long now, Request request);
 
-    /** The answer to an attempt has begun to stream; the attempt belongs to the client now. */
+    /** The answer to an attempt has begun to stream to the client: the request can't be sent again. */
     void streaming(long now, long id, int attempt);
 
-    /** An attempt ended; {@code elapsed} without what the gateway itself was late by, as far as that is known; {@code over} if the request has ended, by this outcome or earlier. */
+    /**
+     * An attempt ended. {@code elapsed} excludes the gateway's own delay as far as it is known; {@code requestEnded} is
+     * true if the request has ended, by this outcome or earlier.
+     */
     void resolved(long now, long id, int attempt, String address, Outcome outcome, long elapsed,
-            boolean over, LoadReport report);
+            boolean requestEnded, LoadReport report);
 
-    /** The client left; nothing more is owed. */
+    /** The client disconnected; no answer is owed any more. */
     void departed(long now, long id);
 
     /** A probe ended. */
     void probed(long now, String address, Outcome outcome, long elapsed, LoadReport report);
 
-    /** A message of a peer; a module that shares nothing passes it over. */
+    /** A message from a peer; ignored by a module that shares nothing. */
     default void told(long now, int peer, byte[] message) { }
 
-    /** A timer that was asked for is due. */
+    /** A timer that was requested is due. */
     void timer(long now, String handle);
 }
--- a/src/main/java/mastdrift/IdleTimeout.java
+++ b/src/main/java/mastdrift/IdleTimeout.java
@@ -1,63 +1,69 @@
 package mastdrift;
 
 /**
- * For how long a connection may have been idle and still be used, learned from losses. Idle connections can be lost unseen (a
- * firewall's or a host's own shorter limit): what is sent on one is reset or never answered. Losses are counted by how long the
- * connection was idle, in steps of two. A lower limit costs a handshake where the losses had another cause, and is forgotten after a
- * while. Times are in microseconds.
+ * Learns from losses for how long a connection may have been idle and still be used. Idle connections can be lost
+ * unnoticed (by a shorter idle limit of a firewall or of the host): what is sent on one is reset or never answered.
+ * Losses are counted by the connection's idle time, in buckets of powers of two. Where the losses had another cause, a
+ * limit costs needless handshakes, so it expires after a while. Times are in microseconds.
  */
 final class IdleTimeout {
 
-    /** Steps: one for each power of two that a span may have. */
-    private static final int STEPS = Long.SIZE;
-    /** Of what idle connections told before, after one more has told. */
-    private static final double KEPT = 0.9;
-    /** Of the connections of a step: from so many losses on it is too long. */
-    private static final double LOST_LEAST = 0.5;
-    /** Times the losses on busy connections. */
-    private static final double LOST_FAR = 2;
-    /** A limit takes about two losses. */
-    private static final double LOSSES_LEAST = 1.5;
-    private static final long REMEMBERED = 60_000_000;
+    /** One bucket for each power of two that an idle time can have. */
+    private static final int IDLE_BUCKETS = Long.SIZE;
+    /** Weight that a bucket's earlier observations keep with each new one. */
+    private static final double DECAY_FACTOR = 0.9;
+    /** Fraction of a bucket's connections that must be lost for its idle time to be too long. */
+    private static final double MIN_LOSS_FRACTION = 0.5;
+    /** Multiple of the loss fraction of busy connections that a bucket's must reach. */
+    private static final double BUSY_LOSS_MULTIPLE = 2;
+    /** Decayed number of losses that a limit takes: about two. */
+    private static final double MIN_LOSSES = 1.5;
+    /** How long a limit holds. */
+    private static final long LIMIT_TTL_MICROS = 60_000_000;
 
-    private final double[] lost = new double[STEPS];
-    private final double[] seen = new double[STEPS];
-    private long limit = Long.MAX_VALUE;
-    private long until;
+    private final double[] lossCounts = new double[IDLE_BUCKETS];
+    private final double[] attemptCounts = new double[IDLE_BUCKETS];
+    private long limitMicros = Long.MAX_VALUE;
+    private long limitExpiresAt;
 
-    /** Whether connections that have been idle for so long are to be closed ahead of a send. */
-    boolean isTooLong(long idle) {
-        return idle >= limit;
+    /** Whether connections that have been idle for this long have to be closed before a send. */
+    boolean isTooLong(long idleMicros) {
+        return idleMicros >= limitMicros;
     }
 
-    /** An attempt on a connection that had been idle for so long, 0 for a busy or a new one, was lost or not. */
-    void learn(long now, long idle, boolean wasLost) {
-        int step = idle <= 0 ? 0 : Long.SIZE - 1 - Long.numberOfLeadingZeros(idle);
-        lost[step] = (wasLost ? 1 : 0) + lost[step] * KEPT;
-        seen[step] = 1 + seen[step] * KEPT;
+    /** Records an attempt on a connection that had been idle for this long, 0 for a busy or a new one. */
+    void recordAttempt(long now, long idleMicros, boolean wasLost) {
+        int bucket = idleMicros <= 0 ? 0 : Long.SIZE - 1 - Long.numberOfLeadingZeros(idleMicros);
+        lossCounts[bucket] = (wasLost ? 1 : 0) + lossCounts[bucket] * DECAY_FACTOR;
+        attemptCounts[bucket] = 1 + attemptCounts[bucket] * DECAY_FACTOR;
         if (wasLost) {
-            lower(now);
+            lowerLimit(now);
         }
     }
 
-    /** From the longest down, each step where half was lost, and far more than on busy connections (step 0), lowers the limit. */
-    private void lower(long now) {
-        double bar = Math.max(LOST_LEAST, LOST_FAR * lost[0] / Math.max(1, seen[0]));
-        double losses = 0;
-        for (int step = STEPS - 1; step > 0; step--) {
-            losses += lost[step];
-            boolean tooLong = lost[step] > LOST_LEAST && lost[step] >= bar * seen[step] && losses > LOSSES_LEAST;
-            if (tooLong && 1L << step < limit) {
-                limit = 1L << step;
-                until = now + REMEMBERED;
+    /**
+     * From the longest idle time down, sets the limit to each bucket that lost at least half of its connections and far
+     * more than busy connections (bucket 0) did.
+     */
+    private void lowerLimit(long now) {
+        double minLossFraction = Math.max(MIN_LOSS_FRACTION,
+                BUSY_LOSS_MULTIPLE * lossCounts[0] / Math.max(1, attemptCounts[0]));
+        double lossesFromBucket = 0;
+        for (int bucket = IDLE_BUCKETS - 1; bucket > 0; bucket--) {
+            lossesFromBucket += lossCounts[bucket];
+            boolean tooLong = lossCounts[bucket] > MIN_LOSS_FRACTION
+                    && lossCounts[bucket] >= minLossFraction * attemptCounts[bucket] && lossesFromBucket > MIN_LOSSES;
+            if (tooLong && 1L << bucket < limitMicros) {
+                limitMicros = 1L << bucket;
+                limitExpiresAt = now + LIMIT_TTL_MICROS;
             }
         }
     }
 
-    /** Time goes by. */
-    void advance(long now) {
-        if (now > until) {
-            limit = Long.MAX_VALUE;
+    /** Drops a limit that has expired. */
+    void expireLimit(long now) {
+        if (now > limitExpiresAt) {
+            limitMicros = Long.MAX_VALUE;
         }
     }
 }
--- a/src/main/java/mastdrift/State.java
+++ b/src/main/java/mastdrift/State.java
@@ -3,112 +3,127 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What one gateway's module remembers: plain data without a decision, all of which are in Balance.java. */
+/**
+ * The state of one gateway's decision module: plain data. All decisions are made in {@link Balance}. Times are in
+ * microseconds.
+ */
 final class State {
 
     private State() { }
 
-    /** Sums over servers alike in kind. */
-    static final class Pool {
-        double latency;
-        double samples;
+    /** Statistics of the servers of one machine kind. */
+    static final class KindStats {
+        // sum over servers of sample count times 95th percentile; with the sums below, set anew by each refresh
+        double latencySum;
+        double sampleCount;
         double delivered;
-        double warm;
-        double rate;
-        double cpu;
-        double size = 1;
-        int reports;
+        double warmServers;
+        // requests a second that a warm server of the kind last served, a moving average
+        double servedPerSecond;
+        double cpuUse;
+        // multiple of the share that servers of the kind get
+        double sizeFactor = 1;
+        int reportCount;
 
-        void clear() {
-            latency = samples = delivered = warm = 0;
+        void clearSums() {
+            latencySum = sampleCount = delivered = warmServers = 0;
         }
     }
 
+    /** What the module knows of one server of the list. */
     static final class Server {
         private static final long[] NO_TIMES = {};
         private static final double[] NO_SAMPLES = {};
 
         Balancer.Host host;
-        Pool kind;
-        long[] sampleAt = NO_TIMES;  // room for samples once there is one: of a long list few have any
-        double[] sample = NO_SAMPLES;
-        int samples;
-        final List<Attempt> out = new ArrayList<>(0);
+        KindStats kind;
+        long[] sampledAt = NO_TIMES;  // allocated with the first sample: in a long list few servers have any
+        // normalized latencies, or UNBOUNDED_LATENCY for a failure
+        double[] sampleValues = NO_SAMPLES;
+        int sampleCount;
+        final List<Attempt> outstanding = new ArrayList<>(0);
+        // 95th percentile, number of latencies and number of failures in the sample window
         double ownP95;
-        int ownCount;
+        int ownSampleCount;
         int ownFailures;
+        // estimate of the normalized latency, resp_time(s)
         double respTime;
-        double serving = 1;
+        // fraction of attempts that do not fail
+        double servingFraction = 1;
         double share;
-        boolean inSet;
-        double queue;
-        long queueAt;
-        double probeTrip;
-        boolean probing;
-        long answeredAt;
-        int unanswered;
-        long sentAt;
-        long usedAt;
-        double recent;
+        boolean inServerSet;
+        double reportedQueue;
+        long queueReportedAt;
+        double probeLatency;
+        boolean probeOutstanding;
+        long lastAnsweredAt;
+        int unansweredAttempts;
+        long lastSentAt;
+        long lastDeliveredAt;
+        double recentSends;
         long unansweredSince;
         boolean down;
+        // 0 for a warm host
         long coldSince;
-        long coldSpan;
+        long coldSpanMicros;
         double coldCredit;
-        long creditAt;
-        int delivered;
-        long overtook;  // what was sent before this was overtaken by an answer: lost
-        double least = Double.MAX_VALUE;
-        int leastOf;
-        double wait;
-        long waitAt;
-        Server successor;  // another start of the same host
+        long creditUpdatedAt;
+        int deliveredSinceRefresh;
+        long overtakenBefore;  // attempts sent before this were overtaken by an answer and count as lost
+        double shortestAnswerMicros = Double.MAX_VALUE;
+        int answersSinceEstimate;
+        double queueWaitMicros;
+        long queueWaitSetAt;
+        Server successor;  // the same host after a restart
     }
 
+    /** One send of a request to a server. */
     static final class Attempt {
         final Server server;
-        final int cls;
+        final int classIndex;
         final long sentAt;
-        boolean out = true;
-        long idle;  // of the connection it was sent on, 0 for a new one or one not known
+        boolean outstanding = true;
+        long connectionIdleMicros;  // idle time of the connection it was sent on, 0 for a new one or if unknown
         boolean neverRan;
 
-        Attempt(Server server, int cls, long sentAt) {
+        Attempt(Server server, int classIndex, long sentAt) {
             this.server = server;
-            this.cls = cls;
+            this.classIndex = classIndex;
             this.sentAt = sentAt;
         }
     }
 
-    static final class Held {
+    /** A request without a final answer. */
+    static final class PendingRequest {
         final long id;
-        final Balancer.RequestClass type;
-        final int cls;
+        final Balancer.RequestClass requestClass;
+        final int classIndex;
         final long key;
-        final boolean keyed;
-        final long since;
-        final long ends;
+        final boolean hasKey;
+        final long arrivedAt;
+        final long expiresAt;
         final List<Attempt> attempts = new ArrayList<>(2);
         final Balancer.Crossing crossing;
-        long seed;  // the key, or that of one of its parts
-        double seen;  // times that the key came lately
-        Balancer.Host home;  // whose group it stays in, or null
+        long drawSeed;  // the key, or that of one of its parts where the key is split
+        double recentKeyRequests;  // recent requests with this key, with exponential decay
+        Balancer.Host groupHost;  // host whose group the request has to stay in, or null
         boolean streaming;
-        boolean within;  // its tenant's share
-        Balancer.Why why = Balancer.Why.HOSTS;
+        boolean withinShare;  // within its tenant's share
+        Balancer.Why refusalReason = Balancer.Why.HOSTS;
 
-        Held(Balancer.Request request, Balancer.RequestClass type, int cls, long key, long now) {
+        PendingRequest(Balancer.Request request, Balancer.RequestClass requestClass, int classIndex, long key,
+                long now) {
             id = request.id();
-            this.type = type;
-            this.cls = cls;
+            this.requestClass = requestClass;
+            this.classIndex = classIndex;
             this.key = key;
-            keyed = request.key() != null;
+            hasKey = request.key() != null;
             crossing = request.crossing();
-            since = now;
-            ends = now + request.left();
+            arrivedAt = now;
+            expiresAt = now + request.left();
         }
     }
 
-    /** Where a key was served last, and how often it came lately. */
-    record Session(Server server, long at, double seen) { }
+    /** The server that last served a key, when that was, and the decayed number of recent requests with the key. */
+    record Session(Server server, long lastUsedAt, double recentRequests) { }
 }
