--- a/src/test/java/mastdrift/ArchitectureTest.java
+++ b/src/test/java/mastdrift/ArchitectureTest.java
@@ -16,24 +16,33 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** The floors of the house: nobody imports one above, and who decides does no I/O. */
+/** The layers of the source: no package depends on one of a higher layer, and packages that decide do no I/O. */
 class ArchitectureTest {
 
-    /** From the ground up; those on one floor don't import each other. */
-    private static final List<List<String>> FLOORS = List.of(List.of("mastdrift"), List.of("mastdrift.settings", "mastdrift.events", "mastdrift.tally"),
+    /** From the lowest layer up; packages of one layer don't depend on each other. */
+    private static final List<List<String>> LAYERS = List.of(List.of("mastdrift"),
+            List.of("mastdrift.settings", "mastdrift.events", "mastdrift.tally"),
             List.of("mastdrift.membership", "mastdrift.radius", "mastdrift.routing",
-                    "mastdrift.lateness", "mastdrift.limits", "mastdrift.lab.draw", "mastdrift.zones", "mastdrift.peers", "mastdrift.agreed", "mastdrift.distribution"), List.of("mastdrift.config"), List.of("mastdrift.engine"),
-            List.of("mastdrift.net", "mastdrift.files", "mastdrift.wire", "mastdrift.radius.edge", "mastdrift.zones.edge", "mastdrift.peers.edge", "mastdrift.agreed.edge", "mastdrift.distribution.edge", "mastdrift.lab.model", "mastdrift.logging"), List.of("mastdrift.serve", "mastdrift.standin", "mastdrift.lab.load"),
-            List.of("mastdrift.lab"), List.of("mastdrift.lab.report"), List.of("mastdrift.lab.rig"), List.of("mastdrift.lab.scale", "mastdrift.lab.soak"), List.of("mastdrift.cli", "mastdrift.measure"));
+                    "mastdrift.lateness", "mastdrift.limits", "mastdrift.lab.draw", "mastdrift.zones",
+                    "mastdrift.peers", "mastdrift.agreed", "mastdrift.distribution"),
+            List.of("mastdrift.config"), List.of("mastdrift.engine"),
+            List.of("mastdrift.net", "mastdrift.files", "mastdrift.wire", "mastdrift.radius.edge",
+                    "mastdrift.zones.edge", "mastdrift.peers.edge", "mastdrift.agreed.edge",
+                    "mastdrift.distribution.edge", "mastdrift.lab.model", "mastdrift.logging"),
+            List.of("mastdrift.serve", "mastdrift.standin", "mastdrift.lab.load"),
+            List.of("mastdrift.lab"), List.of("mastdrift.lab.report"), List.of("mastdrift.lab.rig"),
+            List.of("mastdrift.lab.scale", "mastdrift.lab.soak"),
+            List.of("mastdrift.cli", "mastdrift.measure"));
 
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("mastdrift");
 
     @Test
-    void noFloorImportsOneAboveNorANeighbour() {
-        for (int floor = 0; floor < FLOORS.size(); floor++) {
-            for (String own : FLOORS.get(floor)) {
-                List<String> others = new ArrayList<>(FLOORS.subList(floor, FLOORS.size()).stream().flatMap(List::stream)
+    void layersDependOnlyOnLowerLayers() {
+        for (int layer = 0; layer < LAYERS.size(); layer++) {
+            for (String own : LAYERS.get(layer)) {
+                List<String> others = new ArrayList<>(LAYERS.subList(layer, LAYERS.size()).stream()
+                        .flatMap(List::stream)
                         .toList());
                 others.remove(own);
                 if (!others.isEmpty()) {
@@ -45,37 +54,49 @@
     }
 
     @Test
-    void whoDecidesDoesNoIo() {
-        noClasses().that().resideInAnyPackage("mastdrift", "mastdrift.settings", "mastdrift.membership", "mastdrift.routing",
-                "mastdrift.radius", "mastdrift.config", "mastdrift.lateness", "mastdrift.limits", "mastdrift.lab.draw", "mastdrift.zones", "mastdrift.peers", "mastdrift.agreed", "mastdrift.distribution").should().dependOnClassesThat().resideInAnyPackage("java.net..",
-                "java.io..", "java.nio.channels..", "java.nio.file..", "io.netty..", "java.util.concurrent..").check(CLASSES);
+    void decisionPackagesDoNoIo() {
+        noClasses().that().resideInAnyPackage("mastdrift", "mastdrift.settings", "mastdrift.membership",
+                "mastdrift.routing",
+                "mastdrift.radius", "mastdrift.config", "mastdrift.lateness", "mastdrift.limits", "mastdrift.lab.draw",
+                "mastdrift.zones", "mastdrift.peers", "mastdrift.agreed", "mastdrift.distribution").should()
+                .dependOnClassesThat().resideInAnyPackage("java.net..",
+                "java.io..", "java.nio.channels..", "java.nio.file..", "io.netty..", "java.util.concurrent..")
+                .check(CLASSES);
     }
 
-    /** The model's time is its own: it waits for nothing and asks nobody. */
+    /** The model runs on simulated time: it never blocks and reads no clock. */
     @Test
-    void theModelHasNoTimeOrIoOfItsOwn() {
-        noClasses().that().resideInAPackage("mastdrift.lab.model").should().dependOnClassesThat().resideInAnyPackage("java.net..",
-                "java.io..", "java.nio.channels..", "java.nio.file..", "io.netty..", "java.util.concurrent..").check(CLASSES);
+    void labModelUsesNoIoThreadsOrSystemTime() {
+        noClasses().that().resideInAPackage("mastdrift.lab.model").should().dependOnClassesThat()
+                .resideInAnyPackage("java.net..",
+                "java.io..", "java.nio.channels..", "java.nio.file..", "io.netty..", "java.util.concurrent..")
+                .check(CLASSES);
         noClasses().that().resideInAPackage("mastdrift.lab.model").should().callMethod(System.class, "nanoTime")
                 .orShould().callMethod(System.class, "currentTimeMillis").check(CLASSES);
     }
 
-    /** Wall time may be wrong and jump: who reads it is named here with what for, and measures no span by it. Everybody else has a clock passed in. */
+    /**
+     * Wall time may be wrong and may jump: each class that reads it is listed here with the purpose, and measures no
+     * duration by it. All other classes are passed a clock.
+     */
     @Test
-    void whoReadsWallTimeIsNamed() {
+    void onlyListedClassesReadWallTime() {
         Set<String> allowed = Set.of(
-                "mastdrift.engine.Clock",                 // once, as the Unix time of the start, run on by the monotonic clock
-                "mastdrift.serve.ZoneService",            // windows of budgets, by zones.SteadyClock, which takes no jump at once
-                "mastdrift.serve.PeerService",            // the number of a start, kept from going back by a file; what is told in the status
-                "mastdrift.serve.DistributionService",    // what is told in the status
-                "mastdrift.serve.Service",                // likewise
-                "mastdrift.serve.ConfigCopy",             // the age of a copy as it is told, never below 0
-                "mastdrift.lab.soak.SoakPlay",            // starts of its servers, as the registry tells them
-                "mastdrift.lab.load.LoadTape", "mastdrift.lab.scale.Scale");  // names and stamps of results
+                // once, as the Unix time of the start; from then on advanced by the monotonic clock
+                "mastdrift.engine.Clock",
+                "mastdrift.serve.ZoneService",            // budget windows, by zones.SteadyClock, which smooths jumps
+                // the number of a start, kept from going backwards by a file; times in the status
+                "mastdrift.serve.PeerService",
+                "mastdrift.serve.DistributionService",    // times in the status
+                "mastdrift.serve.Service",                // times in the status
+                "mastdrift.serve.ConfigCopy",             // the age of a copy as reported, never below 0
+                "mastdrift.lab.soak.SoakPlay",            // starts of its servers, as the registry reports them
+                "mastdrift.lab.load.LoadTape", "mastdrift.lab.scale.Scale");  // names and timestamps of results
         Set<String> readers = new TreeSet<>();
         CLASSES.forEach(type -> type.getMethodCallsFromSelf().stream()
                 .filter(call -> Set.of("currentTimeMillis", "systemUTC", "now").contains(call.getTarget().getName())
-                        && Set.of("java.lang.System", "java.time.Clock", "java.time.Instant").contains(call.getTargetOwner().getFullName())
+                        && Set.of("java.lang.System", "java.time.Clock", "java.time.Instant")
+                        .contains(call.getTargetOwner().getFullName())
                         && call.getTarget().getRawParameterTypes().isEmpty())
                 .forEach(call -> readers.add(type.getFullName().replaceAll("[$].*", ""))));
         readers.removeAll(allowed);
@@ -83,19 +104,20 @@
     }
 
     @Test
-    void theEngineKnowsNoProtocol() {
+    void engineDependsOnNoProtocolLibrary() {
         noClasses().that().resideInAPackage("mastdrift.engine").should().dependOnClassesThat()
                 .resideInAnyPackage("io.netty..", "org.tomlj..", "com.fasterxml..").check(CLASSES);
     }
 
-    /** A package that is new has a floor and a page of its own. */
+    /** A new package needs a layer and a description. */
     @Test
-    void everyPackageHasItsFloorAndItsPurpose() throws IOException {
+    void everyPackageHasALayerAndADescription() throws IOException {
         Set<String> packages = new TreeSet<>();
         CLASSES.forEach(type -> packages.add(type.getPackageName()));
-        assertEquals(new TreeSet<>(FLOORS.stream().flatMap(List::stream).toList()), packages);
+        assertEquals(new TreeSet<>(LAYERS.stream().flatMap(List::stream).toList()), packages);
         for (String name : packages) {
-            assertTrue(Files.isRegularFile(Path.of("src/main/java", name.replace('.', '/'), "package-info.java")), name);
+            assertTrue(Files.isRegularFile(Path.of("src/main/java", name.replace('.', '/'), "package-info.java")),
+                    name);
         }
     }
 }
--- a/src/test/java/mastdrift/EmbeddingTest.java
+++ b/src/test/java/mastdrift/EmbeddingTest.java
@@ -12,14 +12,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The README's embedding example, word for word, compiles and runs. */
+/** The embedding example of the README compiles and runs, word for word. */
 class EmbeddingTest {
 
     @Test
-    void theReadmeExampleRuns() throws IOException {
-        Gateway actions = new Gateway();
+    void readmeExampleCompilesAndRuns() throws IOException {
+        FakeGateway actions = new FakeGateway();
         Balancer.Settings settings = actions.settings();
-        List<Host> knownHosts = List.of(Gateway.up(0, 0), Gateway.up(1, 0));
+        List<Host> knownHosts = List.of(FakeGateway.upHost(0, 0), FakeGateway.upHost(1, 0));
         long now = 1_000_000;
 
         Balancer balancer = new Balance();
--- a/src/test/java/mastdrift/Gateway.java
+++ b/src/test/java/mastdrift/FakeGateway.java
@@ -28,27 +28,27 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Drives one module by hand and records what it asks for; models no server and no latency. */
-final class Gateway implements Balancer.Actions {
+/** Drives one decision module by hand and records its actions; simulates no servers and no latency. */
+final class FakeGateway implements Balancer.Actions {
 
     static final LoadReport NO_REPORT =
             new LoadReport(Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 
-    /** One send. */
-    record Sent(long id, int attempt, String address, long timeout, long at) { }
+    /** One attempt. */
+    record SentAttempt(long id, int attempt, String address, long timeout, long sentAt) { }
 
     final Balancer module = new Balance();
-    final List<Sent> sent = new ArrayList<>();
+    final List<SentAttempt> sent = new ArrayList<>();
     final List<Long> leaveBy = new ArrayList<>();
     final List<String> refused = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
     final List<String> probes = new ArrayList<>();
     final List<Long> retryAfters = new ArrayList<>();
-    final List<Balancer.Why> whys = new ArrayList<>();
-    final List<String> closed = new ArrayList<>();
+    final List<Balancer.Why> refusalReasons = new ArrayList<>();
+    final List<String> closedIdle = new ArrayList<>();
     final List<String> logged = new ArrayList<>();
-    int watches;
+    int watchCalls;
     long now = 1_000_000;
     private final Map<Long, Integer> attempts = new LinkedHashMap<>();
     private final TreeMap<Long, List<String>> timers = new TreeMap<>();
@@ -58,14 +58,14 @@
 
     Repeat repeat = Repeat.SAFE;
     Group group = Group.ALL;
-    long window = 2_000_000;
+    long dedupWindow = 2_000_000;
     boolean cancel = true;
-    boolean probing = true;
-    boolean parallel = true;
+    boolean probesAllowed = true;
+    boolean parallelTries = true;
     int maxAttempts = 4;
     boolean retryAfter = true;
     int gateways = 1;
-    int me;
+    int gatewayNumber;
     long seed = 42;
     long mustAskIn;
     double coldFrom = 0.2;
@@ -76,41 +76,41 @@
     List<Tenant> tenants = List.of();
     List<RequestClass> classes;
 
-    RequestClass type(String name) {
-        return new RequestClass(name, 300_000, 0, 1_000_000, 1, 0.2, repeat, group, window, false);
+    RequestClass requestClass(String name) {
+        return new RequestClass(name, 300_000, 0, 1_000_000, 1, 0.2, repeat, group, dedupWindow, false);
     }
 
     Settings settings() {
-        return new Settings(classes == null ? List.of(type("read")) : classes, tenants,
-                new Limits(cancel, probing, parallel, false, maxAttempts, 20_000, retryAfter, 500_000),
+        return new Settings(classes == null ? List.of(requestClass("read")) : classes, tenants,
+                new Limits(cancel, probesAllowed, parallelTries, false, maxAttempts, 20_000, retryAfter, 500_000),
                 new Links(100_000, 5_000_000, 1), new Cpu(500_000, 0),
                 new Rules(20_000, 250_000, mustAskIn, coldFrom, warmWithin, fallMultiple, fallSpan),
                 new Value(new Goal(1, 0, 0, 0), new Prices(0, 0, 0, 0, 0, 0.01, 0, 0, 0, 0, 0), 0.05, false),
-                new Site(me, gateways, "z0", List.of("z0", "z1"), List.of("std"), 0, List.of("servers")),
+                new Site(gatewayNumber, gateways, "z0", List.of("z0", "z1"), List.of("std"), 0, List.of("servers")),
                 new Habits(true, false, Reports.OFF, List.of(), false), mustAskIn > 0, weights, "proxy",
                 1_000, seed);
     }
 
-    Gateway start(int hosts) {
+    FakeGateway start(int hosts) {
         module.start(now, settings(), this);
         List<Host> list = new ArrayList<>();
         for (int i = 0; i < hosts; i++) {
-            list.add(up(i, 0));
+            list.add(upHost(i, 0));
         }
         module.hosts(now, ListForm.CACHED, list);
         return this;
     }
 
-    /** Host i: two zones in turn, two hosts of a zone to a cell. */
+    /** Host i: zones alternate, and two hosts of a zone form a cell. */
     static Host host(int i, Health health, long born) {
         return new Host("h" + i, "z" + i % 2, i % 2 * 1000 + i / 4, "std", 1, health, born);
     }
 
-    static Host up(int i, long born) {
+    static Host upHost(int i, long born) {
         return host(i, Health.UP, born);
     }
 
-    void list(ListForm form, Host... hosts) {
+    void deliverHosts(ListForm form, Host... hosts) {
         module.hosts(now, form, List.of(hosts));
     }
 
@@ -118,31 +118,31 @@
         return request("read", null, key, 1_000_000);
     }
 
-    long request(String type, String tenant, Long key, long left) {
+    long request(String className, String tenant, Long key, long left) {
         long id = nextId++;
-        module.request(now, new Request(id, type, tenant, key, left));
+        module.request(now, new Request(id, className, tenant, key, left));
         return id;
     }
 
-    /** The newest send. */
-    Sent last() {
+    /** The newest attempt. */
+    SentAttempt lastAttempt() {
         return sent.get(sent.size() - 1);
     }
 
-    List<Sent> sends(long id) {
+    List<SentAttempt> attemptsOf(long id) {
         return sent.stream().filter(s -> s.id() == id).toList();
     }
 
-    void end(Sent send, Outcome outcome) {
-        end(send, outcome, now - send.at());
+    void resolve(SentAttempt attempt, Outcome outcome) {
+        resolve(attempt, outcome, now - attempt.sentAt());
     }
 
-    void end(Sent send, Outcome outcome, long elapsed) {
-        module.resolved(now, send.id(), send.attempt(), send.address(), outcome, elapsed,
+    void resolve(SentAttempt attempt, Outcome outcome, long elapsed) {
+        module.resolved(now, attempt.id(), attempt.attempt(), attempt.address(), outcome, elapsed,
                 outcome == Outcome.DELIVERED, NO_REPORT);
     }
 
-    /** Advances the clock, firing the timers that come due. */
+    /** Advances the clock and fires the timers that are due. */
     void advance(long span) {
         long until = now + span;
         while (!timers.isEmpty() && timers.firstKey() <= until) {
@@ -155,27 +155,30 @@
         now = until;
     }
 
-    /** Serves {@code count} requests of fresh keys, one each {@code gap}, each within {@code elapsed}. */
+    /**
+     * Sends {@code count} requests with new keys, one every {@code gap}, each answered with a latency of {@code
+     * elapsed}.
+     */
     void serve(int count, long gap, long elapsed) {
         for (int i = 0; i < count; i++) {
             int before = sent.size();
             request("read", null, 1_000_000L + nextId, 1_000_000);
             advance(gap);
             if (sent.size() > before) {
-                end(last(), Outcome.DELIVERED, elapsed);
+                resolve(lastAttempt(), Outcome.DELIVERED, elapsed);
             }
         }
     }
 
-    boolean answered(long id) {
+    boolean isAnswered(long id) {
         return refused.contains("" + id) || failed.contains("" + id);
     }
 
-    // ---- what the module asks for
+    // ---- actions of the module
 
     @Override
     public void send(long id, String address, long timeout, long leaveWithin) {
-        sent.add(new Sent(id, attempts.merge(id, 1, Integer::sum) - 1, address, timeout, now));
+        sent.add(new SentAttempt(id, attempts.merge(id, 1, Integer::sum) - 1, address, timeout, now));
         leaveBy.add(now + leaveWithin);
     }
 
@@ -186,7 +189,7 @@
 
     @Override
     public void refuse(long id, long after, Balancer.Why why) {
-        whys.add(why);
+        refusalReasons.add(why);
         refused.add("" + id);
         retryAfters.add(after);
     }
@@ -208,7 +211,7 @@
 
     @Override
     public void watch(boolean active) {
-        watches += active ? 1 : 0;
+        watchCalls += active ? 1 : 0;
     }
 
     @Override
@@ -216,7 +219,7 @@
 
     @Override
     public void closeIdle(String address) {
-        closed.add(address);
+        closedIdle.add(address);
     }
 
     @Override
--- a/src/test/java/mastdrift/RetryTest.java
+++ b/src/test/java/mastdrift/RetryTest.java
@@ -8,16 +8,16 @@
 /** The retry budget. */
 class RetryTest {
 
-    /** Full connection tables fail every dial; retries for them must not multiply the load. */
+    /** A full connection table fails every dial; retries of these must not multiply the load. */
     @Test
     void failedConnectionsAreRetriedWithinTheBudgetOnly() {
-        Gateway gateway = new Gateway().start(8);
+        FakeGateway gateway = new FakeGateway().start(8);
         int calls = 400;
         for (int i = 0; i < calls; i++) {
             long id = gateway.request(null);
             gateway.advance(1_000);
-            for (int sends = 0; sends < gateway.sends(id).size(); sends++) {
-                gateway.end(gateway.sends(id).get(sends), Outcome.DIAL_FAILED);
+            for (int sends = 0; sends < gateway.attemptsOf(id).size(); sends++) {
+                gateway.resolve(gateway.attemptsOf(id).get(sends), Outcome.DIAL_FAILED);
             }
         }
         long retries = gateway.sent.stream().filter(s -> s.attempt() > 0).count();
@@ -27,13 +27,13 @@
     /** Where every server fails, retries must not multiply the load. */
     @Test
     void errorsAreRetriedWithinTheBudgetOnly() {
-        Gateway gateway = new Gateway().start(8);
+        FakeGateway gateway = new FakeGateway().start(8);
         int calls = 400;
         for (int i = 0; i < calls; i++) {
             long id = gateway.request(null);
             gateway.advance(1_000);
-            for (int sends = 0; sends < gateway.sends(id).size(); sends++) {
-                gateway.end(gateway.sends(id).get(sends), Outcome.ERROR);
+            for (int sends = 0; sends < gateway.attemptsOf(id).size(); sends++) {
+                gateway.resolve(gateway.attemptsOf(id).get(sends), Outcome.ERROR);
             }
         }
         long retries = gateway.sent.stream().filter(s -> s.attempt() > 0).count();
