--- a/src/main/java/mastdrift/net/ConnectionPool.java
+++ b/src/main/java/mastdrift/net/ConnectionPool.java
@@ -44,7 +44,7 @@
     private static final long SWEEP = 250_000;  // idle connections are looked through so often
 
     /** The idle ones to an endpoint, the most recently used first. */
-    private record Idle(Endpoint endpoint, Deque<EndpointConnection> connections) { }
+    private record IdleConnections(Endpoint endpoint, Deque<EndpointConnection> connections) { }
 
     private final EventLoop loop;
     private final LongSupplier clock;
@@ -53,7 +53,7 @@
     private final Future<?> sweeps;
     private final IdleKeep keep;
     private final int most;
-    private final Map<String, Idle> idle = new HashMap<>();
+    private final Map<String, IdleConnections> idle = new HashMap<>();
     private final Consumer<String> faults;
     private Transport.Strays strays;  // null where bytes aren't counted
     private int connections;
@@ -133,7 +133,7 @@
         dialled.addListener(done -> {
             if (!done.isSuccess()) {
                 // Where no descriptor was left there is no channel that would close, and the library says so on a thread of its own.
-                Outcome outcome = LocalFault.is(done.cause()) ? Outcome.UNUSED : Outcome.DIAL_FAILED;
+                Outcome outcome = LocalSystemError.is(done.cause()) ? Outcome.UNUSED : Outcome.DIAL_FAILED;
                 if (loop.inEventLoop()) {
                     undialled(attempt, outcome);
                 } else {
@@ -171,7 +171,7 @@
     }
 
     private EndpointConnection takeIdle(Endpoint to) {
-        Idle held = idle.get(to.uid());
+        IdleConnections held = idle.get(to.uid());
         if (held == null || held.endpoint != to) {
             return null;
         }
@@ -195,12 +195,12 @@
     /** It is idle, and its endpoint in service. */
     void offer(EndpointConnection connection) {
         Endpoint endpoint = connection.endpoint();
-        Idle held = idle.get(endpoint.uid());
+        IdleConnections held = idle.get(endpoint.uid());
         if (held == null || held.endpoint != endpoint) {
             if (held != null) {
                 closeAll(held);
             }
-            held = new Idle(endpoint, new ArrayDeque<>());
+            held = new IdleConnections(endpoint, new ArrayDeque<>());
             idle.put(endpoint.uid(), held);
         }
         held.connections.push(connection);
@@ -208,7 +208,7 @@
 
     /** It has ended by itself. */
     void withdraw(EndpointConnection connection) {
-        Idle held = idle.get(connection.endpoint().uid());
+        IdleConnections held = idle.get(connection.endpoint().uid());
         if (held != null) {
             held.connections.remove(connection);
         }
@@ -236,7 +236,7 @@
     private void closeAged() {
         long now = clock.getAsLong();
         long before = now - keep.most(now);
-        for (Idle held : idle.values()) {
+        for (IdleConnections held : idle.values()) {
             while (!held.connections.isEmpty() && held.connections.peekLast().idleSince() <= before) {
                 held.connections.pollLast().channel().close();
             }
@@ -249,7 +249,7 @@
         }
     }
 
-    private static void closeAll(Idle held) {
+    private static void closeAll(IdleConnections held) {
         for (EndpointConnection connection = held.connections.poll(); connection != null; connection = held.connections.poll()) {
             connection.channel().close();
         }
--- a/src/main/java/mastdrift/net/DryStart.java
+++ b/src/main/java/mastdrift/net/DryStart.java
@@ -12,8 +12,8 @@
     /** Reads its configuration as {@link Main} does; exits with status 2 where that can't be run with. */
     public static void main(String[] args) throws InterruptedException {
         Main.quiet();
-        Config config = Config.read(System.getenv());
-        Main.Started started = Main.prepare(config, TimedLoop.start(), false, System.out);
+        GatewayConfig config = GatewayConfig.read(System.getenv());
+        Main.StartedGateway started = Main.prepare(config, TimedLoop.start(), false, System.out);
         Main.rehearse(config, TimedLoop.start(), System.out::println);
         Main.listen(started, config, System.out);
         Thread.sleep(ASKED_MILLIS);
--- a/src/main/java/mastdrift/net/EndpointConnection.java
+++ b/src/main/java/mastdrift/net/EndpointConnection.java
@@ -126,7 +126,7 @@
     }
 
     /** The connection has ended: what passed and belongs to no attempt. An attempt that is out ends in a moment, by this, and tells by itself. */
-    void tellStrays(StrayBytes strays) {
+    void tellStrays(StrayByteListener strays) {
         if (attempt == null || attempt.isOver()) {
             CountedChannel bytes = (CountedChannel) channel;
             strays.passed(bytes.sent() - toldSent, bytes.received() - toldReceived);
@@ -134,7 +134,7 @@
     }
 
     /** Hears of bytes that belong to no attempt. */
-    interface StrayBytes {
+    interface StrayByteListener {
         void passed(long sent, long received);
     }
 
--- a/src/main/java/mastdrift/net/Descriptors.java
+++ b/src/main/java/mastdrift/net/FileDescriptorLimit.java
@@ -5,11 +5,11 @@
 import java.nio.file.Path;
 
 /** How many descriptors the system lets a process have. */
-final class Descriptors {
+final class FileDescriptorLimit {
 
     private static final String NAME = "Max open files";
 
-    private Descriptors() { }
+    private FileDescriptorLimit() { }
 
     /** The limit in force for this process (proc(5), {@code /proc/[pid]/limits}); the largest number where none is told. */
     static int limit() {
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -26,7 +26,7 @@
     private boolean asked;  // whether one does
 
     /** Starts the module; on the loop's thread. */
-    Gateway(Config config, TimedLoop timed, Balancer module, int hostConnections, int openMost, boolean tally, PrintStream out) {
+    Gateway(GatewayConfig config, TimedLoop timed, Balancer module, int hostConnections, int openMost, boolean tally, PrintStream out) {
         this.out = out;
         EventLoop loop = timed.loop();
         ledger = new Ledger(timed.timers(), timed.clock(), timed.turns(), openMost, this::log);
@@ -50,12 +50,12 @@
                 return discovery == null || discovery.listHolds();  // null while the known list is put in force
             }
         };
-        Discovery.Listener listener = new Lists();
+        Discovery.Listener listener = new DiscoveryListener();
         ledger.witness(new RequestLog(timed.clock()::now, this::log));
         if (tally) {
             Tracing tracing = new Tracing(hosts, timed, config.settings(), this::log);
             ledger.witness(tracing);
-            Tallying tallying = new Tallying(tracing, timed, config.settings().rules().warmWithin(), ledger, tracing, this::log);
+            TallyRecorder tallying = new TallyRecorder(tracing, timed, config.settings().rules().warmWithin(), ledger, tracing, this::log);
             hosts = tallying;
             listener = tallying.counted(listener);
         }
@@ -106,7 +106,7 @@
     }
 
     /** What discovery tells. */
-    private final class Lists implements Discovery.Listener {
+    private final class DiscoveryListener implements Discovery.Listener {
 
         @Override
         public void listed(HostList list) {
--- a/src/main/java/mastdrift/net/Config.java
+++ b/src/main/java/mastdrift/net/GatewayConfig.java
@@ -16,10 +16,10 @@
 import mastdrift.settings.Facts;
 
 /** What a gateway is told at its start; throws IllegalArgumentException with one plain line where it can't be read. */
-record Config(InetSocketAddress listen, InetSocketAddress discovery, int sockets, HostList known, Settings settings) {
+record GatewayConfig(InetSocketAddress listen, InetSocketAddress discovery, int sockets, HostList known, Settings settings) {
 
     /** Reads the file that {@code NODE_CONFIG} names; the other variables go before what it says. */
-    static Config read(Map<String, String> environment) {
+    static GatewayConfig read(Map<String, String> environment) {
         Map<String, Object> root = file(environment);
         Map<String, String> facts = new HashMap<>();
         flatten("", root.get("settings"), facts);
@@ -29,7 +29,7 @@
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("settings: expected " + e.getMessage(), e);
         }
-        return new Config(address(environment.getOrDefault("NODE_LISTEN", text(root, "listen"))),
+        return new GatewayConfig(address(environment.getOrDefault("NODE_LISTEN", text(root, "listen"))),
                 address(environment.getOrDefault("NODE_DISCOVERY", text(root, "discovery"))),
                 root.get("limits") instanceof Map<?, ?> limits && limits.get("sockets") instanceof Integer sockets
                         ? sockets : Integer.MAX_VALUE,
--- a/src/main/java/mastdrift/net/HostList.java
+++ b/src/main/java/mastdrift/net/HostList.java
@@ -88,8 +88,8 @@
     }
 
     private static Member entry(Map<?, ?> target) {
-        String uid = Config.text(target, "uid");
-        String state = Config.text(target, "state");
+        String uid = GatewayConfig.text(target, "uid");
+        String state = GatewayConfig.text(target, "state");
         Health health = switch (state) {
             case "in_service" -> Health.UP;
             case "terminating" -> Health.LEAVING;
@@ -101,9 +101,9 @@
         }
         // Starts are told in Unix time, as which the gateway's clock began: see Clock.
         long born = Math.multiplyExact(number(target, "boot_ms", 0).longValue(), 1000L);
-        return new Member(new Host(uid, Config.text(target, "az"), number(target, "pod_group", 0).intValue(),
-                Config.text(target, "model"), number(target, "capacity_hint", 1).doubleValue(), health, born),
-                Config.address(Config.text(target, "endpoint")));
+        return new Member(new Host(uid, GatewayConfig.text(target, "az"), number(target, "pod_group", 0).intValue(),
+                GatewayConfig.text(target, "model"), number(target, "capacity_hint", 1).doubleValue(), health, born),
+                GatewayConfig.address(GatewayConfig.text(target, "endpoint")));
     }
 
     private static Number number(Map<?, ?> target, String name, int otherwise) {
--- a/src/main/java/mastdrift/net/HttpTransport.java
+++ b/src/main/java/mastdrift/net/HttpTransport.java
@@ -44,7 +44,7 @@
             public void ended(Outcome outcome, FullHttpResponse answer) {
                 boolean given = answer != null && reports == Reports.INLINE;
                 ended.ended(outcome, answer == null ? null : new HttpAnswer(answer),
-                        given ? LoadReports.parse(answer.headers().get("Endpoint-Load-Metrics")) : LoadReport.NONE);
+                        given ? LoadReportParser.parse(answer.headers().get("Endpoint-Load-Metrics")) : LoadReport.NONE);
             }
 
             @Override
@@ -87,7 +87,7 @@
             @Override
             public void ended(Outcome outcome, FullHttpResponse answer) {
                 probed.probed(outcome, answer == null || !given ? LoadReport.NONE
-                        : LoadReports.parse(answer.content().toString(StandardCharsets.UTF_8)));
+                        : LoadReportParser.parse(answer.content().toString(StandardCharsets.UTF_8)));
             }
 
             @Override
--- a/src/main/java/mastdrift/net/LoadReports.java
+++ b/src/main/java/mastdrift/net/LoadReportParser.java
@@ -5,13 +5,13 @@
 import mastdrift.Balancer.LoadReport;
 
 /** Reads hosts' load reports: {@code TEXT name=value, name=value}. */
-final class LoadReports {
+final class LoadReportParser {
 
     private static final List<String> NAMES = List.of("active", "waiting", "cpu", "avg_ms", "rps", "err_rps");
     private static final List<String> OTHER_NAMES =
             List.of("inflight", "queue", "util", "latency_ms", "qps", "eps");
 
-    private LoadReports() { }
+    private LoadReportParser() { }
 
     /** A value that is missing, or that can't be read, is not given; the text may be null. */
     static LoadReport parse(String text) {
--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -58,8 +58,8 @@
         // First of all, or the signal would end the program. One that comes ahead of the gateway is heard once there is one.
         onHangUp(() -> started.thenAccept(gateway -> reload(gateway, loop)));
         try {
-            Config config = Config.read(System.getenv());
-            Started now = prepare(config, timed, askMillis(config.settings()), tally, System.out);  // asks discovery, whose answer takes its time
+            GatewayConfig config = GatewayConfig.read(System.getenv());
+            StartedGateway now = prepare(config, timed, askMillis(config.settings()), tally, System.out);  // asks discovery, whose answer takes its time
             // Ahead of the first client: a signal between the two would end the program, and with it what had been taken.
             ClientSide clients = now.clients();
             Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(loop, clients, System.out, () -> Runtime.getRuntime().halt(0))));
@@ -84,7 +84,7 @@
 
     /** What comes ahead of the first client: the gateway has been told of the hosts, or has waited for that in vain since {@code began},
         by {@link System#nanoTime}; meanwhile the path of a request is {@code rehearsed}, on a loop that this ends. */
-    static void open(Started now, EventLoop loop, Config config, TimedLoop rehearsed, long began, PrintStream out) {
+    static void open(StartedGateway now, EventLoop loop, GatewayConfig config, TimedLoop rehearsed, long began, PrintStream out) {
         rehearse(config, rehearsed, out::println);
         loop.execute(now.gateway()::ask);
         awaitList(now.gateway(), began, out);
@@ -99,9 +99,9 @@
         return settings.registryOnRequest() ? (long) ((part - Math.floor(part)) * FIRST_CALLS_MILLIS) : 0;
     }
 
-    static void rehearse(Config config, TimedLoop on, Consumer<String> log) {
+    static void rehearse(GatewayConfig config, TimedLoop on, Consumer<String> log) {
         PrintStream silent = new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8);
-        Rehearsal.play((hosts, at) -> Started.with(new Config(at, at, config.sockets(), new HostList(0, true, hosts),
+        WarmUp.play((hosts, at) -> StartedGateway.with(new GatewayConfig(at, at, config.sockets(), new HostList(0, true, hosts),
                 config.settings()), on, hosts.size() * 2, hosts.size(), hosts.size(), false,
                 silent).clients(),
                 config.settings().classes(), config.settings().tenants(), config.settings().site().zone(),
@@ -117,7 +117,7 @@
         was read first might be taken last. */
     private static synchronized void reload(Gateway gateway, EventLoop loop) {
         try {
-            InetSocketAddress discovery = Config.discovery(System.getenv());
+            InetSocketAddress discovery = GatewayConfig.discovery(System.getenv());
             loop.execute(() -> gateway.discoverAt(discovery));
         } catch (IllegalArgumentException e) {
             loop.execute(() -> gateway.log("configuration not taken: " + e.getMessage()));
@@ -125,25 +125,25 @@
     }
 
     /** A gateway and its front. */
-    record Started(Gateway gateway, ClientSide clients) {
+    record StartedGateway(Gateway gateway, ClientSide clients) {
 
         /** On the loop's thread. */
-        static Started with(Config config, TimedLoop loop, int hostConnections, int openMost, int clients, boolean tally,
+        static StartedGateway with(GatewayConfig config, TimedLoop loop, int hostConnections, int openMost, int clients, boolean tally,
                 PrintStream out) {
             Gateway gateway = new Gateway(config, loop, new Balance(), hostConnections, openMost, tally, out);
-            return new Started(gateway, new ClientSide(loop.loop(), gateway.ledger(), gateway, config.settings().classes(),
+            return new StartedGateway(gateway, new ClientSide(loop.loop(), gateway.ledger(), gateway, config.settings().classes(),
                     config.settings().tenants(), clients, gateway::log));
         }
     }
 
     /** Starts a gateway on the loop, not yet listening; throws IllegalArgumentException for a configuration it can't run with. It calls
         discovery after {@code askMillis} at the earliest, or once it is told to. */
-    static Started prepare(Config config, TimedLoop loop, long askMillis, boolean tally, PrintStream out) {
+    static StartedGateway prepare(GatewayConfig config, TimedLoop loop, long askMillis, boolean tally, PrintStream out) {
         // Of the clients' half, an eighth is for answering those that come beyond the requests held.
-        int sockets = Math.min(Math.min(config.sockets(), Descriptors.limit()), 1 << 16);
+        int sockets = Math.min(Math.min(config.sockets(), FileDescriptorLimit.limit()), 1 << 16);
         int most = Math.max(8, (sockets - RESERVED) / 2);
         return CompletableFuture.supplyAsync(() -> {
-            Started started = Started.with(config, loop, most, most - most / 8, most, tally, out);
+            StartedGateway started = StartedGateway.with(config, loop, most, most - most / 8, most, tally, out);
             if (askMillis > 0) {
                 started.gateway().hold();
                 loop.loop().schedule(started.gateway()::ask, askMillis, TimeUnit.MILLISECONDS);
@@ -153,7 +153,7 @@
     }
 
     /** Likewise, with no call to discovery held back. */
-    static Started prepare(Config config, TimedLoop loop, boolean tally, PrintStream out) {
+    static StartedGateway prepare(GatewayConfig config, TimedLoop loop, boolean tally, PrintStream out) {
         return prepare(config, loop, 0, tally, out);
     }
 
@@ -170,7 +170,7 @@
     }
 
     /** Throws IllegalArgumentException where it can't listen. */
-    static void listen(Started started, Config config, PrintStream out) {
+    static void listen(StartedGateway started, GatewayConfig config, PrintStream out) {
         ChannelFuture bound = started.clients().listen(config.listen()).awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new IllegalArgumentException("no listening on " + config.listen() + ": " + bound.cause().getMessage(),
--- a/src/main/java/mastdrift/net/Tallying.java
+++ b/src/main/java/mastdrift/net/TallyRecorder.java
@@ -22,7 +22,7 @@
 
 /** Counts what passes a transport, and writes a line a second in which there was anything. Where it is off, none of it is loaded:
     it stands before the transport, and nothing of the gateway asks whether it is there. */
-final class Tallying implements Transport {
+final class TallyRecorder implements Transport {
 
     private static final long SECOND = 1_000_000;
 
@@ -37,7 +37,7 @@
     private final long[] answers = new long[2 + Why.values().length];
     private Second second;
 
-    Tallying(Transport transport, TimedLoop timed, long warmWithin, Ledger ledger, Tracing tracing,
+    TallyRecorder(Transport transport, TimedLoop timed, long warmWithin, Ledger ledger, Tracing tracing,
             Consumer<String> log) {
         this.transport = transport;
         clock = timed.clock();
--- a/src/main/java/mastdrift/net/Tracing.java
+++ b/src/main/java/mastdrift/net/Tracing.java
@@ -24,7 +24,7 @@
 import mastdrift.tally.Step;
 
 /** Writes a line for each step of a request: taken, each attempt with its host, start and outcome, the final answer with its reason. It
-    stands before the transport, as {@link Tallying} does, and nothing of it is loaded where that is off. Follows up to
+    stands before the transport, as {@link TallyRecorder} does, and nothing of it is loaded where that is off. Follows up to
     {@value #NEW_MOST} new requests a second and {@value #OPEN_MOST} at once, each of them whole; those beyond are counted. */
 final class Tracing implements Transport, Witness {
 
--- a/src/main/java/mastdrift/net/Rehearsal.java
+++ b/src/main/java/mastdrift/net/WarmUp.java
@@ -38,10 +38,10 @@
 /** Loads and compiles the path of a request before the first one comes: a cold virtual machine takes 5 ms of its core
     for each at first, so that requests would queue past their time. A second gateway, on the same address and on a
     loop that ends with it, serves itself from a stand-in for hosts; no real host or discovery hears of it. */
-public final class Rehearsal {
+public final class WarmUp {
 
     /** Makes the second gateway. */
-    public interface Stage {
+    public interface GatewayFactory {
         /** Its front, not yet listening; on the thread of the loop that it is played on. The hosts are all at {@code at}, which stands in for a discovery
             that is down too. */
         ClientSide open(List<Member> hosts, InetSocketAddress at);
@@ -54,10 +54,10 @@
     private static final int PATIENCE_MILLIS = 3000;  // with one answer, on a part of a core
     private static final long LONGEST_MILLIS = 4000;  // with all of them, on a core that is slower than any that was seen
 
-    private Rehearsal() { }
+    private WarmUp() { }
 
     /** Plays it once, on an address of this machine; a rehearsal that goes wrong costs speed alone. Ends the loop. */
-    public static void play(Stage stage, List<RequestClass> classes, List<Tenant> tenants, String zone, InetAddress address,
+    public static void play(GatewayFactory stage, List<RequestClass> classes, List<Tenant> tenants, String zone, InetAddress address,
             EventLoop loop, Consumer<String> log) {
         InetSocketAddress any = new InetSocketAddress(address, 0);
         try {
@@ -66,7 +66,7 @@
                         @Override
                         protected void initChannel(Channel channel) {
                             channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 16),
-                                    new StandIn());
+                                    new StandInHandler());
                         }
                     }).bind(any).sync().channel();
             InetSocketAddress at = (InetSocketAddress) host.localAddress();
@@ -138,7 +138,7 @@
     }
 
     /** Stands in for hosts, and for a discovery that is down. */
-    private static final class StandIn extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static final class StandInHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         private int count;
 
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -50,7 +50,7 @@
 import mastdrift.net.Addresses;
 import mastdrift.net.ClientSide;
 import mastdrift.net.HttpTransport;
-import mastdrift.net.Rehearsal;
+import mastdrift.net.WarmUp;
 import mastdrift.net.TimedLoop;
 import mastdrift.radius.Authenticators;
 import mastdrift.radius.Resends;
@@ -187,7 +187,7 @@
         Settings module = settings(started, first);
         TimedLoop on = TimedLoop.start();
         EventLoop own = on.loop();
-        Rehearsal.play((hosts, at) -> {
+        WarmUp.play((hosts, at) -> {
             Ledger rehearsed = new Ledger(on.timers(), on.clock(), on.turns(), OPEN_MOST, this::log);
             Pool pool = new Pool("rehearsal", rehearsed, new Balance(), module,
                     new HttpTransport(on, module, first.connections(), line -> { }));
--- a/src/test/java/mastdrift/net/CallScheduleTest.java
+++ b/src/test/java/mastdrift/net/CallScheduleTest.java
@@ -40,7 +40,7 @@
         Path file = folder.resolve("config.json");
         Files.writeString(file, "{\"name\":\"n0\",\"seed\":\"" + Long.toHexString(seed) + "\",\"limits\":{\"sockets\":112},\"known\":"
                 + Loopback.list(1, true) + ",\"settings\":" + text + "}");
-        return Config.read(Map.of("NODE_CONFIG", file.toString(), "NODE_LISTEN", "127.0.0.1:0", "NODE_DISCOVERY", "127.0.0.1:1")).settings();
+        return GatewayConfig.read(Map.of("NODE_CONFIG", file.toString(), "NODE_LISTEN", "127.0.0.1:0", "NODE_DISCOVERY", "127.0.0.1:1")).settings();
     }
 
     /** One gateway's calls on a virtual clock: the schedule, the real module, and a discovery that does with each call what its script says. */
--- a/src/test/java/mastdrift/net/ConnectionBoundsTest.java
+++ b/src/test/java/mastdrift/net/ConnectionBoundsTest.java
@@ -60,7 +60,7 @@
     void start() throws Exception {
         discovery = discovery();
         host = new Server(message -> write(message.socket(), answer("200 OK", LARGE)));
-        Config config = Config.read(environment(folder, discovery, list(1, true, entry("s1", host.address(), "a", "in_service")),
+        GatewayConfig config = GatewayConfig.read(environment(folder, discovery, list(1, true, entry("s1", host.address(), "a", "in_service")),
                 SETTINGS));
         clients = timed.loop().submit(() -> {
             Gateway gateway = new Gateway(config, timed, new Balance(), 100, 100, false,
--- a/src/test/java/mastdrift/net/HostCrossingTest.java
+++ b/src/test/java/mastdrift/net/ConnectionReuseTest.java
@@ -35,7 +35,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What may cross on a connection to a host: its end, second answers and answers ahead of their request, with the next request. The clock is the test's. */
-class HostCrossingTest {
+class ConnectionReuseTest {
 
     private static final long LONG = 60_000_000;
 
--- a/src/test/java/mastdrift/net/LifeTest.java
+++ b/src/test/java/mastdrift/net/GatewayLifecycleTest.java
@@ -44,7 +44,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A gateway's life: its start, what discovery tells it, its bounds, and its stop. */
-class LifeTest {
+class GatewayLifecycleTest {
 
     private static final int LIFE_SECONDS = 60;
 
@@ -95,8 +95,8 @@
         PrintStream out = new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8);
         TimedLoop timed = TimedLoop.start();
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two")) {
-            Config config = Config.read(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
-            Main.Started started = Main.prepare(config, timed, false, out);
+            GatewayConfig config = GatewayConfig.read(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
+            Main.StartedGateway started = Main.prepare(config, timed, false, out);
             CompletableFuture<Void> told = CompletableFuture.runAsync(() -> Main.awaitList(started.gateway(), System.nanoTime(), out));
             Message asked = await(discovery.received);
             assertThrows(TimeoutException.class, () -> told.get(100, TimeUnit.MILLISECONDS));
@@ -251,7 +251,7 @@
     void aRehearsalPlaysThroughAndReachesNobody() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (Server discovery = discovery(); Server one = host("one")) {
-            Config config = Config.read(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
+            GatewayConfig config = GatewayConfig.read(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
             Main.rehearse(config, TimedLoop.start(), new PrintStream(out, true, StandardCharsets.UTF_8)::println);
             assertEquals("", out.toString(StandardCharsets.UTF_8));
             assertTrue(one.accepted.isEmpty() && discovery.accepted.isEmpty());
--- a/src/test/java/mastdrift/net/StartTest.java
+++ b/src/test/java/mastdrift/net/GatewayStartTest.java
@@ -38,7 +38,7 @@
 
 /** Guards against starts that take the longer the worse discovery is: of gateways that start again nine in ten are owed to clients
     within 10 s. */
-class StartTest {
+class GatewayStartTest {
 
     private static final long READY_MILLIS = 7_000;  // of any start, whatever discovery does
     private static final long SLOW_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
@@ -89,8 +89,8 @@
         Path own = Files.createDirectory(folder.resolve(how));
         try (Server discovery = discovery(how); Server one = host("one")) {
             long began = System.nanoTime();
-            Config config = Config.read(environment(own, discovery, known(one), SETTINGS));
-            Main.Started started = Main.prepare(config, timed, Main.askMillis(config.settings()), false, out);
+            GatewayConfig config = GatewayConfig.read(environment(own, discovery, known(one), SETTINGS));
+            Main.StartedGateway started = Main.prepare(config, timed, Main.askMillis(config.settings()), false, out);
             Main.open(started, timed.loop(), config, slow, began, out);
             Main.listen(started, config, out);
             long took = millis(began);
@@ -123,7 +123,7 @@
 
     /** Seven in ten gateways, any of them, that start in one moment, and a discovery whose calls take turns, one after the other; one that
         has waited too long is refused, and its turn is spent all the same. By a clock of its own, in microseconds. */
-    private static final class Crowd {
+    private static final class FleetStart {
 
         private final TreeMap<Long, List<Runnable>> events = new TreeMap<>();
         private final Balancer[] modules = new Balancer[CALLERS];
@@ -133,7 +133,7 @@
         private int told;
         private int refused;
 
-        Crowd(Settings like, int number) {
+        FleetStart(Settings like, int number) {
             Random random = new Random(number);
             List<Integer> fleet = new ArrayList<>(IntStream.range(0, GATEWAYS).boxed().toList());
             Collections.shuffle(fleet, random);
@@ -185,10 +185,10 @@
     @Test
     void aHundredThatStartAtOnceAreAllTold() throws Exception {
         try (Server discovery = Loopback.discovery()) {
-            Settings settings = Config.read(environment(folder, discovery, list(1, true),
+            Settings settings = GatewayConfig.read(environment(folder, discovery, list(1, true),
                     SETTINGS.replace("\"must_ask_in\":1000000", "\"must_ask_in\":10000000"))).settings();
             for (int i = 0; i < CROWDS; i++) {
-                Crowd crowd = new Crowd(settings, i);
+                FleetStart crowd = new FleetStart(settings, i);
                 crowd.run();
                 assertEquals(CALLERS, crowd.told);
                 assertTrue(crowd.refused <= CALLERS / 3 && crowd.lastTold < 6_000_000,
@@ -202,8 +202,8 @@
     void aCallThatIsHeldBackGoesOutWhenItIsTold() throws Exception {
         TimedLoop timed = TimedLoop.start();
         try (Server discovery = Loopback.discovery(); Server one = host("one")) {
-            Config config = Config.read(environment(folder, discovery, known(one), SETTINGS));
-            Main.Started started = Main.prepare(config, timed, TimeUnit.SECONDS.toMillis(Loopback.WAIT_SECONDS) * 2, false,
+            GatewayConfig config = GatewayConfig.read(environment(folder, discovery, known(one), SETTINGS));
+            Main.StartedGateway started = Main.prepare(config, timed, TimeUnit.SECONDS.toMillis(Loopback.WAIT_SECONDS) * 2, false,
                     new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8));
             CompletableFuture<Void> settled = new CompletableFuture<>();  // the module asks within 50 ms here
             timed.loop().schedule(() -> settled.complete(null), 500, TimeUnit.MILLISECONDS);
--- a/src/test/java/mastdrift/net/GatewayTest.java
+++ b/src/test/java/mastdrift/net/GatewayTest.java
@@ -86,7 +86,7 @@
                     return null;
                 });
         try (Server discovery = discovery()) {
-            Config config = Config.read(environment(folder, discovery, list(1, true), SETTINGS));
+            GatewayConfig config = GatewayConfig.read(environment(folder, discovery, list(1, true), SETTINGS));
             loop.submit(() -> {
                 Gateway gateway = new Gateway(config, timed, module, 8, 8, false,
                         new PrintStream(log, true, StandardCharsets.UTF_8));
--- a/src/test/java/mastdrift/net/HoldUpTest.java
+++ b/src/test/java/mastdrift/net/HoldUpTest.java
@@ -61,7 +61,7 @@
     void open() throws Exception {
         discovery = discovery();
         one = host("one");
-        Config config = Config.read(environment(folder, discovery, list(1, true, entry("s1", one.address(), "a", "in_service")), SETTINGS));
+        GatewayConfig config = GatewayConfig.read(environment(folder, discovery, list(1, true, entry("s1", one.address(), "a", "in_service")), SETTINGS));
         clients = timed.loop().submit(() -> {
             Gateway gateway = new Gateway(config, timed, heldUp(new Balance()), 100, 100, false,
                     new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8));
--- a/src/test/java/mastdrift/net/LatenessTest.java
+++ b/src/test/java/mastdrift/net/LatenessTest.java
@@ -72,7 +72,7 @@
         private volatile IntConsumer requested = number -> { };  // once the module has had the request of that number, from 1 up
 
         Held(Server discovery, String... entries) throws Exception {
-            Config config = Config.read(environment(folder, discovery, list(1, true, entries), SETTINGS));
+            GatewayConfig config = GatewayConfig.read(environment(folder, discovery, list(1, true, entries), SETTINGS));
             Balancer module = listenedTo(new Balance());
             clients = timed.loop().submit(() -> {
                 Gateway gateway = new Gateway(config, timed, module, 100, 100, false,
--- a/src/test/java/mastdrift/net/Loopback.java
+++ b/src/test/java/mastdrift/net/Loopback.java
@@ -135,11 +135,11 @@
             ended.add(connection);
         }
 
-        private interface Body {
+        private interface ThrowingRunnable {
             void run() throws Exception;
         }
 
-        private static void run(Body body) {
+        private static void run(ThrowingRunnable body) {
             Thread thread = new Thread(() -> {
                 try {
                     body.run();
@@ -235,8 +235,8 @@
 
         Node(Map<String, String> environment, boolean tally) {
             PrintStream out = new PrintStream(log, true, StandardCharsets.UTF_8);
-            Config config = Config.read(environment);
-            Main.Started started = Main.prepare(config, timed, tally, out);
+            GatewayConfig config = GatewayConfig.read(environment);
+            Main.StartedGateway started = Main.prepare(config, timed, tally, out);
             Main.listen(started, config, out);
             gateway = started.gateway();
             clients = started.clients();
@@ -285,6 +285,6 @@
     }
 
     static InetSocketAddress at(Server server) {
-        return Config.address(server.address());
+        return GatewayConfig.address(server.address());
     }
 }
--- a/src/test/java/mastdrift/net/SettingsBleedTest.java
+++ b/src/test/java/mastdrift/net/SettingsIsolationTest.java
@@ -26,7 +26,7 @@
 
 /** Settings of one customer's deployment hold at its gateways alone: the same events, in turns, at gateways of different settings in one process, one of
     them rehearsed before, are answered as each one's settings say. */
-class SettingsBleedTest {
+class SettingsIsolationTest {
 
     @TempDir
     private Path folder;
@@ -66,7 +66,7 @@
             }
             for (Deployment deployment : DEPLOYMENTS) {
                 Path own = Files.createDirectory(folder.resolve(deployment.name));
-                Config config = Config.read(environment(own, discovery, list(1, true, entries), deployment.settings));
+                GatewayConfig config = GatewayConfig.read(environment(own, discovery, list(1, true, entries), deployment.settings));
                 if (nodes.isEmpty()) {  // what a rehearsal leaves behind would be the next one's to find
                     Main.rehearse(config, TimedLoop.start(), line -> { });
                 }
--- a/src/test/java/mastdrift/net/StopCrossingTest.java
+++ b/src/test/java/mastdrift/net/StopCrossingTest.java
@@ -183,8 +183,8 @@
         PrintStream out = new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8);
         TimedLoop timed = TimedLoop.start();
         try (Server discovery = discovery(); Server host = host("ok")) {
-            Config config = Config.read(environment(folder, discovery, list(1, true, entry("s1", host.address(), "a", "in_service")), SETTINGS));
-            Main.Started started = Main.prepare(config, timed, false, out);
+            GatewayConfig config = GatewayConfig.read(environment(folder, discovery, list(1, true, entry("s1", host.address(), "a", "in_service")), SETTINGS));
+            Main.StartedGateway started = Main.prepare(config, timed, false, out);
             CountDownLatch stopped = new CountDownLatch(1);
             timed.loop().submit(() -> started.clients().stop(3_000_000, stopped::countDown)).sync();
             assertTrue(stopped.await(1, TimeUnit.SECONDS));
--- a/src/test/java/mastdrift/net/SystemCallTest.java
+++ b/src/test/java/mastdrift/net/SystemCallTest.java
@@ -96,9 +96,9 @@
     @CsvSource({"Software caused connection abort, 1", "Too many open files, 5", "Too many open files in system, 1", "No buffer space available, 5"})
     void anAcceptThatFailsHoldsUpNobodyForLong(String why, int times) throws Exception {
         try (Server discovery = discovery(); Server one = host("one")) {
-            Config config = Config.read(environment(folder, discovery, list(1, true, entry("s1", one.address(), "a", "in_service")), SETTINGS));
+            GatewayConfig config = GatewayConfig.read(environment(folder, discovery, list(1, true, entry("s1", one.address(), "a", "in_service")), SETTINGS));
             PrintStream out = new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8);
-            Main.Started started = Main.prepare(config, timed, false, out);
+            Main.StartedGateway started = Main.prepare(config, timed, false, out);
             AtomicInteger failures = new AtomicInteger();
             started.clients().listener(() -> new FailingListener(failures, why));
             Main.listen(started, config, out);
@@ -117,7 +117,7 @@
         }
     }
 
-    private static Socket connect(Main.Started started) throws IOException {
+    private static Socket connect(Main.StartedGateway started) throws IOException {
         Socket socket = new Socket();
         socket.connect(started.clients().address());
         socket.setSoTimeout(Loopback.WAIT_SECONDS * 1_000);
--- a/src/test/java/mastdrift/net/TallyingTest.java
+++ b/src/test/java/mastdrift/net/TallyRecorderTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What a gateway counts over loopback is what hosts and clients saw. */
-class TallyingTest {
+class TallyRecorderTest {
 
     @TempDir
     private Path folder;
--- a/src/test/java/mastdrift/net/AbsentTest.java
+++ b/src/test/java/mastdrift/net/UnusedClassesNotLoadedTest.java
@@ -24,9 +24,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Off means absent: the platform's gateway and the adapter load nothing of what other installations have. */
-class AbsentTest {
+class UnusedClassesNotLoadedTest {
 
-    private static final String PACKAGES = "mastdrift\\.(zones|net\\.CountedChannel|net\\.(Tallying|Tracing)|tally|membership\\.(?!ListGuard|ListLease)|routing|config|files|serve|radius|lab|logging|events|peers|agreed|distribution|cli\\.Commands|standin).*";
+    private static final String PACKAGES = "mastdrift\\.(zones|net\\.CountedChannel|net\\.(TallyRecorder|Tracing)|tally|membership\\.(?!ListGuard|ListLease)|routing|config|files|serve|radius|lab|logging|events|peers|agreed|distribution|cli\\.Commands|standin).*";
     private static final String LIBRARIES = "(org\\.(tomlj|antlr|slf4j|HdrHistogram|apache|jfree)|picocli|ch\\.qos|me\\.tongfei|com\\.dynatrace|com\\.fasterxml\\.jackson\\.dataformat)\\..*";
 
     @TempDir
--- a/src/test/java/mastdrift/net/RehearsalTest.java
+++ b/src/test/java/mastdrift/net/WarmUpTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Guards against starts that take the longer the less of a core there is: many gateways that start together have none to spare. */
-class RehearsalTest {
+class WarmUpTest {
 
     private static final long SLOW_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
@@ -25,7 +25,7 @@
     @Test
     void aRehearsalEndsInTimeHoweverSlowTheCore() throws IOException {
         try (Server discovery = Loopback.discovery()) {
-            Config config = Config.read(Loopback.environment(folder, discovery, Loopback.list(1, true), SETTINGS));
+            GatewayConfig config = GatewayConfig.read(Loopback.environment(folder, discovery, Loopback.list(1, true), SETTINGS));
             TimedLoop slow = TimedLoop.start();
             // Each turn of the loop takes so long, and a request several turns: 800 would take more than 16 s.
             slow.loop().scheduleWithFixedDelay(() -> LockSupport.parkNanos(SLOW_NANOS), 0, 1, TimeUnit.MILLISECONDS);
