--- a/src/main/java/mastdrift/net/Addresses.java
+++ b/src/main/java/mastdrift/net/Addresses.java
@@ -5,12 +5,15 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses in digits: there are no names to look up. */
+/** Parses and formats socket addresses with IP literals; no names are resolved. */
 public final class Addresses {
 
     private Addresses() { }
 
-    /** Of address and port, {@code 127.0.0.1:80} or {@code [::1]:80}; throws IllegalArgumentException for anything else. */
+    /**
+     * Parses an address and port, {@code 127.0.0.1:80} or {@code [::1]:80}; throws IllegalArgumentException for
+     * anything else.
+     */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip = NetUtil.createByteArrayFromIpAddressString(text.substring(0, Math.max(0, colon)));
@@ -25,7 +28,7 @@
         throw new IllegalArgumentException("expected address:port, not " + text);
     }
 
-    /** As {@link #parse} reads it. */
+    /** Formats an address such that {@link #parse} reads it. */
     public static String format(InetSocketAddress address) {
         return NetUtil.toSocketAddressString(address);
     }
--- a/src/main/java/mastdrift/net/AnswerDecoder.java
+++ b/src/main/java/mastdrift/net/AnswerDecoder.java
@@ -5,15 +5,18 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.util.AsciiString;
 
-/** Reads endpoints' answers; one whose length is told twice can't be told from a broken or a longer one. One whose length is not told ends with its connection
-    (RFC 9112, section 6.3), where that is closed and not reset: {@link EndpointConnection} knows. */
+/**
+ * Decodes endpoints' answers. One with both a content length and chunked encoding is rejected, since it can't be told
+ * from a broken or a longer one. One without a length ends when its connection closes (RFC 9112, section 6.3); whether
+ * that was an orderly close or a reset is known to {@link EndpointConnection}.
+ */
 final class AnswerDecoder extends HttpResponseDecoder {
 
-    private boolean begun;
+    private boolean inProgress;
 
     @Override
     protected HttpMessage createMessage(String[] line) {
-        begun = true;
+        inProgress = true;
         return super.createMessage(line);
     }
 
@@ -21,27 +24,27 @@
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
         boolean empty = super.isContentAlwaysEmpty(message);
         if (!empty && HttpUtil.isContentLengthSet(message) && HttpUtil.isTransferEncodingChunked(message)) {
-            throw new IllegalArgumentException("an answer with two lengths");
+            throw new IllegalArgumentException("answer has both Content-Length and Transfer-Encoding: chunked");
         }
         return empty;
     }
 
-    /** A line without a colon would pass for a header with no value. */
+    /** Rejects a header line without a colon, which Netty would take for a header with an empty value. */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (line[start + length] != ':') {
-            throw new IllegalArgumentException("a header without a colon");
+            throw new IllegalArgumentException("header line has no colon");
         }
         return super.splitHeaderName(line, start, length);
     }
 
-    /** The answer that had begun is whole. */
-    void ended() {
-        begun = false;
+    /** The answer that had begun is complete. */
+    void answerEnded() {
+        inProgress = false;
     }
 
-    /** Whether an answer, or what comes in place of one, has begun and not ended. */
-    boolean isMidway() {
-        return begun || actualReadableBytes() > 0;
+    /** Whether an answer, or unexpected data in its place, has begun and not ended. */
+    boolean isInProgress() {
+        return inProgress || actualReadableBytes() > 0;
     }
 }
--- a/src/main/java/mastdrift/net/ConnectionPool.java
+++ b/src/main/java/mastdrift/net/ConnectionPool.java
@@ -29,95 +29,108 @@
 import mastdrift.engine.Transport;
 import mastdrift.limits.IdleKeep;
 
-/** Connections to endpoints: dials, keeps what is idle for a while, bounds how many there are. Carries out each send on the endpoint that it is
-    told, once, and says how that ended. On the loop's thread. */
+/**
+ * Connections to endpoints: dials new ones, keeps idle ones for reuse for a bounded time, and bounds how many there
+ * are. Sends each attempt at most once, on the endpoint that it is given, and reports its outcome; it doesn't retry.
+ * Used on the event loop's thread only.
+ */
 final class ConnectionPool {
 
-    static final String EXPIRES = "X-Expires-In-Ms";
-    // Bodies hold no more, so this is what one attempt can hold.
-    private static final int BODY_MOST = 64 << 10;
-    // Of the time after which endpoints close idle connections: a request written in the rest might meet that close.
-    private static final double IDLE_PART = 0.8;
-    // An endpoint may send a second answer some milliseconds behind the first: on a connection that carries the next request by then it would pass
-    // for that one's. So a connection rests for several times as long.
-    static final long REST = 25_000;
-    private static final long SWEEP = 250_000;  // idle connections are looked through so often
+    static final String EXPIRES_HEADER = "X-Expires-In-Ms";
+    // The longest body, which bounds the memory that one attempt can hold.
+    private static final int MAX_BODY_BYTES = 64 << 10;
+    // Fraction of the time after which endpoints close idle connections. A request written in the remaining time could
+    // cross with that close.
+    private static final double IDLE_TIMEOUT_FRACTION = 0.8;
+    // How long a used connection stays idle before it is used again. An endpoint may send a second answer some
+    // milliseconds after the first; on a connection that carries the next request by then it would be taken for that
+    // request's answer. This is several times as long.
+    static final long MIN_IDLE_BEFORE_REUSE_MICROS = 25_000;
+    // Connections that have been idle for too long are closed at least this often.
+    private static final long MAX_SWEEP_INTERVAL_MICROS = 250_000;
 
-    /** The idle ones to an endpoint, the most recently used first. */
+    /** The idle connections to one endpoint, the most recently used first. */
     private record IdleConnections(Endpoint endpoint, Deque<EndpointConnection> connections) { }
 
     private final EventLoop loop;
     private final LongSupplier clock;
     private final Timers timers;
     private final Bootstrap bootstrap;
-    private final Future<?> sweeps;
-    private final IdleKeep keep;
-    private final int most;
-    private final Map<String, IdleConnections> idle = new HashMap<>();
-    private final Consumer<String> faults;
-    private Transport.Strays strays;  // null where bytes aren't counted
-    private int connections;
+    private final Future<?> sweepTask;
+    private final IdleKeep idleLimit;
+    private final int maxConnections;
+    private final Map<String, IdleConnections> idleByUid = new HashMap<>();
+    private final Consumer<String> faultLog;
+    private Transport.Strays strayListener;  // null where bytes are not counted
+    private int connectionCount;
     private boolean closed;
 
-    /** Holds {@code most} connections; spans are in microseconds. */
-    ConnectionPool(EventLoop loop, LongSupplier clock, Timers timers, long dialTimeout, long idleTimeout, int most, Consumer<String> faults) {
-        this(loop, clock, timers, dialTimeout, idleTimeout, most, faults, NioSocketChannel::new);
+    /** Opens {@code maxConnections} connections at most; durations are in microseconds. */
+    ConnectionPool(EventLoop loop, LongSupplier clock, Timers timers, long dialTimeoutMicros, long idleTimeoutMicros,
+            int maxConnections, Consumer<String> faultLog) {
+        this(loop, clock, timers, dialTimeoutMicros, idleTimeoutMicros, maxConnections, faultLog,
+                NioSocketChannel::new);
     }
 
-    /** Likewise, by sockets of a kind. */
-    ConnectionPool(EventLoop loop, LongSupplier clock, Timers timers, long dialTimeout, long idleTimeout, int most, Consumer<String> faults,
-            Supplier<? extends Channel> sockets) {
+    /** As above, with sockets made by the given factory. */
+    ConnectionPool(EventLoop loop, LongSupplier clock, Timers timers, long dialTimeoutMicros, long idleTimeoutMicros,
+            int maxConnections, Consumer<String> faultLog, Supplier<? extends Channel> socketFactory) {
         this.loop = loop;
         this.clock = clock;
         this.timers = timers;
-        this.most = most;
-        this.faults = faults;
-        long idleMost = (long) (idleTimeout * IDLE_PART);
-        keep = new IdleKeep(idleMost);
-        bootstrap = new Bootstrap().group(loop).channelFactory(() -> strays == null ? sockets.get() : CountedChannel.create())
+        this.maxConnections = maxConnections;
+        this.faultLog = faultLog;
+        long maxIdleMicros = (long) (idleTimeoutMicros * IDLE_TIMEOUT_FRACTION);
+        idleLimit = new IdleKeep(maxIdleMicros);
+        bootstrap = new Bootstrap().group(loop).channelFactory(() -> strayListener == null ? socketFactory.get()
+                : CountedChannel.create())
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, dialTimeout / 1000))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, dialTimeoutMicros / 1000))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        AnswerDecoder answers = new AnswerDecoder();
-                        channel.pipeline().addLast(new HttpRequestEncoder(), answers, new HttpObjectAggregator(BODY_MOST),
-                                new EndpointConnection(ConnectionPool.this, channel, answers, strays != null));
+                        AnswerDecoder decoder = new AnswerDecoder();
+                        channel.pipeline().addLast(new HttpRequestEncoder(), decoder,
+                                new HttpObjectAggregator(MAX_BODY_BYTES),
+                                new EndpointConnection(ConnectionPool.this, channel, decoder, strayListener != null));
                     }
                 });
-        long sweep = Math.min(idleMost / 8 + 1, SWEEP);
-        sweeps = loop.scheduleWithFixedDelay(this::closeAged, sweep, sweep, TimeUnit.MICROSECONDS);
+        long sweepMicros = Math.min(maxIdleMicros / 8 + 1, MAX_SWEEP_INTERVAL_MICROS);
+        sweepTask = loop.scheduleWithFixedDelay(this::closeExpired, sweepMicros, sweepMicros, TimeUnit.MICROSECONDS);
     }
 
-    /** Bytes are counted from now on; before anything is sent. */
-    void count(Transport.Strays to) {
-        strays = to;
+    /** Counts bytes from now on and reports those that belong to no attempt; call it before anything is sent. */
+    void countBytes(Transport.Strays listener) {
+        strayListener = listener;
     }
 
-    /** Endpoints that may be sent nothing any more lose their idle connections at once. */
-    void closeEnded() {
-        idle.values().removeIf(held -> {
-            boolean ended = !held.endpoint.isInService();
-            if (ended) {
-                closeAll(held);
+    /** Closes the idle connections of endpoints that are no longer in service. */
+    void closeIdleOutOfService() {
+        idleByUid.values().removeIf(pooled -> {
+            boolean outOfService = !pooled.endpoint.isInService();
+            if (outOfService) {
+                closeAll(pooled);
             }
-            return ended;
+            return outOfService;
         });
     }
 
-    /** Sends the message, which it releases, and waits for as long as the timeout; what has not left after {@code leaveWithin} is
-        UNUSED. */
-    HttpAttempt send(Endpoint to, FullHttpRequest message, long timeout, long leaveWithin, HttpAttempt.Listener listener) {
-        HttpAttempt attempt = new HttpAttempt(to, message, clock, timeout, leaveWithin, listener);
-        if (closed || timeout <= 0 || !to.maySend()) {
+    /**
+     * Sends the message, which is released here, and waits for the answer for {@code timeoutMicros}. An attempt whose
+     * first byte could not be written within {@code sendWithinMicros} ends as UNUSED.
+     */
+    HttpAttempt send(Endpoint endpoint, FullHttpRequest message, long timeoutMicros, long sendWithinMicros,
+            HttpAttempt.Listener listener) {
+        HttpAttempt attempt = new HttpAttempt(endpoint, message, clock, timeoutMicros, sendWithinMicros, listener);
+        if (closed || timeoutMicros <= 0 || !endpoint.maySend()) {
             attempt.end(Outcome.UNUSED, null);
             return attempt;
         }
-        attempt.startTimeout(timers, timeout);
-        EndpointConnection kept = takeIdle(to);
-        if (kept != null) {
-            kept.write(attempt);
-        } else if (connections >= most && !closeEldest()) {
+        attempt.startTimeout(timers, timeoutMicros);
+        EndpointConnection idleConnection = takeIdle(endpoint);
+        if (idleConnection != null) {
+            idleConnection.write(attempt);
+        } else if (connectionCount >= maxConnections && !closeOldestIdle()) {
             attempt.end(Outcome.DIAL_FAILED, null);
         } else {
             dial(attempt);
@@ -126,140 +139,147 @@
     }
 
     private void dial(HttpAttempt attempt) {
-        connections++;
-        ChannelFuture dialled = bootstrap.connect(attempt.endpoint().address());
-        Channel channel = dialled.channel();
-        attempt.carriedBy(channel);
-        dialled.addListener(done -> {
+        connectionCount++;
+        ChannelFuture connectFuture = bootstrap.connect(attempt.endpoint().address());
+        Channel channel = connectFuture.channel();
+        attempt.setChannel(channel);
+        connectFuture.addListener(done -> {
             if (!done.isSuccess()) {
-                // Where no descriptor was left there is no channel that would close, and the library says so on a thread of its own.
-                Outcome outcome = LocalSystemError.is(done.cause()) ? Outcome.UNUSED : Outcome.DIAL_FAILED;
+                // With no file descriptor left there is no channel that would close, and Netty completes the future on
+                // a thread of its own.
+                Outcome outcome = LocalSystemError.isCauseOf(done.cause()) ? Outcome.UNUSED : Outcome.DIAL_FAILED;
                 if (loop.inEventLoop()) {
-                    undialled(attempt, outcome);
+                    onDialFailed(attempt, outcome);
                 } else {
-                    loop.execute(() -> undialled(attempt, outcome));
+                    loop.execute(() -> onDialFailed(attempt, outcome));
                 }
                 return;
             }
             EndpointConnection connection = channel.pipeline().get(EndpointConnection.class);
-            connection.connected(attempt.endpoint());
-            channel.closeFuture().addListener(ended -> ended(connection));
-            // Once all that this turn found has been read: the end of who waited may be among it.
+            connection.onConnected(attempt.endpoint());
+            channel.closeFuture().addListener(closeFuture -> onClosed(connection));
+            // Deferred until all input of this turn has been handled: the client that waits for this attempt may have
+            // disconnected in it.
             loop.execute(() -> {
-                if (!attempt.isOver()) {
-                    attempt.connected();
+                if (!attempt.isEnded()) {
+                    attempt.notifyConnected();
                     connection.write(attempt);
                 }
             });
         });
     }
 
-    private void undialled(HttpAttempt attempt, Outcome outcome) {
-        connections--;
+    private void onDialFailed(HttpAttempt attempt, Outcome outcome) {
+        connectionCount--;
         attempt.end(outcome, null);
     }
 
-    private void ended(EndpointConnection connection) {
-        connections--;
-        if (strays != null) {
-            connection.tellStrays((sent, received) -> {
+    private void onClosed(EndpointConnection connection) {
+        connectionCount--;
+        if (strayListener != null) {
+            connection.reportStrayBytes((sent, received) -> {
                 if (sent + received > 0) {
-                    strays.stray(connection.endpoint().uid(), sent, received);
+                    strayListener.stray(connection.endpoint().uid(), sent, received);
                 }
             });
         }
     }
 
-    private EndpointConnection takeIdle(Endpoint to) {
-        IdleConnections held = idle.get(to.uid());
-        if (held == null || held.endpoint != to) {
+    private EndpointConnection takeIdle(Endpoint endpoint) {
+        IdleConnections pooled = idleByUid.get(endpoint.uid());
+        if (pooled == null || pooled.endpoint != endpoint) {
             return null;
         }
         long now = clock.getAsLong();
-        long longest = keep.most(now);
-        for (Iterator<EndpointConnection> kept = held.connections.iterator(); kept.hasNext(); ) {
-            EndpointConnection next = kept.next();
-            if (next.isUsed() && now - next.idleSince() < REST) {
+        long maxIdleMicros = idleLimit.most(now);
+        for (Iterator<EndpointConnection> candidates = pooled.connections.iterator(); candidates.hasNext(); ) {
+            EndpointConnection candidate = candidates.next();
+            if (candidate.isUsed() && now - candidate.idleSince() < MIN_IDLE_BEFORE_REUSE_MICROS) {
                 continue;
             }
-            kept.remove();
-            Look.at(next.channel());  // its end, or more than an answer, may stand there unread
-            if (next.channel().isActive() && now - next.idleSince() < longest) {
-                return next;
+            candidates.remove();
+            Look.at(candidate.channel());  // a close, or data beyond the answer, may be waiting there unread
+            if (candidate.channel().isActive() && now - candidate.idleSince() < maxIdleMicros) {
+                return candidate;
             }
-            next.channel().close();
+            candidate.channel().close();
         }
         return null;
     }
 
-    /** It is idle, and its endpoint in service. */
-    void offer(EndpointConnection connection) {
+    /** Keeps an idle connection for reuse; its endpoint is in service. */
+    void addIdle(EndpointConnection connection) {
         Endpoint endpoint = connection.endpoint();
-        IdleConnections held = idle.get(endpoint.uid());
-        if (held == null || held.endpoint != endpoint) {
-            if (held != null) {
-                closeAll(held);
+        IdleConnections pooled = idleByUid.get(endpoint.uid());
+        if (pooled == null || pooled.endpoint != endpoint) {
+            if (pooled != null) {
+                closeAll(pooled);
             }
-            held = new IdleConnections(endpoint, new ArrayDeque<>());
-            idle.put(endpoint.uid(), held);
+            pooled = new IdleConnections(endpoint, new ArrayDeque<>());
+            idleByUid.put(endpoint.uid(), pooled);
         }
-        held.connections.push(connection);
+        pooled.connections.push(connection);
     }
 
-    /** It has ended by itself. */
-    void withdraw(EndpointConnection connection) {
-        IdleConnections held = idle.get(connection.endpoint().uid());
-        if (held != null) {
-            held.connections.remove(connection);
+    /** Removes a connection that has closed by itself. */
+    void removeIdle(EndpointConnection connection) {
+        IdleConnections pooled = idleByUid.get(connection.endpoint().uid());
+        if (pooled != null) {
+            pooled.connections.remove(connection);
         }
     }
 
-    /** An attempt was answered, on a new connection or not, and possibly turned away. */
-    void answered(long now, boolean fresh, boolean turnedAway) {
-        if (fresh) {
-            keep.opened(now, turnedAway);
+    /**
+     * Records that an attempt was answered, on a new or a reused connection, and whether the endpoint shed it. How long
+     * connections are kept idle depends on it.
+     */
+    void recordAnswer(long now, boolean onNewConnection, boolean shed) {
+        if (onNewConnection) {
+            idleLimit.opened(now, shed);
         } else {
-            keep.again(now, turnedAway);
+            idleLimit.again(now, shed);
         }
     }
 
-    private boolean closeEldest() {
-        Optional<EndpointConnection> eldest = idle.values().stream().map(held -> held.connections.peekLast())
+    private boolean closeOldestIdle() {
+        Optional<EndpointConnection> oldest = idleByUid.values().stream().map(pooled -> pooled.connections.peekLast())
                 .filter(Objects::nonNull).min(Comparator.comparingLong(EndpointConnection::idleSince));
-        eldest.ifPresent(connection -> {
-            withdraw(connection);
+        oldest.ifPresent(connection -> {
+            removeIdle(connection);
             connection.channel().close();
         });
-        return eldest.isPresent();
+        return oldest.isPresent();
     }
 
-    private void closeAged() {
+    private void closeExpired() {
         long now = clock.getAsLong();
-        long before = now - keep.most(now);
-        for (IdleConnections held : idle.values()) {
-            while (!held.connections.isEmpty() && held.connections.peekLast().idleSince() <= before) {
-                held.connections.pollLast().channel().close();
+        long idleSinceLimit = now - idleLimit.most(now);
+        for (IdleConnections pooled : idleByUid.values()) {
+            while (!pooled.connections.isEmpty() && pooled.connections.peekLast().idleSince() <= idleSinceLimit) {
+                pooled.connections.pollLast().channel().close();
             }
         }
     }
 
+    /** Closes the idle connections to a host. */
     void closeIdle(String uid) {
-        if (idle.containsKey(uid)) {
-            closeAll(idle.get(uid));
+        if (idleByUid.containsKey(uid)) {
+            closeAll(idleByUid.get(uid));
         }
     }
 
-    private static void closeAll(IdleConnections held) {
-        for (EndpointConnection connection = held.connections.poll(); connection != null; connection = held.connections.poll()) {
+    private static void closeAll(IdleConnections pooled) {
+        for (EndpointConnection connection = pooled.connections.poll(); connection != null;
+                connection = pooled.connections.poll()) {
             connection.channel().close();
         }
     }
 
-    /** For good: nothing new is sent. */
+    /** Closes the idle connections for good; whatever is sent afterwards ends as UNUSED. */
     void close() {
         closed = true;
-        idle.values().forEach(ConnectionPool::closeAll);
-        sweeps.cancel(false);
+        idleByUid.values().forEach(ConnectionPool::closeAll);
+        sweepTask.cancel(false);
     }
 
     long now() {
@@ -270,7 +290,7 @@
         return timers;
     }
 
-    void fault(String line) {
-        faults.accept(line);
+    void logFault(String line) {
+        faultLog.accept(line);
     }
 }
--- a/src/main/java/mastdrift/net/CountedChannel.java
+++ b/src/main/java/mastdrift/net/CountedChannel.java
@@ -4,29 +4,32 @@
 import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.channel.socket.nio.NioSocketChannel;
 
-/** A socket that counts what the kernel takes and gives, to the byte: what a handler sees written may never be sent, and what fails midway
-    was sent in part. Read and written on the loop's thread. */
+/**
+ * A socket channel that counts the bytes that the kernel accepts and delivers. A handler could not count them: what it
+ * sees written may never be sent, and a write that fails midway was sent in part. The counts are read and written on
+ * the event loop's thread.
+ */
 final class CountedChannel extends NioSocketChannel {
 
-    private long sent;
-    private long received;
+    private long sentBytes;
+    private long receivedBytes;
 
     private CountedChannel() { }
 
-    /** As its own type only here, so that who doesn't count doesn't load it. */
+    /** Returns the supertype, so that callers which don't count bytes don't load this class. */
     static NioSocketChannel create() {
         return new CountedChannel();
     }
 
-    long sent() {
-        return sent;
+    long sentBytes() {
+        return sentBytes;
     }
 
-    long received() {
-        return received;
+    long receivedBytes() {
+        return receivedBytes;
     }
 
-    private static long flushed(ChannelOutboundBuffer buffer) throws Exception {
+    private static long pendingFlushedBytes(ChannelOutboundBuffer buffer) throws Exception {
         long[] sum = new long[1];
         buffer.forEachFlushedMessage(message -> {
             sum[0] += message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
@@ -37,18 +40,18 @@
 
     @Override
     protected void doWrite(ChannelOutboundBuffer buffer) throws Exception {
-        long before = flushed(buffer);
+        long before = pendingFlushedBytes(buffer);
         try {
             super.doWrite(buffer);
         } finally {
-            sent += before - flushed(buffer);
+            sentBytes += before - pendingFlushedBytes(buffer);
         }
     }
 
     @Override
     protected int doReadBytes(ByteBuf to) throws Exception {
         int read = super.doReadBytes(to);
-        received += Math.max(0, read);
+        receivedBytes += Math.max(0, read);
         return read;
     }
 }
--- a/src/main/java/mastdrift/net/DryStart.java
+++ b/src/main/java/mastdrift/net/DryStart.java
@@ -1,22 +1,26 @@
 package mastdrift.net;
 
-/** Starts the platform's gateway with no platform round it, and ends it once it has rehearsed and listens. The build records
-    which classes that takes, for the archive that a start reads them from (JEP 310): read from the jar and verified class by
-    class they are a third of a start. What is archived is what the gateway loads anyway, nothing of a subsystem that is off. */
+/**
+ * Starts the platform's gateway without the platform, and ends it once it has warmed up and listens. The build records
+ * which classes a start loads, for the class data sharing archive that starts read them from (JEP 310): reading them
+ * from the jar and verifying them one by one takes a third of a start. The archive holds only what the gateway loads
+ * anyway, nothing of a subsystem that is off.
+ */
 public final class DryStart {
 
-    private static final long ASKED_MILLIS = 800;  // by then the module has asked discovery, which nobody answers here
+    // By then the module has called discovery, which nobody answers here.
+    private static final long DISCOVERY_CALL_MILLIS = 800;
 
     private DryStart() { }
 
-    /** Reads its configuration as {@link Main} does; exits with status 2 where that can't be run with. */
+    /** Reads the configuration as {@link Main} does, and throws IllegalArgumentException if it is invalid. */
     public static void main(String[] args) throws InterruptedException {
-        Main.quiet();
+        Main.disableNettyLog();
         GatewayConfig config = GatewayConfig.read(System.getenv());
         Main.StartedGateway started = Main.prepare(config, TimedLoop.start(), false, System.out);
-        Main.rehearse(config, TimedLoop.start(), System.out::println);
+        Main.warmUp(config, TimedLoop.start(), System.out::println);
         Main.listen(started, config, System.out);
-        Thread.sleep(ASKED_MILLIS);
+        Thread.sleep(DISCOVERY_CALL_MILLIS);
         System.exit(0);
     }
 }
--- a/src/main/java/mastdrift/net/EndpointConnection.java
+++ b/src/main/java/mastdrift/net/EndpointConnection.java
@@ -16,43 +16,46 @@
 import mastdrift.Balancer.Outcome;
 import mastdrift.engine.Endpoint;
 
-/** One connection to an endpoint, which carries one attempt at a time. The first byte of every attempt leaves by {@link #write}. */
+/**
+ * One connection to an endpoint, which carries one attempt at a time. {@link #write} is the only place where an
+ * attempt's first byte is sent.
+ */
 final class EndpointConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
-    private static final AsciiString EXPIRES_NAME = AsciiString.cached(ConnectionPool.EXPIRES);
-    private static final AsciiString NEVER_RAN = AsciiString.cached("X-Never-Ran");
-    // An answer of this size has come at once but for a lost packet, which is sent again after 200 ms: one that stalls
-    // for longer won't end.
-    private static final long STALL = 250_000;
-    private static final int INTERIM_MOST = 16;  // 1xx answers ahead of the real one
+    private static final AsciiString EXPIRES_HEADER = AsciiString.cached(ConnectionPool.EXPIRES_HEADER);
+    private static final AsciiString NEVER_RAN_HEADER = AsciiString.cached("X-Never-Ran");
+    // Maximum time from the first byte of an answer to its last. An answer of this size arrives at once unless a packet
+    // is lost, which is retransmitted after 200 ms; one that stalls for longer will not end.
+    private static final long MAX_ANSWER_STALL_MICROS = 250_000;
+    private static final int MAX_INTERIM_ANSWERS = 16;  // 1xx answers before the final one
 
     private final ConnectionPool pool;
     private final Channel channel;
-    private final AnswerDecoder answers;
-    private final boolean counted;
+    private final AnswerDecoder decoder;
+    private final boolean countsBytes;
     private Endpoint endpoint;
-    private String name;
+    private String hostHeader;
     private HttpAttempt attempt;
-    private boolean answered;
+    private boolean reusable;
     private boolean used;
-    private boolean idling;  // it is offered, or was until just now
-    private boolean fresh;  // what is on it is the first
-    private boolean broken;  // reset, or not readable any more: what ends with it is not whole
-    private int interim;
+    private boolean pooled;  // offered to the pool; remains set until the next attempt is written
+    private boolean firstAttempt;  // the current attempt is the first on this connection
+    private boolean broken;  // reset or not decodable: an answer that ends with the connection is incomplete
+    private int interimAnswers;
     private long idleSince;
-    private long toldSent;
-    private long toldReceived;
+    private long reportedSentBytes;
+    private long reportedReceivedBytes;
 
-    EndpointConnection(ConnectionPool pool, Channel channel, AnswerDecoder answers, boolean counted) {
+    EndpointConnection(ConnectionPool pool, Channel channel, AnswerDecoder decoder, boolean countsBytes) {
         this.pool = pool;
         this.channel = channel;
-        this.answers = answers;
-        this.counted = counted;
+        this.decoder = decoder;
+        this.countsBytes = countsBytes;
     }
 
-    void connected(Endpoint to) {
-        endpoint = to;
-        name = NetUtil.toSocketAddressString(to.address());
+    void onConnected(Endpoint connectedEndpoint) {
+        endpoint = connectedEndpoint;
+        hostHeader = NetUtil.toSocketAddressString(connectedEndpoint.address());
     }
 
     Endpoint endpoint() {
@@ -72,120 +75,138 @@
     }
 
     /**
-     * Sends it, unless by now it may not be: it waited for its connection meanwhile, and its endpoint was drained or has started anew, the
-     * time for a repeat is over, or whoever asked has left or been answered. The look at the client is the last that takes any time ahead of
-     * the write; it may bring news of drains, so that the endpoint is asked behind it.
+     * Sends the attempt unless it may no longer be sent: while it waited for its connection, its endpoint may have been
+     * drained or restarted, the time for a repeat may be over, or the client may have left or been answered. The check
+     * of the client is the last step before the write that takes any time. It may read news of drains, so the endpoint
+     * is checked after it.
      */
-    void write(HttpAttempt next) {
-        next.carriedBy(channel);
-        boolean wanted = next.isWanted();
+    void write(HttpAttempt newAttempt) {
+        newAttempt.setChannel(channel);
+        boolean stillWanted = newAttempt.isWanted();
         long now = pool.now();
-        if (!wanted || !endpoint.maySend() || next.isTooLate(now) || next.isOver()) {
-            next.end(Outcome.UNUSED, null);
-            giveBack(now);
+        if (!stillWanted || !endpoint.maySend() || newAttempt.isPastSendTime(now) || newAttempt.isEnded()) {
+            newAttempt.end(Outcome.UNUSED, null);
+            returnUnused(now);
             return;
         }
-        fresh = !used;
+        firstAttempt = !used;
         used = true;
-        idling = false;
-        attempt = next;
-        next.sentOn(this);
-        next.message().headers().add(HttpHeaderNames.HOST, name).add(EXPIRES_NAME, next.millisLeft(now));
-        channel.writeAndFlush(next.message()).addListener(done -> {
+        pooled = false;
+        attempt = newAttempt;
+        newAttempt.setConnection(this);
+        newAttempt.message().headers().add(HttpHeaderNames.HOST, hostHeader)
+                .add(EXPIRES_HEADER, newAttempt.remainingMillis(now));
+        channel.writeAndFlush(newAttempt.message()).addListener(done -> {
             if (done.isSuccess()) {
-                next.written();
+                newAttempt.markWritten();
             } else {
                 channel.close();
             }
         });
     }
 
-    /** It was paid for, and carried nothing that could still be answered. Where it has been used, its endpoint counts from then. */
-    private void giveBack(long now) {
+    /**
+     * Keeps the connection for reuse: the dial has been paid for, and no answer is outstanding on it. If it has been
+     * used before, its idle time is counted from that use, as the endpoint does.
+     */
+    private void returnUnused(long now) {
         if (endpoint.isInService() && channel.isActive()) {
             idleSince = used ? idleSince : now;
-            rest();
+            becomeIdle();
         } else {
             channel.close();
         }
     }
 
-    private void rest() {
-        idling = true;
-        pool.offer(this);
+    private void becomeIdle() {
+        pooled = true;
+        pool.addIdle(this);
     }
 
-    /** How many bytes have passed for an attempt that ends. */
-    void tellBytes(HttpAttempt of) {
-        if (counted) {
-            CountedChannel bytes = (CountedChannel) channel;
-            of.passed(bytes.sent() - toldSent, bytes.received() - toldReceived);
-            toldSent = bytes.sent();
-            toldReceived = bytes.received();
+    /** Tells an attempt that ends how many bytes were sent and received for it. */
+    void reportBytes(HttpAttempt endedAttempt) {
+        if (countsBytes) {
+            CountedChannel counter = (CountedChannel) channel;
+            endedAttempt.reportBytes(counter.sentBytes() - reportedSentBytes,
+                    counter.receivedBytes() - reportedReceivedBytes);
+            reportedSentBytes = counter.sentBytes();
+            reportedReceivedBytes = counter.receivedBytes();
         }
     }
 
-    /** The connection has ended: what passed and belongs to no attempt. An attempt that is out ends in a moment, by this, and tells by itself. */
-    void tellStrays(StrayByteListener strays) {
-        if (attempt == null || attempt.isOver()) {
-            CountedChannel bytes = (CountedChannel) channel;
-            strays.passed(bytes.sent() - toldSent, bytes.received() - toldReceived);
+    /**
+     * Reports, once the connection has closed, the bytes that belong to no attempt. An attempt still in flight is about
+     * to be ended by the close and reports its own.
+     */
+    void reportStrayBytes(StrayByteListener listener) {
+        if (attempt == null || attempt.isEnded()) {
+            CountedChannel counter = (CountedChannel) channel;
+            listener.strayBytes(counter.sentBytes() - reportedSentBytes,
+                    counter.receivedBytes() - reportedReceivedBytes);
         }
     }
 
-    /** Hears of bytes that belong to no attempt. */
+    /** Receives the numbers of bytes that belong to no attempt. */
     interface StrayByteListener {
-        void passed(long sent, long received);
+        void strayBytes(long sent, long received);
     }
 
-    /** The connection isn't offered again from here: behind the answer there may be more, which would be taken for
-        the answer to the next request. */
+    /**
+     * Ends the current attempt. The connection is not kept for reuse here yet: more data may follow the answer, which
+     * would be taken for the answer to the next request.
+     */
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
-        answers.ended();
-        boolean whole = answer.decoderResult().isSuccess() && !broken
+        decoder.answerEnded();
+        boolean complete = answer.decoderResult().isSuccess() && !broken
                 && !answer.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
-        if (whole && answer.status().codeClass() == HttpStatusClass.INFORMATIONAL && ++interim <= INTERIM_MOST) {
+        if (complete && answer.status().codeClass() == HttpStatusClass.INFORMATIONAL
+                && ++interimAnswers <= MAX_INTERIM_ANSWERS) {
             return;
         }
-        whole &= answer.status().codeClass() != HttpStatusClass.INFORMATIONAL;
-        HttpAttempt mine = attempt;
+        complete &= answer.status().codeClass() != HttpStatusClass.INFORMATIONAL;
+        HttpAttempt endedAttempt = attempt;
         attempt = null;
-        answered = mine != null && !mine.isOver() && mine.isWritten() && whole && HttpUtil.isKeepAlive(answer) && channel.isActive();
+        reusable = endedAttempt != null && !endedAttempt.isEnded() && endedAttempt.isWritten() && complete
+                && HttpUtil.isKeepAlive(answer) && channel.isActive();
         idleSince = pool.now();
-        if (!answered) {
+        if (!reusable) {
             channel.close();
         }
-        if (mine != null) {
-            // An endpoint begins with a request's last byte: what it says was served ahead of that is an answer to something else.
-            boolean early = answer.status().code() == 200 && !mine.isWritten();
-            Outcome outcome = whole && !early ? outcome(answer) : Outcome.DROPPED;
-            pool.answered(idleSince, fresh, outcome == Outcome.SHED);
-            mine.end(outcome, answer);
+        if (endedAttempt != null) {
+            // An endpoint starts on a request at its last byte: a 200 before that is the answer to something else.
+            boolean early = answer.status().code() == 200 && !endedAttempt.isWritten();
+            Outcome outcome = complete && !early ? outcome(answer) : Outcome.DROPPED;
+            pool.recordAnswer(idleSince, firstAttempt, outcome == Outcome.SHED);
+            endedAttempt.end(outcome, answer);
         }
     }
 
-    /** All that came has been read: a connection is good for the next request if nothing came but the answer. What
-        comes while none is out belongs to nobody, and what has begun must end. */
+    /**
+     * All that has arrived has been read. The connection is kept for reuse only if nothing but the answer arrived. Data
+     * that arrives while no attempt is in flight belongs to no request and closes the connection; an answer that has
+     * begun must end in time.
+     */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         if (attempt != null) {
-            if (answers.isMidway()) {
-                attempt.startStall(pool.timers(), STALL);
+            if (decoder.isInProgress()) {
+                attempt.startStallTimeout(pool.timers(), MAX_ANSWER_STALL_MICROS);
             }
-        } else if (answered && !answers.isMidway() && endpoint.isInService()) {
-            interim = 0;
-            rest();
-        } else if (!idling || answers.isMidway()) {  // else it was looked at, and nothing stood there
+        } else if (reusable && !decoder.isInProgress() && endpoint.isInService()) {
+            interimAnswers = 0;
+            becomeIdle();
+        } else if (!pooled || decoder.isInProgress()) {
+            // A connection that was idle and only checked for unread input, of which there was none, stays open.
             channel.close();
         }
-        answered = false;
+        reusable = false;
     }
 
     private static Outcome outcome(FullHttpResponse answer) {
         return switch (answer.status().code()) {
             case 200 -> Outcome.DELIVERED;
-            case 503, 504 -> "1".equals(answer.headers().get(NEVER_RAN)) ? Outcome.SHED : Outcome.ERROR;
+            case 503, 504 -> "1".equals(answer.headers().get(NEVER_RAN_HEADER)) ? Outcome.SHED : Outcome.ERROR;
             default -> Outcome.ERROR;
         };
     }
@@ -195,16 +216,16 @@
         if (attempt != null) {
             attempt.end(attempt.isWritten() ? Outcome.DROPPED : Outcome.DIAL_FAILED, null);
         } else if (endpoint != null) {
-            pool.withdraw(this);
+            pool.removeIdle(this);
         }
     }
 
-    /** A break, or an answer that can't be read: the end of the connection tells the attempt. */
+    /** An I/O error or an answer that can't be decoded; closing the connection ends the attempt. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException || cause instanceof DecoderException
                 || cause instanceof PrematureChannelClosureException)) {
-            pool.fault("fault at an endpoint's connection: " + cause);
+            pool.logFault("fault on a connection to an endpoint: " + cause);
         }
         broken = true;
         context.close();
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -14,28 +14,29 @@
 import mastdrift.engine.Source;
 import mastdrift.engine.Transport;
 
-/** The platform's gateway: one pool, to which every request goes, with its hosts from discovery. */
+/** The platform's gateway: a single pool, to which every request goes, with hosts from discovery. */
 final class Gateway implements ClientSide.Router {
 
     private final PrintStream out;
     private final Pool pool;
     private final Ledger ledger;
     private final Discovery discovery;
-    private final CompletableFuture<Void> told = new CompletableFuture<>();
-    private boolean held;  // whether calls to discovery wait for the first one's moment
-    private boolean asked;  // whether one does
+    private final CompletableFuture<Void> firstList = new CompletableFuture<>();
+    private boolean discoveryHeld;  // whether the module's watch is held back until allowDiscovery()
+    private boolean watchRequested;  // whether the module has asked for a watch
 
-    /** Starts the module; on the loop's thread. */
-    Gateway(GatewayConfig config, TimedLoop timed, Balancer module, int hostConnections, int openMost, boolean tally, PrintStream out) {
+    /** Starts the module; called on the event loop's thread. */
+    Gateway(GatewayConfig config, TimedLoop timedLoop, Balancer module, int maxHostConnections, int maxOpenRequests,
+            boolean tally, PrintStream out) {
         this.out = out;
-        EventLoop loop = timed.loop();
-        ledger = new Ledger(timed.timers(), timed.clock(), timed.turns(), openMost, this::log);
-        Transport hosts = new HttpTransport(timed, config.settings(), hostConnections, this::log);
+        EventLoop loop = timedLoop.loop();
+        ledger = new Ledger(timedLoop.timers(), timedLoop.clock(), timedLoop.turns(), maxOpenRequests, this::log);
+        Transport transport = new HttpTransport(timedLoop, config.settings(), maxHostConnections, this::log);
         Source source = new Source() {
             @Override
             public void watch(boolean active) {
-                asked = active;
-                if (!held) {
+                watchRequested = active;
+                if (!discoveryHeld) {
                     discovery.watch(active);
                 }
             }
@@ -47,25 +48,26 @@
 
             @Override
             public boolean listHolds() {
-                return discovery == null || discovery.listHolds();  // null while the known list is put in force
+                return discovery == null || discovery.listHolds();  // null while the known list is applied
             }
         };
         Discovery.Listener listener = new DiscoveryListener();
-        ledger.witness(new RequestLog(timed.clock()::now, this::log));
+        ledger.witness(new RequestLog(timedLoop.clock()::now, this::log));
         if (tally) {
-            Tracing tracing = new Tracing(hosts, timed, config.settings(), this::log);
+            Tracing tracing = new Tracing(transport, timedLoop, config.settings(), this::log);
             ledger.witness(tracing);
-            TallyRecorder tallying = new TallyRecorder(tracing, timed, config.settings().rules().warmWithin(), ledger, tracing, this::log);
-            hosts = tallying;
-            listener = tallying.counted(listener);
+            TallyRecorder tallyRecorder = new TallyRecorder(tracing, timedLoop, config.settings().rules().warmWithin(),
+                    ledger, tracing, this::log);
+            transport = tallyRecorder;
+            listener = tallyRecorder.countingListener(listener);
         }
-        pool = new Pool("hosts", ledger, module, config.settings(), hosts);
+        pool = new Pool("hosts", ledger, module, config.settings(), transport);
         Discovery.Terms terms = new Discovery.Terms(!config.settings().registryOnRequest(), config.settings().rules().mustAskIn(), ledger::unseen);
-        discovery = new Discovery(loop, config.discovery(), terms, config.known(), listener);
+        discovery = new Discovery(loop, config.discovery(), terms, config.knownList(), listener);
         ledger.notifications(discovery::look);
-        pool.start(source, config.known().rev(), config.known().entries());
+        pool.start(source, config.knownList().rev(), config.knownList().entries());
         log("settings: lists are " + (config.settings().registryOnRequest() ? "asked for" : "pushed") + ", " + config.settings().rules());
-        logList(config.known());
+        logList(config.knownList());
         if (!config.settings().registryOnRequest()) {
             discovery.watch(true);
         }
@@ -75,29 +77,35 @@
         return ledger;
     }
 
-    /** Done once discovery has told of the hosts for the first time. */
-    CompletableFuture<Void> told() {
-        return told;
+    /** Completes when discovery has delivered its first list. */
+    CompletableFuture<Void> firstListReceived() {
+        return firstList;
     }
 
-    /** The module's watch begins only once {@link #ask} allows it; on the loop's thread, ahead of its first call. */
-    void hold() {
-        held = true;
+    /**
+     * Holds back the module's watch until {@link #allowDiscovery}; called on the event loop's thread, before the first
+     * call to discovery.
+     */
+    void holdDiscovery() {
+        discoveryHeld = true;
     }
 
-    /** Discovery may be called from now on, and is where the module has asked for it; on the loop's thread, any number of times. */
-    void ask() {
-        boolean waited = held && asked;
-        held = false;
-        if (waited) {
+    /**
+     * Allows calls to discovery from now on, and starts the watch if the module has asked for it; called on the event
+     * loop's thread, any number of times.
+     */
+    void allowDiscovery() {
+        boolean startWatch = discoveryHeld && watchRequested;
+        discoveryHeld = false;
+        if (startWatch) {
             discovery.watch(true);
         }
     }
 
-    /** Discovery is to be asked at another address. */
-    void discoverAt(InetSocketAddress at) {
-        log("discovery at " + NetUtil.toSocketAddressString(at));
-        discovery.move(at);
+    /** Sends calls to discovery to another address from now on. */
+    void setDiscoveryAddress(InetSocketAddress address) {
+        log("discovery address is now " + NetUtil.toSocketAddressString(address));
+        discovery.move(address);
     }
 
     @Override
@@ -105,20 +113,20 @@
         return pool;
     }
 
-    /** What discovery tells. */
+    /** Applies what discovery reports. */
     private final class DiscoveryListener implements Discovery.Listener {
 
         @Override
         public void listed(HostList list) {
             logList(list);
             pool.learn(list.all() ? ListForm.FULL : ListForm.DELTA, list.rev(), list.entries());
-            told.complete(null);
+            firstList.complete(null);
         }
 
         @Override
         public boolean withdrawn(Discovery.Withdrawal withdrawal) {
             int hosts = pool.withdraw(withdrawal.version(), withdrawal.named(), withdrawal.leaving());
-            log("of a list that is not in force, " + hosts + " hosts are drained or removed");
+            log("rejected list: " + hosts + " hosts are drained or removed");
             return hosts > 0;
         }
 
--- a/src/main/java/mastdrift/net/GatewayConfig.java
+++ b/src/main/java/mastdrift/net/GatewayConfig.java
@@ -15,12 +15,16 @@
 import mastdrift.Balancer.Settings;
 import mastdrift.settings.Facts;
 
-/** What a gateway is told at its start; throws IllegalArgumentException with one plain line where it can't be read. */
-record GatewayConfig(InetSocketAddress listen, InetSocketAddress discovery, int sockets, HostList known, Settings settings) {
+/**
+ * The configuration that a gateway starts with; reading an invalid one throws IllegalArgumentException with a message
+ * of one line.
+ */
+record GatewayConfig(InetSocketAddress listen, InetSocketAddress discovery, int maxSockets, HostList knownList,
+        Settings settings) {
 
-    /** Reads the file that {@code NODE_CONFIG} names; the other variables go before what it says. */
+    /** Reads the file that {@code NODE_CONFIG} names; the other environment variables override what it says. */
     static GatewayConfig read(Map<String, String> environment) {
-        Map<String, Object> root = file(environment);
+        Map<String, Object> root = readFile(environment);
         Map<String, String> facts = new HashMap<>();
         flatten("", root.get("settings"), facts);
         Settings settings;
@@ -29,23 +33,23 @@
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("settings: expected " + e.getMessage(), e);
         }
-        return new GatewayConfig(address(environment.getOrDefault("NODE_LISTEN", text(root, "listen"))),
-                address(environment.getOrDefault("NODE_DISCOVERY", text(root, "discovery"))),
+        return new GatewayConfig(parseAddress(environment.getOrDefault("NODE_LISTEN", text(root, "listen"))),
+                parseAddress(environment.getOrDefault("NODE_DISCOVERY", text(root, "discovery"))),
                 root.get("limits") instanceof Map<?, ?> limits && limits.get("sockets") instanceof Integer sockets
                         ? sockets : Integer.MAX_VALUE,
                 HostList.parse(root.get("known")), settings);
     }
 
-    /** Where the file says by now that discovery is. */
+    /** Reads discovery's address from the file again. */
     static InetSocketAddress discovery(Map<String, String> environment) {
-        return address(text(file(environment), "discovery"));
+        return parseAddress(text(readFile(environment), "discovery"));
     }
 
     static String text(Map<?, ?> object, String name) {
         return Objects.toString(object.get(name), "");
     }
 
-    private static Map<String, Object> file(Map<String, String> environment) {
+    private static Map<String, Object> readFile(Map<String, String> environment) {
         String file = environment.get("NODE_CONFIG");
         if (file == null) {
             throw new IllegalArgumentException("NODE_CONFIG is not set");
@@ -67,7 +71,7 @@
         }
     }
 
-    /** Paths as on the simulator's wire, which {@link Facts} reads. */
+    /** Collects the values below a node by dotted paths, as on the simulator's wire, which {@link Facts} reads. */
     private static void flatten(String path, Object node, Map<String, String> facts) {
         if (node instanceof Map<?, ?> object) {
             object.forEach((name, value) -> flatten(path.isEmpty() ? name.toString() : path + "." + name, value, facts));
@@ -82,7 +86,7 @@
         }
     }
 
-    static InetSocketAddress address(String text) {
+    static InetSocketAddress parseAddress(String text) {
         return Addresses.parse(text);
     }
 }
--- a/src/main/java/mastdrift/net/HostList.java
+++ b/src/main/java/mastdrift/net/HostList.java
@@ -103,7 +103,7 @@
         long born = Math.multiplyExact(number(target, "boot_ms", 0).longValue(), 1000L);
         return new Member(new Host(uid, GatewayConfig.text(target, "az"), number(target, "pod_group", 0).intValue(),
                 GatewayConfig.text(target, "model"), number(target, "capacity_hint", 1).doubleValue(), health, born),
-                GatewayConfig.address(GatewayConfig.text(target, "endpoint")));
+                GatewayConfig.parseAddress(GatewayConfig.text(target, "endpoint")));
     }
 
     private static Number number(Map<?, ?> target, String name, int otherwise) {
--- a/src/main/java/mastdrift/net/HttpAnswer.java
+++ b/src/main/java/mastdrift/net/HttpAnswer.java
@@ -3,5 +3,5 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import mastdrift.engine.Answer;
 
-/** A host's answer as it came; the connection that read it releases it. */
+/** A host's answer as received; the connection that read it releases it. */
 record HttpAnswer(FullHttpResponse message) implements Answer { }
--- a/src/main/java/mastdrift/net/HttpAttempt.java
+++ b/src/main/java/mastdrift/net/HttpAttempt.java
@@ -9,58 +9,63 @@
 import mastdrift.engine.Timers;
 import mastdrift.engine.Transport;
 
-/** One send: its message until it is written, its time, and who hears of its end, exactly once. On the loop's thread. */
+/**
+ * One send of a request to an endpoint: owns the message until it is written, runs the timeouts, and reports the end to
+ * its listener exactly once. Used on the event loop's thread only.
+ */
 final class HttpAttempt implements Transport.Attempt {
 
-    /** Hears how an attempt ended, exactly once; the answer is there where the endpoint gave one. */
+    /** Receives the end of an attempt, exactly once; the answer is null where the endpoint gave none. */
     interface Listener {
         void ended(Outcome outcome, FullHttpResponse answer);
 
-        /** Whether anybody waits for it: what nobody waits for doesn't leave. */
-        default boolean wanted() {
+        /** Whether anybody still waits for the outcome; otherwise the request is not sent. */
+        default boolean isWanted() {
             return true;
         }
 
-        /** A connection for it was opened. */
+        /** A connection was opened for the attempt. */
         default void connected() { }
 
-        /** So many bytes passed for it, told ahead of its end where bytes are counted. */
-        default void passed(long sent, long received) { }
+        /** Numbers of bytes transferred for the attempt; called before its end where bytes are counted. */
+        default void bytesTransferred(long sent, long received) { }
     }
 
-    // The slack of what an endpoint is told is as long as a hold-up behind this clock; a request may have stood unread for a moment besides.
-    private static final long UNSEEN = 20_000;
+    // Subtracted from the remaining time that an endpoint is told. The protocol allows for a hold-up after this clock
+    // was read; the client's request may in addition have been unread in its socket for a moment.
+    private static final long UNREAD_ALLOWANCE_MICROS = 20_000;
 
     private final Endpoint endpoint;
     private final FullHttpRequest message;
     private final Listener listener;
-    private final long endsAt;
-    private final long leaveBy;
-    private Timers.Timer timeout;
-    private Timers.Timer stall;
-    private Channel channel;  // that carries it, or is dialled for it
-    private EndpointConnection connection;  // once it is sending
+    private final long expiresAtMicros;
+    private final long sendByMicros;
+    private Timers.Timer timeoutTimer;
+    private Timers.Timer stallTimer;
+    private Channel channel;  // the one that carries the attempt, or that is being dialled for it
+    private EndpointConnection connection;  // set once the message is being written
     private boolean written;
-    private boolean over;
+    private boolean ended;
 
-    /** Times in microseconds of the clock; takes over the message. */
-    HttpAttempt(Endpoint endpoint, FullHttpRequest message, LongSupplier clock, long timeout, long leaveWithin, Listener listener) {
+    /** Takes over the message; durations are in microseconds of the clock. */
+    HttpAttempt(Endpoint endpoint, FullHttpRequest message, LongSupplier clock, long timeoutMicros,
+            long sendWithinMicros, Listener listener) {
         this.endpoint = endpoint;
         this.message = message;
         this.listener = listener;
         long now = clock.getAsLong();
-        endsAt = now + timeout;
-        leaveBy = now + leaveWithin;
+        expiresAtMicros = now + timeoutMicros;
+        sendByMicros = now + sendWithinMicros;
     }
 
     void startTimeout(Timers timers, long micros) {
-        timeout = timers.after(micros, this::expire);
+        timeoutTimer = timers.after(micros, this::expire);
     }
 
-    /** From its first bytes on an answer may take so long to be whole. */
-    void startStall(Timers timers, long micros) {
-        if (stall == null) {
-            stall = timers.after(micros, () -> stop(Outcome.DROPPED));
+    /** Bounds the time from the first bytes of an answer to its end. */
+    void startStallTimeout(Timers timers, long micros) {
+        if (stallTimer == null) {
+            stallTimer = timers.after(micros, () -> stop(Outcome.DROPPED));
         }
     }
 
@@ -72,49 +77,49 @@
         return message;
     }
 
-    boolean isOver() {
-        return over;
+    boolean isEnded() {
+        return ended;
     }
 
-    /** Whether its last byte has left. */
+    /** Whether the last byte of the message has been written to the socket. */
     boolean isWritten() {
         return written;
     }
 
     boolean isWanted() {
-        return listener.wanted();
+        return listener.isWanted();
     }
 
-    boolean isTooLate(long now) {
-        return now >= leaveBy;
+    boolean isPastSendTime(long now) {
+        return now >= sendByMicros;
     }
 
-    /** For how long its endpoint is told that it is waited for. */
-    long millisLeft(long now) {
-        return Math.max(1, (endsAt - now - UNSEEN) / 1_000);
+    /** The remaining time that the endpoint is told, in milliseconds. */
+    long remainingMillis(long now) {
+        return Math.max(1, (expiresAtMicros - now - UNREAD_ALLOWANCE_MICROS) / 1_000);
     }
 
-    void connected() {
+    void notifyConnected() {
         listener.connected();
     }
 
-    void carriedBy(Channel by) {
-        channel = by;
+    void setChannel(Channel newChannel) {
+        channel = newChannel;
     }
 
-    void sentOn(EndpointConnection by) {
-        connection = by;
+    void setConnection(EndpointConnection newConnection) {
+        connection = newConnection;
     }
 
-    void written() {
+    void markWritten() {
         written = true;
     }
 
-    void passed(long sent, long received) {
-        listener.passed(sent, received);
+    void reportBytes(long sent, long received) {
+        listener.bytesTransferred(sent, received);
     }
 
-    /** Stops waiting: the connection closes, by which the endpoint hears of it. */
+    /** Stops waiting and closes the connection, which tells the endpoint of the cancellation. */
     @Override
     public void cancel() {
         stop(Outcome.REVOKED);
@@ -125,27 +130,27 @@
     }
 
     private void stop(Outcome outcome) {
-        if (!over) {
+        if (!ended) {
             end(outcome, null);
             channel.close();
         }
     }
 
     void end(Outcome outcome, FullHttpResponse answer) {
-        if (over) {
+        if (ended) {
             return;
         }
-        over = true;
-        if (timeout != null) {
-            timeout.cancel();
+        ended = true;
+        if (timeoutTimer != null) {
+            timeoutTimer.cancel();
         }
-        if (stall != null) {
-            stall.cancel();
+        if (stallTimer != null) {
+            stallTimer.cancel();
         }
         if (connection == null) {
             message.release();
         } else {
-            connection.tellBytes(this);
+            connection.reportBytes(this);
         }
         listener.ended(outcome, answer);
     }
--- a/src/main/java/mastdrift/net/HttpTransport.java
+++ b/src/main/java/mastdrift/net/HttpTransport.java
@@ -19,92 +19,98 @@
 import mastdrift.engine.Member;
 import mastdrift.engine.Transport;
 
-/** HTTP/1.1 towards hosts: what of a client's request goes on, what a probe is, and where load reports are. */
+/**
+ * HTTP/1.1 to hosts: which parts of a client's request are forwarded, how an endpoint is probed, and where its load
+ * reports are found.
+ */
 public final class HttpTransport implements Transport {
 
-    // A probe is answered beside the queue: no answer by then is none.
-    private static final long PROBE_TIMEOUT = 250_000;
-    private static final AsciiString[] PASSED_ON = {AsciiString.cached("X-Trace-Id"), AsciiString.cached("Idempotency-Key"),
-        HttpHeaderNames.CONTENT_TYPE};
+    // Endpoints answer a probe without queueing it: an answer that takes longer counts as none.
+    private static final long PROBE_TIMEOUT_MICROS = 250_000;
+    private static final AsciiString[] FORWARDED_HEADERS = {AsciiString.cached("X-Trace-Id"),
+        AsciiString.cached("Idempotency-Key"), HttpHeaderNames.CONTENT_TYPE};
 
     private final ConnectionPool connections;
     private final Reports reports;
 
-    /** Holds {@code most} connections to all hosts together. */
-    public HttpTransport(TimedLoop timed, Settings settings, int most, Consumer<String> faults) {
+    /** Opens {@code maxConnections} connections at most, to all hosts together. */
+    public HttpTransport(TimedLoop timedLoop, Settings settings, int maxConnections, Consumer<String> faultLog) {
         reports = settings.habits().reports();
-        connections = new ConnectionPool(timed.loop(), timed.clock()::now, timed.timers(), settings.links().dialTimeout(), settings.links().idle(),
-                most, faults);
+        connections = new ConnectionPool(timedLoop.loop(), timedLoop.clock()::now, timedLoop.timers(),
+                settings.links().dialTimeout(), settings.links().idle(), maxConnections, faultLog);
     }
 
     @Override
-    public Attempt send(Endpoint to, Call call, long timeout, long leaveWithin, Ended ended) {
-        return connections.send(to, onward(((HttpCall) call).message()), timeout, leaveWithin, new HttpAttempt.Listener() {
+    public Attempt send(Endpoint endpoint, Call call, long timeoutMicros, long sendWithinMicros, Ended listener) {
+        return connections.send(endpoint, forwardedRequest(((HttpCall) call).message()), timeoutMicros,
+                sendWithinMicros, new HttpAttempt.Listener() {
             @Override
             public void ended(Outcome outcome, FullHttpResponse answer) {
-                boolean given = answer != null && reports == Reports.INLINE;
-                ended.ended(outcome, answer == null ? null : new HttpAnswer(answer),
-                        given ? LoadReportParser.parse(answer.headers().get("Endpoint-Load-Metrics")) : LoadReport.NONE);
+                boolean hasReport = answer != null && reports == Reports.INLINE;
+                listener.ended(outcome, answer == null ? null : new HttpAnswer(answer),
+                        hasReport ? LoadReportParser.parse(answer.headers().get("Endpoint-Load-Metrics"))
+                                : LoadReport.NONE);
             }
 
             @Override
-            public boolean wanted() {
-                return ended.wanted();
+            public boolean isWanted() {
+                return listener.wanted();
             }
 
             @Override
             public void connected() {
-                ended.step();
+                listener.step();
             }
 
             @Override
-            public void passed(long sent, long received) {
-                ended.passed(sent, received);
+            public void bytesTransferred(long sent, long received) {
+                listener.passed(sent, received);
             }
         });
     }
 
-    private static FullHttpRequest onward(FullHttpRequest from) {
-        ByteBuf body = from.content().retainedDuplicate();
-        FullHttpRequest message = Unchecked.request(from.method(), from.uri(), body);
-        for (AsciiString name : PASSED_ON) {
-            String value = from.headers().get(name);
+    private static FullHttpRequest forwardedRequest(FullHttpRequest request) {
+        ByteBuf body = request.content().retainedDuplicate();
+        FullHttpRequest message = Unchecked.request(request.method(), request.uri(), body);
+        for (AsciiString name : FORWARDED_HEADERS) {
+            String value = request.headers().get(name);
             if (value != null) {
                 message.headers().add(name, value);
             }
         }
-        if (body.isReadable() || from.method().equals(HttpMethod.POST)) {
+        if (body.isReadable() || request.method().equals(HttpMethod.POST)) {
             message.headers().add(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
         }
         return message;
     }
 
     @Override
-    public void probe(Endpoint to, Probed probed) {
-        boolean given = reports != Reports.OFF;
-        FullHttpRequest message = Unchecked.request(HttpMethod.GET, given ? "/status/load" : "/health", Unpooled.EMPTY_BUFFER);
-        connections.send(to, message, PROBE_TIMEOUT, PROBE_TIMEOUT, new HttpAttempt.Listener() {
+    public void probe(Endpoint endpoint, Probed listener) {
+        boolean reportsEnabled = reports != Reports.OFF;
+        FullHttpRequest message = Unchecked.request(HttpMethod.GET, reportsEnabled ? "/status/load" : "/health",
+                Unpooled.EMPTY_BUFFER);
+        connections.send(endpoint, message, PROBE_TIMEOUT_MICROS, PROBE_TIMEOUT_MICROS, new HttpAttempt.Listener() {
             @Override
             public void ended(Outcome outcome, FullHttpResponse answer) {
-                probed.probed(outcome, answer == null || !given ? LoadReport.NONE
+                listener.probed(outcome, answer == null || !reportsEnabled ? LoadReport.NONE
                         : LoadReportParser.parse(answer.content().toString(StandardCharsets.UTF_8)));
             }
 
             @Override
-            public void passed(long sent, long received) {
-                probed.passed(sent, received);
+            public void bytesTransferred(long sent, long received) {
+                listener.passed(sent, received);
             }
         });
     }
 
     @Override
-    public void count(Strays strays) {
-        connections.count(strays);
+    public void count(Strays listener) {
+        connections.countBytes(listener);
     }
 
     @Override
     public void update(boolean all, List<Member> members) {
-        connections.closeEnded();
+        connections.closeIdleOutOfService();
     }
 
     @Override
--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -21,51 +21,61 @@
 import mastdrift.Balance;
 import mastdrift.Balancer.Settings;
 
-/** One real gateway: wires its parts, reads its configuration again at SIGHUP, and ends them at SIGTERM. */
+/** Runs one gateway: wires its parts, rereads its configuration at SIGHUP, and stops it at SIGTERM. */
 public final class Main {
 
-    // Of the descriptors: for the program's own files, discovery, and connections that come and go.
-    private static final int RESERVED = 96;
-    private static final String TALLY = "--tally";
-    // After SIGTERM the platform waits for the longest deadline, but 3 s at most, and 0.7 s more, before it kills (PROTOCOL, Figures).
-    private static final long STOP_LONGEST = 3_000_000;
-    private static final int STOP_SECONDS = 4;
-    // So long after its first moment a start goes by the list that was known: all that had been listed before it counts as told by then,
-    // heard or not (PROTOCOL), so that waiting on protects from nothing, and its clients may have nobody else meanwhile.
-    private static final long TOLD_MILLIS = 6_000;
-    // First calls of gateways that start together are spread over so long, about what a rehearsal takes.
-    private static final long FIRST_CALLS_MILLIS = 2_000;
-    private static final double GOLDEN = (Math.sqrt(5) - 1) / 2;
-
-    // Kept, since a logger that nobody holds forgets its level.
-    private static final Logger LIBRARY_LOG = Logger.getLogger("io.netty");
+    // File descriptors kept for the process's own files, for discovery, and for connections being opened or closed.
+    private static final int RESERVED_DESCRIPTORS = 96;
+    private static final String TALLY_OPTION = "--tally";
+    // After SIGTERM the platform waits for the longest deadline, but 3 s at most, and 0.7 s more, before it kills the
+    // process (PROTOCOL, Figures).
+    private static final long FINISH_TIMEOUT_MICROS = 3_000_000;
+    private static final int EXIT_TIMEOUT_SECONDS = 4;
+    // A start waits this long for discovery's first list, then uses the known list. All that had been listed before the
+    // start counts as told by then, received or not (PROTOCOL), so that waiting longer protects from nothing, and its
+    // clients may have no other gateway meanwhile.
+    private static final long FIRST_LIST_TIMEOUT_MILLIS = 6_000;
+    // The first calls of gateways that start together are spread over this time, about as long as a warm-up takes.
+    private static final long FIRST_CALL_SPREAD_MILLIS = 2_000;
+    private static final double GOLDEN_RATIO_CONJUGATE = (Math.sqrt(5) - 1) / 2;
+
+    // The JDK refers to loggers weakly: one that is not referenced elsewhere loses its level.
+    private static final Logger NETTY_LOGGER = Logger.getLogger("io.netty");
 
     private Main() { }
 
-    /** Runs until SIGTERM; exits with status 2 where the configuration can't be run with. One word, {@value #TALLY}, has it write
-        what it counts to its log, a line a second. */
+    /**
+     * Runs until SIGTERM; exits with status 2 if the configuration is invalid. With the argument {@value #TALLY_OPTION}
+     * it logs its counters, a line a second.
+     */
     public static void main(String[] args) {
-        long began = System.nanoTime();
-        boolean tally = args.length == 1 && args[0].equals(TALLY);
+        long beganNanos = System.nanoTime();
+        boolean tally = args.length == 1 && args[0].equals(TALLY_OPTION);
         if (args.length > 0 && !tally) {
-            System.err.println("can't start: expected " + TALLY + " or nothing, found " + String.join(" ", args));
+            System.err.println("can't start: expected " + TALLY_OPTION + " or nothing, found "
+                    + String.join(" ", args));
             System.exit(2);
         }
-        quiet();
-        TimedLoop timed = TimedLoop.start();
-        EventLoop loop = timed.loop();
-        CompletableFuture<Gateway> started = new CompletableFuture<>();
-        // First of all, or the signal would end the program. One that comes ahead of the gateway is heard once there is one.
-        onHangUp(() -> started.thenAccept(gateway -> reload(gateway, loop)));
+        disableNettyLog();
+        TimedLoop timedLoop = TimedLoop.start();
+        EventLoop loop = timedLoop.loop();
+        CompletableFuture<Gateway> gatewayFuture = new CompletableFuture<>();
+        // Installed first, since SIGHUP would otherwise end the process. A signal that comes before the gateway has
+        // been made is handled as soon as it is.
+        onSighup(() -> gatewayFuture.thenAccept(gateway -> reload(gateway, loop)));
         try {
             GatewayConfig config = GatewayConfig.read(System.getenv());
-            StartedGateway now = prepare(config, timed, askMillis(config.settings()), tally, System.out);  // asks discovery, whose answer takes its time
-            // Ahead of the first client: a signal between the two would end the program, and with it what had been taken.
-            ClientSide clients = now.clients();
+            // Starts the first call to discovery, whose answer is awaited below.
+            StartedGateway started = prepare(config, timedLoop, firstCallDelayMillis(config.settings()), tally,
+                    System.out);
+            // Installed before the first client connects: a SIGTERM between the two would end the process and lose the
+            // requests accepted.
+            ClientSide clients = started.clients();
             Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(loop, clients, System.out, () -> Runtime.getRuntime().halt(0))));
-            started.complete(now.gateway());  // discovery may move while it is waited for
-            open(now, loop, config, TimedLoop.start(), began, System.out);
-            listen(now, config, System.out);
+            // Discovery may change its address while its first list is awaited.
+            gatewayFuture.complete(started.gateway());
+            completeStart(started, loop, config, TimedLoop.start(), beganNanos, System.out);
+            listen(started, config, System.out);
         } catch (IllegalArgumentException | CompletionException e) {
             Throwable cause = e instanceof CompletionException ? e.getCause() : e;
             System.err.println("can't start: " + cause.getMessage());
@@ -73,135 +83,164 @@
         }
     }
 
-    /** What the library says is not heard; ahead of its first class. */
-    static void quiet() {
-        // The library logs a failed accept; out of descriptors the log's own files can't be opened, and the error that
-        // comes of it would end the loop's thread and with it the gateway.
-        LIBRARY_LOG.setLevel(Level.OFF);
-        // Netty would look for other logging libraries, which are there for the other commands, and load what it finds.
+    /** Turns Netty's log off; to be called before the first class of Netty is loaded. */
+    static void disableNettyLog() {
+        // Netty logs a failed accept. With no file descriptor left the log's own files can't be opened, and the
+        // resulting error would end the event loop's thread and with it the gateway.
+        NETTY_LOGGER.setLevel(Level.OFF);
+        // Netty would look for other logging libraries, which are on the class path for the other commands, and load
+        // one that it finds.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     }
 
-    /** What comes ahead of the first client: the gateway has been told of the hosts, or has waited for that in vain since {@code began},
-        by {@link System#nanoTime}; meanwhile the path of a request is {@code rehearsed}, on a loop that this ends. */
-    static void open(StartedGateway now, EventLoop loop, GatewayConfig config, TimedLoop rehearsed, long began, PrintStream out) {
-        rehearse(config, rehearsed, out::println);
-        loop.execute(now.gateway()::ask);
-        awaitList(now.gateway(), began, out);
+    /**
+     * Completes a start before the first client connects: warms up the request path on {@code warmUpLoop}, which is
+     * shut down afterwards, and waits until discovery has delivered a list, or until the time for that is over, counted
+     * from {@code beganNanos} by {@link System#nanoTime}.
+     */
+    static void completeStart(StartedGateway started, EventLoop loop, GatewayConfig config, TimedLoop warmUpLoop,
+            long beganNanos, PrintStream out) {
+        warmUp(config, warmUpLoop, out::println);
+        loop.execute(started.gateway()::allowDiscovery);
+        awaitFirstList(started.gateway(), beganNanos, out);
     }
 
-    /** When this gateway calls discovery first, in milliseconds from its start. Where calls wait for their turn and many gateways start at
-        once, those that call last wait for all others, and a call that is refused after its wait has cost discovery as much as any.
-        Nothing is lost by calling late while a rehearsal plays. Multiples of the golden ratio leave even gaps for any run of gateways'
-        numbers, and nearly even ones for any part of them. */
-    static long askMillis(Settings settings) {
-        double part = settings.site().me() * GOLDEN;
-        return settings.registryOnRequest() ? (long) ((part - Math.floor(part)) * FIRST_CALLS_MILLIS) : 0;
+    /**
+     * When this gateway calls discovery first, in milliseconds from its start. Where discovery queues calls and many
+     * gateways start at once, those that call last wait for all others, and a call that is refused after its wait has
+     * cost discovery as much as any other. Calling late costs nothing while the warm-up runs. Multiples of the golden
+     * ratio leave even gaps for any range of gateway numbers, and nearly even ones for any subset of them.
+     */
+    static long firstCallDelayMillis(Settings settings) {
+        double position = settings.site().me() * GOLDEN_RATIO_CONJUGATE;
+        return settings.registryOnRequest() ? (long) ((position - Math.floor(position)) * FIRST_CALL_SPREAD_MILLIS) : 0;
     }
 
-    static void rehearse(GatewayConfig config, TimedLoop on, Consumer<String> log) {
+    /** Warms up the request path on the given loop, which is shut down afterwards. */
+    static void warmUp(GatewayConfig config, TimedLoop timedLoop, Consumer<String> log) {
         PrintStream silent = new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8);
-        WarmUp.play((hosts, at) -> StartedGateway.with(new GatewayConfig(at, at, config.sockets(), new HostList(0, true, hosts),
-                config.settings()), on, hosts.size() * 2, hosts.size(), hosts.size(), false,
-                silent).clients(),
+        WarmUp.run((hosts, standInAddress) -> StartedGateway.create(new GatewayConfig(standInAddress, standInAddress,
+                config.maxSockets(), new HostList(0, true, hosts), config.settings()),
+                timedLoop, hosts.size() * 2, hosts.size(), hosts.size(), false, silent).clients(),
                 config.settings().classes(), config.settings().tenants(), config.settings().site().zone(),
-                config.listen().getAddress(), on.loop(), log);
+                config.listen().getAddress(), timedLoop.loop(), log);
     }
 
-    /** The only way to hear a signal that is not the end of the program; javac warns of the package, whatever is asked. */
-    private static void onHangUp(Runnable then) {
-        sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> then.run());
+    /**
+     * Handles SIGHUP. There is no other way to handle a signal without ending the process; javac's warning about this
+     * package can't be suppressed.
+     */
+    private static void onSighup(Runnable action) {
+        sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> action.run());
     }
 
-    /** Takes from the configuration where discovery is; one that can't be read changes nothing. Signals come on threads of their own: one at a time, or what
-        was read first might be taken last. */
+    /**
+     * Reads discovery's address from the configuration again; a configuration that can't be read changes nothing. Each
+     * signal is handled on a thread of its own: one at a time, or what was read first might be applied last.
+     */
     private static synchronized void reload(Gateway gateway, EventLoop loop) {
         try {
             InetSocketAddress discovery = GatewayConfig.discovery(System.getenv());
-            loop.execute(() -> gateway.discoverAt(discovery));
+            loop.execute(() -> gateway.setDiscoveryAddress(discovery));
         } catch (IllegalArgumentException e) {
-            loop.execute(() -> gateway.log("configuration not taken: " + e.getMessage()));
+            loop.execute(() -> gateway.log("configuration not reloaded: " + e.getMessage()));
         }
     }
 
     /** A gateway and its front. */
     record StartedGateway(Gateway gateway, ClientSide clients) {
 
-        /** On the loop's thread. */
-        static StartedGateway with(GatewayConfig config, TimedLoop loop, int hostConnections, int openMost, int clients, boolean tally,
+        /** Starts the module; called on the event loop's thread. */
+        static StartedGateway create(GatewayConfig config, TimedLoop timedLoop, int maxHostConnections,
+                int maxOpenRequests, int maxClientConnections, boolean tally,
                 PrintStream out) {
-            Gateway gateway = new Gateway(config, loop, new Balance(), hostConnections, openMost, tally, out);
-            return new StartedGateway(gateway, new ClientSide(loop.loop(), gateway.ledger(), gateway, config.settings().classes(),
-                    config.settings().tenants(), clients, gateway::log));
+            Gateway gateway = new Gateway(config, timedLoop, new Balance(), maxHostConnections, maxOpenRequests, tally,
+                    out);
+            return new StartedGateway(gateway, new ClientSide(timedLoop.loop(), gateway.ledger(), gateway,
+                    config.settings().classes(), config.settings().tenants(), maxClientConnections, gateway::log));
         }
     }
 
-    /** Starts a gateway on the loop, not yet listening; throws IllegalArgumentException for a configuration it can't run with. It calls
-        discovery after {@code askMillis} at the earliest, or once it is told to. */
-    static StartedGateway prepare(GatewayConfig config, TimedLoop loop, long askMillis, boolean tally, PrintStream out) {
-        // Of the clients' half, an eighth is for answering those that come beyond the requests held.
-        int sockets = Math.min(Math.min(config.sockets(), FileDescriptorLimit.limit()), 1 << 16);
-        int most = Math.max(8, (sockets - RESERVED) / 2);
+    /**
+     * Starts a gateway on the loop, not yet listening; throws IllegalArgumentException for an invalid configuration. It
+     * calls discovery after {@code firstCallDelayMillis} at the earliest, or once {@link Gateway#allowDiscovery} is
+     * called.
+     */
+    static StartedGateway prepare(GatewayConfig config, TimedLoop timedLoop, long firstCallDelayMillis, boolean tally,
+            PrintStream out) {
+        // Half of the connections are for clients. An eighth of these is for answering requests beyond the open ones.
+        int descriptors = Math.min(Math.min(config.maxSockets(), FileDescriptorLimit.softLimit()), 1 << 16);
+        int maxConnections = Math.max(8, (descriptors - RESERVED_DESCRIPTORS) / 2);
         return CompletableFuture.supplyAsync(() -> {
-            StartedGateway started = StartedGateway.with(config, loop, most, most - most / 8, most, tally, out);
-            if (askMillis > 0) {
-                started.gateway().hold();
-                loop.loop().schedule(started.gateway()::ask, askMillis, TimeUnit.MILLISECONDS);
+            StartedGateway started = StartedGateway.create(config, timedLoop, maxConnections,
+                    maxConnections - maxConnections / 8, maxConnections, tally, out);
+            if (firstCallDelayMillis > 0) {
+                started.gateway().holdDiscovery();
+                timedLoop.loop().schedule(started.gateway()::allowDiscovery, firstCallDelayMillis,
+                        TimeUnit.MILLISECONDS);
             }
             return started;
-        }, loop.loop()).join();
+        }, timedLoop.loop()).join();
     }
 
-    /** Likewise, with no call to discovery held back. */
-    static StartedGateway prepare(GatewayConfig config, TimedLoop loop, boolean tally, PrintStream out) {
-        return prepare(config, loop, 0, tally, out);
+    /** As above, with no call to discovery held back. */
+    static StartedGateway prepare(GatewayConfig config, TimedLoop timedLoop, boolean tally, PrintStream out) {
+        return prepare(config, timedLoop, 0, tally, out);
     }
 
-    /** What a gateway knew when it ended may be long over, hosts that have drained since among it: clients come to one that has
-        been told what there is now, or that has waited for that in vain since {@code began}, by {@link System#nanoTime}. */
-    static void awaitList(Gateway gateway, long began, PrintStream out) {
+    /**
+     * Waits until discovery has delivered a list, or until the time for that is over, counted from {@code beganNanos}
+     * by {@link System#nanoTime}. The list that a gateway knew when it ended may be long out of date, with hosts that
+     * have drained since, so no client connects before.
+     */
+    static void awaitFirstList(Gateway gateway, long beganNanos, PrintStream out) {
         try {
-            gateway.told().get(TimeUnit.MILLISECONDS.toNanos(TOLD_MILLIS) - (System.nanoTime() - began), TimeUnit.NANOSECONDS);
+            gateway.firstListReceived().get(
+                    TimeUnit.MILLISECONDS.toNanos(FIRST_LIST_TIMEOUT_MILLIS) - (System.nanoTime() - beganNanos),
+                    TimeUnit.NANOSECONDS);
         } catch (TimeoutException e) {
-            out.println("discovery tells nothing: going by the list that was known");
+            out.println("no list from discovery: starting with the known list");
         } catch (InterruptedException | ExecutionException e) {
-            throw new IllegalStateException(e);  // nobody does either
+            throw new IllegalStateException(e);  // nothing interrupts this thread or fails the future
         }
     }
 
-    /** Throws IllegalArgumentException where it can't listen. */
+    /** Throws IllegalArgumentException if the address can't be bound. */
     static void listen(StartedGateway started, GatewayConfig config, PrintStream out) {
         ChannelFuture bound = started.clients().listen(config.listen()).awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new IllegalArgumentException("no listening on " + config.listen() + ": " + bound.cause().getMessage(),
+            throw new IllegalArgumentException("can't listen on " + config.listen() + ": " + bound.cause().getMessage(),
                     bound.cause());
         }
         out.println("listening on " + started.clients().address());
     }
 
-    /** Finishes what was taken, says so, and ends the program by {@code halt}, which doesn't return: the virtual machine would end with the signal's
-        status, and what was asked for has been done. The last line and the end come in one turn of the loop, where a gateway that runs writes all its
-        lines: none comes behind the last. */
+    /**
+     * Finishes the requests accepted, logs that, and ends the process by {@code halt}, which doesn't return: otherwise
+     * the virtual machine would exit with the signal's status, although it was stopped in order. The last line is
+     * logged and the process ended in one turn of the event loop, where a running gateway logs all its lines, so that
+     * none follows the last.
+     */
     static void stop(EventLoop loop, ClientSide clients, PrintStream out, Runnable halt) {
-        AtomicBoolean ending = new AtomicBoolean();
+        AtomicBoolean haltStarted = new AtomicBoolean();
         CountDownLatch ended = new CountDownLatch(1);
-        loop.execute(() -> clients.stop(STOP_LONGEST, () -> {
-            end(ending, "stopped", out, halt);
+        loop.execute(() -> clients.stop(FINISH_TIMEOUT_MICROS, () -> {
+            logAndHalt(haltStarted, "stopped", out, halt);
             ended.countDown();
         }));
         try {
-            if (!ended.await(STOP_SECONDS, TimeUnit.SECONDS)) {
-                end(ending, "stopped with requests unanswered", out, halt);
-                ended.await();  // the loop came first, and is about to
+            if (!ended.await(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+                logAndHalt(haltStarted, "stopped with requests unanswered", out, halt);
+                ended.await();  // the event loop was first, and is about to halt
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private static void end(AtomicBoolean ending, String last, PrintStream out, Runnable halt) {
-        if (!ending.getAndSet(true)) {
-            out.println(last);
+    private static void logAndHalt(AtomicBoolean haltStarted, String lastLine, PrintStream out, Runnable halt) {
+        if (!haltStarted.getAndSet(true)) {
+            out.println(lastLine);
             halt.run();
         }
     }
--- a/src/main/java/mastdrift/net/TallyRecorder.java
+++ b/src/main/java/mastdrift/net/TallyRecorder.java
@@ -20,152 +20,155 @@
 import mastdrift.tally.Count;
 import mastdrift.tally.Second;
 
-/** Counts what passes a transport, and writes a line a second in which there was anything. Where it is off, none of it is loaded:
-    it stands before the transport, and nothing of the gateway asks whether it is there. */
+/**
+ * Counts what passes a transport, and logs a line for each second in which there was anything. It wraps the transport,
+ * and nothing else in the gateway asks whether it is there, so that none of it is loaded where counting is off.
+ */
 final class TallyRecorder implements Transport {
 
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     private final Transport transport;
     private final Clock clock;
     private final Timers timers;
-    private final long warmWithin;
+    private final long warmWithinMicros;
     private final Ledger ledger;
     private final Tracing tracing;
     private final Consumer<String> log;
-    private final Set<String> cold = new HashSet<>();
-    private final long[] answers = new long[2 + Why.values().length];
-    private Second second;
+    private final Set<String> coldHosts = new HashSet<>();
+    private final long[] countedAnswers = new long[2 + Why.values().length];
+    private Second currentSecond;
 
-    TallyRecorder(Transport transport, TimedLoop timed, long warmWithin, Ledger ledger, Tracing tracing,
+    TallyRecorder(Transport transport, TimedLoop timedLoop, long warmWithinMicros, Ledger ledger, Tracing tracing,
             Consumer<String> log) {
         this.transport = transport;
-        clock = timed.clock();
-        timers = timed.timers();
-        this.warmWithin = warmWithin;
+        clock = timedLoop.clock();
+        timers = timedLoop.timers();
+        this.warmWithinMicros = warmWithinMicros;
         this.ledger = ledger;
         this.tracing = tracing;
         this.log = log;
-        begin();
+        startSecond();
     }
 
-    private void begin() {
+    private void startSecond() {
         long now = clock.now();
-        second = new Second(now / SECOND);
-        timers.after(SECOND - now % SECOND, this::tell);
+        currentSecond = new Second(now / SECOND_MICROS);
+        timers.after(SECOND_MICROS - now % SECOND_MICROS, this::logSecond);
     }
 
-    private void tell() {
-        answered();
-        second.add(Count.UNFOLLOWED, tracing.unfollowed());
-        String line = second.line();
+    private void logSecond() {
+        countFinalAnswers();
+        currentSecond.add(Count.UNFOLLOWED, tracing.unfollowed());
+        String line = currentSecond.line();
         if (line.indexOf('=') != line.lastIndexOf('=')) {
             log.accept(line);
         }
-        begin();
+        startSecond();
     }
 
-    /** Final answers are counted by the ledger as they come, and from it here by difference. */
-    private void answered() {
-        long[] now = new long[answers.length];
-        for (ServiceCount.Of of : ledger.count().classes().values()) {
-            now[0] += of.served();
-            now[1] += of.failed();
+    /** Counts the final answers since the last call; the ledger holds totals, of which this takes the difference. */
+    private void countFinalAnswers() {
+        long[] totals = new long[countedAnswers.length];
+        for (ServiceCount.Of classCount : ledger.count().classes().values()) {
+            totals[0] += classCount.served();
+            totals[1] += classCount.failed();
             for (Why why : Why.values()) {
-                now[2 + why.ordinal()] += of.refused(why);
+                totals[2 + why.ordinal()] += classCount.refused(why);
             }
         }
-        second.add(Count.SERVED, now[0] - answers[0]);
-        second.add(Count.FAILED, now[1] - answers[1]);
+        currentSecond.add(Count.SERVED, totals[0] - countedAnswers[0]);
+        currentSecond.add(Count.FAILED, totals[1] - countedAnswers[1]);
         for (Why why : Why.values()) {
-            second.add(Count.valueOf("REFUSED_" + why.name()), now[2 + why.ordinal()] - answers[2 + why.ordinal()]);
+            currentSecond.add(Count.valueOf("REFUSED_" + why.name()),
+                    totals[2 + why.ordinal()] - countedAnswers[2 + why.ordinal()]);
         }
-        System.arraycopy(now, 0, answers, 0, now.length);
+        System.arraycopy(totals, 0, countedAnswers, 0, totals.length);
     }
 
-    /** Counts what discovery tells, and calls to it. */
-    Discovery.Listener counted(Discovery.Listener then) {
+    /** Wraps a listener to count the lists that discovery delivers and the calls to it. */
+    Discovery.Listener countingListener(Discovery.Listener listener) {
         return new Discovery.Listener() {
             @Override
             public void listed(HostList list) {
-                second.add(Count.LISTS);
-                then.listed(list);
+                currentSecond.add(Count.LISTS);
+                listener.listed(list);
             }
 
             @Override
             public boolean withdrawn(Discovery.Withdrawal withdrawal) {
-                return then.withdrawn(withdrawal);
+                return listener.withdrawn(withdrawal);
             }
 
             @Override
             public void failed(String cause) {
-                second.add(Count.CALLS_FAILED);
-                then.failed(cause);
+                currentSecond.add(Count.CALLS_FAILED);
+                listener.failed(cause);
             }
 
             @Override
             public void noted(String line) {
-                then.noted(line);
+                listener.noted(line);
             }
 
             @Override
             public void called() {
-                second.add(Count.CALLS);
+                currentSecond.add(Count.CALLS);
             }
         };
     }
 
     @Override
-    public Attempt send(Endpoint to, Call call, long timeout, long leaveWithin, Ended ended) {
-        String uid = to.uid();
-        second.add(Count.SENDS);
-        second.sent(uid);
-        if (cold.contains(uid)) {
-            second.add(Count.COLD);
+    public Attempt send(Endpoint endpoint, Call call, long timeoutMicros, long sendWithinMicros, Ended listener) {
+        String uid = endpoint.uid();
+        currentSecond.add(Count.SENDS);
+        currentSecond.sent(uid);
+        if (coldHosts.contains(uid)) {
+            currentSecond.add(Count.COLD);
         }
-        return transport.send(to, call, timeout, leaveWithin, new Ended() {
+        return transport.send(endpoint, call, timeoutMicros, sendWithinMicros, new Ended() {
             @Override
             public void ended(Outcome outcome, Answer answer, LoadReport report) {
-                second.add(Count.valueOf(outcome.name()));
+                currentSecond.add(Count.valueOf(outcome.name()));
                 if (outcome != Outcome.DELIVERED && outcome != Outcome.REVOKED && outcome != Outcome.UNUSED) {
-                    second.lost(uid);
+                    currentSecond.lost(uid);
                 }
-                ended.ended(outcome, answer, report);
+                listener.ended(outcome, answer, report);
             }
 
             @Override
             public boolean wanted() {
-                return ended.wanted();
+                return listener.wanted();
             }
 
             @Override
             public void step() {
-                second.add(Count.OPENED);
-                ended.step();
+                currentSecond.add(Count.OPENED);
+                listener.step();
             }
 
             @Override
             public void passed(long sent, long received) {
-                ended.passed(sent, received);
+                listener.passed(sent, received);
             }
         });
     }
 
     @Override
-    public void probe(Endpoint at, Probed probed) {
-        second.add(Count.PROBES);
-        transport.probe(at, new Probed() {
+    public void probe(Endpoint endpoint, Probed listener) {
+        currentSecond.add(Count.PROBES);
+        transport.probe(endpoint, new Probed() {
             @Override
             public void probed(Outcome outcome, LoadReport report) {
                 if (outcome != Outcome.DELIVERED) {
-                    second.add(Count.PROBES_FAILED);
+                    currentSecond.add(Count.PROBES_FAILED);
                 }
-                probed.probed(outcome, report);
+                listener.probed(outcome, report);
             }
 
             @Override
             public void passed(long sent, long received) {
-                probed.passed(sent, received);
+                listener.passed(sent, received);
             }
         });
     }
@@ -173,23 +176,23 @@
     @Override
     public void update(boolean all, List<Member> members) {
         if (all) {
-            cold.clear();
+            coldHosts.clear();
         }
         for (Member member : members) {
             String uid = member.host().address();
-            long warm = member.host().born() + warmWithin;
-            cold.remove(uid);
-            if (member.host().health() == Health.UP && member.host().born() > 0 && warm > clock.now()) {
-                cold.add(uid);
-                timers.after(warm - clock.now(), () -> cold.remove(uid));
+            long warmAt = member.host().born() + warmWithinMicros;
+            coldHosts.remove(uid);
+            if (member.host().health() == Health.UP && member.host().born() > 0 && warmAt > clock.now()) {
+                coldHosts.add(uid);
+                timers.after(warmAt - clock.now(), () -> coldHosts.remove(uid));
             }
         }
         transport.update(all, members);
     }
 
     @Override
-    public void count(Strays strays) {
-        transport.count(strays);
+    public void count(Strays listener) {
+        transport.count(listener);
     }
 
     @Override
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -187,7 +187,7 @@
         Settings module = settings(started, first);
         TimedLoop on = TimedLoop.start();
         EventLoop own = on.loop();
-        WarmUp.play((hosts, at) -> {
+        WarmUp.run((hosts, at) -> {
             Ledger rehearsed = new Ledger(on.timers(), on.clock(), on.turns(), OPEN_MOST, this::log);
             Pool pool = new Pool("rehearsal", rehearsed, new Balance(), module,
                     new HttpTransport(on, module, first.connections(), line -> { }));
--- a/src/test/java/mastdrift/net/ConnectionPoolTest.java
+++ b/src/test/java/mastdrift/net/ConnectionPoolTest.java
@@ -81,7 +81,7 @@
     private void update(ConnectionPool pool, String json) throws Exception {
         HostList list = HostList.parse(JSON.std.anyFrom(json));
         gate.take(list.rev(), list.all(), list.entries());
-        pool.closeEnded();
+        pool.closeIdleOutOfService();
     }
 
     private HttpAttempt send(ConnectionPool pool, String uid) {
@@ -101,7 +101,7 @@
 
     /** Of a send on connections that have rested. */
     private Outcome outcome(ConnectionPool pool, String uid) throws Exception {
-        clock.addAndGet(ConnectionPool.REST);
+        clock.addAndGet(ConnectionPool.MIN_IDLE_BEFORE_REUSE_MICROS);
         onLoop(() -> send(pool, uid));
         return await(outcomes);
     }
@@ -221,7 +221,7 @@
                 }
 
                 @Override
-                public boolean wanted() {
+                public boolean isWanted() {
                     return false;
                 }
             });
--- a/src/test/java/mastdrift/net/ConnectionReuseTest.java
+++ b/src/test/java/mastdrift/net/ConnectionReuseTest.java
@@ -87,7 +87,7 @@
             assertEquals("first DELIVERED first", await(outcomes));
             Socket connection = await(host.received).socket();
             onLoop(() -> {
-                clock.addAndGet(ConnectionPool.REST);
+                clock.addAndGet(ConnectionPool.MIN_IDLE_BEFORE_REUSE_MICROS);
                 if (what.equals("second") || what.equals("half")) {
                     String more = answer("200 OK", "first");
                     write(connection, what.equals("half") ? more.substring(0, 20) : more);
@@ -106,7 +106,7 @@
 
     /** A second answer comes some milliseconds late, when the next request has been sent: that one is not on the same connection yet. After a rest it would be. */
     @ParameterizedTest
-    @ValueSource(longs = {0, ConnectionPool.REST - 1, ConnectionPool.REST})
+    @ValueSource(longs = {0, ConnectionPool.MIN_IDLE_BEFORE_REUSE_MICROS - 1, ConnectionPool.MIN_IDLE_BEFORE_REUSE_MICROS})
     void aSecondAnswerSomeMillisecondsLateIsNobodys(long rest) throws Exception {
         AtomicInteger requests = new AtomicInteger();
         try (Server host = new Server(message -> {
@@ -127,13 +127,13 @@
                 return null;
             });
             Message next = await(host.received);
-            if (rest < ConnectionPool.REST) {
+            if (rest < ConnectionPool.MIN_IDLE_BEFORE_REUSE_MICROS) {
                 write(connection, answer("200 OK", "first"));
                 assertNotNull(await(host.ended), "more than an answer ends the connection");
             }
             write(next.socket(), answer("200 OK", "next"));
             assertEquals("next DELIVERED next", await(outcomes));
-            assertEquals(rest < ConnectionPool.REST ? 2 : 1, host.accepted.size());
+            assertEquals(rest < ConnectionPool.MIN_IDLE_BEFORE_REUSE_MICROS ? 2 : 1, host.accepted.size());
         }
     }
 
@@ -146,7 +146,7 @@
             onLoop(() -> {
                 HostList list = HostList.parse(JSON.std.anyFrom(list(2, true, entry("s1", "127.0.0.1:" + host.getLocalPort(), "a", "in_service"))));
                 gate.take(list.rev(), true, list.entries());
-                pool.closeEnded();
+                pool.closeIdleOutOfService();
                 send(pool, "large", 64 << 20);  // more than buffers hold
                 return null;
             });
--- a/src/test/java/mastdrift/net/CountedChannelTest.java
+++ b/src/test/java/mastdrift/net/CountedChannelTest.java
@@ -32,7 +32,7 @@
                 }
                 channel.flush();
                 channel.close().syncUninterruptibly();
-                long sent = channel.eventLoop().submit(channel::sent).get(20, TimeUnit.SECONDS);
+                long sent = channel.eventLoop().submit(channel::sentBytes).get(20, TimeUnit.SECONDS);
                 assertTrue(sent > 0 && sent < WRITTEN, "a part: " + sent);
                 long read = 0;
                 InputStream in = peer.getInputStream();
--- a/src/test/java/mastdrift/net/DescriptorsTest.java
+++ b/src/test/java/mastdrift/net/DescriptorsTest.java
@@ -236,7 +236,7 @@
 
         private static Discovery watch(EventLoop loop, String at, BlockingQueue<String> heard) throws Exception {
             HostList known = members(entry("s1", at, "a", "in_service"));
-            Discovery discovery = loop.submit(() -> new Discovery(loop, GatewayConfig.address(at), known, new Discovery.Listener() {
+            Discovery discovery = loop.submit(() -> new Discovery(loop, GatewayConfig.parseAddress(at), known, new Discovery.Listener() {
                 @Override
                 public void listed(HostList told) {
                     heard.add("list " + told.rev() + " " + loop.inEventLoop());
@@ -282,13 +282,13 @@
     @Test
     void theLimitIsRead() throws Exception {
         Path file = folder.resolve("limits");
-        assertEquals(Integer.MAX_VALUE, FileDescriptorLimit.limit(file));
+        assertEquals(Integer.MAX_VALUE, FileDescriptorLimit.softLimit(file));
         for (String[] line : new String[][] {{"Max open files            160                  1048576              files     ", "160"},
                 {"Max open files            unlimited            unlimited            files     ", "" + Integer.MAX_VALUE},
                 {"Max open files            9223372036854775807  9223372036854775807  files     ", "" + Integer.MAX_VALUE}, {"Max locked memory 64 64 bytes", "" + Integer.MAX_VALUE}}) {
             Files.writeString(file, "Limit                     Soft Limit           Hard Limit           Units     \n" + line[0] + "\n");
-            assertEquals(Integer.parseInt(line[1]), FileDescriptorLimit.limit(file));
+            assertEquals(Integer.parseInt(line[1]), FileDescriptorLimit.softLimit(file));
         }
-        assertTrue(FileDescriptorLimit.limit() > 0);
+        assertTrue(FileDescriptorLimit.softLimit() > 0);
     }
 }
--- a/src/test/java/mastdrift/net/DrainTest.java
+++ b/src/test/java/mastdrift/net/DrainTest.java
@@ -217,7 +217,7 @@
                 tell(watch, list(4, false, drained()));
             }, () -> {
                 if (moves) {
-                    node.gateway.discoverAt(Loopback.at(elsewhere));
+                    node.gateway.setDiscoveryAddress(Loopback.at(elsewhere));
                 }
             });
             await((moves ? elsewhere : discovery).received);
--- a/src/test/java/mastdrift/net/EndedWatchTest.java
+++ b/src/test/java/mastdrift/net/EndedWatchTest.java
@@ -153,7 +153,7 @@
             for (String line = log.readLine(); line != null; line = log.readLine()) {
                 logs.add(line);
                 if (line.startsWith("listening on /")) {
-                    listening.add(GatewayConfig.address(line.substring("listening on /".length())));
+                    listening.add(GatewayConfig.parseAddress(line.substring("listening on /".length())));
                 }
             }
         } catch (IOException e) {
--- a/src/test/java/mastdrift/net/GatewayLifecycleTest.java
+++ b/src/test/java/mastdrift/net/GatewayLifecycleTest.java
@@ -97,7 +97,7 @@
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two")) {
             GatewayConfig config = GatewayConfig.read(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
             Main.StartedGateway started = Main.prepare(config, timed, false, out);
-            CompletableFuture<Void> told = CompletableFuture.runAsync(() -> Main.awaitList(started.gateway(), System.nanoTime(), out));
+            CompletableFuture<Void> told = CompletableFuture.runAsync(() -> Main.awaitFirstList(started.gateway(), System.nanoTime(), out));
             Message asked = await(discovery.received);
             assertThrows(TimeoutException.class, () -> told.get(100, TimeUnit.MILLISECONDS));
             tell(asked.socket(), list(7, false, entry("s1", one.address(), "a", "terminating"), up("s2", two)));
@@ -252,7 +252,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (Server discovery = discovery(); Server one = host("one")) {
             GatewayConfig config = GatewayConfig.read(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
-            Main.rehearse(config, TimedLoop.start(), new PrintStream(out, true, StandardCharsets.UTF_8)::println);
+            Main.warmUp(config, TimedLoop.start(), new PrintStream(out, true, StandardCharsets.UTF_8)::println);
             assertEquals("", out.toString(StandardCharsets.UTF_8));
             assertTrue(one.accepted.isEmpty() && discovery.accepted.isEmpty());
         }
@@ -329,7 +329,7 @@
                 assertEquals("GET /v1/endpoints?watch=1&from=5 HTTP/1.1", await(moved.received).line());
                 assertNotNull(await(discovery.ended));
                 signalHup(process, "{\"discovery\":");
-                awaitLog("configuration not taken");
+                awaitLog("configuration not reloaded");
                 signalHup(process, "{\"discovery\":\"" + moved.address() + "\"}");
                 process.destroy();
                 assertTrue(process.waitFor(LIFE_SECONDS, TimeUnit.SECONDS));
@@ -352,7 +352,7 @@
                 assertFalse(log().contains("listening"), log());
                 tell(asked.socket(), list(5, false));
                 awaitLog("listening");
-                assertFalse(log().contains("going by the list that was known"), log());
+                assertFalse(log().contains("starting with the known list"), log());
             } finally {
                 process.destroyForcibly();
             }
@@ -374,7 +374,7 @@
                 });
                 Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
             Message before = await(discovery.received);
-            node.loop.submit(() -> node.gateway.discoverAt(Loopback.at(moved))).sync();
+            node.loop.submit(() -> node.gateway.setDiscoveryAddress(Loopback.at(moved))).sync();
             await(moved.received);
             Message watch = await(moved.received);
             assertFalse(node.log.toString(StandardCharsets.UTF_8).contains("discovery failed"));
--- a/src/test/java/mastdrift/net/GatewayStartTest.java
+++ b/src/test/java/mastdrift/net/GatewayStartTest.java
@@ -90,12 +90,12 @@
         try (Server discovery = discovery(how); Server one = host("one")) {
             long began = System.nanoTime();
             GatewayConfig config = GatewayConfig.read(environment(own, discovery, known(one), SETTINGS));
-            Main.StartedGateway started = Main.prepare(config, timed, Main.askMillis(config.settings()), false, out);
-            Main.open(started, timed.loop(), config, slow, began, out);
+            Main.StartedGateway started = Main.prepare(config, timed, Main.firstCallDelayMillis(config.settings()), false, out);
+            Main.completeStart(started, timed.loop(), config, slow, began, out);
             Main.listen(started, config, out);
             long took = millis(began);
             String said = log.toString(StandardCharsets.UTF_8);
-            boolean inTime = took < READY_MILLIS && said.contains("going by the list that was known") && !started.gateway().told().isDone();
+            boolean inTime = took < READY_MILLIS && said.contains("starting with the known list") && !started.gateway().firstListReceived().isDone();
             return inTime && discovery.accepted.size() <= MOST_CALLS ? ""
                     : how + ": ready after " + took + " ms and " + discovery.accepted.size() + " calls: " + said;
         } finally {
@@ -143,7 +143,7 @@
                 Settings own = new Settings(like.classes(), like.tenants(), like.limits(), like.links(), like.cpu(), like.rules(),
                         like.value(), site, like.habits(), like.registryOnRequest(), like.weights(), like.service(), like.resolution(),
                         random.nextLong());
-                long held = TimeUnit.MILLISECONDS.toMicros(Main.askMillis(own));
+                long held = TimeUnit.MILLISECONDS.toMicros(Main.firstCallDelayMillis(own));
                 Balancer module = modules[i] = new Balance();
                 module.start(0, own, (Balancer.Actions) Proxy.newProxyInstance(Balancer.class.getClassLoader(),
                         new Class<?>[] {Balancer.Actions.class}, (proxy, method, words) -> {
@@ -209,9 +209,9 @@
             timed.loop().schedule(() -> settled.complete(null), 500, TimeUnit.MILLISECONDS);
             settled.join();
             assertEquals(0, discovery.accepted.size(), "held back");
-            timed.loop().execute(started.gateway()::ask);
+            timed.loop().execute(started.gateway()::allowDiscovery);
             assertEquals("GET /v1/endpoints?watch=1&from=1 HTTP/1.1", Loopback.await(discovery.received).line());
-            timed.loop().submit(started.gateway()::ask).sync();
+            timed.loop().submit(started.gateway()::allowDiscovery).sync();
             assertEquals(1, discovery.accepted.size(), "a second time changes nothing");
         } finally {
             timed.loop().parent().shutdownGracefully(0, 0, TimeUnit.SECONDS);
--- a/src/test/java/mastdrift/net/HerdTest.java
+++ b/src/test/java/mastdrift/net/HerdTest.java
@@ -88,7 +88,7 @@
                 }
                 long limit = millis() + LONGEST_PAUSE_MILLIS + 2_000;
                 for (Node node : nodes) {
-                    while (!node.gateway.told().isDone()) {
+                    while (!node.gateway.firstListReceived().isDone()) {
                         assertTrue(millis() < limit, node.log.toString(StandardCharsets.UTF_8));
                         Thread.sleep(10);
                     }
--- a/src/test/java/mastdrift/net/Loopback.java
+++ b/src/test/java/mastdrift/net/Loopback.java
@@ -285,6 +285,6 @@
     }
 
     static InetSocketAddress at(Server server) {
-        return GatewayConfig.address(server.address());
+        return GatewayConfig.parseAddress(server.address());
     }
 }
--- a/src/test/java/mastdrift/net/WarmUpTest.java
+++ b/src/test/java/mastdrift/net/WarmUpTest.java
@@ -31,7 +31,7 @@
             slow.loop().scheduleWithFixedDelay(() -> LockSupport.parkNanos(SLOW_NANOS), 0, 1, TimeUnit.MILLISECONDS);
             List<String> log = new ArrayList<>();
             long began = System.nanoTime();
-            Main.rehearse(config, slow, log::add);
+            Main.warmUp(config, slow, log::add);
             long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
             assertTrue(millis < 6000, "took " + millis + " ms");
             assertEquals(List.of(), log, "ended by itself");
--- a/src/test/java/mastdrift/net/WatchCrossingTest.java
+++ b/src/test/java/mastdrift/net/WatchCrossingTest.java
@@ -331,7 +331,7 @@
                 Node node = new Node(environment(folder, silent, list(1, true, up("s1", one)), SETTINGS))) {
             await(silent.received);
             await(silent.received);  // beside the first
-            node.loop.execute(() -> node.gateway.discoverAt(Loopback.at(moved)));
+            node.loop.execute(() -> node.gateway.setDiscoveryAddress(Loopback.at(moved)));
             Loopback.tell(await(moved.received).socket(), list(5, true, up("s2", two)));
             eventually(() -> log(node).contains("list 5"));
             assertEquals("two", node.ask(read(20_000)).text());
