--- /dev/null
+++ b/src/main/java/mastdrift/net/TallyRecorder.java
@@ -0,0 +1,207 @@
+package mastdrift.net;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Consumer;
+import mastdrift.Balancer.Health;
+import mastdrift.Balancer.LoadReport;
+import mastdrift.Balancer.Outcome;
+import mastdrift.Balancer.Why;
+import mastdrift.engine.Answer;
+import mastdrift.engine.Call;
+import mastdrift.engine.Clock;
+import mastdrift.engine.Endpoint;
+import mastdrift.engine.Ledger;
+import mastdrift.engine.Member;
+import mastdrift.engine.ServiceCount;
+import mastdrift.engine.Timers;
+import mastdrift.engine.Transport;
+import mastdrift.tally.Count;
+import mastdrift.tally.Second;
+
+/**
+ * Counts what passes a transport, and logs a line for each second in which there was anything. It wraps the transport,
+ * and nothing else in the gateway asks whether it is there, so that none of it is loaded where counting is off.
+ */
+final class TallyRecorder implements Transport {
+
+    private static final long SECOND_MICROS = 1_000_000;
+
+    private final Transport transport;
+    private final Clock clock;
+    private final Timers timers;
+    private final long warmWithinMicros;
+    private final Ledger ledger;
+    private final Tracing tracing;
+    private final Consumer<String> log;
+    private final Set<String> coldHosts = new HashSet<>();
+    private final long[] countedAnswers = new long[2 + Why.values().length];
+    private Second currentSecond;
+
+    TallyRecorder(Transport transport, TimedLoop timedLoop, long warmWithinMicros, Ledger ledger, Tracing tracing,
+            Consumer<String> log) {
+        this.transport = transport;
+        clock = timedLoop.clock();
+        timers = timedLoop.timers();
+        this.warmWithinMicros = warmWithinMicros;
+        this.ledger = ledger;
+        this.tracing = tracing;
+        this.log = log;
+        startSecond();
+    }
+
+    private void startSecond() {
+        long now = clock.now();
+        currentSecond = new Second(now / SECOND_MICROS);
+        timers.after(SECOND_MICROS - now % SECOND_MICROS, this::logSecond);
+    }
+
+    private void logSecond() {
+        countFinalAnswers();
+        currentSecond.add(Count.UNFOLLOWED, tracing.unfollowed());
+        String line = currentSecond.line();
+        if (line.indexOf('=') != line.lastIndexOf('=')) {
+            log.accept(line);
+        }
+        startSecond();
+    }
+
+    /** Counts the final answers since the last call; the ledger holds totals, of which this takes the difference. */
+    private void countFinalAnswers() {
+        long[] totals = new long[countedAnswers.length];
+        for (ServiceCount.Of classCount : ledger.count().classes().values()) {
+            totals[0] += classCount.served();
+            totals[1] += classCount.failed();
+            for (Why why : Why.values()) {
+                totals[2 + why.ordinal()] += classCount.refused(why);
+            }
+        }
+        currentSecond.add(Count.SERVED, totals[0] - countedAnswers[0]);
+        currentSecond.add(Count.FAILED, totals[1] - countedAnswers[1]);
+        for (Why why : Why.values()) {
+            currentSecond.add(Count.valueOf("REFUSED_" + why.name()),
+                    totals[2 + why.ordinal()] - countedAnswers[2 + why.ordinal()]);
+        }
+        System.arraycopy(totals, 0, countedAnswers, 0, totals.length);
+    }
+
+    /** Wraps a listener to count the lists that discovery delivers and the calls to it. */
+    Discovery.Listener countingListener(Discovery.Listener listener) {
+        return new Discovery.Listener() {
+            @Override
+            public void listed(HostList list) {
+                currentSecond.add(Count.LISTS);
+                listener.listed(list);
+            }
+
+            @Override
+            public boolean withdrawn(Discovery.Withdrawal withdrawal) {
+                return listener.withdrawn(withdrawal);
+            }
+
+            @Override
+            public void failed(String cause) {
+                currentSecond.add(Count.CALLS_FAILED);
+                listener.failed(cause);
+            }
+
+            @Override
+            public void noted(String line) {
+                listener.noted(line);
+            }
+
+            @Override
+            public void called() {
+                currentSecond.add(Count.CALLS);
+            }
+        };
+    }
+
+    @Override
+    public Attempt send(Endpoint endpoint, Call call, long timeoutMicros, long sendWithinMicros, Ended listener) {
+        String uid = endpoint.uid();
+        currentSecond.add(Count.SENDS);
+        currentSecond.sent(uid);
+        if (coldHosts.contains(uid)) {
+            currentSecond.add(Count.COLD);
+        }
+        return transport.send(endpoint, call, timeoutMicros, sendWithinMicros, new Ended() {
+            @Override
+            public void ended(Outcome outcome, Answer answer, LoadReport report) {
+                currentSecond.add(Count.valueOf(outcome.name()));
+                if (outcome != Outcome.DELIVERED && outcome != Outcome.REVOKED && outcome != Outcome.UNUSED) {
+                    currentSecond.lost(uid);
+                }
+                listener.ended(outcome, answer, report);
+            }
+
+            @Override
+            public boolean wanted() {
+                return listener.wanted();
+            }
+
+            @Override
+            public void step() {
+                currentSecond.add(Count.OPENED);
+                listener.step();
+            }
+
+            @Override
+            public void passed(long sent, long received) {
+                listener.passed(sent, received);
+            }
+        });
+    }
+
+    @Override
+    public void probe(Endpoint endpoint, Probed listener) {
+        currentSecond.add(Count.PROBES);
+        transport.probe(endpoint, new Probed() {
+            @Override
+            public void probed(Outcome outcome, LoadReport report) {
+                if (outcome != Outcome.DELIVERED) {
+                    currentSecond.add(Count.PROBES_FAILED);
+                }
+                listener.probed(outcome, report);
+            }
+
+            @Override
+            public void passed(long sent, long received) {
+                listener.passed(sent, received);
+            }
+        });
+    }
+
+    @Override
+    public void update(boolean all, List<Member> members) {
+        if (all) {
+            coldHosts.clear();
+        }
+        for (Member member : members) {
+            String uid = member.host().address();
+            long warmAt = member.host().born() + warmWithinMicros;
+            coldHosts.remove(uid);
+            if (member.host().health() == Health.UP && member.host().born() > 0 && warmAt > clock.now()) {
+                coldHosts.add(uid);
+                timers.after(warmAt - clock.now(), () -> coldHosts.remove(uid));
+            }
+        }
+        transport.update(all, members);
+    }
+
+    @Override
+    public void count(Strays listener) {
+        transport.count(listener);
+    }
+
+    @Override
+    public void closeIdle(String uid) {
+        transport.closeIdle(uid);
+    }
+
+    @Override
+    public void close() {
+        transport.close();
+    }
+}
--- a/src/test/java/mastdrift/net/DescriptorsTest.java
+++ b/src/test/java/mastdrift/net/DescriptorsTest.java
@@ -8,7 +8,7 @@
 import static mastdrift.net.Loopback.host;
 import static mastdrift.net.Loopback.list;
 import static mastdrift.net.Loopback.read;
-import static mastdrift.net.Loopback.tell;
+import static mastdrift.net.Loopback.sendLine;
 import static mastdrift.net.Loopback.write;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -132,7 +132,7 @@
                 return;
             }
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            tell(message.socket(), calls.get() == 1 ? list(2, true, entry("s1", one.address(), "a", "in_service"))
+            sendLine(message.socket(), calls.get() == 1 ? list(2, true, entry("s1", one.address(), "a", "in_service"))
                     : list(5, true, entry("s2", two.address(), "a", "in_service")));
         })) {
             ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n " + LIMIT + "; exec \"$0\" -Xmx64m -cp \"$1\" mastdrift.net.Main",
@@ -236,7 +236,7 @@
 
         private static Discovery watch(EventLoop loop, String at, BlockingQueue<String> heard) throws Exception {
             HostList known = members(entry("s1", at, "a", "in_service"));
-            Discovery discovery = loop.submit(() -> new Discovery(loop, Config.address(at), known, new Discovery.Listener() {
+            Discovery discovery = loop.submit(() -> new Discovery(loop, GatewayConfig.parseAddress(at), known, new Discovery.Listener() {
                 @Override
                 public void listed(HostList told) {
                     heard.add("list " + told.rev() + " " + loop.inEventLoop());
@@ -264,10 +264,10 @@
     void aDialWithoutADescriptorIsHeardOnTheLoop() throws Exception {
         try (Server one = host("one"); Server discovery = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            tell(message.socket(), list(5, true, entry("s1", "127.0.0.1:7", "a", "in_service")));
+            sendLine(message.socket(), list(5, true, entry("s1", "127.0.0.1:7", "a", "in_service")));
         })) {
             Process process = new ProcessBuilder("sh", "-c", "ulimit -n " + LIMIT + "; exec \"$0\" -Xmx64m -cp \"$1\" 'mastdrift.net.DescriptorsTest$Full' $2 $3 $4",
-                    System.getProperty("java.home") + "/bin/java", classPath(), discovery.address(), one.address(), Loopback.nobody())
+                    System.getProperty("java.home") + "/bin/java", classPath(), discovery.address(), one.address(), Loopback.unusedAddress())
                     .redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
             try {
                 assertTrue(process.waitFor(Loopback.WAIT_SECONDS, TimeUnit.SECONDS), log());
@@ -282,13 +282,13 @@
     @Test
     void theLimitIsRead() throws Exception {
         Path file = folder.resolve("limits");
-        assertEquals(Integer.MAX_VALUE, Descriptors.limit(file));
+        assertEquals(Integer.MAX_VALUE, FileDescriptorLimit.softLimit(file));
         for (String[] line : new String[][] {{"Max open files            160                  1048576              files     ", "160"},
                 {"Max open files            unlimited            unlimited            files     ", "" + Integer.MAX_VALUE},
                 {"Max open files            9223372036854775807  9223372036854775807  files     ", "" + Integer.MAX_VALUE}, {"Max locked memory 64 64 bytes", "" + Integer.MAX_VALUE}}) {
             Files.writeString(file, "Limit                     Soft Limit           Hard Limit           Units     \n" + line[0] + "\n");
-            assertEquals(Integer.parseInt(line[1]), Descriptors.limit(file));
+            assertEquals(Integer.parseInt(line[1]), FileDescriptorLimit.softLimit(file));
         }
-        assertTrue(Descriptors.limit() > 0);
+        assertTrue(FileDescriptorLimit.softLimit() > 0);
     }
 }
