--- a/src/main/java/mastdrift/membership/package-info.java
+++ b/src/main/java/mastdrift/membership/package-info.java
@@ -1,3 +1,5 @@
-/** Which hosts each pool has: merges what several sources say, and guards against changes that can't be meant. Pure: no I/O,
-    no threads, no clock of its own. */
+/**
+ * The hosts of each pool: merges what several sources report, validates lists, and guards against changes that are
+ * probably mistakes. No I/O, no threads, no clock of its own.
+ */
 package mastdrift.membership;
