--- a/src/test/java/mastdrift/membership/ListLeaseTest.java
+++ b/src/test/java/mastdrift/membership/HostListLeaseTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** How long a list may be used after each event of its watch and calls. */
-class ListLeaseTest {
+class HostListLeaseTest {
 
     private static final long SECOND = 1_000_000;
     private static final long ASK = 10 * SECOND;
