--- a/src/main/java/mastdrift/config/Configuration.java
+++ b/src/main/java/mastdrift/config/Configuration.java
@@ -5,10 +5,10 @@
 import java.util.TreeMap;
 import mastdrift.Balancer.RequestClass;
 import mastdrift.Balancer.Tenant;
-import mastdrift.membership.Membership.Filed;
+import mastdrift.membership.Membership.ConfiguredPool;
 import mastdrift.membership.Node;
 import mastdrift.membership.Overrides.Override;
-import mastdrift.membership.Version;
+import mastdrift.membership.ContentVersion;
 import mastdrift.routing.Route;
 import mastdrift.zones.ZoneSettings;
 
@@ -34,17 +34,17 @@
     public static final int ROUTES_MOST = 1_000;
 
     /** What the files say of each pool. */
-    public Map<String, Filed> filed() {
-        Map<String, Filed> filed = new TreeMap<>();
+    public Map<String, ConfiguredPool> filed() {
+        Map<String, ConfiguredPool> filed = new TreeMap<>();
         pools.forEach((name, pool) -> filed.put(name,
-                new Filed(nodes.get(name), pool.rules().fallSpan(), pool.rules().warmWithin())));
+                new ConfiguredPool(nodes.get(name), pool.rules().fallSpan(), pool.rules().warmWithin())));
         return filed;
     }
 
     /** The version of each pool's nodes. */
     public Map<String, String> versions() {
         Map<String, String> versions = new TreeMap<>();
-        nodes.forEach((pool, list) -> versions.put(pool, Version.of(list)));
+        nodes.forEach((pool, list) -> versions.put(pool, ContentVersion.of(list)));
         return versions;
     }
 }
--- a/src/main/java/mastdrift/config/ConfigurationReader.java
+++ b/src/main/java/mastdrift/config/ConfigurationReader.java
@@ -15,8 +15,8 @@
 import mastdrift.Balancer.Rules;
 import mastdrift.Balancer.Tenant;
 import mastdrift.limits.PhaseBounds;
-import mastdrift.membership.Guards;
-import mastdrift.membership.Guards.Guard;
+import mastdrift.membership.ChangeGuards;
+import mastdrift.membership.ChangeGuards.Guard;
 import mastdrift.membership.Node;
 import mastdrift.membership.Overrides.Override;
 import mastdrift.routing.Match;
@@ -185,9 +185,9 @@
                 section.span("idle", 15 * SECOND, 100 * MILLI, 60 * MINUTE), 1);
         Rules rules = Tables.rules(section);
         Section below = section.section("guards");
-        Guards.Limits usual = Guards.Limits.USUAL;
-        Guards.Limits guards = new Guards.Limits(below.real("pool_drop_most", usual.poolDropMost(), 0, 1),
-                below.real("zone_drop_most", usual.zoneDropMost(), 0, 1),
+        ChangeGuards.Limits usual = ChangeGuards.Limits.DEFAULTS;
+        ChangeGuards.Limits guards = new ChangeGuards.Limits(below.real("pool_drop_most", usual.maxPoolDropFraction(), 0, 1),
+                below.real("zone_drop_most", usual.maxZoneDropFraction(), 0, 1),
                 below.flag("zone_may_empty", usual.zoneMayEmpty()),
                 below.flag("weights_may_be_zero", usual.weightsMayBeZero()));
         below.noMore();
@@ -248,7 +248,7 @@
         List<Override> overrides = new ArrayList<>();
         List<Guard> guards = List.of(Guard.values());
         for (Section section : root.sections("override", 64)) {
-            Guard guard = section.word("guard", null, guards.stream().map(Guard::word).toList(), guards);
+            Guard guard = section.word("guard", null, guards.stream().map(Guard::configName).toList(), guards);
             String pool = section.text("pool");
             String version = section.requiredText("version");
             if (!section.has("guard") || !section.has("pool")) {
--- a/src/main/java/mastdrift/config/PoolSettings.java
+++ b/src/main/java/mastdrift/config/PoolSettings.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import mastdrift.Balancer.Links;
 import mastdrift.Balancer.Rules;
-import mastdrift.membership.Guards;
+import mastdrift.membership.ChangeGuards;
 
 /**
  * One pool, but for its nodes. {@code files} and {@code guards} may change while it runs, the rest is bound at its start.
@@ -20,7 +20,7 @@
  * @param guards what one change of the files may take away
  */
 public record PoolSettings(String name, List<String> files, String discovery, int maxAttempts, int connections,
-        boolean probes, Links links, Rules rules, SecretRef secret, Guards.Limits guards) {
+        boolean probes, Links links, Rules rules, SecretRef secret, ChangeGuards.Limits guards) {
 
     /** Whether all that is bound at the start is the same. */
     public boolean sameAtStart(PoolSettings other) {
--- a/src/main/java/mastdrift/lab/model/ModelGateway.java
+++ b/src/main/java/mastdrift/lab/model/ModelGateway.java
@@ -82,14 +82,14 @@
             String name = "gateway-" + ModelGateway.this.number;
             work = scenario.peers() == null ? null : new OwnWork(name, time.now());
             peers = scenario.peers() == null ? null : new PeerView(name);
-            Map<String, Membership.Filed> filed = new HashMap<>();
+            Map<String, Membership.ConfiguredPool> filed = new HashMap<>();
             for (String poolName : poolNames) {
                 Streams own = streams.below("life-" + number).below(poolName);
                 Settings settings = parts.settings(ModelGateway.this, poolName, own.number("module"));
                 Pool pool = new Pool(poolName, ledger, parts.module(), settings,
                         parts.transport(ModelGateway.this, timers, settings, own));
                 pools.put(poolName, pool);
-                filed.put(poolName, new Membership.Filed(List.of(), settings.rules().fallSpan(), settings.rules().warmWithin()));
+                filed.put(poolName, new Membership.ConfiguredPool(List.of(), settings.rules().fallSpan(), settings.rules().warmWithin()));
                 if (zoning != null) {
                     pool.zones(zoning.pool(poolName));
                 }
@@ -102,7 +102,7 @@
                 tick(timers);
             }
             if (membership != null) {
-                membership.files(time.now(), filed);
+                membership.applyFiles(time.now(), filed);
             }
         }
 
@@ -125,7 +125,7 @@
                 }
                 List<Node> nodes = own.stream().map(host -> new Node(host.address(), host.address(), host.zone(), host.cell(),
                         host.kind(), host.weight(), host.health(), host.born(), "")).toList();
-                put(membership.told(time.now(), name, "discovery", form != ListForm.DELTA, nodes));
+                put(membership.applyReport(time.now(), name, "discovery", form != ListForm.DELTA, nodes));
             });
         }
 
@@ -137,13 +137,13 @@
         private void put(Map<String, PoolList> changed) {
             changed.forEach((name, list) -> {
                 pools.get(name).learn(ListForm.FULL, members(list.hosts().stream().map(listed -> listed.host()).toList()));
-                somebody.put(name, list.somebody());
+                somebody.put(name, list.hasAcceptingHost());
             });
-            long due = membership.dueAt();
+            long due = membership.nextReleaseAt();
             if (due != Long.MAX_VALUE) {
                 time.after(Math.max(1, due - time.now()), () -> {
-                    if (!over && membership.dueAt() <= time.now()) {
-                        put(membership.due(time.now()));
+                    if (!over && membership.nextReleaseAt() <= time.now()) {
+                        put(membership.releaseHeld(time.now()));
                     }
                 });
             }
--- a/src/main/java/mastdrift/membership/Listed.java
+++ b/src/main/java/mastdrift/membership/ListedHost.java
@@ -9,10 +9,10 @@
  * @param endpoint numeric address and port
  * @param explanation why it has this state: each source with the state that it reports, a stale one marked old
  */
-public record Listed(Host host, String endpoint, String says) {
+public record ListedHost(Host host, String endpoint, String explanation) {
 
     /** Whether new requests may be sent to the host. */
-    public boolean takesNew() {
+    public boolean acceptsNewRequests() {
         return host.health() == Health.UP;
     }
 }
--- a/src/main/java/mastdrift/membership/Membership.java
+++ b/src/main/java/mastdrift/membership/Membership.java
@@ -33,18 +33,18 @@
 public final class Membership {
 
     /** Bounds the removed uids that are remembered per pool and source; beyond it the oldest is forgotten. */
-    public static final int GONE_MOST = 20_000;
-    private static final String FILES = "files";
+    public static final int MAX_GONE_UIDS = 20_000;
+    private static final String FILE_SOURCE = "files";
 
     /** What one source last reported of one pool. */
-    private static final class Said {
+    private static final class SourceState {
         private final Map<String, Node> nodes = new LinkedHashMap<>();
-        private final LinkedHashSet<String> gone = new LinkedHashSet<>();
-        private boolean silent;
+        private final LinkedHashSet<String> goneUids = new LinkedHashSet<>();
+        private boolean stale;
     }
 
     /** What is known of a uid during a merge, before it becomes a host. */
-    private static final class Merged {
+    private static final class MergedNode {
         private String endpoint;
         private String zone;
         private Integer cell;
@@ -52,7 +52,7 @@
         private Double weight;
         private Health state = Health.UP;
         private long born;
-        private final StringBuilder says = new StringBuilder();
+        private final StringBuilder explanation = new StringBuilder();
     }
 
     /**
@@ -61,47 +61,47 @@
      * @param fallSpanMicros how long a cold host that comes from another pool is held back, microseconds
      * @param warmWithinMicros the time after its start within which a host counts as cold, microseconds
      */
-    public record Filed(Collection<Node> nodes, long fallSpan, long warmWithin) { }
+    public record ConfiguredPool(Collection<Node> nodes, long fallSpanMicros, long warmWithinMicros) { }
 
-    private Map<String, Filed> filed = Map.of();
-    private final Map<String, Map<String, Said>> pools = new TreeMap<>();
-    private Map<String, PoolList> lists = new TreeMap<>();
-    private final Map<String, Long> heldUntil = new HashMap<>();
+    private Map<String, ConfiguredPool> configuredPools = Map.of();
+    private final Map<String, Map<String, SourceState>> sourcesByPool = new TreeMap<>();
+    private Map<String, PoolList> listsByPool = new TreeMap<>();
+    private final Map<String, Long> heldUntilByUid = new HashMap<>();
 
     /** A copy for previews. */
     private Membership copy() {
         Membership copy = new Membership();
-        pools.forEach((pool, sources) -> sources.forEach((source, said) -> {
-            Said to = copy.said(pool, source);
-            to.nodes.putAll(said.nodes);
-            to.gone.addAll(said.gone);
-            to.silent = said.silent;
+        sourcesByPool.forEach((pool, sources) -> sources.forEach((source, state) -> {
+            SourceState copiedState = copy.stateOf(pool, source);
+            copiedState.nodes.putAll(state.nodes);
+            copiedState.goneUids.addAll(state.goneUids);
+            copiedState.stale = state.stale;
         }));
-        copy.lists = new TreeMap<>(lists);
-        copy.heldUntil.putAll(heldUntil);
+        copy.listsByPool = new TreeMap<>(listsByPool);
+        copy.heldUntilByUid.putAll(heldUntilByUid);
         return copy;
     }
 
     /** The current lists, by pool. */
     public Map<String, PoolList> lists() {
-        return lists;
+        return listsByPool;
     }
 
     /** The lists that this set of files would give; changes nothing. */
-    public Map<String, PoolList> preview(long now, Map<String, Filed> byPool) {
+    public Map<String, PoolList> preview(long now, Map<String, ConfiguredPool> byPool) {
         Membership copy = copy();
-        copy.files(now, byPool);
-        return copy.lists;
+        copy.applyFiles(now, byPool);
+        return copy.listsByPool;
     }
 
     /** Applies a complete set of files, with exactly these pools; returns the lists that changed. */
-    public Map<String, PoolList> files(long now, Map<String, Filed> byPool) {
-        filed = byPool;
-        pools.keySet().retainAll(byPool.keySet());
-        byPool.forEach((pool, given) -> {
-            Said said = said(pool, FILES);
-            said.nodes.clear();
-            given.nodes().forEach(node -> said.nodes.put(node.uid(), node));
+    public Map<String, PoolList> applyFiles(long now, Map<String, ConfiguredPool> byPool) {
+        configuredPools = byPool;
+        sourcesByPool.keySet().retainAll(byPool.keySet());
+        byPool.forEach((pool, configured) -> {
+            SourceState state = stateOf(pool, FILE_SOURCE);
+            state.nodes.clear();
+            configured.nodes().forEach(node -> state.nodes.put(node.uid(), node));
         });
         return merge(now);
     }
@@ -110,73 +110,77 @@
      * Applies the nodes that a source other than the files reports for a pool, all of them ({@code full}) or those that
      * changed; returns the lists that changed. Reports for a pool that does not exist are ignored.
      */
-    public Map<String, PoolList> told(long now, String pool, String source, boolean all, Collection<Node> nodes) {
-        if (!pools.containsKey(pool)) {
+    public Map<String, PoolList> applyReport(long now, String pool, String source, boolean full,
+            Collection<Node> nodes) {
+        if (!sourcesByPool.containsKey(pool)) {
             return Map.of();
         }
-        Said said = said(pool, source);
-        said.silent = false;
-        if (all) {
-            Set<String> named = new HashSet<>();
-            nodes.forEach(node -> named.add(node.uid()));
-            said.nodes.keySet().stream().filter(uid -> !named.contains(uid)).forEach(said.gone::add);
-            said.nodes.clear();
+        SourceState sourceState = stateOf(pool, source);
+        sourceState.stale = false;
+        if (full) {
+            Set<String> namedUids = new HashSet<>();
+            nodes.forEach(node -> namedUids.add(node.uid()));
+            sourceState.nodes.keySet().stream().filter(uid -> !namedUids.contains(uid))
+                    .forEach(sourceState.goneUids::add);
+            sourceState.nodes.clear();
         }
         for (Node node : nodes) {
             if (node.state() == Health.GONE) {
-                said.nodes.remove(node.uid());
-                said.gone.add(node.uid());
+                sourceState.nodes.remove(node.uid());
+                sourceState.goneUids.add(node.uid());
             } else {
-                said.nodes.put(node.uid(), node);
-                said.gone.remove(node.uid());
+                sourceState.nodes.put(node.uid(), node);
+                sourceState.goneUids.remove(node.uid());
             }
         }
-        for (Iterator<String> eldest = said.gone.iterator(); said.gone.size() > GONE_MOST; ) {
-            eldest.next();
-            eldest.remove();
+        for (Iterator<String> oldest = sourceState.goneUids.iterator(); sourceState.goneUids.size() > MAX_GONE_UIDS; ) {
+            oldest.next();
+            oldest.remove();
         }
         return merge(now);
     }
 
     /** A source no longer reports: its last report is kept, marked old. */
-    public void silent(String pool, String source) {
-        if (pools.containsKey(pool)) {
-            said(pool, source).silent = true;
+    public void markStale(String pool, String source) {
+        if (sourcesByPool.containsKey(pool)) {
+            stateOf(pool, source).stale = true;
         }
     }
 
     /** When {@link #releaseHeld} has something to do, in microseconds; Long.MAX_VALUE for never. */
-    public long dueAt() {
-        return heldUntil.values().stream().mapToLong(Long::longValue).min().orElse(Long.MAX_VALUE);
+    public long nextReleaseAt() {
+        return heldUntilByUid.values().stream().mapToLong(Long::longValue).min().orElse(Long.MAX_VALUE);
     }
 
     /** Releases hosts whose holding time is over; returns the lists that changed. */
-    public Map<String, PoolList> due(long now) {
+    public Map<String, PoolList> releaseHeld(long now) {
         return merge(now);
     }
 
-    private Said said(String pool, String source) {
-        return pools.computeIfAbsent(pool, p -> new LinkedHashMap<>()).computeIfAbsent(source, s -> new Said());
+    private SourceState stateOf(String pool, String source) {
+        return sourcesByPool.computeIfAbsent(pool, p -> new LinkedHashMap<>())
+                .computeIfAbsent(source, s -> new SourceState());
     }
 
     // ---- merging
 
     private Map<String, PoolList> merge(long now) {
-        heldUntil.values().removeIf(until -> until <= now);
-        Map<String, String> before = new HashMap<>();
-        lists.values().forEach(list -> list.hosts().forEach(host -> before.put(host.host().address(), list.pool())));
-        Map<String, String> owners = owners();
-        Map<String, String> endpoints = new HashMap<>();
-        Map<String, PoolList> next = new TreeMap<>();
+        heldUntilByUid.values().removeIf(until -> until <= now);
+        Map<String, String> previousPools = new HashMap<>();
+        listsByPool.values().forEach(list -> list.hosts().forEach(host ->
+                previousPools.put(host.host().address(), list.pool())));
+        Map<String, String> owners = poolsByUid();
+        Map<String, String> uidByEndpoint = new HashMap<>();
+        Map<String, PoolList> mergedLists = new TreeMap<>();
         Map<String, PoolList> changed = new TreeMap<>();
-        pools.keySet().forEach(pool -> {
-            PoolList list = list(now, pool, owners, endpoints, before);
-            next.put(pool, list);
-            if (!list.equals(lists.get(pool))) {
+        sourcesByPool.keySet().forEach(pool -> {
+            PoolList list = mergePool(now, pool, owners, uidByEndpoint, previousPools);
+            mergedLists.put(pool, list);
+            if (!list.equals(listsByPool.get(pool))) {
                 changed.put(pool, list);
             }
         });
-        lists = next;
+        listsByPool = mergedLists;
         return changed;
     }
 
@@ -184,79 +188,82 @@
      * The pool that each uid belongs to: a pool whose files name it before those of other sources, in the order of the
      * pools.
      */
-    private Map<String, String> owners() {
+    private Map<String, String> poolsByUid() {
         Map<String, String> owners = new HashMap<>();
-        pools.forEach((pool, sources) -> {
-            if (sources.containsKey(FILES)) {
-                sources.get(FILES).nodes.keySet().forEach(uid -> owners.putIfAbsent(uid, pool));
+        sourcesByPool.forEach((pool, sources) -> {
+            if (sources.containsKey(FILE_SOURCE)) {
+                sources.get(FILE_SOURCE).nodes.keySet().forEach(uid -> owners.putIfAbsent(uid, pool));
             }
         });
-        pools.forEach((pool, sources) -> sources.forEach((source, said) ->
-                said.nodes.keySet().forEach(uid -> owners.putIfAbsent(uid, pool))));
+        sourcesByPool.forEach((pool, sources) -> sources.forEach((source, state) ->
+                state.nodes.keySet().forEach(uid -> owners.putIfAbsent(uid, pool))));
         return owners;
     }
 
-    private PoolList list(long now, String pool, Map<String, String> owners, Map<String, String> endpoints,
-            Map<String, String> before) {
-        List<String> leftOut = new ArrayList<>();
-        Map<String, Merged> merged = new TreeMap<>();
-        pools.get(pool).forEach((source, said) -> {
-            said.nodes.values().forEach(node -> {
+    private PoolList mergePool(long now, String pool, Map<String, String> owners, Map<String, String> uidByEndpoint,
+            Map<String, String> previousPools) {
+        List<String> omissions = new ArrayList<>();
+        Map<String, MergedNode> merged = new TreeMap<>();
+        sourcesByPool.get(pool).forEach((source, state) -> {
+            state.nodes.values().forEach(node -> {
                 if (pool.equals(owners.get(node.uid()))) {
-                    add(merged.computeIfAbsent(node.uid(), uid -> new Merged()), source, said, node);
+                    mergeNode(merged.computeIfAbsent(node.uid(), uid -> new MergedNode()), source, state, node);
                 } else {
-                    leftOut.add(node.uid() + " of " + source + ": it belongs to pool " + owners.get(node.uid()));
+                    omissions.add(node.uid() + " of " + source + ": it belongs to pool " + owners.get(node.uid()));
                 }
             });
         });
-        pools.get(pool).forEach((source, said) -> merged.forEach((uid, host) -> {
-            if (said.gone.contains(uid)) {
+        sourcesByPool.get(pool).forEach((source, state) -> merged.forEach((uid, host) -> {
+            if (state.goneUids.contains(uid)) {
                 host.state = Health.GONE;
-                host.says.append(", ").append(source).append(": gone");
+                host.explanation.append(", ").append(source).append(": gone");
             }
         }));
-        double largest = merged.values().stream().mapToDouble(host -> host.weight == null ? 1 : host.weight).max().orElse(1);
-        List<Listed> hosts = new ArrayList<>(merged.size());
+        double largestWeight = merged.values().stream().mapToDouble(host -> host.weight == null ? 1 : host.weight).max()
+                .orElse(1);
+        List<ListedHost> hosts = new ArrayList<>(merged.size());
         merged.forEach((uid, host) -> {
             if (host.endpoint == null) {
-                leftOut.add(uid + " of files: no source gives an endpoint");
+                omissions.add(uid + " of files: no source gives an endpoint");
             } else if (host.state != Health.GONE) {
-                String other = endpoints.putIfAbsent(host.endpoint, uid);
-                if (other != null) {
-                    leftOut.add(uid + ": its endpoint " + host.endpoint + " is that of " + other);
+                String otherUid = uidByEndpoint.putIfAbsent(host.endpoint, uid);
+                if (otherUid != null) {
+                    omissions.add(uid + ": its endpoint " + host.endpoint + " is that of " + otherUid);
                 } else {
-                    hosts.add(listed(now, pool, uid, host, largest, before.get(uid)));
+                    hosts.add(toListedHost(now, pool, uid, host, largestWeight, previousPools.get(uid)));
                 }
             }
         });
-        return new PoolList(pool, List.copyOf(hosts), List.copyOf(leftOut));
+        return new PoolList(pool, List.copyOf(hosts), List.copyOf(omissions));
     }
 
-    private static void add(Merged host, String source, Said said, Node node) {
-        host.endpoint = host.endpoint == null ? node.endpoint() : host.endpoint;
-        host.zone = host.zone == null ? node.zone() : host.zone;
-        host.cell = host.cell == null ? node.cell() : host.cell;
-        host.kind = host.kind == null ? node.kind() : host.kind;
-        host.weight = host.weight == null ? node.weight() : host.weight;
-        host.born = Math.max(host.born, node.born());
-        Health state = node.takesNew() || node.state() == Health.GONE ? node.state() : Health.LEAVING;
-        host.state = state.compareTo(host.state) > 0 ? state : host.state;
-        host.says.append(host.says.length() == 0 ? "" : ", ").append(source).append(": ")
-                .append(state == Health.UP ? "up" : state == Health.GONE ? "gone" : "leaving")
+    private static void mergeNode(MergedNode merged, String source, SourceState sourceState, Node node) {
+        merged.endpoint = merged.endpoint == null ? node.endpoint() : merged.endpoint;
+        merged.zone = merged.zone == null ? node.zone() : merged.zone;
+        merged.cell = merged.cell == null ? node.cell() : merged.cell;
+        merged.kind = merged.kind == null ? node.kind() : merged.kind;
+        merged.weight = merged.weight == null ? node.weight() : merged.weight;
+        merged.born = Math.max(merged.born, node.born());
+        Health nodeState = node.acceptsNewRequests() || node.state() == Health.GONE ? node.state() : Health.LEAVING;
+        merged.state = nodeState.compareTo(merged.state) > 0 ? nodeState : merged.state;
+        merged.explanation.append(merged.explanation.length() == 0 ? "" : ", ").append(source).append(": ")
+                .append(nodeState == Health.UP ? "up" : nodeState == Health.GONE ? "gone" : "leaving")
                 .append(node.weight() != null && node.weight() == 0 ? " (weight 0)" : "")
-                .append(said.silent ? " (old)" : "");
+                .append(sourceState.stale ? " (old)" : "");
     }
 
-    private Listed listed(long now, String pool, String uid, Merged host, double largest, String poolBefore) {
-        boolean cold = host.born > 0 && now - host.born < filed.get(pool).warmWithin();
-        if (cold && poolBefore != null && !poolBefore.equals(pool)) {
-            heldUntil.put(uid, now + filed.get(pool).fallSpan());
+    private ListedHost toListedHost(long now, String pool, String uid, MergedNode merged, double largestWeight,
+            String previousPool) {
+        boolean cold = merged.born > 0 && now - merged.born < configuredPools.get(pool).warmWithinMicros();
+        if (cold && previousPool != null && !previousPool.equals(pool)) {
+            heldUntilByUid.put(uid, now + configuredPools.get(pool).fallSpanMicros());
         }
-        boolean held = heldUntil.containsKey(uid);
-        Health state = held && host.state == Health.UP ? Health.LEAVING : host.state;
-        double weight = (host.weight == null ? 1 : host.weight) / (largest > 0 ? largest : 1);
-        String says = host.says + (held ? ", held: it came cold from another pool" : "");
-        return new Listed(new Host(uid, host.zone == null ? "" : host.zone, host.cell == null ? 0 : host.cell,
-                host.kind == null ? "" : host.kind, weight, state, host.born), host.endpoint, says);
+        boolean held = heldUntilByUid.containsKey(uid);
+        Health state = held && merged.state == Health.UP ? Health.LEAVING : merged.state;
+        double weight = (merged.weight == null ? 1 : merged.weight) / (largestWeight > 0 ? largestWeight : 1);
+        String explanation = merged.explanation + (held ? ", held: it came cold from another pool" : "");
+        return new ListedHost(new Host(uid, merged.zone == null ? "" : merged.zone, merged.cell == null ? 0
+                : merged.cell,
+                merged.kind == null ? "" : merged.kind, weight, state, merged.born), merged.endpoint, explanation);
     }
 }
--- a/src/main/java/mastdrift/membership/Node.java
+++ b/src/main/java/mastdrift/membership/Node.java
@@ -16,10 +16,10 @@
  * @param location where the source has the entry, for messages; not part of the content
  */
 public record Node(String uid, String endpoint, String zone, Integer cell, String kind, Double weight, Health state,
-        long born, String place) {
+        long born, String location) {
 
     /** Whether this source allows new requests to the host. */
-    public boolean takesNew() {
+    public boolean acceptsNewRequests() {
         return state == Health.UP && (weight == null || weight > 0);
     }
 }
--- a/src/main/java/mastdrift/membership/PoolList.java
+++ b/src/main/java/mastdrift/membership/PoolList.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** The merged list of one pool: its hosts by uid, and messages about reported nodes that were omitted. */
-public record PoolList(String pool, List<Listed> hosts, List<String> leftOut) {
+public record PoolList(String pool, List<ListedHost> hosts, List<String> omissions) {
 
     /** A list without hosts. */
     public static PoolList empty(String pool) {
@@ -11,7 +11,7 @@
     }
 
     /** Whether any host accepts new requests. */
-    public boolean somebody() {
-        return hosts.stream().anyMatch(Listed::takesNew);
+    public boolean hasAcceptingHost() {
+        return hosts.stream().anyMatch(ListedHost::acceptsNewRequests);
     }
 }
--- a/src/main/java/mastdrift/net/Discovery.java
+++ b/src/main/java/mastdrift/net/Discovery.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import mastdrift.engine.Member;
-import mastdrift.membership.ListLease;
+import mastdrift.membership.HostListLease;
 
 /**
  * Client of the discovery service: fetches and watches the host list on one event loop. Failed calls and ended watches
@@ -33,7 +33,7 @@
 public final class Discovery {
 
     // Bounds the reads of one call's unread input: some hundred KB, more than a host list has at its largest.
-    private static final int LOOKS = 16;
+    private static final int MAX_READS_PER_CALL = 16;
 
     /**
      * The removals and drains found in a list that is rejected or not complete yet.
@@ -42,27 +42,27 @@
      * null
      * @param leaving the entries that are draining or removed
      */
-    public record Withdrawal(long version, Set<String> named, List<Member> leaving) { }
+    public record Withdrawal(long version, Set<String> namedUids, List<Member> leaving) { }
 
     /** Receives what discovery sends, on the thread of the event loop. */
     public interface Listener {
         /** A full list, or a change, has been accepted and is current from now on. */
-        void listed(HostList list);
+        void listAccepted(HostList list);
 
         /**
          * Only the removals and drains of a list are to be applied, since it was rejected or is incomplete. Returns
          * whether any host was taken out of service by it.
          */
-        boolean withdrawn(Withdrawal withdrawal);
+        boolean hostsWithdrawn(Withdrawal withdrawal);
 
         /** A call has failed, or a watch has ended. */
-        void failed(String cause);
+        void callFailed(String cause);
 
         /** Something happened to a call that is worth a log line. */
-        default void noted(String line) { }
+        default void logEvent(String line) { }
 
         /** A call starts. */
-        default void called() { }
+        default void callStarted() { }
     }
 
     /**
@@ -73,67 +73,69 @@
      * @param maxEventAgeMicros the longest time, in microseconds, that the event being handled now may have waited for
      * the event loop
      */
-    record Terms(boolean pushed, long mustAskIn, LongSupplier unseen) { }
+    record RegistryOptions(boolean pushed, long validityMicros, LongSupplier maxEventAgeMicros) { }
 
     private final EventLoop loop;
-    private final Terms terms;
-    private final ListLease lease;
-    private boolean listHeld = true;  // result of the last validity check
-    private InetSocketAddress at;
+    private final RegistryOptions options;
+    private final HostListLease lease;
+    private boolean lastListValid = true;  // result of the last validity check
+    private InetSocketAddress address;
     private final Listener listener;
-    private final ListIntake intake;
-    private final Asked watch;
-    private final Asked fetch;
-    private int numbered;  // also numbers the calls in the log
-    private int reading;  // depth of nested reads: reading one call may close others, which are read first
+    private final HostListIntake intake;
+    private final CallGroup watch;
+    private final CallGroup fetch;
+    private int callCount;  // also numbers the calls in the log
+    private int readDepth;  // depth of nested reads: reading one call may close others, which are read first
 
     /** {@code known} is the list that is current already. Calls may have to wait for their turn at the registry. */
-    public Discovery(EventLoop loop, InetSocketAddress at, HostList known, Listener listener) {
-        this(loop, at, new Terms(false, 0, () -> 0), known, listener);
+    public Discovery(EventLoop loop, InetSocketAddress address, HostList known, Listener listener) {
+        this(loop, address, new RegistryOptions(false, 0, () -> 0), known, listener);
     }
 
     /** As above, for a registry with other options. */
-    Discovery(EventLoop loop, InetSocketAddress at, Terms terms, HostList known, Listener listener) {
+    Discovery(EventLoop loop, InetSocketAddress address, RegistryOptions options, HostList known, Listener listener) {
         this.loop = loop;
-        this.at = at;
-        this.terms = terms;
-        lease = terms.pushed ? ListLease.byAgent() : new ListLease(terms.mustAskIn);
+        this.address = address;
+        this.options = options;
+        lease = options.pushed ? HostListLease.pushedByAgent() : new HostListLease(options.validityMicros);
         this.listener = listener;
-        intake = new ListIntake(known, new Leasing(listener));
-        long turn = terms.pushed ? CallSchedule.AGENT_TURN : CallSchedule.TURN;
-        watch = new Asked(true, turn);
-        fetch = new Asked(false, turn);
+        intake = new HostListIntake(known, new LeaseUpdater(listener));
+        long responseTimeoutMicros = options.pushed ? DiscoveryCallScheduler.AGENT_RESPONSE_TIMEOUT_MICROS
+                : DiscoveryCallScheduler.RESPONSE_TIMEOUT_MICROS;
+        watch = new CallGroup(true, responseTimeoutMicros);
+        fetch = new CallGroup(false, responseTimeoutMicros);
     }
 
     /** Starts or stops the watch. A watch that is running already goes on. */
     public void watch(boolean active) {
         if (active) {
-            watch.schedule.ask(now());
+            watch.scheduler.request(nowMicros());
         } else {
-            watch.end(watch.schedule.end());
+            watch.closeUnneeded(watch.scheduler.cancel());
         }
-        watch.step();
+        watch.runDueActions();
     }
 
     /** Requests the full list once, unless a fetch is running already. */
     void fetch() {
-        fetch.schedule.ask(now());
-        fetch.step();
+        fetch.scheduler.request(nowMicros());
+        fetch.runDueActions();
     }
 
     /** Whether the current list may still be used. */
-    public boolean listHolds() {
-        boolean holds = lease.holds(now());
-        if (holds != listHeld) {
-            listHeld = holds;
-            listener.noted(holds ? "the host list is valid again" : "the host list has expired: discovery may have sent changes that did not arrive");
+    public boolean isListValid() {
+        boolean valid = lease.isValid(nowMicros());
+        if (valid != lastListValid) {
+            lastListValid = valid;
+            listener.logEvent(valid ? "the host list is valid again"
+                    : "the host list has expired: discovery may have sent changes that did not arrive");
         }
-        return holds;
+        return valid;
     }
 
     /** The earliest time at which the event being handled now may have arrived. */
-    private long arrived() {
-        return now() - terms.unseen.getAsLong();
+    private long earliestArrivalMicros() {
+        return nowMicros() - options.maxEventAgeMicros.getAsLong();
     }
 
     /**
@@ -141,118 +143,119 @@
      * event loop. Returns false if more input may be left: within the read of a call nothing is read, since the input
      * of that call has to be applied first.
      */
-    public boolean look() {
-        if (reading > 0) {
+    public boolean readUnreadInput() {
+        if (readDepth > 0) {
             return false;
         }
-        boolean all = true;
-        for (Asked asked : List.of(watch, fetch)) {
-            for (Channel channel : asked.schedule.calls()) {
-                if (call(channel) != null) {
-                    all &= Look.through(channel, LOOKS);
+        boolean allRead = true;
+        for (CallGroup group : List.of(watch, fetch)) {
+            for (Channel channel : group.scheduler.openCalls()) {
+                if (callOf(channel) != null) {
+                    allRead &= Look.through(channel, MAX_READS_PER_CALL);
                 }
             }
         }
-        return all;
+        return allRead;
     }
 
     /**
      * Switches to another address. Open calls to the old address are closed: input that has arrived on them is still
      * applied, but their end is not reported.
      */
-    void move(InetSocketAddress to) {
-        if (to.equals(at)) {
+    void moveTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        at = to;
-        lease.moved(now());
-        for (Asked asked : List.of(watch, fetch)) {
-            asked.end(asked.schedule.moved(now()));
-            asked.step();
+        address = newAddress;
+        lease.registryMoved(nowMicros());
+        for (CallGroup group : List.of(watch, fetch)) {
+            group.closeUnneeded(group.scheduler.addressChanged(nowMicros()));
+            group.runDueActions();
         }
     }
 
-    private boolean noneOut() {
-        return watch.schedule.calls().isEmpty() && fetch.schedule.calls().isEmpty();
+    private boolean hasNoOpenCalls() {
+        return watch.scheduler.openCalls().isEmpty() && fetch.scheduler.openCalls().isEmpty();
     }
 
-    private static long now() {
+    private static long nowMicros() {
         return System.nanoTime() / 1_000;
     }
 
     /** Null where no connection was set up. */
-    private static DiscoveryCall call(Channel channel) {
+    private static DiscoveryCall callOf(Channel channel) {
         return channel.pipeline().get(DiscoveryCall.class);
     }
 
     /** Reports each accepted list to the lease before it is passed on. */
-    private final class Leasing implements Listener {
+    private final class LeaseUpdater implements Listener {
 
-        private final Listener then;
+        private final Listener delegate;
 
-        Leasing(Listener then) {
-            this.then = then;
+        LeaseUpdater(Listener delegate) {
+            this.delegate = delegate;
         }
 
         @Override
-        public void listed(HostList list) {
-            lease.listed();
-            then.listed(list);
+        public void listAccepted(HostList list) {
+            lease.listAccepted();
+            delegate.listAccepted(list);
         }
 
         @Override
-        public boolean withdrawn(Withdrawal withdrawal) {
-            return then.withdrawn(withdrawal);
+        public boolean hostsWithdrawn(Withdrawal withdrawal) {
+            return delegate.hostsWithdrawn(withdrawal);
         }
 
         @Override
-        public void failed(String cause) {
-            then.failed(cause);
+        public void callFailed(String cause) {
+            delegate.callFailed(cause);
         }
     }
 
     /** The watch or the fetch, and the hedged calls that are open for it. */
-    private final class Asked implements DiscoveryCall.Owner {
+    private final class CallGroup implements DiscoveryCall.Owner {
 
         private final boolean watching;
-        private final CallSchedule<Channel> schedule;
-        private Future<?> due;
-        private long dueAt = Long.MAX_VALUE;
+        private final DiscoveryCallScheduler<Channel> scheduler;
+        private Future<?> timer;
+        private long timerAtMicros = Long.MAX_VALUE;
 
-        Asked(boolean watching, long turn) {
+        CallGroup(boolean watching, long responseTimeoutMicros) {
             this.watching = watching;
-            schedule = new CallSchedule<>(turn, watching, ThreadLocalRandom.current()::nextLong);
+            scheduler = new DiscoveryCallScheduler<>(responseTimeoutMicros, watching,
+                    ThreadLocalRandom.current()::nextLong);
         }
 
         /**
          * Does what the scheduler has due, and sets a timer for its next event. To be called after each change of the
          * scheduler.
          */
-        private void step() {
-            if (reading > 0) {  // the call that is being read may change what is due
-                loop.execute(this::step);
+        private void runDueActions() {
+            if (readDepth > 0) {  // the call that is being read may change what is due
+                loop.execute(this::runDueActions);
                 return;
             }
             closeOverdue();
-            long now = now();
-            if (schedule.begins(now)) {
-                listener.called();
-                lease.called(now);
-                ChannelFuture dialled = dial();
-                schedule.began(now, dialled.channel());
+            long now = nowMicros();
+            if (scheduler.shouldStartCall(now)) {
+                listener.callStarted();
+                lease.callStarted(now);
+                ChannelFuture connecting = dial();
+                scheduler.callStarted(now, connecting.channel());
                 // Netty reports a lack of file descriptors on a thread of its own.
-                dialled.addListener(done -> loop.execute(() -> dialled(dialled)));
+                connecting.addListener(done -> loop.execute(() -> connectFinished(connecting)));
             }
-            long next = schedule.due();
-            if (next < dueAt) {  // a timer that fires too early finds nothing due and is set again
-                if (due != null) {
-                    due.cancel(false);
+            long nextEventMicros = scheduler.nextEventTime();
+            if (nextEventMicros < timerAtMicros) {  // a timer that fires too early finds nothing due and is set again
+                if (timer != null) {
+                    timer.cancel(false);
                 }
-                dueAt = next;
-                due = loop.schedule(() -> {
-                    dueAt = Long.MAX_VALUE;
-                    step();
-                }, Math.max(0, next - now), TimeUnit.MICROSECONDS);
+                timerAtMicros = nextEventMicros;
+                timer = loop.schedule(() -> {
+                    timerAtMicros = Long.MAX_VALUE;
+                    runDueActions();
+                }, Math.max(0, nextEventMicros - now), TimeUnit.MICROSECONDS);
             }
         }
 
@@ -261,22 +264,23 @@
          * line: input is read first, and a call that has received a line by then is no longer overdue.
          */
         private void closeOverdue() {
-            for (Channel late : schedule.overdue(now())) {
-                if (call(late) != null) {
-                    Look.through(late, LOOKS);
+            for (Channel overdue : scheduler.overdueCalls(nowMicros())) {
+                if (callOf(overdue) != null) {
+                    Look.through(overdue, MAX_READS_PER_CALL);
                 }
             }
-            for (Channel late : schedule.overdue(now())) {
-                DiscoveryCall call = call(late);
-                String lack = call == null || !late.isActive() ? "no connection" : call.lacks(schedule.bound(late));
+            for (Channel overdue : scheduler.overdueCalls(nowMicros())) {
+                DiscoveryCall call = callOf(overdue);
+                String reason = call == null || !overdue.isActive() ? "no connection"
+                        : call.describeTimeout(scheduler.timeout(overdue));
                 if (call != null) {
-                    call.endFor(lack);
+                    call.setCloseReason(reason);
                 }
-                if (schedule.out(late) && watching && call != null && call.hasTold()) {
-                    lease.watchSilent();
+                if (scheduler.isOpen(overdue) && watching && call != null && call.hasReceivedLine()) {
+                    lease.watchTimedOut();
                 }
-                failed(late, lack);
-                late.close();
+                callFailed(overdue, reason);
+                overdue.close();
             }
         }
 
@@ -286,118 +290,119 @@
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            channel.pipeline().addLast(new HttpClientCodec(), new DiscoveryCall(++numbered, Asked.this, watching, intake));
+                            channel.pipeline().addLast(new HttpClientCodec(),
+                                    new DiscoveryCall(++callCount, CallGroup.this, watching, intake));
                         }
-                    }).connect(at);
+                    }).connect(address);
         }
 
-        private void dialled(ChannelFuture dialled) {
-            if (dialled.isSuccess()) {
-                schedule.connected(now(), dialled.channel()).forEach(Channel::close);
-                String path = watching ? "/v1/endpoints?watch=1&from=" + intake.askFrom() : "/v1/endpoints";
+        private void connectFinished(ChannelFuture connecting) {
+            if (connecting.isSuccess()) {
+                scheduler.connected(nowMicros(), connecting.channel()).forEach(Channel::close);
+                String path = watching ? "/v1/endpoints?watch=1&from=" + intake.watchFromVersion() : "/v1/endpoints";
                 DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
-                request.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(at));
-                dialled.channel().writeAndFlush(request);
+                request.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(address));
+                connecting.channel().writeAndFlush(request);
             } else {
-                failed(dialled.channel(), "no connection");
+                callFailed(connecting.channel(), "no connection");
             }
-            step();
+            runDueActions();
         }
 
         /**
          * Closes calls that were replaced or are no longer needed. Their unread input counts as delivered and may be
          * newer than the current list, so it is read first.
          */
-        private void end(List<Channel> calls) {
+        private void closeUnneeded(List<Channel> calls) {
             for (Channel channel : calls) {
-                DiscoveryCall call = call(channel);
+                DiscoveryCall call = callOf(channel);
                 if (call != null) {
-                    call.end("replaced by another call, or no longer needed");
-                    Look.through(channel, LOOKS);
+                    call.markClosing("replaced by another call, or no longer needed");
+                    Look.through(channel, MAX_READS_PER_CALL);
                 }
                 channel.close();
             }
         }
 
-        private void failed(Channel channel, String cause) {
-            DiscoveryCall call = call(channel);
-            boolean counts = schedule.out(channel);
-            boolean told = watching && call != null && call.hasTold();
-            if (schedule.failed(now(), channel)) {
-                listener.failed(cause);
+        private void callFailed(Channel channel, String cause) {
+            DiscoveryCall call = callOf(channel);
+            boolean wasOpen = scheduler.isOpen(channel);
+            boolean receivedLine = watching && call != null && call.hasReceivedLine();
+            if (scheduler.callFailed(nowMicros(), channel)) {
+                listener.callFailed(cause);
             }
             // part of a newer list had arrived, so this failure does not show that the registry is unreachable
-            boolean cut = call != null && call.isUnfinished();
-            if (counts && !told && !cut && noneOut()) {
+            boolean partialList = call != null && call.hasPartialList();
+            if (wasOpen && !receivedLine && !partialList && hasNoOpenCalls()) {
                 lease.callFailed();
             }
         }
 
         @Override
-        public boolean counts(DiscoveryCall call) {
-            return schedule.out(call.channel());
+        public boolean isOpen(DiscoveryCall call) {
+            return scheduler.isOpen(call.channel());
         }
 
         @Override
-        public void begun(DiscoveryCall call) {
+        public void responseStarted(DiscoveryCall call) {
             if (watching) {
-                lease.watchBegan(arrived());
+                lease.watchStarted(earliestArrivalMicros());
             }
         }
 
         @Override
-        public void lineCame(DiscoveryCall call) {
-            lease.lineCame(arrived());
-            endOthers(schedule.heard(now(), call.channel()), call);
+        public void lineReceived(DiscoveryCall call) {
+            lease.lineReceived(earliestArrivalMicros());
+            closeOthers(scheduler.lineReceived(nowMicros(), call.channel()), call);
         }
 
         @Override
-        public void answered(DiscoveryCall call) {
-            endOthers(schedule.answered(call.channel()), call);
+        public void responseCompleted(DiscoveryCall call) {
+            closeOthers(scheduler.responseCompleted(call.channel()), call);
         }
 
-        private void endOthers(List<Channel> others, DiscoveryCall goesOn) {
+        private void closeOthers(List<Channel> others, DiscoveryCall remaining) {
             if (!others.isEmpty()) {
-                end(others);
-                goesOn.cover();
+                closeUnneeded(others);
+                remaining.markCovered();
             }
         }
 
         @Override
-        public void refused(DiscoveryCall call) {
+        public void listRejected(DiscoveryCall call) {
             loop.execute(() -> {  // after the read that brought the rejected list
-                Look.through(call.channel(), LOOKS);
+                Look.through(call.channel(), MAX_READS_PER_CALL);
                 call.channel().close();
             });
         }
 
         @Override
-        public void unfinished(boolean begins) {
-            if (begins) {
-                lease.listBegan(arrived());
+        public void partialListChanged(boolean present) {
+            if (present) {
+                lease.partialListStarted(earliestArrivalMicros());
             } else {
-                lease.nothingUnfinished();
+                lease.partialListCleared();
             }
         }
 
         @Override
-        public void ended(DiscoveryCall call, String cause) {
-            if (watching && call.hasTold() && schedule.out(call.channel())) {
-                lease.watchEnded(arrived());
+        public void connectionClosed(DiscoveryCall call, String cause) {
+            if (watching && call.hasReceivedLine() && scheduler.isOpen(call.channel())) {
+                lease.watchEnded(earliestArrivalMicros());
             }
-            failed(call.channel(), cause);
+            callFailed(call.channel(), cause);
             // after the whole turn of the event loop, which may also bring a line of another call
-            loop.execute(this::step);
+            loop.execute(this::runDueActions);
         }
 
         @Override
-        public void noted(String line) {
-            listener.noted(line);
+        public void logEvent(String line) {
+            listener.logEvent(line);
         }
 
         @Override
-        public void reading(boolean begins) {
-            reading += begins ? 1 : -1;
+        public void readingChanged(boolean starts) {
+            readDepth += starts ? 1 : -1;
         }
     }
 }
--- a/src/main/java/mastdrift/net/DiscoveryCall.java
+++ b/src/main/java/mastdrift/net/DiscoveryCall.java
@@ -21,76 +21,76 @@
  */
 final class DiscoveryCall extends SimpleChannelInboundHandler<HttpObject> {
 
-    private static final int LINE_MOST = 4 << 20;
-    private static final byte[] LIST_KEY = "\"targets\"".getBytes(StandardCharsets.US_ASCII);
+    private static final int MAX_LINE_BYTES = 4 << 20;
+    private static final byte[] TARGETS_KEY = "\"targets\"".getBytes(StandardCharsets.US_ASCII);
 
     /** What happens to the lists that are received. */
-    private enum Standing {
+    private enum State {
         /** They are applied. */
-        CURRENT,
+        ACTIVE,
         /**
          * Another call has replaced this one, or the request was cancelled: lists that had arrived unread are applied
          * if they are newer than the current one.
          */
-        ENDING,
+        CLOSING,
         /** A list was rejected: of the input behind it, only drains and removals are applied. */
-        REFUSED
+        REJECTED
     }
 
     /** The owner of the call, which is notified of its events. */
     interface Owner {
         /** Whether the call is still one of the owner's open calls. */
-        boolean counts(DiscoveryCall call);
+        boolean isOpen(DiscoveryCall call);
 
         /** The response has started. */
-        void begun(DiscoveryCall call);
+        void responseStarted(DiscoveryCall call);
 
         /** A line has arrived, possibly an empty one: the call is alive. */
-        void lineCame(DiscoveryCall call);
+        void lineReceived(DiscoveryCall call);
 
         /** The response to a fetch has arrived in full. */
-        void answered(DiscoveryCall call);
+        void responseCompleted(DiscoveryCall call);
 
         /** A list was rejected: the call is to be closed once its unread input has been read. */
-        void refused(DiscoveryCall call);
+        void listRejected(DiscoveryCall call);
 
         /**
          * Part of a list that may be newer than the current one has arrived without its end ({@code present}), or no
          * such part is left.
          */
-        void unfinished(boolean begins);
+        void partialListChanged(boolean present);
 
         /** The connection has closed. */
-        void ended(DiscoveryCall call, String cause);
+        void connectionClosed(DiscoveryCall call, String cause);
 
         /** Something happened to the call that is worth a log line. */
-        void noted(String line);
+        void logEvent(String line);
 
         /** The call starts, or has finished, processing input. */
-        void reading(boolean begins);
+        void readingChanged(boolean starts);
     }
 
     private final int number;
     private final Owner owner;
     private final boolean watching;
-    private final ListIntake intake;
-    private final JsonLines lines = new JsonLines();
+    private final HostListIntake intake;
+    private final JsonLines scanner = new JsonLines();
     private ChannelHandlerContext context;
-    private ByteBuf text;
-    private int looked;  // bytes of the buffer that the scanner has seen
-    private int lineBegin;  // offset within the current value
-    private int entryBegin;  // offset within the current value: end of the last entry examined
-    private final ArrayDeque<Integer> entryEnds = new ArrayDeque<>();  // offsets of entries not examined yet
-    private Standing standing = Standing.CURRENT;
-    private long covered = Long.MIN_VALUE;  // latest version received on another call; this call repeats all up to it
-    private long told = Long.MIN_VALUE;  // version of the last list received on this call
-    private String cause = "the connection ended";
-    private long upSince;
-    private long listBegan;  // when the first bytes of the incomplete list arrived; 0 if there is none
-    private boolean newsBegan;  // the incomplete list may be newer than the current one
-    private int lists;  // including empty ones
-
-    DiscoveryCall(int number, Owner owner, boolean watching, ListIntake intake) {
+    private ByteBuf buffer;
+    private int scannedBytes;  // bytes of the buffer that the scanner has seen
+    private int lineStart;  // offset within the current value
+    private int entryStart;  // offset within the current value: end of the last entry examined
+    private final ArrayDeque<Integer> pendingEntryEnds = new ArrayDeque<>();  // offsets of entries not examined yet
+    private State state = State.ACTIVE;
+    private long coveredVersion = Long.MIN_VALUE;  // this call repeats what another one has delivered up to it
+    private long lastVersion = Long.MIN_VALUE;  // version of the last list received on this call
+    private String closeReason = "the connection ended";
+    private long connectedAtNanos;
+    private long incompleteSinceNanos;  // when the first bytes of the incomplete list arrived; 0 if there is none
+    private boolean partialListPresent;  // the incomplete list may be newer than the current one
+    private int linesReceived;  // including empty ones
+
+    DiscoveryCall(int number, Owner owner, boolean watching, HostListIntake intake) {
         this.number = number;
         this.owner = owner;
         this.watching = watching;
@@ -101,35 +101,36 @@
      * The call has been replaced or cancelled: input that has already arrived on it still counts as delivered, nothing
      * after that.
      */
-    void end(String why) {
-        endFor(why);
-        if (standing == Standing.CURRENT) {
-            standing = Standing.ENDING;
+    void markClosing(String reason) {
+        setCloseReason(reason);
+        if (state == State.ACTIVE) {
+            state = State.CLOSING;
         }
     }
 
     /** Sets the reason for closing that is logged, unless a list was rejected before. */
-    void endFor(String why) {
-        cause = standing == Standing.REFUSED ? cause : why;
+    void setCloseReason(String reason) {
+        closeReason = state == State.REJECTED ? closeReason : reason;
     }
 
     /** Another call has delivered all up to the current version. */
-    void cover() {
-        covered = intake.version();
+    void markCovered() {
+        coveredVersion = intake.currentVersion();
     }
 
     /** Whether a line has been received, possibly an empty one. */
-    boolean hasTold() {
-        return lists > 0;
+    boolean hasReceivedLine() {
+        return linesReceived > 0;
     }
 
     /** Whether part of a list that may be newer than the current one has arrived without its end. */
-    boolean isUnfinished() {
-        return newsBegan;
+    boolean hasPartialList() {
+        return partialListPresent;
     }
 
-    private boolean mayBeNews() {
-        return PartOfList.mayBeNews(bytes(0, Math.min(text.readableBytes(), PartOfList.HEAD_MOST)), intake.version());
+    private boolean mayBeNewerList() {
+        return PartialHostList.mayBeNewer(copyBytes(0, Math.min(buffer.readableBytes(),
+                PartialHostList.MAX_HEAD_BYTES)), intake.currentVersion());
     }
 
     io.netty.channel.Channel channel() {
@@ -137,178 +138,187 @@
     }
 
     /** Says what was missing when the call timed out after so many microseconds. */
-    String lacks(long micros) {
-        return "expected a line within " + micros / 1_000 + " ms, found " + (text.isReadable() ? text.readableBytes() + " bytes of one" : "none");
+    String describeTimeout(long micros) {
+        return "expected a line within " + micros / 1_000 + " ms, found "
+                + (buffer.isReadable() ? buffer.readableBytes() + " bytes of one" : "none");
     }
 
     @Override
-    public void handlerAdded(ChannelHandlerContext added) {
-        context = added;
-        text = added.alloc().heapBuffer();
+    public void handlerAdded(ChannelHandlerContext channelContext) {
+        context = channelContext;
+        buffer = channelContext.alloc().heapBuffer();
     }
 
     @Override
-    public void channelActive(ChannelHandlerContext given) {
-        upSince = System.nanoTime();
-        note((watching ? "watch" : "fetch") + " from " + intake.askFrom() + " connected");
-        given.fireChannelActive();
+    public void channelActive(ChannelHandlerContext channelContext) {
+        connectedAtNanos = System.nanoTime();
+        logEvent((watching ? "watch" : "fetch") + " from " + intake.watchFromVersion() + " connected");
+        channelContext.fireChannelActive();
     }
 
     @Override
-    public void handlerRemoved(ChannelHandlerContext removed) {
-        text.release();
+    public void handlerRemoved(ChannelHandlerContext channelContext) {
+        buffer.release();
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext given, HttpObject part) throws IOException {
-        if (part.decoderResult().isFailure() || standing == Standing.CURRENT && !owner.counts(this)) {
-            given.close();
-        } else if (part instanceof HttpResponse response && response.status().code() != 200) {
-            cause = "status " + response.status().code() + " after " + (System.nanoTime() - upSince) / 1_000_000 + " ms";
-            given.close();
-        } else if (part instanceof HttpResponse) {
-            owner.begun(this);
-        } else if (part instanceof HttpContent content) {
-            text.discardReadBytes().writeBytes(content.content());
-            owner.reading(true);
+    protected void channelRead0(ChannelHandlerContext channelContext, HttpObject message) throws IOException {
+        if (message.decoderResult().isFailure() || state == State.ACTIVE && !owner.isOpen(this)) {
+            channelContext.close();
+        } else if (message instanceof HttpResponse response && response.status().code() != 200) {
+            closeReason = "status " + response.status().code() + " after "
+                    + (System.nanoTime() - connectedAtNanos) / 1_000_000 + " ms";
+            channelContext.close();
+        } else if (message instanceof HttpResponse) {
+            owner.responseStarted(this);
+        } else if (message instanceof HttpContent content) {
+            buffer.discardReadBytes().writeBytes(content.content());
+            owner.readingChanged(true);
             try {
-                read(part instanceof LastHttpContent);
-                heedDrains();
-                noteUnfinished();
+                readResponse(message instanceof LastHttpContent);
+                applyPartialWithdrawals();
+                trackIncompleteList();
             } finally {
-                owner.reading(false);
+                owner.readingChanged(false);
             }
         }
     }
 
-    private void note(String what) {
-        owner.noted("call " + number + " to discovery: " + what);
+    private void logEvent(String event) {
+        owner.logEvent("call " + number + " to discovery: " + event);
     }
 
     private static long millisSince(long nanos) {
         return (System.nanoTime() - nanos) / 1_000_000;
     }
 
-    /** Logs once that a list is incomplete, and how long it took once it is complete. */
-    private void noteUnfinished() {
-        boolean unfinished = text.isReadable();
-        boolean news = unfinished && mayBeNews();
-        if (news != newsBegan) {
-            newsBegan = news;
-            owner.unfinished(news);
+    /**
+     * Tells the owner when part of a list that may be newer arrives or is no longer there. Logs once that a list is
+     * incomplete, and how long it took once it is complete.
+     */
+    private void trackIncompleteList() {
+        boolean incomplete = buffer.isReadable();
+        boolean mayBeNew = incomplete && mayBeNewerList();
+        if (mayBeNew != partialListPresent) {
+            partialListPresent = mayBeNew;
+            owner.partialListChanged(mayBeNew);
         }
-        if (unfinished && listBegan == 0) {
-            listBegan = System.nanoTime();
-            note("incomplete list received, " + text.readableBytes() + " bytes so far");
-        } else if (!unfinished && listBegan != 0) {
-            note("the incomplete list was completed after " + millisSince(listBegan) + " ms");
-            listBegan = 0;
+        if (incomplete && incompleteSinceNanos == 0) {
+            incompleteSinceNanos = System.nanoTime();
+            logEvent("incomplete list received, " + buffer.readableBytes() + " bytes so far");
+        } else if (!incomplete && incompleteSinceNanos != 0) {
+            logEvent("the incomplete list was completed after " + millisSince(incompleteSinceNanos) + " ms");
+            incompleteSinceNanos = 0;
         }
     }
 
-    private void read(boolean whole) {
+    private void readResponse(boolean complete) {
         if (watching) {
             readValues();
-        } else if (whole) {
-            take(text.readableBytes());
-            if (standing == Standing.CURRENT) {
-                owner.answered(this);
+        } else if (complete) {
+            readValue(buffer.readableBytes());
+            if (state == State.ACTIVE) {
+                owner.responseCompleted(this);
             }
         }
-        if (text.readableBytes() > LINE_MOST) {
-            cause = "expected a line of " + LINE_MOST + " bytes at most, found no end";
+        if (buffer.readableBytes() > MAX_LINE_BYTES) {
+            closeReason = "expected a line of " + MAX_LINE_BYTES + " bytes at most, found no end";
             context.close();
-        } else if (whole) {
+        } else if (complete) {
             context.close();
         }
     }
 
     private void readValues() {
-        while (looked < text.readableBytes()) {
-            switch (lines.next(text.getByte(text.readerIndex() + looked++))) {
-                case VALUE -> valueEnds();
-                case OBJECT_LINE -> objectLineEnds();
-                case ENTRY -> entryEnds.add(looked);
+        while (scannedBytes < buffer.readableBytes()) {
+            switch (scanner.next(buffer.getByte(buffer.readerIndex() + scannedBytes++))) {
+                case VALUE -> endValue();
+                case OBJECT_LINE -> endObjectLine();
+                case ENTRY -> pendingEntryEnds.add(scannedBytes);
                 default -> {
-                    if (text.getByte(text.readerIndex() + looked - 1) == '\n') {
-                        lineBegin = looked;
+                    if (buffer.getByte(buffer.readerIndex() + scannedBytes - 1) == '\n') {
+                        lineStart = scannedBytes;
                     }
                 }
             }
         }
     }
 
-    private void valueEnds() {
-        int length = looked;
-        entryEnds.clear();
-        entryBegin = 0;
-        looked = 0;
-        lineBegin = 0;
-        take(length);
-        if (standing == Standing.CURRENT) {
-            owner.lineCame(this);
+    private void endValue() {
+        int length = scannedBytes;
+        pendingEntryEnds.clear();
+        entryStart = 0;
+        scannedBytes = 0;
+        lineStart = 0;
+        readValue(length);
+        if (state == State.ACTIVE) {
+            owner.lineReceived(this);
         }
     }
 
     /** The line is either an entry of an indented list, or a list that follows a truncated one. */
-    private void objectLineEnds() {
-        byte[] line = ByteBufUtil.getBytes(text, text.readerIndex() + lineBegin, looked - lineBegin);
-        if (new String(line, StandardCharsets.ISO_8859_1).contains(new String(LIST_KEY, StandardCharsets.US_ASCII))) {
-            refuse("expected the rest of a list, found another list after " + lineBegin + " bytes");
-            heedDrains();
-            text.skipBytes(lineBegin);
-            looked -= lineBegin;
-            lines.restart();
-            valueEnds();
+    private void endObjectLine() {
+        byte[] line = ByteBufUtil.getBytes(buffer, buffer.readerIndex() + lineStart, scannedBytes - lineStart);
+        if (new String(line, StandardCharsets.ISO_8859_1).contains(new String(TARGETS_KEY,
+                StandardCharsets.US_ASCII))) {
+            reject("expected the rest of a list, found another list after " + lineStart + " bytes");
+            applyPartialWithdrawals();
+            buffer.skipBytes(lineStart);
+            scannedBytes -= lineStart;
+            scanner.reset();
+            endValue();
         }
-        lineBegin = looked;
+        lineStart = scannedBytes;
     }
 
     /**
      * Applies drains and removals of a list that is incomplete and may stay so: they are certain as soon as their entry
      * has arrived.
      */
-    private void heedDrains() {
-        Long version = entryEnds.isEmpty() ? null : PartOfList.version(bytes(0, Math.min(text.readableBytes(), PartOfList.HEAD_MOST)));
-        for (Integer end = entryEnds.poll(); end != null; end = entryEnds.poll()) {
-            Member leaving = version == null || version < intake.version() ? null : PartOfList.leaving(bytes(entryBegin, end));
-            entryBegin = end;
+    private void applyPartialWithdrawals() {
+        Long version = pendingEntryEnds.isEmpty() ? null : PartialHostList.parseVersion(copyBytes(0,
+                Math.min(buffer.readableBytes(), PartialHostList.MAX_HEAD_BYTES)));
+        for (Integer entryEnd = pendingEntryEnds.poll(); entryEnd != null; entryEnd = pendingEntryEnds.poll()) {
+            Member leaving = version == null || version < intake.currentVersion() ? null
+                    : PartialHostList.parseLeavingEntry(copyBytes(entryStart, entryEnd));
+            entryStart = entryEnd;
             if (leaving != null) {
-                intake.withdraw(new HostList.Reading(new HostList(version, false, List.of(leaving)), null, List.of(leaving), null));
+                intake.withdraw(new HostList.ParseResult(new HostList(version, false, List.of(leaving)), null,
+                        List.of(leaving), null));
             }
         }
     }
 
-    private byte[] bytes(int from, int until) {
-        return ByteBufUtil.getBytes(text, text.readerIndex() + from, until - from);
+    private byte[] copyBytes(int from, int until) {
+        return ByteBufUtil.getBytes(buffer, buffer.readerIndex() + from, until - from);
     }
 
-    private void take(int length) {
-        ByteBuf slice = text.readSlice(length);
+    private void readValue(int length) {
+        ByteBuf slice = buffer.readSlice(length);
         // the line feed may end a truncated value and is not part of it
         if (length > 0 && slice.getByte(length - 1) == '\n') {
             slice.writerIndex(length - 1);
         }
         byte[] value = ByteBufUtil.getBytes(slice);
-        lists++;
+        linesReceived++;
         if (new String(value, StandardCharsets.UTF_8).isBlank()) {
             return;
         }
         try {
-            HostList.Reading reading = ListIntake.read(value);
-            note("received version " + reading.list().rev());
-            if (standing == Standing.REFUSED) {
-                intake.withdraw(reading);
-            } else if (!repeats(reading.list().rev())) {
-                String fault = intake.take(reading);
+            HostList.ParseResult parsed = HostListIntake.parse(value);
+            logEvent("received version " + parsed.list().version());
+            if (state == State.REJECTED) {
+                intake.withdraw(parsed);
+            } else if (!isRepeated(parsed.list().version())) {
+                String fault = intake.apply(parsed);
                 if (fault != null) {
-                    refuse(fault);
+                    reject(fault);
                 }
             }
         } catch (JsonProcessingException | IllegalArgumentException | ArithmeticException e) {
-            refuse(e.getMessage().lines().findFirst().orElse(""));
+            reject(e.getMessage().lines().findFirst().orElse(""));
         } catch (IOException e) {
-            refuse(e.toString());
+            reject(e.toString());
         }
     }
 
@@ -316,34 +326,37 @@
      * Whether another call has delivered this version already. A registry that was rolled back sends a version below
      * the last one of this call, which is no repetition.
      */
-    private boolean repeats(long version) {
-        boolean rises = version >= told;
-        told = version;
-        return standing == Standing.ENDING ? version < intake.version() : rises && version < covered;
+    private boolean isRepeated(long version) {
+        boolean notOlder = version >= lastVersion;
+        lastVersion = version;
+        return state == State.CLOSING ? version < intake.currentVersion() : notOlder && version < coveredVersion;
     }
 
-    private void refuse(String fault) {
-        if (standing == Standing.REFUSED) {
+    private void reject(String fault) {
+        if (state == State.REJECTED) {
             return;
         }
-        boolean counted = standing == Standing.CURRENT;
-        standing = Standing.REFUSED;
-        cause = "invalid response: " + fault;
-        if (counted) {
-            owner.refused(this);
+        boolean wasActive = state == State.ACTIVE;
+        state = State.REJECTED;
+        closeReason = "invalid response: " + fault;
+        if (wasActive) {
+            owner.listRejected(this);
         }
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext given) {
-        note("closed " + millisSince(upSince) + " ms after connecting, " + lists + " lines received, " + cause
-                + (text.isReadable() ? "; " + text.readableBytes() + " bytes of an incomplete list, the first received " + millisSince(listBegan) + " ms ago" : ""));
-        owner.ended(this, cause);
+    public void channelInactive(ChannelHandlerContext channelContext) {
+        logEvent("closed " + millisSince(connectedAtNanos) + " ms after connecting, " + linesReceived
+                + " lines received, " + closeReason
+                + (buffer.isReadable() ? "; " + buffer.readableBytes()
+                        + " bytes of an incomplete list, the first received " + millisSince(incompleteSinceNanos)
+                        + " ms ago" : ""));
+        owner.connectionClosed(this, closeReason);
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext given, Throwable fault) {
-        cause = fault.toString();
-        given.close();
+    public void exceptionCaught(ChannelHandlerContext channelContext, Throwable fault) {
+        closeReason = fault.toString();
+        channelContext.close();
     }
 }
--- /dev/null
+++ b/src/main/java/mastdrift/net/DiscoveryCallScheduler.java
@@ -0,0 +1,273 @@
+package mastdrift.net;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.LongUnaryOperator;
+
+/**
+ * Decides when discovery is called and when a call times out. It is told of events with their times and performs no I/O
+ * itself.
+ * <p>A change has to be received within 6 s after discovery has it and can be reached, however earlier calls have
+ * ended. A single call can't guarantee that: one that hangs looks like one that waits for its turn at the registry, and
+ * closing it early would lose its place. So a call that sends nothing is hedged: another one is started beside it, and
+ * the first to send a line closes the others. The hedge delay is longer than calls wait at a registry that is
+ * overloaded and refuses some, so hedging does not add to the overload. After a failure the listener asks again by a
+ * back-off of its own; the scheduler starts a call without it once a longer wait would leave that call no time to wait
+ * for its turn.
+ * <p>Times are in microseconds of one monotonic clock. Not thread-safe.
+ * @param <C> a call
+ */
+final class DiscoveryCallScheduler<C> {
+
+    /** Calls to a busy registry wait some seconds for their turn. */
+    static final long RESPONSE_TIMEOUT_MICROS = 3_500_000;
+    /**
+     * An agent on the gateway's own machine has no queue: it answers at once, or is silent while it receives nothing
+     * itself.
+     */
+    static final long AGENT_RESPONSE_TIMEOUT_MICROS = 1_000_000;
+    /** An open watch sends at least an empty line every 2 s (PROTOCOL, Discovery). */
+    static final long WATCH_IDLE_TIMEOUT_MICROS = 2_500_000;
+    private static final long CONNECT_TIMEOUT_MICROS = 2_000_000;
+    /**
+     * After a change of address, changes have to be received from the new one within 4 s: for that long calls are
+     * repeated quickly, and a failure is attributed to the move and not reported.
+     */
+    static final long MOVE_PERIOD_MICROS = 4_000_000;
+    private static final long MOVE_RESPONSE_HEDGE_DELAY_MICROS = 1_500_000;
+    private static final long MOVE_CONNECT_TIMEOUT_MICROS = 500_000;
+    private static final long MOVE_RETRY_DELAY_MICROS = 150_000;
+    /** A connection that is not up by then may never be; another attempt costs discovery nothing. */
+    static final long CONNECT_HEDGE_DELAY_MICROS = 500_000;
+    /**
+     * A call that has sent nothing by then may never do so. Together with {@link #RESPONSE_TIMEOUT_MICROS} this is less
+     * than 6 s.
+     */
+    static final long RESPONSE_HEDGE_DELAY_MICROS = 2_250_000;
+    /**
+     * Longest time from a failure to the next call; like the hedge delay, it leaves a call time for its response within
+     * 6 s.
+     */
+    static final long MAX_RETRY_DELAY_MICROS = 2_250_000;
+    /**
+     * Delays are spread over this range below the maximum, so that gateways whose calls fail together do not call again
+     * together.
+     */
+    private static final long RETRY_DELAY_SPREAD_MICROS = 500_000;
+    /** At the same time, for one watch or fetch. */
+    static final int MAX_OPEN_CALLS = 3;
+    private static final long NEVER = Long.MAX_VALUE;
+
+    /** A call that is open, and its times. */
+    private static final class OpenCall<C> {
+        private final C call;
+        private long deadline;  // until connected, or until the next line
+        private long timeout;
+        private long hedgeAt = NEVER;
+        private boolean connected;
+
+        OpenCall(C call) {
+            this.call = call;
+        }
+
+        void startTimeout(long now, long duration) {
+            timeout = duration;
+            deadline = now + duration;
+        }
+    }
+
+    private final long responseTimeout;
+    private final boolean longLived;
+    private final LongUnaryOperator random;
+    private final List<OpenCall<C>> openCalls = new ArrayList<>();
+    private boolean active;
+    private long nextCallAt = NEVER;  // when no call is open
+    private long movedAt;
+    private boolean hasMoved;
+    private boolean awaitingRequest;  // a failure was reported, and the listener has not asked again since
+    private boolean calledSinceFailure;  // a call was started after that failure; asking again needs no further one
+
+    /**
+     * Calls wait for a response for {@code responseTimeout} at most; {@code longLived} if the request stays active
+     * until {@link #cancel}, as a watch does. {@code random} returns a number from 0 up to but not including its
+     * argument.
+     */
+    DiscoveryCallScheduler(long responseTimeout, boolean longLived, LongUnaryOperator random) {
+        this.responseTimeout = responseTimeout;
+        this.longLived = longLived;
+        this.random = random;
+    }
+
+    /**
+     * Activates the request. If a call is open, or one was started since the last failure was reported, no further call
+     * is started for it.
+     */
+    void request(long now) {
+        active = true;
+        if (!(awaitingRequest && calledSinceFailure) && openCalls.isEmpty()) {
+            nextCallAt = now;
+        }
+        awaitingRequest = false;
+        calledSinceFailure = false;
+    }
+
+    /** Cancels the request; returns the open calls, which the caller has to close. */
+    List<C> cancel() {
+        active = false;
+        awaitingRequest = false;
+        calledSinceFailure = false;
+        return removeOpenCalls();
+    }
+
+    /** The address of discovery has changed; returns the open calls, which the caller has to close. */
+    List<C> addressChanged(long now) {
+        hasMoved = true;
+        movedAt = now;
+        List<C> closed = removeOpenCalls();
+        nextCallAt = active ? now : NEVER;
+        return closed;
+    }
+
+    private List<C> removeOpenCalls() {
+        List<C> closed = openCalls();
+        openCalls.clear();
+        nextCallAt = NEVER;
+        return closed;
+    }
+
+    private boolean isMoving(long now) {
+        return hasMoved && now - movedAt < MOVE_PERIOD_MICROS;
+    }
+
+    /** Whether a call is to be started now. */
+    boolean shouldStartCall(long now) {
+        return active && now >= nextCallTime();
+    }
+
+    private long nextCallTime() {
+        return openCalls.isEmpty() ? nextCallAt : openCalls.size() < MAX_OPEN_CALLS ? newestCall().hedgeAt : NEVER;
+    }
+
+    private OpenCall<C> newestCall() {
+        return openCalls.get(openCalls.size() - 1);
+    }
+
+    /** A call has been started. */
+    void callStarted(long now, C call) {
+        calledSinceFailure = awaitingRequest;
+        nextCallAt = NEVER;
+        OpenCall<C> openCall = new OpenCall<>(call);
+        openCall.startTimeout(now, isMoving(now) ? MOVE_CONNECT_TIMEOUT_MICROS : CONNECT_TIMEOUT_MICROS);
+        openCall.hedgeAt = now + CONNECT_HEDGE_DELAY_MICROS;
+        openCalls.add(openCall);
+    }
+
+    /** The open calls, oldest first. */
+    List<C> openCalls() {
+        return openCalls.stream().map(openCall -> openCall.call).toList();
+    }
+
+    /** Whether a call is open; events of other calls are ignored. */
+    boolean isOpen(C call) {
+        return find(call) != null;
+    }
+
+    private OpenCall<C> find(C call) {
+        for (OpenCall<C> openCall : openCalls) {
+            if (openCall.call.equals(call)) {
+                return openCall;
+            }
+        }
+        return null;
+    }
+
+    /** The call is connected: returns the calls that are not, which the caller has to close. */
+    List<C> connected(long now, C call) {
+        OpenCall<C> openCall = find(call);
+        if (openCall == null || openCall.connected) {
+            return List.of();
+        }
+        openCall.connected = true;
+        openCall.startTimeout(now, responseTimeout);
+        openCall.hedgeAt = now + (isMoving(now) ? MOVE_RESPONSE_HEDGE_DELAY_MICROS : RESPONSE_HEDGE_DELAY_MICROS);
+        List<C> others = openCalls.stream().filter(other -> !other.connected).map(other -> other.call).toList();
+        openCalls.removeIf(other -> !other.connected);
+        return others;
+    }
+
+    /** The call has received a line, possibly an empty one: returns all other calls, which the caller has to close. */
+    List<C> lineReceived(long now, C call) {
+        OpenCall<C> openCall = find(call);
+        if (openCall == null) {
+            return List.of();
+        }
+        List<C> others = openCalls.stream().filter(other -> other != openCall).map(other -> other.call).toList();
+        openCalls.removeIf(other -> other != openCall);
+        openCall.startTimeout(now, WATCH_IDLE_TIMEOUT_MICROS);
+        openCall.hedgeAt = NEVER;
+        awaitingRequest = false;
+        calledSinceFailure = false;
+        return others;
+    }
+
+    /**
+     * The call has received its complete response and the request is done: returns all other calls, which the caller
+     * has to close.
+     */
+    List<C> responseCompleted(C call) {
+        List<C> all = cancel();
+        return all.stream().filter(other -> !other.equals(call)).toList();
+    }
+
+    /**
+     * The call has failed. Returns whether to report that: the listener asks again after a back-off of its own, so a
+     * failure is not reported while one reported earlier has not been followed by that, nor during a move.
+     */
+    boolean callFailed(long now, C call) {
+        OpenCall<C> openCall = find(call);
+        if (openCall == null) {
+            return false;
+        }
+        boolean wasNewest = newestCall() == openCall;
+        boolean moving = isMoving(now);
+        openCalls.remove(openCall);
+        if (openCalls.isEmpty()) {
+            nextCallAt = now + (moving ? MOVE_RETRY_DELAY_MICROS
+                    : MAX_RETRY_DELAY_MICROS - random.applyAsLong(RETRY_DELAY_SPREAD_MICROS));
+        } else if (wasNewest && now < openCall.deadline) {
+            // A failure before the timeout, a refusal for example: the remaining call is not hedged again at once.
+            newestCall().hedgeAt = Math.max(newestCall().hedgeAt, now
+                    + (moving ? MOVE_RESPONSE_HEDGE_DELAY_MICROS : RESPONSE_HEDGE_DELAY_MICROS));
+        }
+        if (moving) {
+            return false;
+        }
+        if (!longLived) {
+            active = !openCalls.isEmpty();
+            return !active;
+        }
+        boolean reports = !awaitingRequest;
+        awaitingRequest = true;
+        calledSinceFailure = calledSinceFailure || !openCalls.isEmpty();
+        return reports;
+    }
+
+    /** The calls that have timed out; each is to be passed to {@link #callFailed} and closed. */
+    List<C> overdueCalls(long now) {
+        return openCalls.stream().filter(openCall -> now >= openCall.deadline).map(openCall -> openCall.call).toList();
+    }
+
+    /** The current timeout of an open call. */
+    long timeout(C call) {
+        return find(call).timeout;
+    }
+
+    /** The latest time at which the scheduler has to be asked again; {@code Long.MAX_VALUE} for never. */
+    long nextEventTime() {
+        long nextEvent = active ? nextCallTime() : NEVER;
+        for (OpenCall<C> openCall : openCalls) {
+            nextEvent = Math.min(nextEvent, openCall.deadline);
+        }
+        return nextEvent;
+    }
+}
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -47,7 +47,7 @@
 
             @Override
             public boolean listHolds() {
-                return discovery == null || discovery.listHolds();  // null while the known list is put in force
+                return discovery == null || discovery.isListValid();  // null while the known list is put in force
             }
         };
         Discovery.Listener listener = new Lists();
@@ -60,10 +60,10 @@
             listener = tallying.counted(listener);
         }
         pool = new Pool("hosts", ledger, module, config.settings(), hosts);
-        Discovery.Terms terms = new Discovery.Terms(!config.settings().registryOnRequest(), config.settings().rules().mustAskIn(), ledger::unseen);
+        Discovery.RegistryOptions terms = new Discovery.RegistryOptions(!config.settings().registryOnRequest(), config.settings().rules().mustAskIn(), ledger::unseen);
         discovery = new Discovery(loop, config.discovery(), terms, config.known(), listener);
-        ledger.notifications(discovery::look);
-        pool.start(source, config.known().rev(), config.known().entries());
+        ledger.notifications(discovery::readUnreadInput);
+        pool.start(source, config.known().version(), config.known().entries());
         log("settings: lists are " + (config.settings().registryOnRequest() ? "asked for" : "pushed") + ", " + config.settings().rules());
         logList(config.known());
         if (!config.settings().registryOnRequest()) {
@@ -97,7 +97,7 @@
     /** Discovery is to be asked at another address. */
     void discoverAt(InetSocketAddress at) {
         log("discovery at " + NetUtil.toSocketAddressString(at));
-        discovery.move(at);
+        discovery.moveTo(at);
     }
 
     @Override
@@ -109,33 +109,33 @@
     private final class Lists implements Discovery.Listener {
 
         @Override
-        public void listed(HostList list) {
+        public void listAccepted(HostList list) {
             logList(list);
-            pool.learn(list.all() ? ListForm.FULL : ListForm.DELTA, list.rev(), list.entries());
+            pool.learn(list.full() ? ListForm.FULL : ListForm.DELTA, list.version(), list.entries());
             told.complete(null);
         }
 
         @Override
-        public boolean withdrawn(Discovery.Withdrawal withdrawal) {
-            int hosts = pool.withdraw(withdrawal.version(), withdrawal.named(), withdrawal.leaving());
+        public boolean hostsWithdrawn(Discovery.Withdrawal withdrawal) {
+            int hosts = pool.withdraw(withdrawal.version(), withdrawal.namedUids(), withdrawal.leaving());
             log("of a list that is not in force, " + hosts + " hosts are drained or removed");
             return hosts > 0;
         }
 
         @Override
-        public void noted(String line) {
+        public void logEvent(String line) {
             log(line);
         }
 
         @Override
-        public void failed(String cause) {
+        public void callFailed(String cause) {
             log("discovery failed: " + cause);
             pool.unheard();
         }
     }
 
     private void logList(HostList list) {
-        log("list " + list.rev() + ": " + list.entries().size() + (list.all() ? " hosts" : " changes"));
+        log("list " + list.version() + ": " + list.entries().size() + (list.full() ? " hosts" : " changes"));
     }
 
     void log(String line) {
--- a/src/main/java/mastdrift/net/HostList.java
+++ b/src/main/java/mastdrift/net/HostList.java
@@ -15,7 +15,7 @@
  * @param full whether the entries are all hosts of the list or only those that changed
  * @param entries the entries
  */
-public record HostList(long rev, boolean all, List<Member> entries) {
+public record HostList(long version, boolean full, List<Member> entries) {
 
     /**
      * A list as far as it could be parsed.
@@ -25,96 +25,99 @@
      * be parsed otherwise
      * @param fault what was expected where, and what was found; null if the list is well-formed
      */
-    record Reading(HostList list, Set<String> named, List<Member> leaving, String fault) { }
+    record ParseResult(HostList list, Set<String> namedUids, List<Member> leaving, String fault) { }
 
     /** Throws IllegalArgumentException for anything but a well-formed list. */
     public static HostList parse(Object json) {
-        Reading reading = read(json);
-        if (reading.fault != null) {
-            throw new IllegalArgumentException(reading.fault);
+        ParseResult result = parseLeniently(json);
+        if (result.fault != null) {
+            throw new IllegalArgumentException(result.fault);
         }
-        return reading.list;
+        return result.list;
     }
 
     /** Parses as much as possible; throws IllegalArgumentException for input that is no list at all. */
-    static Reading read(Object json) {
+    static ParseResult parseLeniently(Object json) {
         if (!(json instanceof Map<?, ?> root && root.get("targets") instanceof List<?> targets
-                && root.get("rev") instanceof Number rev && root.get("all") instanceof Boolean all)) {
+                && root.get("rev") instanceof Number version && root.get("all") instanceof Boolean full)) {
             throw new IllegalArgumentException("expected a list with rev, all and targets, found "
                     + (json instanceof Map<?, ?> other ? "one with " + other.keySet() : "none"));
         }
         List<Member> entries = new ArrayList<>();
         List<Member> leaving = new ArrayList<>();
-        Set<String> named = new HashSet<>();
+        Set<String> namedUids = new HashSet<>();
         String fault = null;
         for (int i = 0; i < targets.size(); i++) {
             Map<?, ?> target = targets.get(i) instanceof Map<?, ?> object ? object : Map.of();
             try {
-                Member entry = entry(target);
+                Member entry = parseEntry(target);
                 entries.add(entry);
                 if (entry.host().health() != Health.UP) {
                     leaving.add(entry);
                 }
             } catch (IllegalArgumentException | ArithmeticException e) {
-                fault = fault == null ? "list " + rev + ", targets[" + i + "]: " + e.getMessage() : fault;
-                leaves(target, leaving);
+                fault = fault == null ? "list " + version + ", targets[" + i + "]: " + e.getMessage() : fault;
+                addIfLeaving(target, leaving);
             }
-            named = name(target, named);
+            namedUids = addUid(target, namedUids);
         }
-        return new Reading(new HostList(rev.longValue(), all, entries), named, leaving, fault);
+        return new ParseResult(new HostList(version.longValue(), full, entries), namedUids, leaving, fault);
     }
 
-    private static Set<String> name(Map<?, ?> target, Set<String> named) {
-        if (named == null || !(target.get("uid") instanceof String uid) || uid.isEmpty()) {
+    private static Set<String> addUid(Map<?, ?> target, Set<String> namedUids) {
+        if (namedUids == null || !(target.get("uid") instanceof String uid) || uid.isEmpty()) {
             return null;
         }
-        named.add(uid);
-        return named;
+        namedUids.add(uid);
+        return namedUids;
     }
 
     /**
      * Adds a host whose entry could not be parsed if it is certain that it is draining or removed: uid and state are
      * readable.
      */
-    private static void leaves(Map<?, ?> target, List<Member> leaving) {
-        boolean drains = "terminating".equals(target.get("state"));
-        if ((drains || "terminated".equals(target.get("state"))) && target.get("uid") instanceof String uid && !uid.isEmpty()) {
-            leaving.add(new Member(new Host(uid, "", 0, "", 1, drains ? Health.LEAVING : Health.GONE, Long.MAX_VALUE), null));
+    private static void addIfLeaving(Map<?, ?> target, List<Member> leaving) {
+        boolean draining = "terminating".equals(target.get("state"));
+        if ((draining || "terminated".equals(target.get("state"))) && target.get("uid") instanceof String uid
+                && !uid.isEmpty()) {
+            leaving.add(new Member(new Host(uid, "", 0, "", 1, draining ? Health.LEAVING : Health.GONE, Long.MAX_VALUE),
+                    null));
         }
     }
 
     /** Parses one entry; null unless it certainly reports a host as draining or removed. */
-    static Member leaving(Map<?, ?> target) {
+    static Member parseIfLeaving(Map<?, ?> target) {
         List<Member> leaving = new ArrayList<>();
         try {
-            Member entry = entry(target);
+            Member entry = parseEntry(target);
             return entry.host().health() == Health.UP ? null : entry;
         } catch (IllegalArgumentException | ArithmeticException e) {
-            leaves(target, leaving);
+            addIfLeaving(target, leaving);
             return leaving.isEmpty() ? null : leaving.get(0);
         }
     }
 
-    private static Member entry(Map<?, ?> target) {
+    private static Member parseEntry(Map<?, ?> target) {
         String uid = Config.text(target, "uid");
         String state = Config.text(target, "state");
         Health health = switch (state) {
             case "in_service" -> Health.UP;
             case "terminating" -> Health.LEAVING;
             case "terminated" -> Health.GONE;
-            default -> throw new IllegalArgumentException("expected in_service, terminating or terminated of " + uid + ", found \"" + state + "\"");
+            default -> throw new IllegalArgumentException("expected in_service, terminating or terminated of " + uid
+                    + ", found \"" + state + "\"");
         };
         if (uid.isEmpty()) {
             throw new IllegalArgumentException("expected a uid, found none");
         }
         // Start times are reported in Unix time, with which the gateway's clock was initialized: see Clock.
-        long born = Math.multiplyExact(number(target, "boot_ms", 0).longValue(), 1000L);
-        return new Member(new Host(uid, Config.text(target, "az"), number(target, "pod_group", 0).intValue(),
-                Config.text(target, "model"), number(target, "capacity_hint", 1).doubleValue(), health, born),
+        long born = Math.multiplyExact(numberOr(target, "boot_ms", 0).longValue(), 1000L);
+        return new Member(new Host(uid, Config.text(target, "az"), numberOr(target, "pod_group", 0).intValue(),
+                Config.text(target, "model"), numberOr(target, "capacity_hint", 1).doubleValue(), health, born),
                 Config.address(Config.text(target, "endpoint")));
     }
 
-    private static Number number(Map<?, ?> target, String name, int otherwise) {
-        return target.get(name) instanceof Number given ? given : otherwise;
+    private static Number numberOr(Map<?, ?> target, String name, int defaultValue) {
+        return target.get(name) instanceof Number given ? given : defaultValue;
     }
 }
--- a/src/main/java/mastdrift/net/JsonLines.java
+++ b/src/main/java/mastdrift/net/JsonLines.java
@@ -10,8 +10,8 @@
 final class JsonLines {
 
     /** What a byte completes. */
-    enum End {
-        NOTHING,
+    enum Boundary {
+        NONE,
         /** A value, an empty line, or input that is neither. */
         VALUE,
         /** An object nested two levels deep in a value that is not complete: an entry of a list. */
@@ -23,63 +23,63 @@
         OBJECT_LINE
     }
 
-    private static final int ENTRIES = 2;  // a list is an object with an array of entries
+    private static final int ENTRY_DEPTH = 2;  // a list is an object with an array of entries
 
     private int depth;
-    private int lineDepth;  // at the start of the line
-    private boolean opensObject;  // the first token of the line is an opening brace
-    private boolean quoted;
+    private int lineStartDepth;  // at the start of the line
+    private boolean lineOpensObject;  // the first token of the line is an opening brace
+    private boolean inString;
     private boolean escaped;
-    private boolean blank = true;  // the line has only white space so far
+    private boolean lineBlank = true;  // the line has only white space so far
 
     /** Processes the next byte. */
-    End next(byte next) {
-        if (next == '\n') {
-            return lineEnds();
+    Boundary next(byte nextByte) {
+        if (nextByte == '\n') {
+            return endLine();
         }
-        boolean space = next == ' ' || next == '\t' || next == '\r';
-        if (blank && !space) {
-            opensObject = next == '{' && !quoted;
+        boolean whiteSpace = nextByte == ' ' || nextByte == '\t' || nextByte == '\r';
+        if (lineBlank && !whiteSpace) {
+            lineOpensObject = nextByte == '{' && !inString;
         }
-        blank &= space;
+        lineBlank &= whiteSpace;
         if (escaped) {
             escaped = false;
-        } else if (next == '"') {
-            quoted = !quoted;
-        } else if (quoted) {
-            escaped = next == '\\';
-        } else if (next == '{' || next == '[') {
+        } else if (nextByte == '"') {
+            inString = !inString;
+        } else if (inString) {
+            escaped = nextByte == '\\';
+        } else if (nextByte == '{' || nextByte == '[') {
             depth++;
-        } else if (next == '}' || next == ']') {
+        } else if (nextByte == '}' || nextByte == ']') {
             depth--;
-            return depth == 0 ? valueEnds() : depth == ENTRIES && next == '}' ? End.ENTRY : End.NOTHING;
+            return depth == 0 ? endValue() : depth == ENTRY_DEPTH && nextByte == '}' ? Boundary.ENTRY : Boundary.NONE;
         }
-        return End.NOTHING;
+        return Boundary.NONE;
     }
 
-    private End valueEnds() {
-        lineDepth = 0;
-        opensObject = false;
-        return End.VALUE;
+    private Boundary endValue() {
+        lineStartDepth = 0;
+        lineOpensObject = false;
+        return Boundary.VALUE;
     }
 
-    private End lineEnds() {
-        boolean over = depth <= 0 || quoted || blank;
-        boolean objectLine = !over && opensObject && depth == lineDepth;
-        if (over) {
-            restart();
+    private Boundary endLine() {
+        boolean endsValue = depth <= 0 || inString || lineBlank;
+        boolean objectLine = !endsValue && lineOpensObject && depth == lineStartDepth;
+        if (endsValue) {
+            reset();
         }
-        blank = true;
-        lineDepth = depth;
-        return over ? End.VALUE : objectLine ? End.OBJECT_LINE : End.NOTHING;
+        lineBlank = true;
+        lineStartDepth = depth;
+        return endsValue ? Boundary.VALUE : objectLine ? Boundary.OBJECT_LINE : Boundary.NONE;
     }
 
     /** Discards an incomplete value: the next byte starts a new one. */
-    void restart() {
+    void reset() {
         depth = 0;
-        lineDepth = 0;
-        quoted = false;
+        lineStartDepth = 0;
+        inString = false;
         escaped = false;
-        blank = true;
+        lineBlank = true;
     }
 }
--- a/src/main/java/mastdrift/net/Tallying.java
+++ b/src/main/java/mastdrift/net/Tallying.java
@@ -87,29 +87,29 @@
     Discovery.Listener counted(Discovery.Listener then) {
         return new Discovery.Listener() {
             @Override
-            public void listed(HostList list) {
+            public void listAccepted(HostList list) {
                 second.add(Count.LISTS);
-                then.listed(list);
+                then.listAccepted(list);
             }
 
             @Override
-            public boolean withdrawn(Discovery.Withdrawal withdrawal) {
-                return then.withdrawn(withdrawal);
+            public boolean hostsWithdrawn(Discovery.Withdrawal withdrawal) {
+                return then.hostsWithdrawn(withdrawal);
             }
 
             @Override
-            public void failed(String cause) {
+            public void callFailed(String cause) {
                 second.add(Count.CALLS_FAILED);
-                then.failed(cause);
+                then.callFailed(cause);
             }
 
             @Override
-            public void noted(String line) {
-                then.noted(line);
+            public void logEvent(String line) {
+                then.logEvent(line);
             }
 
             @Override
-            public void called() {
+            public void callStarted() {
                 second.add(Count.CALLS);
             }
         };
--- a/src/main/java/mastdrift/serve/Changes.java
+++ b/src/main/java/mastdrift/serve/Changes.java
@@ -8,8 +8,8 @@
 import java.util.TreeSet;
 import mastdrift.config.Configuration;
 import mastdrift.config.PoolSettings;
-import mastdrift.membership.Guards.Trip;
-import mastdrift.membership.Listed;
+import mastdrift.membership.ChangeGuards.Violation;
+import mastdrift.membership.ListedHost;
 import mastdrift.membership.Membership;
 import mastdrift.membership.Overrides;
 import mastdrift.membership.PoolList;
@@ -63,10 +63,10 @@
     }
 
     /** Why a guard refuses, and the lines that let the change through once. */
-    static String refusal(Trip trip, Map<String, String> versions) {
+    static String refusal(Violation trip, Map<String, String> versions) {
         String version = versions.getOrDefault(trip.pool(), "none");
-        return "pool " + trip.pool() + ": guard " + trip.guard().word() + ": " + trip.why()
-                + (versions.isEmpty() ? "" : "; if it is meant, add once: [[override]] guard = \"" + trip.guard().word()
+        return "pool " + trip.pool() + ": guard " + trip.guard().configName() + ": " + trip.reason()
+                + (versions.isEmpty() ? "" : "; if it is meant, add once: [[override]] guard = \"" + trip.guard().configName()
                         + "\", pool = \"" + trip.pool() + "\", version = \"" + version + "\"");
     }
 
@@ -77,7 +77,7 @@
     public static Plan plan(Configuration old, Configuration next) {
         List<String> lines = new ArrayList<>();
         Membership membership = new Membership();
-        Map<String, PoolList> before = new TreeMap<>(membership.files(0, old.filed()));
+        Map<String, PoolList> before = new TreeMap<>(membership.applyFiles(0, old.filed()));
         Map<String, PoolList> after = membership.preview(0, next.filed());
         TreeSet<String> pools = new TreeSet<>(before.keySet());
         pools.addAll(after.keySet());
@@ -94,8 +94,8 @@
             lines.add("routes: " + old.routes().size() + " before, " + next.routes().size() + " after, not the same");
         }
         List<String> refusals = new ArrayList<>(boundAtStart(old, next));
-        List<Trip> trips = Control.trips(old, next, before, after);
-        new Overrides().left(trips, next.overrides(), old.versions())
+        List<Violation> trips = Control.trips(old, next, before, after);
+        new Overrides().remainingViolations(trips, next.overrides(), old.versions())
                 .forEach(trip -> refusals.add(refusal(trip, old.versions())));
         return new Plan(lines, refusals);
     }
@@ -107,13 +107,13 @@
     }
 
     private static void hosts(PoolList before, PoolList after, List<String> lines) {
-        Map<String, Listed> old = byUid(before);
-        Map<String, Listed> next = byUid(after);
+        Map<String, ListedHost> old = byUid(before);
+        Map<String, ListedHost> next = byUid(after);
         TreeSet<String> uids = new TreeSet<>(old.keySet());
         uids.addAll(next.keySet());
         for (String uid : uids) {
-            Listed one = old.get(uid);
-            Listed other = next.get(uid);
+            ListedHost one = old.get(uid);
+            ListedHost other = next.get(uid);
             String what = one == null ? "new, zone " + other.host().zone() + ", " + other.endpoint()
                     : other == null ? "taken out" : change(one, other);
             if (!what.isEmpty()) {
@@ -122,12 +122,12 @@
         }
     }
 
-    private static String change(Listed one, Listed other) {
+    private static String change(ListedHost one, ListedHost other) {
         List<String> words = new ArrayList<>();
-        if (one.takesNew() != other.takesNew()) {
-            words.add(other.takesNew() ? "takes requests again" : "gets nothing new");
+        if (one.acceptsNewRequests() != other.acceptsNewRequests()) {
+            words.add(other.acceptsNewRequests() ? "takes requests again" : "gets nothing new");
         }
-        if (one.host().weight() != other.host().weight() && other.takesNew()) {
+        if (one.host().weight() != other.host().weight() && other.acceptsNewRequests()) {
             words.add(String.format("weight %.3f of the largest, %.3f before", other.host().weight(), one.host().weight()));
         }
         if (!one.endpoint().equals(other.endpoint())) {
@@ -143,8 +143,8 @@
         return String.join("; ", words);
     }
 
-    private static Map<String, Listed> byUid(PoolList list) {
-        Map<String, Listed> hosts = new TreeMap<>();
+    private static Map<String, ListedHost> byUid(PoolList list) {
+        Map<String, ListedHost> hosts = new TreeMap<>();
         list.hosts().forEach(host -> hosts.put(host.host().address(), host));
         return hosts;
     }
--- a/src/main/java/mastdrift/serve/Control.java
+++ b/src/main/java/mastdrift/serve/Control.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.LongSupplier;
 import mastdrift.config.Configuration;
-import mastdrift.membership.Guards;
-import mastdrift.membership.Guards.Trip;
-import mastdrift.membership.Listed;
+import mastdrift.membership.ChangeGuards;
+import mastdrift.membership.ChangeGuards.Violation;
+import mastdrift.membership.ListedHost;
 import mastdrift.membership.Membership;
 import mastdrift.membership.Node;
 import mastdrift.membership.Overrides;
@@ -88,14 +88,14 @@
             return problems;
         }
         long now = clock.getAsLong();
-        List<Trip> trips = trips(inForce, next, inForce == null ? null : membership.lists(),
+        List<Violation> trips = trips(inForce, next, inForce == null ? null : membership.lists(),
                 membership.preview(now, next.filed()));
-        List<Trip> left = overrides.left(trips, next.overrides(), versions);
+        List<Violation> left = overrides.remainingViolations(trips, next.overrides(), versions);
         if (!left.isEmpty()) {
             return left.stream().map(trip -> Changes.refusal(trip, versions)).toList();
         }
-        overrides.use(trips, versions);
-        Map<String, PoolList> changed = membership.files(now, next.filed());
+        overrides.markUsed(trips, versions);
+        Map<String, PoolList> changed = membership.applyFiles(now, next.filed());
         inForce = next;
         versions = next.versions();
         synchronized (told) {
@@ -108,15 +108,15 @@
     }
 
     /** The guards that a change trips, also for pools that it takes out; {@code before} is null at a start. */
-    static List<Trip> trips(Configuration inForce, Configuration next, Map<String, PoolList> before,
+    static List<Violation> trips(Configuration inForce, Configuration next, Map<String, PoolList> before,
             Map<String, PoolList> after) {
-        List<Trip> trips = new ArrayList<>();
-        after.forEach((pool, list) -> trips.addAll(Guards.trips(next.pools().get(pool).guards(),
+        List<Violation> trips = new ArrayList<>();
+        after.forEach((pool, list) -> trips.addAll(ChangeGuards.findViolations(next.pools().get(pool).guards(),
                 before == null ? null : before.get(pool), list)));
         if (before != null) {
             before.forEach((pool, list) -> {
                 if (!after.containsKey(pool)) {
-                    trips.addAll(Guards.trips(inForce.pools().get(pool).guards(), list, PoolList.empty(pool)));
+                    trips.addAll(ChangeGuards.findViolations(inForce.pools().get(pool).guards(), list, PoolList.empty(pool)));
                 }
             });
         }
@@ -151,12 +151,12 @@
             pending.all = false;
             pending.waiting = false;
         }
-        put(membership.told(clock.getAsLong(), pool, "discovery", all, nodes));
+        put(membership.applyReport(clock.getAsLong(), pool, "discovery", all, nodes));
     }
 
     /** Discovery of a pool has fallen silent; from the loop. */
     void silent(String pool) {
-        thread.execute(() -> membership.silent(pool, "discovery"));
+        thread.execute(() -> membership.markStale(pool, "discovery"));
     }
 
     private void put(Map<String, PoolList> changed) {
@@ -171,19 +171,19 @@
         if (due != null) {
             due.cancel(false);
         }
-        long at = membership.dueAt();
+        long at = membership.nextReleaseAt();
         due = at == Long.MAX_VALUE ? null : thread.schedule(() -> {
-            put(membership.due(clock.getAsLong()));
+            put(membership.releaseHeld(clock.getAsLong()));
         }, Math.max(1, at - clock.getAsLong()), TimeUnit.MICROSECONDS);
     }
 
     /** Says what was left out, once for as long as it stays the same. */
     private void complain(Map<String, PoolList> changed) {
         changed.forEach((pool, list) -> {
-            if (!list.leftOut().equals(leftOut.getOrDefault(pool, List.of()))) {
-                list.leftOut().forEach(line -> loop.leftOut(pool, line));
+            if (!list.omissions().equals(leftOut.getOrDefault(pool, List.of()))) {
+                list.omissions().forEach(line -> loop.leftOut(pool, line));
             }
-            leftOut.put(pool, list.leftOut());
+            leftOut.put(pool, list.omissions());
         });
     }
 
@@ -203,7 +203,7 @@
         Map<String, Object> pools = new TreeMap<>();
         membership.lists().forEach((name, list) -> pools.put(name, new TreeMap<>(Map.of("version", versions.get(name),
                 "hosts", list.hosts().size(),
-                "taking", (int) list.hosts().stream().filter(Listed::takesNew).count()))));
+                "taking", (int) list.hosts().stream().filter(ListedHost::acceptsNewRequests).count()))));
         return pools;
     }
 
--- a/src/main/java/mastdrift/serve/DiscoverySource.java
+++ b/src/main/java/mastdrift/serve/DiscoverySource.java
@@ -44,22 +44,22 @@
     }
 
     @Override
-    public void listed(HostList list) {
+    public void listAccepted(HostList list) {
         pause = PAUSE_LEAST;
         if (!closed) {
             Set<String> before = listed.uids();
-            List<Member> inForce = listed.take(list.rev(), list.all(), list.entries());
+            List<Member> inForce = listed.take(list.version(), list.full(), list.entries());
             withdrawFromPool(before, inForce);
-            control.told(pool.name(), list.all(), inForce.stream().map(DiscoverySource::node).toList());
+            control.told(pool.name(), list.full(), inForce.stream().map(DiscoverySource::node).toList());
         }
     }
 
     @Override
-    public boolean withdrawn(Discovery.Withdrawal withdrawal) {
+    public boolean hostsWithdrawn(Discovery.Withdrawal withdrawal) {
         if (closed) {
             return false;
         }
-        List<Member> changes = listed.withdraw(withdrawal.version(), withdrawal.named(), withdrawal.leaving());
+        List<Member> changes = listed.withdraw(withdrawal.version(), withdrawal.namedUids(), withdrawal.leaving());
         pool.withdraw(changes);
         control.told(pool.name(), false, changes.stream().map(DiscoverySource::node).toList());
         return !changes.isEmpty();
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void failed(String cause) {
+    public void callFailed(String cause) {
         if (closed) {
             return;
         }
@@ -99,14 +99,14 @@
         discovery.watch(active && !closed);
     }
 
-    /** See {@link Discovery#listHolds}. */
+    /** See {@link Discovery#isListValid}. */
     boolean listHolds() {
-        return discovery.listHolds();
+        return discovery.isListValid();
     }
 
-    /** Reads what stands unread; see {@link Discovery#look}. */
+    /** Reads what stands unread; see {@link Discovery#readUnreadInput}. */
     boolean look() {
-        return discovery.look();
+        return discovery.readUnreadInput();
     }
 
     void close() {
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -278,7 +278,7 @@
         static Map<String, Ready> of(Map<String, PoolList> lists) {
             Map<String, Ready> ready = new TreeMap<>();
             lists.forEach((name, list) -> ready.put(name, new Ready(list.hosts().stream()
-                    .map(host -> new Member(host.host(), Addresses.parse(host.endpoint()))).toList(), list.somebody())));
+                    .map(host -> new Member(host.host(), Addresses.parse(host.endpoint()))).toList(), list.hasAcceptingHost())));
             return ready;
         }
     }
--- a/src/test/java/mastdrift/config/ConfigurationReaderTest.java
+++ b/src/test/java/mastdrift/config/ConfigurationReaderTest.java
@@ -18,9 +18,9 @@
 import mastdrift.Balancer.Repeat;
 import mastdrift.Balancer.RequestClass;
 import mastdrift.limits.PhaseBounds;
-import mastdrift.membership.Guards;
-import mastdrift.membership.Guards.Guard;
-import mastdrift.membership.Listed;
+import mastdrift.membership.ChangeGuards;
+import mastdrift.membership.ChangeGuards.Guard;
+import mastdrift.membership.ListedHost;
 import mastdrift.membership.Membership;
 import mastdrift.membership.Node;
 import mastdrift.membership.PoolList;
@@ -51,8 +51,8 @@
         assertEquals(new RequestClass("session-start", 600_000, 0, 1_500_000, 1, 0.5, Repeat.KEYED, Group.ZONE, 1_500_000,
                 false), read.classes().get(1));
         assertEquals(100, read.tenants().get(0).quotaPerSecond());
-        assertEquals(new Guards.Limits(0.25, 1, false, false), read.pools().get("spare").guards());
-        assertEquals(Guards.Limits.USUAL, read.pools().get("main").guards());
+        assertEquals(new ChangeGuards.Limits(0.25, 1, false, false), read.pools().get("spare").guards());
+        assertEquals(ChangeGuards.Limits.DEFAULTS, read.pools().get("main").guards());
         assertEquals(250_000, read.pools().get("main").rules().drainGrace());
         assertEquals(new Match("session-read", null, "/api/x", "X-Canary", "1", null), read.routes().get(0).match());
         assertEquals("main", read.routes().get(0).fallback());
@@ -299,23 +299,23 @@
             return;
         }
         Membership membership = new Membership();
-        Map<String, PoolList> before = new TreeMap<>(membership.files(0, old.filed()));
+        Map<String, PoolList> before = new TreeMap<>(membership.applyFiles(0, old.filed()));
         Map<String, PoolList> after = membership.preview(0, next.filed());
-        List<Guards.Trip> trips = new ArrayList<>();
+        List<ChangeGuards.Violation> trips = new ArrayList<>();
         after.forEach((pool, list) ->
-                trips.addAll(Guards.trips(next.pools().get(pool).guards(), before.get(pool), list)));
+                trips.addAll(ChangeGuards.findViolations(next.pools().get(pool).guards(), before.get(pool), list)));
         if (trips.isEmpty()) {
             after.forEach((pool, list) -> {
                 List<String> taking = taking(list, null);
                 long lost = taking(before.get(pool), null).stream().filter(uid -> !taking.contains(uid)).count();
-                assertTrue(lost <= next.pools().get(pool).guards().poolDropMost() * 10, pool + " lost " + lost);
+                assertTrue(lost <= next.pools().get(pool).guards().maxPoolDropFraction() * 10, pool + " lost " + lost);
                 assertTrue(!taking(list, "bilbao").isEmpty() && !taking(list, "oviedo").isEmpty(), pool + " lost a zone");
             });
         }
     }
 
     private static List<String> taking(PoolList list, String zone) {
-        return list.hosts().stream().filter(Listed::takesNew).filter(host -> zone == null || host.host().zone().equals(zone))
+        return list.hosts().stream().filter(ListedHost::acceptsNewRequests).filter(host -> zone == null || host.host().zone().equals(zone))
                 .map(host -> host.host().address()).toList();
     }
 }
--- a/src/test/java/mastdrift/membership/HostListLeaseTest.java
+++ b/src/test/java/mastdrift/membership/HostListLeaseTest.java
@@ -14,138 +14,139 @@
 /** How long a list may be used after each event of its watch and calls. */
 class HostListLeaseTest {
 
-    private static final long SECOND = 1_000_000;
-    private static final long ASK = 10 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long VALIDITY_MICROS = 10 * SECOND_MICROS;
 
-    private final ListLease lease = new ListLease(ASK);
+    private final HostListLease lease = new HostListLease(VALIDITY_MICROS);
 
-    private void standsAt(long at) {
-        lease.called(at);
-        lease.watchBegan(at);
-        lease.lineCame(at);
-        lease.listed();
+    private void openWatch(long at) {
+        lease.callStarted(at);
+        lease.watchStarted(at);
+        lease.lineReceived(at);
+        lease.listAccepted();
     }
 
     @Test
-    void aListHoldsWhileItsWatchTells() {
-        standsAt(0);
-        for (long at = 0; at < 60 * SECOND; at += 2 * SECOND) {
-            lease.lineCame(at);
-            assertTrue(lease.holds(at + 2 * SECOND));
+    void listIsValidWhileItsWatchReceivesLines() {
+        openWatch(0);
+        for (long at = 0; at < 60 * SECOND_MICROS; at += 2 * SECOND_MICROS) {
+            lease.lineReceived(at);
+            assertTrue(lease.isValid(at + 2 * SECOND_MICROS));
         }
     }
 
     @Test
-    void anEndedWatchLeavesItForAWhileUntilAListComes() {
-        standsAt(0);
-        lease.watchEnded(SECOND);
-        lease.called(SECOND + 200_000);
-        assertTrue(lease.holds(SECOND + ListLease.ENDED - 1));
-        assertFalse(lease.holds(SECOND + ListLease.ENDED));
-        lease.watchBegan(4 * SECOND);
-        assertFalse(lease.holds(4 * SECOND), "a response that has only started delivers nothing");
-        lease.lineCame(4 * SECOND);
-        lease.listed();
-        assertTrue(lease.holds(4 * SECOND));
+    void listExpiresAfterItsWatchEndedUntilANewListIsAccepted() {
+        openWatch(0);
+        lease.watchEnded(SECOND_MICROS);
+        lease.callStarted(SECOND_MICROS + 200_000);
+        assertTrue(lease.isValid(SECOND_MICROS + HostListLease.WATCH_ENDED_VALIDITY_MICROS - 1));
+        assertFalse(lease.isValid(SECOND_MICROS + HostListLease.WATCH_ENDED_VALIDITY_MICROS));
+        lease.watchStarted(4 * SECOND_MICROS);
+        assertFalse(lease.isValid(4 * SECOND_MICROS), "a response that has only started delivers nothing");
+        lease.lineReceived(4 * SECOND_MICROS);
+        lease.listAccepted();
+        assertTrue(lease.isValid(4 * SECOND_MICROS));
     }
 
     @Test
-    void aSilentWatchCountsFromItsLastLine() {
-        standsAt(0);
-        lease.lineCame(2 * SECOND);
-        lease.watchSilent();
-        lease.called(5 * SECOND);
-        assertTrue(lease.holds(2 * SECOND + ListLease.SILENT - 1));
-        assertFalse(lease.holds(2 * SECOND + ListLease.SILENT));
+    void validityAfterASilentWatchCountsFromItsLastLine() {
+        openWatch(0);
+        lease.lineReceived(2 * SECOND_MICROS);
+        lease.watchTimedOut();
+        lease.callStarted(5 * SECOND_MICROS);
+        assertTrue(lease.isValid(2 * SECOND_MICROS + HostListLease.WATCH_SILENT_VALIDITY_MICROS - 1));
+        assertFalse(lease.isValid(2 * SECOND_MICROS + HostListLease.WATCH_SILENT_VALIDITY_MICROS));
     }
 
     @Test
-    void aWatchThatNobodyFoundSilentCountsAsSoon() {
-        standsAt(0);
-        assertFalse(lease.holds(ListLease.SILENT));
+    void silentWatchExpiresAsSoonWithoutBeingReported() {
+        openWatch(0);
+        assertFalse(lease.isValid(HostListLease.WATCH_SILENT_VALIDITY_MICROS));
     }
 
     @Test
-    void aSecondEndDoesNotProlongTheFirst() {
-        standsAt(0);
-        lease.watchEnded(SECOND);
-        lease.watchEnded(2 * SECOND);
-        assertEquals(SECOND + ListLease.ENDED, lease.until());
+    void secondWatchEndDoesNotExtendTheLease() {
+        openWatch(0);
+        lease.watchEnded(SECOND_MICROS);
+        lease.watchEnded(2 * SECOND_MICROS);
+        assertEquals(SECOND_MICROS + HostListLease.WATCH_ENDED_VALIDITY_MICROS, lease.expiresAt());
     }
 
     @Test
-    void aFailedCallMeansThatTheRegistryMayBeAway() {
-        standsAt(0);
-        lease.watchEnded(SECOND);
-        lease.called(SECOND);
+    void failedCallExtendsTheLease() {
+        openWatch(0);
+        lease.watchEnded(SECOND_MICROS);
+        lease.callStarted(SECOND_MICROS);
         lease.callFailed();
-        assertTrue(lease.holds(SECOND + 4 * ASK - 1));
-        assertFalse(lease.holds(SECOND + 4 * ASK), "four times the configured validity");
-        lease.called(9 * SECOND);
-        assertFalse(lease.holds(9 * SECOND + ASK));
+        assertTrue(lease.isValid(SECOND_MICROS + 4 * VALIDITY_MICROS - 1));
+        assertFalse(lease.isValid(SECOND_MICROS + 4 * VALIDITY_MICROS), "four times the configured validity");
+        lease.callStarted(9 * SECOND_MICROS);
+        assertFalse(lease.isValid(9 * SECOND_MICROS + VALIDITY_MICROS));
     }
 
     @Test
-    void withNoSettingAFailedCallLiftsItForGood() {
-        ListLease plain = new ListLease(0);
-        plain.lineCame(0);
-        plain.watchEnded(SECOND);
-        plain.callFailed();
-        assertEquals(Long.MAX_VALUE, plain.until());
+    void failedCallRemovesTheExpiryWithoutASetting() {
+        HostListLease unconfigured = new HostListLease(0);
+        unconfigured.lineReceived(0);
+        unconfigured.watchEnded(SECOND_MICROS);
+        unconfigured.callFailed();
+        assertEquals(Long.MAX_VALUE, unconfigured.expiresAt());
     }
 
     @Test
-    void whatHasBegunHasToComeWhole() {
-        standsAt(0);
-        lease.listBegan(SECOND);
-        assertTrue(lease.holds(SECOND + ListLease.UNFINISHED - 1));
-        assertFalse(lease.holds(SECOND + ListLease.UNFINISHED));
-        lease.nothingUnfinished();
-        assertTrue(lease.holds(SECOND + ListLease.UNFINISHED));
+    void partialListExpiresTheLeaseUntilCleared() {
+        openWatch(0);
+        lease.partialListStarted(SECOND_MICROS);
+        assertTrue(lease.isValid(SECOND_MICROS + HostListLease.PARTIAL_LIST_VALIDITY_MICROS - 1));
+        assertFalse(lease.isValid(SECOND_MICROS + HostListLease.PARTIAL_LIST_VALIDITY_MICROS));
+        lease.partialListCleared();
+        assertTrue(lease.isValid(SECOND_MICROS + HostListLease.PARTIAL_LIST_VALIDITY_MICROS));
     }
 
     @Test
-    void anAgentThatIsSilentHasNothingToTellButWhatItHasBegun() {
-        ListLease agents = ListLease.byAgent();
-        agents.lineCame(0);
-        agents.watchEnded(SECOND);
-        assertTrue(agents.holds(60 * SECOND));
-        agents.listBegan(60 * SECOND);
-        assertFalse(agents.holds(60 * SECOND + ListLease.UNFINISHED));
+    void onlyAPartialListExpiresTheLeaseOfAnAgent() {
+        HostListLease agentLease = HostListLease.pushedByAgent();
+        agentLease.lineReceived(0);
+        agentLease.watchEnded(SECOND_MICROS);
+        assertTrue(agentLease.isValid(60 * SECOND_MICROS));
+        agentLease.partialListStarted(60 * SECOND_MICROS);
+        assertFalse(agentLease.isValid(60 * SECOND_MICROS + HostListLease.PARTIAL_LIST_VALIDITY_MICROS));
     }
 
     @Test
-    void aMoveHasItsTime() {
-        standsAt(0);
-        lease.moved(SECOND);
-        lease.called(SECOND);
-        assertTrue(lease.holds(SECOND + ListLease.MOVED - 1));
-        assertFalse(lease.holds(SECOND + ListLease.MOVED));
+    void listExpiresAfterTheRegistryMoved() {
+        openWatch(0);
+        lease.registryMoved(SECOND_MICROS);
+        lease.callStarted(SECOND_MICROS);
+        assertTrue(lease.isValid(SECOND_MICROS + HostListLease.REGISTRY_MOVED_VALIDITY_MICROS - 1));
+        assertFalse(lease.isValid(SECOND_MICROS + HostListLease.REGISTRY_MOVED_VALIDITY_MICROS));
     }
 
     @Test
-    void aStartGoesByTheListThatWasKnown() {
-        assertTrue(new ListLease(ASK).holds(5 * SECOND));
+    void knownListIsValidBeforeTheFirstCall() {
+        assertTrue(new HostListLease(VALIDITY_MICROS).isValid(5 * SECOND_MICROS));
     }
 
     /** In any order of events: once a watch has ended, only a line, a list or a failed call extends the lease. */
     @Property
-    void anEndIsNeverForgotten(@ForAll @Size(max = 12) List<@IntRange(min = 0, max = 5) Integer> events) {
-        ListLease drawn = new ListLease(0);
-        drawn.lineCame(0);
-        drawn.watchEnded(0);
+    void noOtherEventExtendsTheLeaseOfAnEndedWatch(@ForAll @Size(max = 12) List<@IntRange(min = 0,
+            max = 5) Integer> events) {
+        HostListLease endedLease = new HostListLease(0);
+        endedLease.lineReceived(0);
+        endedLease.watchEnded(0);
         long now = 0;
         for (int event : events) {
             now += 100_000;
             switch (event) {
-                case 0 -> drawn.called(now);
-                case 1 -> drawn.watchBegan(now);
-                case 2 -> drawn.watchEnded(now);
-                case 3 -> drawn.moved(now);
-                case 4 -> drawn.listBegan(now);
-                default -> drawn.nothingUnfinished();
+                case 0 -> endedLease.callStarted(now);
+                case 1 -> endedLease.watchStarted(now);
+                case 2 -> endedLease.watchEnded(now);
+                case 3 -> endedLease.registryMoved(now);
+                case 4 -> endedLease.partialListStarted(now);
+                default -> endedLease.partialListCleared();
             }
-            assertTrue(drawn.until() <= ListLease.ENDED, () -> "after " + events);
+            assertTrue(endedLease.expiresAt() <= HostListLease.WATCH_ENDED_VALIDITY_MICROS, () -> "after " + events);
         }
     }
 }
--- a/src/test/java/mastdrift/net/DescriptorsTest.java
+++ b/src/test/java/mastdrift/net/DescriptorsTest.java
@@ -238,17 +238,17 @@
             HostList known = members(entry("s1", at, "a", "in_service"));
             Discovery discovery = loop.submit(() -> new Discovery(loop, Config.address(at), known, new Discovery.Listener() {
                 @Override
-                public void listed(HostList told) {
-                    heard.add("list " + told.rev() + " " + loop.inEventLoop());
+                public void listAccepted(HostList told) {
+                    heard.add("list " + told.version() + " " + loop.inEventLoop());
                 }
 
                 @Override
-                public boolean withdrawn(Discovery.Withdrawal withdrawal) {
+                public boolean hostsWithdrawn(Discovery.Withdrawal withdrawal) {
                     return heard.add("withdrawn by " + withdrawal.version());
                 }
 
                 @Override
-                public void failed(String cause) {
+                public void callFailed(String cause) {
                     heard.add(cause + " " + loop.inEventLoop());
                 }
             })).get();
--- a/src/test/java/mastdrift/net/EndedWatchTest.java
+++ b/src/test/java/mastdrift/net/EndedWatchTest.java
@@ -50,42 +50,43 @@
 class EndedWatchTest {
 
     private static final int GATEWAYS = 3;
-    private static final long COUNTS_AS_TOLD = TimeUnit.SECONDS.toNanos(2);
-    private static final long GRACE = TimeUnit.MILLISECONDS.toNanos(250);
-    private static final long SLACK = TimeUnit.MILLISECONDS.toNanos(50);
-    private static final long TURN = TimeUnit.MILLISECONDS.toNanos(2_900);
-    private static final int EXPIRES_MILLIS = 1_000;
-    private static final String PLATFORM = SETTINGS.replace("\"must_ask_in\":1000000", "\"must_ask_in\":10000000");
+    private static final long COUNTS_AS_DELIVERED_NANOS = TimeUnit.SECONDS.toNanos(2);
+    private static final long GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    private static final long SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final long RESPONSE_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(2_900);
+    private static final int REQUEST_TIMEOUT_MILLIS = 1_000;
+    private static final String GATEWAY_SETTINGS = SETTINGS.replace("\"must_ask_in\":1000000",
+            "\"must_ask_in\":10000000");
 
     @TempDir
     private Path folder;
 
     private final List<Process> gateways = new ArrayList<>();
     private final List<String> logs = new CopyOnWriteArrayList<>();
-    private final Set<String> atTheDrained = ConcurrentHashMap.newKeySet();
+    private final Set<String> requestsAtDrained = ConcurrentHashMap.newKeySet();
     private final List<Server> servers = new ArrayList<>();
     private Server drained;
     private Server other;
 
     /** A client's request: the time it was sent, and the status of its response; 0 for none. */
-    private record Asked(String id, long sentAt, int status) { }
+    private record SentRequest(String id, long sentAtNanos, int status) { }
 
     @BeforeEach
-    void open() throws IOException {
-        drained = opened(new Server(message -> {
-            atTheDrained.add(message.header("X-Trace-Id"));
+    void start() throws IOException {
+        drained = closeAtEnd(new Server(message -> {
+            requestsAtDrained.add(message.header("X-Trace-Id"));
             write(message.socket(), answer("200 OK", "drained"));
         }));
-        other = opened(Loopback.host("other"));
+        other = closeAtEnd(Loopback.host("other"));
     }
 
-    private Server opened(Server server) {
+    private Server closeAtEnd(Server server) {
         servers.add(server);
         return server;
     }
 
     @AfterEach
-    void close() throws Exception {
+    void stop() throws Exception {
         for (Process gateway : gateways) {
             gateway.destroyForcibly().waitFor();
         }
@@ -100,42 +101,47 @@
         private final Server server;
 
         Registry() throws IOException {
-            server = opened(new Server(calls::put));
+            server = closeAtEnd(new Server(calls::put));
         }
 
-        Socket call() throws InterruptedException {
+        Socket awaitCall() throws InterruptedException {
             Message call = calls.poll(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
             assertTrue(call != null, "no call; logs: " + logs);
             return call.socket();
         }
 
-        Socket watchThatTells(String list) throws IOException, InterruptedException {
-            Socket watch = call();
-            tellOn(watch, list);
+        Socket openWatchWith(String list) throws IOException, InterruptedException {
+            Socket watch = awaitCall();
+            respond(watch, list);
             return watch;
         }
 
-        void tellOn(Socket watch, String list) throws IOException {
+        void respond(Socket watch, String list) throws IOException {
             write(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             tell(watch, list);
         }
     }
 
-    private String inService() {
-        return list(3, true, entry("s1", drained.address(), "a", "in_service"), entry("s2", other.address(), "a", "in_service"));
+    private String listWithBoth() {
+        return list(3, true, entry("s1", drained.address(), "a", "in_service"),
+                entry("s2", other.address(), "a", "in_service"));
     }
 
-    private String withoutTheDrained() {
+    private String listWithoutDrained() {
         return list(4, true, entry("s2", other.address(), "a", "in_service"));
     }
 
     /** Starts a gateway; the address on which it listens is provided once it does. */
-    private BlockingQueue<InetSocketAddress> start(int number, Registry registry) throws IOException {
+    private BlockingQueue<InetSocketAddress> startGateway(int number, Registry registry) throws IOException {
         Path file = folder.resolve("g" + number + ".json");
-        Files.writeString(file, "{\"name\":\"g" + number + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":256},\"known\":" + inService() + ",\"settings\":" + PLATFORM + "}");
-        ProcessBuilder builder = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx48m",
+        Files.writeString(file, "{\"name\":\"g" + number
+                + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":256},\"known\":" + listWithBoth()
+                + ",\"settings\":" + GATEWAY_SETTINGS + "}");
+        ProcessBuilder builder = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1", "-Xmx48m",
                 "-cp", Loopback.classPath(), "mastdrift.net.Main").redirectErrorStream(true);
-        builder.environment().putAll(Map.of("NODE_NAME", "g" + number, "NODE_CONFIG", file.toString(), "NODE_LISTEN", "127.0.0.1:0",
+        builder.environment().putAll(Map.of("NODE_NAME", "g" + number, "NODE_CONFIG", file.toString(), "NODE_LISTEN",
+                "127.0.0.1:0",
                 "NODE_DISCOVERY", registry.server.address()));
         Process process = builder.start();
         gateways.add(process);
@@ -147,7 +153,8 @@
     }
 
     private void readLog(Process process, BlockingQueue<InetSocketAddress> listening) {
-        try (BufferedReader log = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
+        try (BufferedReader log = new BufferedReader(new InputStreamReader(process.getInputStream(),
+                StandardCharsets.UTF_8))) {
             for (String line = log.readLine(); line != null; line = log.readLine()) {
                 logs.add(line);
                 if (line.startsWith("listening on /")) {
@@ -169,8 +176,8 @@
     private static final class Client extends Thread {
         private final InetSocketAddress gateway;
         private final String name;
-        private final List<Asked> asked = new CopyOnWriteArrayList<>();
-        private volatile boolean over;
+        private final List<SentRequest> requests = new CopyOnWriteArrayList<>();
+        private volatile boolean stopped;
 
         Client(String name, InetSocketAddress gateway) {
             this.name = name;
@@ -183,13 +190,14 @@
         public void run() {
             try (Socket socket = new Socket()) {
                 socket.connect(gateway);
-                socket.setSoTimeout(2 * EXPIRES_MILLIS);
-                for (int i = 0; !over; i++) {
+                socket.setSoTimeout(2 * REQUEST_TIMEOUT_MILLIS);
+                for (int i = 0; !stopped; i++) {
                     String id = name + "-" + i;
                     long sentAt = System.nanoTime();
-                    write(socket, Loopback.read(EXPIRES_MILLIS).replace("9b1f", id).replace("7f3a", "key-" + i));
+                    write(socket, Loopback.read(REQUEST_TIMEOUT_MILLIS).replace("9b1f", id)
+                            .replace("7f3a", "key-" + i));
                     Message answer = Loopback.read(socket);
-                    asked.add(new Asked(id, sentAt, answer == null ? 0 : answer.status()));
+                    requests.add(new SentRequest(id, sentAt, answer == null ? 0 : answer.status()));
                     Thread.sleep(2);
                 }
             } catch (IOException | InterruptedException e) {
@@ -197,17 +205,18 @@
             }
         }
 
-        List<Asked> between(long from, long until) {
-            return asked.stream().filter(each -> each.sentAt >= from && each.sentAt < until).toList();
+        List<SentRequest> sentBetween(long from, long until) {
+            return requests.stream().filter(request -> request.sentAtNanos >= from && request.sentAtNanos < until)
+                    .toList();
         }
 
-        boolean isServedFrom(long moment) {
-            return asked.stream().anyMatch(each -> each.sentAt >= moment && each.status == 200);
+        boolean wasServedSince(long moment) {
+            return requests.stream().anyMatch(request -> request.sentAtNanos >= moment && request.status == 200);
         }
     }
 
-    private static void end(Socket watch, String how) throws IOException {
-        if (how.equals("reset")) {
+    private static void endWatch(Socket watch, String manner) throws IOException {
+        if (manner.equals("reset")) {
             watch.setSoLinger(true, 0);
         }
         watch.close();
@@ -223,66 +232,71 @@
      */
     @ParameterizedTest
     @CsvSource({"end", "reset"})
-    void nothingGoesByTheListOfAnEndedWatchForLong(String how) throws Exception {
+    void listExpiresSoonAfterItsWatchHasEnded(String manner) throws Exception {
         List<Registry> registries = new ArrayList<>();
         List<BlockingQueue<InetSocketAddress>> listening = new ArrayList<>();
         for (int i = 0; i < GATEWAYS; i++) {
             Registry registry = new Registry();
             registries.add(registry);
-            listening.add(start(i, registry));
+            listening.add(startGateway(i, registry));
         }
         List<Socket> watches = new ArrayList<>();
         for (Registry registry : registries) {
-            watches.add(registry.watchThatTells(inService()));
+            watches.add(registry.openWatchWith(listWithBoth()));
         }
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < GATEWAYS; i++) {
             clients.add(new Client("g" + i, await(listening.get(i))));
         }
-        Loopback.eventually(() -> clients.stream().allMatch(client -> client.isServedFrom(0)) && !atTheDrained.isEmpty());
+        Loopback.eventually(() -> clients.stream().allMatch(client -> client.wasServedSince(0))
+                && !requestsAtDrained.isEmpty());
         for (Socket watch : watches) {  // s1 drains, and no watch reports it
-            end(watch, how);
+            endWatch(watch, manner);
         }
         long ended = System.nanoTime();
         List<Socket> next = new ArrayList<>();
         for (Registry registry : registries) {
-            next.add(registry.call());
+            next.add(registry.awaitCall());
         }
-        long answerAt = ended + TURN;
+        long answerAt = ended + RESPONSE_DELAY_NANOS;
         waitUntil(answerAt);
         for (int i = 0; i < GATEWAYS; i++) {
-            registries.get(i).tellOn(next.get(i), withoutTheDrained());
+            registries.get(i).respond(next.get(i), listWithoutDrained());
         }
         long answered = System.nanoTime();
-        Loopback.eventually(() -> clients.stream().allMatch(client -> client.isServedFrom(answered)));
-        clients.forEach(client -> client.over = true);
-        long bound = ended + COUNTS_AS_TOLD + GRACE + SLACK;
-        List<String> late = clients.stream().flatMap(client -> client.between(bound, Long.MAX_VALUE).stream()).filter(each -> atTheDrained.contains(each.id))
-                .map(each -> each.id + " sent " + (each.sentAt - ended) / 1_000_000 + " ms after the end of the watch").toList();
+        Loopback.eventually(() -> clients.stream().allMatch(client -> client.wasServedSince(answered)));
+        clients.forEach(client -> client.stopped = true);
+        long bound = ended + COUNTS_AS_DELIVERED_NANOS + GRACE_NANOS + SLACK_NANOS;
+        List<String> late = clients.stream().flatMap(client -> client.sentBetween(bound, Long.MAX_VALUE).stream())
+                .filter(request -> requestsAtDrained.contains(request.id))
+                .map(request -> request.id + " sent " + (request.sentAtNanos - ended) / 1_000_000
+                        + " ms after the end of the watch").toList();
         assertEquals(List.of(), late, "at the server that drains; logs: " + logs);
         for (Client client : clients) {
-            assertTrue(client.between(ended, ended + COUNTS_AS_TOLD / 2).stream().allMatch(each -> each.status == 200), "the list is still used for a while");
+            assertTrue(client.sentBetween(ended, ended + COUNTS_AS_DELIVERED_NANOS / 2).stream()
+                    .allMatch(request -> request.status == 200), "the list is still used for a while");
         }
     }
 
     /** A registry that refuses calls may be down for long: the gateway goes on with the list that it has. */
     @Test
-    void whereTheRegistryRefusesItGoesOn() throws Exception {
+    void listStaysInUseWhileTheRegistryRefusesCalls() throws Exception {
         Registry registry = new Registry();
-        BlockingQueue<InetSocketAddress> listening = start(0, registry);
-        Socket watch = registry.watchThatTells(inService());
+        BlockingQueue<InetSocketAddress> listening = startGateway(0, registry);
+        Socket watch = registry.openWatchWith(listWithBoth());
         Client client = new Client("g0", await(listening));
-        Loopback.eventually(() -> client.isServedFrom(0));
-        end(watch, "end");
+        Loopback.eventually(() -> client.wasServedSince(0));
+        endWatch(watch, "end");
         long ended = System.nanoTime();
-        while (System.nanoTime() - ended < COUNTS_AS_TOLD + TimeUnit.SECONDS.toNanos(1)) {
+        while (System.nanoTime() - ended < COUNTS_AS_DELIVERED_NANOS + TimeUnit.SECONDS.toNanos(1)) {
             Message call = registry.calls.poll(50, TimeUnit.MILLISECONDS);
             if (call != null) {
                 write(call.socket(), answer("503 Service Unavailable", ""));
                 call.socket().close();
             }
         }
-        client.over = true;
-        assertEquals(List.of(), client.between(ended, Long.MAX_VALUE).stream().filter(each -> each.status != 200).toList(), () -> logs.toString());
+        client.stopped = true;
+        assertEquals(List.of(), client.sentBetween(ended, Long.MAX_VALUE).stream()
+                .filter(request -> request.status != 200).toList(), () -> logs.toString());
     }
 }
--- a/src/test/java/mastdrift/net/BadListTest.java
+++ b/src/test/java/mastdrift/net/InvalidHostListTest.java
@@ -29,12 +29,12 @@
  * Discovery sends lists that are implausible or can't be parsed: the last valid list stays current, one log line says
  * what was expected where and what was found, and the next call follows soon.
  */
-class BadListTest {
+class InvalidHostListTest {
 
     @TempDir
     private Path folder;
 
-    private static void served(Node node, String body) throws IOException {
+    private static void assertServedBy(Node node, String body) throws IOException {
         assertEquals(body, node.ask(read(20_000)).text());
     }
 
@@ -46,33 +46,34 @@
      * Applies a valid list of version 7, whose only host is s2, sends the invalid one, and checks the log and the next
      * call.
      */
-    private void afterGoodList(Server two, Server discovery, Node node, BadList bad, String expected, boolean leavesOut) throws Exception {
+    private void assertRejectedAfterValidList(Server two, Server discovery, Node node, InvalidList invalidList,
+            String expected, boolean omitsHost) throws Exception {
         Message first = await(discovery.received);
         tell(first.socket(), list(7, true, entry("s2", two.address(), "a", "in_service")));
         for (int i = 0; !log(node).contains("list 7"); i++) {
             assertTrue(i < Loopback.WAIT_SECONDS * 100, log(node));
             Thread.sleep(10);
         }
-        served(node, "two");
-        bad.tell(first.socket());
+        assertServedBy(node, "two");
+        invalidList.send(first.socket());
         Message next = await(discovery.received);
-        assertEquals("GET /v1/endpoints?watch=1&from=" + (leavesOut ? 0 : 7) + " HTTP/1.1", next.line());
+        assertEquals("GET /v1/endpoints?watch=1&from=" + (omitsHost ? 0 : 7) + " HTTP/1.1", next.line());
         // a full list removes a host that it does not name, even if the list is rejected, until another list names it
-        if (leavesOut) {
+        if (omitsHost) {
             int before = two.received.size();
             assertEquals(503, node.ask(read(2_000)).status());
             assertEquals(before, two.received.size());
             tell(next.socket(), list(8, true, entry("s2", two.address(), "a", "in_service")));
             Loopback.eventually(() -> node.ask(read(20_000)).status() == 200);
         }
-        served(node, "two");
+        assertServedBy(node, "two");
         String log = log(node);
         assertTrue(log.contains("discovery failed: ") && log.contains(expected), log);
         assertEquals(log.indexOf("discovery failed"), log.lastIndexOf("discovery failed"), log);
     }
 
-    private interface BadList {
-        void tell(Socket watch) throws Exception;
+    private interface InvalidList {
+        void send(Socket watch) throws Exception;
     }
 
     @ParameterizedTest
@@ -87,20 +88,24 @@
         "true | {\"rev\":8,\"all\":true,\"targets\":[{\"uid\":\"x\",\"endpoint\":\"127.0.0.1:7\",\"state\":\"in_service\",\"capacity_hint\":-1}]} | targets[0] (x).capacity_hint: expected 0 to 1000000, found -1.0",
         "true | {\"rev\":8,\"all\":true,\"targets\":[{\"uid\":\"x\",\"endpoint\":\"127.0.0.1:7\",\"state\":\"in_service\",\"boot_ms\":-5}]} | targets[0] (x).boot_ms: expected 0 or a time in milliseconds, found -5",
         "true | {\"rev\":8,\"all\":true,\"targets\":[{\"uid\":\"x\",\"endpoint\":\"127.0.0.1:7\",\"state\":\"in_service\",\"boot_ms\":9223372036854775807}]} | targets[0]: long overflow"})
-    void whatCantBeMeantIsNotTaken(boolean leavesOut, String line, String expected) throws Exception {
+    void invalidListIsRejectedAndItsFaultLogged(boolean omitsHost, String invalidLine,
+            String expected) throws Exception {
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, entry("s1", one.address(), "a", "in_service")), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery,
+                        list(1, true, entry("s1", one.address(), "a", "in_service")), SETTINGS))) {
             String s1 = entry("s1", one.address(), "a", "in_service");
-            afterGoodList(two, discovery, node, watch -> tell(watch, line.replace("S1", s1)), expected, leavesOut);
+            assertRejectedAfterValidList(two, discovery, node, watch -> tell(watch, invalidLine.replace("S1", s1)),
+                    expected, omitsHost);
         }
     }
 
     /** A line that never ends times out: bytes without a line end don't show that the call is alive. */
     @Test
-    void aLineWithoutEndIsABreak() throws Exception {
+    void lineThatNeverEndsTimesOut() throws Exception {
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, entry("s1", one.address(), "a", "in_service")), SETTINGS))) {
-            afterGoodList(two, discovery, node, watch -> {
+                Node node = new Node(environment(folder, discovery,
+                        list(1, true, entry("s1", one.address(), "a", "in_service")), SETTINGS))) {
+            assertRejectedAfterValidList(two, discovery, node, watch -> {
                 for (int i = 0; i < 100 && discovery.received.isEmpty(); i++) {
                     try {
                         write(watch, "1\r\n{\r\n");
@@ -115,16 +120,17 @@
 
     /** Rule 3 takes precedence: a drain counts as received though its list is rejected. */
     @Test
-    void aDrainInAListThatIsRefusedIsHeeded() throws Exception {
+    void drainInARejectedListIsApplied() throws Exception {
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, entry("s1", one.address(), "a", "in_service"),
+                Node node = new Node(environment(folder, discovery,
+                        list(1, true, entry("s1", one.address(), "a", "in_service"),
                         entry("s2", two.address(), "a", "in_service")), SETTINGS))) {
             Message first = await(discovery.received);
             tell(first.socket(), list(8, false, entry("s1", one.address(), "a", "terminating"),
                     "{\"uid\":\"x\",\"endpoint\":\"127.0.0.1:7\",\"state\":\"in_service\",\"capacity_hint\":-1}"));
             await(discovery.received);
             for (int i = 0; i < 20; i++) {
-                served(node, "two");
+                assertServedBy(node, "two");
             }
         }
     }
--- a/src/test/java/mastdrift/net/HerdTest.java
+++ b/src/test/java/mastdrift/net/ManyGatewaysTest.java
@@ -31,16 +31,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Many gateways at once: their load on a failing discovery, and the shutdown of most of them. */
-class HerdTest {
+class ManyGatewaysTest {
 
     private static final int GATEWAYS = 14;
     // With the settings here: the shortest pause doubled three times, times one and a half, plus the initial spread.
-    private static final long LONGEST_PAUSE_MILLIS = 3_000;
+    private static final long MAX_BACKOFF_MILLIS = 3_000;
 
     @TempDir
     private Path folder;
 
-    private static long millis() {
+    private static long nowMillis() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
@@ -49,14 +49,14 @@
      * known list meanwhile.
      */
     @Test
-    void aDiscoveryThatFailsIsAskedSeldomAndHeardOnceItIsBack() throws Exception {
+    void failingDiscoveryIsCalledSeldomAndItsListAppliedOnRecovery() throws Exception {
         Queue<Long> calls = new ConcurrentLinkedQueue<>();
-        boolean[] back = new boolean[1];
+        boolean[] recovered = new boolean[1];
         List<Node> nodes = new ArrayList<>();
         try (Server one = host("one"); Server two = host("two"); Server discovery = new Server(message -> {
-            calls.add(millis());
-            synchronized (back) {
-                if (!back[0]) {
+            calls.add(nowMillis());
+            synchronized (recovered) {
+                if (!recovered[0]) {
                     write(message.socket(), "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                     return;
                 }
@@ -66,34 +66,36 @@
         })) {
             try {
                 for (int i = 0; i < GATEWAYS; i++) {
-                    Path own = Files.createDirectory(folder.resolve("n" + i));
-                    nodes.add(new Node(environment(own, discovery, list(1, true, entry("s1", one.address(), "a", "in_service")),
+                    Path directory = Files.createDirectory(folder.resolve("n" + i));
+                    nodes.add(new Node(environment(directory, discovery,
+                            list(1, true, entry("s1", one.address(), "a", "in_service")),
                             SETTINGS.replace("\"balancers\":1", "\"balancers\":14"))));
                 }
-                long began = millis();
-                long until = began + 4_000;
-                while (millis() < until) {
+                long startMillis = nowMillis();
+                long until = startMillis + 4_000;
+                while (nowMillis() < until) {
                     Thread.sleep(20);
                 }
                 // Pauses of at least 0.125, 0.25, 0.5, 1 and 1 s follow the first call: no gateway can have called more
                 // than 7 times by now.
                 List<Long> failed = List.copyOf(calls);
                 assertTrue(failed.size() <= 7 * GATEWAYS && failed.size() >= 3 * GATEWAYS, failed.size() + " calls");
-                int most = 0;
+                int maxCalls = 0;
                 for (long from : failed) {
-                    most = Math.max(most, (int) failed.stream().filter(at -> at >= from && at < from + 100).count());
+                    maxCalls = Math.max(maxCalls, (int) failed.stream().filter(at -> at >= from && at < from + 100)
+                            .count());
                 }
-                assertTrue(most < 2 * GATEWAYS, "calls in a tenth of a second: " + most);
+                assertTrue(maxCalls < 2 * GATEWAYS, "calls in a tenth of a second: " + maxCalls);
                 for (Node node : nodes) {
                     assertEquals("one", node.ask(read(20_000)).text(), "served by the known list");
                 }
-                synchronized (back) {
-                    back[0] = true;
+                synchronized (recovered) {
+                    recovered[0] = true;
                 }
-                long limit = millis() + LONGEST_PAUSE_MILLIS + 2_000;
+                long limit = nowMillis() + MAX_BACKOFF_MILLIS + 2_000;
                 for (Node node : nodes) {
                     while (!node.gateway.told().isDone()) {
-                        assertTrue(millis() < limit, node.log.toString(StandardCharsets.UTF_8));
+                        assertTrue(nowMillis() < limit, node.log.toString(StandardCharsets.UTF_8));
                         Thread.sleep(10);
                     }
                     assertEquals("two", node.ask(read(20_000)).text());
@@ -106,18 +108,22 @@
         }
     }
 
-    private Process start(String name, Server discovery, Server host) throws Exception {
-        Path own = Files.createDirectory(folder.resolve(name));
-        ProcessBuilder builder = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-cp", Loopback.classPath(), "mastdrift.net.Main");
+    private Process startGateway(String name, Server discovery, Server host) throws Exception {
+        Path directory = Files.createDirectory(folder.resolve(name));
+        ProcessBuilder builder = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-cp",
+                Loopback.classPath(), "mastdrift.net.Main");
         builder.environment().keySet().removeIf(variable -> variable.startsWith("NODE_"));
-        builder.environment().putAll(environment(own, discovery, list(1, true, entry("s1", host.address(), "a", "in_service")),
-                SETTINGS.replace("\"deadline\":60000000", "\"deadline\":2000000").replace("\"balancers\":1", "\"balancers\":4")));
-        return builder.redirectErrorStream(true).redirectOutput(own.resolve("log").toFile()).start();
+        builder.environment().putAll(environment(directory, discovery,
+                list(1, true, entry("s1", host.address(), "a", "in_service")),
+                SETTINGS.replace("\"deadline\":60000000", "\"deadline\":2000000")
+                        .replace("\"balancers\":1", "\"balancers\":4")));
+        return builder.redirectErrorStream(true).redirectOutput(directory.resolve("log").toFile()).start();
     }
 
-    private int port(String name) throws Exception {
+    private int awaitPort(String name) throws Exception {
         Loopback.eventually(() -> Files.readString(folder.resolve(name).resolve("log")).contains("listening on /"));
-        return Integer.parseInt(Files.readString(folder.resolve(name).resolve("log")).replaceFirst("(?s).*listening on /127.0.0.1:(\\d+).*", "$1"));
+        return Integer.parseInt(Files.readString(folder.resolve(name).resolve("log"))
+                .replaceFirst("(?s).*listening on /127.0.0.1:(\\d+).*", "$1"));
     }
 
     /**
@@ -126,29 +132,30 @@
      * with a new request at the remaining gateway.
      */
     @Test
-    void mostGatewaysEndAtOnceAndNoEffectRunsTwice() throws Exception {
-        Map<String, Integer> ran = new ConcurrentHashMap<>();
+    void noEffectRunsTwiceWhenMostGatewaysEndAtOnce() throws Exception {
+        Map<String, Integer> runsById = new ConcurrentHashMap<>();
         AtomicInteger unanswered = new AtomicInteger();
         AtomicInteger served = new AtomicInteger();
         try (Server discovery = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             tell(message.socket(), list(1, false));
         }); Server host = new Server(message -> {
-            ran.merge(message.head().replaceFirst("(?s).*X-Trace-Id: (\\S+).*", "$1"), 1, Integer::sum);
+            runsById.merge(message.head().replaceFirst("(?s).*X-Trace-Id: (\\S+).*", "$1"), 1, Integer::sum);
             Thread.sleep(50);
             write(message.socket(), Loopback.answer("200 OK", "done"));
         })) {
             List<Process> gateways = new ArrayList<>();
             try {
                 for (int i = 0; i < 4; i++) {
-                    gateways.add(start("g" + i, discovery, host));
+                    gateways.add(startGateway("g" + i, discovery, host));
                 }
-                int[] ports = {port("g0"), port("g1"), port("g2"), port("g3")};
-                boolean[] over = new boolean[1];
+                int[] ports = {awaitPort("g0"), awaitPort("g1"), awaitPort("g2"), awaitPort("g3")};
+                boolean[] stopped = new boolean[1];
                 List<Thread> clients = new ArrayList<>();
                 for (int c = 0; c < 24; c++) {
                     int client = c;
-                    Thread thread = new Thread(() -> ask(client, ports, over, ran, unanswered, served));
+                    Thread thread = new Thread(() -> sendRequests(client, ports, stopped, runsById, unanswered,
+                            served));
                     thread.start();
                     clients.add(thread);
                 }
@@ -161,8 +168,8 @@
                     assertTrue(gateways.get(i).waitFor(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
                 }
                 Loopback.eventually(() -> served.get() > before + 200);
-                synchronized (over) {
-                    over[0] = true;
+                synchronized (stopped) {
+                    stopped[0] = true;
                 }
                 for (Thread thread : clients) {
                     thread.join();
@@ -173,7 +180,7 @@
                 gateways.forEach(Process::destroyForcibly);
             }
         }
-        assertEquals(List.of(), ran.entrySet().stream().filter(of -> of.getValue() > 1).toList());
+        assertEquals(List.of(), runsById.entrySet().stream().filter(of -> of.getValue() > 1).toList());
         assertEquals(0, unanswered.get(), "accepted by gateways that were asked to end, and not answered");
     }
 
@@ -181,35 +188,36 @@
      * Sends requests that must not run twice, one after the other on a persistent connection; at the last gateway once
      * it breaks.
      */
-    private static void ask(int client, int[] ports, boolean[] over, Map<String, Integer> ran, AtomicInteger unanswered,
-            AtomicInteger served) {
-        int at = client % ports.length;
-        for (int number = 0; number < 10_000; at = ports.length - 1) {
-            try (Socket socket = new Socket("127.0.0.1", ports[at])) {
+    private static void sendRequests(int client, int[] ports, boolean[] stopped, Map<String, Integer> runsById,
+            AtomicInteger unanswered, AtomicInteger served) {
+        int gateway = client % ports.length;
+        for (int number = 0; number < 10_000; gateway = ports.length - 1) {
+            try (Socket socket = new Socket("127.0.0.1", ports[gateway])) {
                 socket.setSoTimeout(Loopback.WAIT_SECONDS * 1000);
                 for (Message answer = null; number < 10_000; number++) {
-                    synchronized (over) {
-                        if (over[0]) {
+                    synchronized (stopped) {
+                        if (stopped[0]) {
                             return;
                         }
                     }
                     String id = client + "-" + number;
-                    write(socket, Loopback.post("once", 2_000, "body").replace("X-Trace-Id: 9b1f", "X-Trace-Id: " + id).replace("7f3a", id));
+                    write(socket, Loopback.post("once", 2_000, "body").replace("X-Trace-Id: 9b1f", "X-Trace-Id: " + id)
+                            .replace("7f3a", id));
                     answer = Loopback.read(socket);
                     if (answer == null) {
-                        unanswered.addAndGet(at < 2 && ran.containsKey(id) ? 1 : 0);
+                        unanswered.addAndGet(gateway < 2 && runsById.containsKey(id) ? 1 : 0);
                         number++;
                         break;
                     }
                     served.addAndGet(answer.status() == 200 ? 1 : 0);
-                    unanswered.addAndGet(answer.status() == 504 && at < 2 ? 1 : 0);
+                    unanswered.addAndGet(answer.status() == 504 && gateway < 2 ? 1 : 0);
                     if (answer.head().toLowerCase(java.util.Locale.ROOT).contains("connection: close")) {
                         number++;
                         break;
                     }
                 }
             } catch (IOException e) {
-                unanswered.addAndGet(at < 2 && ran.containsKey(client + "-" + number) ? 1 : 0);
+                unanswered.addAndGet(gateway < 2 && runsById.containsKey(client + "-" + number) ? 1 : 0);
                 number++;  // it may have run, so the client must not repeat it
             }
         }
--- a/src/test/java/mastdrift/net/WatchCrossingTest.java
+++ b/src/test/java/mastdrift/net/WatchRaceTest.java
@@ -45,16 +45,16 @@
  * Races around a change of the list: its format and fragmentation, the end of its watch, a silent agent, retries that
  * wait meanwhile.
  */
-class WatchCrossingTest {
+class WatchRaceTest {
 
     @TempDir
     private Path folder;
 
-    private static String up(String uid, Server host) {
+    private static String inService(String uid, Server host) {
         return entry(uid, host.address(), "a", "in_service");
     }
 
-    private static void part(Socket watch, String text) throws IOException {
+    private static void writeChunk(Socket watch, String text) throws IOException {
         synchronized (watch) {
             write(watch, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
         }
@@ -64,12 +64,13 @@
         return node.log.toString(StandardCharsets.UTF_8);
     }
 
-    private static String laidOut(String list, String how) throws IOException {
-        return switch (how) {
+    private static String formatted(String list, String format) throws IOException {
+        return switch (format) {
             case "pretty" -> JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asString(JSON.std.anyFrom(list));
             // one token a line without indentation
             case "lines" -> list.replace(",\"", ",\n\"").replace("[{", "[\n{").replace(",{", ",\n{");
-            case "crlf" -> JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asString(JSON.std.anyFrom(list)).replace("\n", "\r\n");
+            case "crlf" -> JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asString(JSON.std.anyFrom(list))
+                    .replace("\n", "\r\n");
             default -> "    " + list;
         };
     }
@@ -77,16 +78,17 @@
     /** A list may be indented and span many lines on a watch too: full lists and changes, in fragments of any size. */
     @ParameterizedTest
     @CsvSource({"spaces,1000", "pretty,1000", "pretty,1", "lines,7", "crlf,3"})
-    void anIndentedListIsTaken(String how, int piece) throws Exception {
+    void indentedListIsApplied(String format, int fragmentSize) throws Exception {
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             Message watch = await(discovery.received);
             // looks like the end or the start of a value, but is within a string
-            String odd = "a \\\" { [ \\\\ odd zone";
-            String text = laidOut(list(7, true, up("s1", one), entry("s2", two.address(), odd, "in_service")), how).strip() + "\n\n"
-                    + laidOut(list(8, false, entry("s1", one.address(), "a", "terminating")), how).strip() + "\n";
-            for (int i = 0; i < text.length(); i += piece) {
-                part(watch.socket(), text.substring(i, Math.min(text.length(), i + piece)));
+            String zoneWithBrackets = "a \\\" { [ \\\\ odd zone";
+            String text = formatted(list(7, true, inService("s1", one),
+                    entry("s2", two.address(), zoneWithBrackets, "in_service")), format).strip() + "\n\n"
+                    + formatted(list(8, false, entry("s1", one.address(), "a", "terminating")), format).strip() + "\n";
+            for (int i = 0; i < text.length(); i += fragmentSize) {
+                writeChunk(watch.socket(), text.substring(i, Math.min(text.length(), i + fragmentSize)));
             }
             eventually(() -> log(node).contains("list 8: 1 changes"));
             assertTrue(log(node).contains("list 7: 2 hosts"), log(node));
@@ -101,18 +103,19 @@
      */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {"string | line", "tokens | line", "string | end", "tokens | end"})
-    void aChangeThatIsCutOffIsNone(String where, String then) throws Exception {
+    void truncatedChangeIsNotApplied(String where, String then) throws Exception {
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             Message watch = await(discovery.received);
-            Loopback.tell(watch.socket(), list(7, true, up("s1", one), up("s2", two)));
+            Loopback.tell(watch.socket(), list(7, true, inService("s1", one), inService("s2", two)));
             String change = list(8, false, entry("s1", one.address(), "a", "terminating"));
             int cut = where.equals("string") ? change.indexOf("endpoint") + 3 : change.indexOf("\"targets");
-            part(watch.socket(), change.substring(0, cut));
+            writeChunk(watch.socket(), change.substring(0, cut));
             if ("end".equals(then)) {
                 watch.socket().close();
             } else {
-                part(watch.socket(), (where.equals("string") ? "\n" : "\n\n") + list(9, false, entry("s2", two.address(), "a", "terminating")) + "\n");
+                writeChunk(watch.socket(), (where.equals("string") ? "\n" : "\n\n")
+                        + list(9, false, entry("s2", two.address(), "a", "terminating")) + "\n");
             }
             Message next = await(discovery.received);
             assertEquals("GET /v1/endpoints?watch=1&from=7 HTTP/1.1", next.line());
@@ -122,9 +125,10 @@
 
     /** A change in the last bytes of a watch, which end with them, is applied. */
     @Test
-    void aChangeThatCameWithTheEndOfItsWatchIsTaken() throws Exception {
+    void changeInTheLastBytesOfAWatchIsApplied() throws Exception {
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one), up("s2", two)), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery,
+                        list(1, true, inService("s1", one), inService("s2", two)), SETTINGS))) {
             Message watch = await(discovery.received);
             String change = list(7, false, entry("s1", one.address(), "a", "terminating")) + "\n";
             synchronized (watch.socket()) {
@@ -143,10 +147,10 @@
      * sends once it answers is applied at once.
      */
     @Test
-    void aSilentAgentIsAskedAgainSoon() throws Exception {
+    void silentAgentIsCalledAgainSoon() throws Exception {
         String pushed = SETTINGS.replace("\"registry_mode\":\"on_request\"", "\"registry_mode\":\"pushed\"");
         try (Server agent = new Server(message -> { }); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, agent, list(1, true, up("s1", one)), pushed))) {
+                Node node = new Node(environment(folder, agent, list(1, true, inService("s1", one)), pushed))) {
             await(agent.received);
             long since = System.nanoTime();
             for (int calls = 0; calls < 4; calls++) {
@@ -157,7 +161,7 @@
             assertTrue(millis < 10_000, "four calls took " + millis + " ms");
             Socket last = agent.accepted.get(agent.accepted.size() - 1);
             write(last, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Loopback.tell(last, list(5, true, up("s2", two)));
+            Loopback.tell(last, list(5, true, inService("s2", two)));
             eventually(() -> log(node).contains("list 5") || agent.received.poll() != null);
         }
     }
@@ -168,22 +172,24 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aDrainToldWhileARepeatWaitsIsKept(boolean all) throws Exception {
-        CountDownLatch told = new CountDownLatch(1);
+    void retryIsNotSentToAHostThatDrainedWhileItWaited(boolean full) throws Exception {
+        CountDownLatch drainSent = new CountDownLatch(1);
         try (Server discovery = discovery(); Server two = host("two");
                 Server one = new Server(message -> {
-                    told.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
-                    write(message.socket(), "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
+                    drainSent.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
+                    write(message.socket(),
+                            "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
                 });
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             Message watch = await(discovery.received);
             Socket client = node.connect();
             write(client, read(20_000));
             await(one.received);
-            Loopback.tell(watch.socket(), list(2, all, up("s1", one), up("s2", two)));
-            Loopback.tell(watch.socket(), all ? list(3, true, up("s1", one)) : list(3, false, entry("s2", two.address(), "a", "terminating")));
+            Loopback.tell(watch.socket(), list(2, full, inService("s1", one), inService("s2", two)));
+            Loopback.tell(watch.socket(), full ? list(3, true, inService("s1", one))
+                    : list(3, false, entry("s2", two.address(), "a", "terminating")));
             eventually(() -> log(node).contains("list 3"));
-            told.countDown();
+            drainSent.countDown();
             assertEquals(503, Loopback.read(client).status());
             assertTrue(two.received.isEmpty());
         }
@@ -196,12 +202,13 @@
      * and what it receives is applied.
      */
     @Test
-    void aSecondSilentWatchIsHedged() throws Exception {
+    void secondSilentWatchIsHedged() throws Exception {
         try (Server discovery = new Server(message -> { }); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one), up("s2", two)), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery,
+                        list(1, true, inService("s1", one), inService("s2", two)), SETTINGS))) {
             Socket first = await(discovery.received).socket();
             write(first, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Loopback.tell(first, list(5, true, up("s1", one), up("s2", two)));
+            Loopback.tell(first, list(5, true, inService("s1", one), inService("s2", two)));
             Socket second = await(discovery.received).socket();  // sends nothing
             Socket third = await(discovery.received).socket();
             assertTrue(!discovery.ended.contains(second), "the second call timed out before the third started");
@@ -220,13 +227,17 @@
      * and the call that goes on is read.
      */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"0, 5 | 5 | true", "0, 5 | 5 | false", "5, 6 | 6 | true", "6, 5 | 6 | true", "5, 5 | 5 | false"})
-    void whatStandsUnreadOnACallThatAnotherEndsIsTaken(String told, long newest, boolean hedgeFirst) throws Exception {
+    @CsvSource(delimiter = '|', value = {"0, 5 | 5 | true", "0, 5 | 5 | false", "5, 6 | 6 | true", "6, 5 | 6 | true",
+            "5, 5 | 5 | false"})
+    void unreadInputOfACallClosedForAnotherIsApplied(String versions, long newest,
+            boolean hedgeFirst) throws Exception {
         try (Server discovery = new Server(message -> { }); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one), up("s2", two)), SETTINGS))) {
-            Socket goesOn = cross(node, discovery, told, newest, hedgeFirst, entry("s1", one.address(), "a", "terminating"));
+                Node node = new Node(environment(folder, discovery,
+                        list(1, true, inService("s1", one), inService("s2", two)), SETTINGS))) {
+            Socket remaining = sendOnBothCalls(node, discovery, versions, newest, hedgeFirst,
+                    entry("s1", one.address(), "a", "terminating"));
             assertEquals("two", node.ask(read(20_000)).text());
-            Loopback.tell(goesOn, list(9, false, entry("s3", one.address(), "a", "in_service")));
+            Loopback.tell(remaining, list(9, false, entry("s3", one.address(), "a", "in_service")));
             eventually(() -> log(node).contains("list 9"));
             assertTrue(!log(node).contains("failed"), log(node));
         }
@@ -237,15 +248,16 @@
      * usual, when the next call receives the same.
      */
     @Test
-    void aRegistrySetBackBehindACallThatAnotherEndedIsBelieved() throws Exception {
+    void rolledBackRegistryIsAcceptedAfterACallWasClosedForAnother() throws Exception {
         try (Server discovery = new Server(message -> { }); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one), up("s2", two)), SETTINGS))) {
-            Socket goesOn = cross(node, discovery, "5, 6", 6, true, up("s1", one));
-            Loopback.tell(goesOn, list(4, true, up("s2", two)));
-            Loopback.tell(goesOn, list(4, true, up("s2", two)));
+                Node node = new Node(environment(folder, discovery,
+                        list(1, true, inService("s1", one), inService("s2", two)), SETTINGS))) {
+            Socket remaining = sendOnBothCalls(node, discovery, "5, 6", 6, true, inService("s1", one));
+            Loopback.tell(remaining, list(4, true, inService("s2", two)));
+            Loopback.tell(remaining, list(4, true, inService("s2", two)));
             Socket next = await(discovery.received).socket();
             write(next, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Loopback.tell(next, list(4, true, up("s2", two)));
+            Loopback.tell(next, list(4, true, inService("s2", two)));
             eventually(() -> log(node).contains("list 4"));
             assertEquals("two", node.ask(read(20_000)).text());
         }
@@ -255,22 +267,23 @@
      * Sends a line on both calls of a starting gateway in one turn of its event loop, each with a version of the same
      * change (an empty line for 0); returns the call that goes on.
      */
-    private static Socket cross(Node node, Server discovery, String told, long newest, boolean hedgeFirst, String change) throws Exception {
-        String[] lines = told.split(", ");
+    private static Socket sendOnBothCalls(Node node, Server discovery, String versions, long newest, boolean hedgeFirst,
+            String change) throws Exception {
+        String[] versionOfEach = versions.split(", ");
         Socket call = await(discovery.received).socket();
         Socket hedge = await(discovery.received).socket();
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch written = new CountDownLatch(1);
         Future<?> turn = node.loop.submit(() -> {
-            held.countDown();
+            blocked.countDown();
             return written.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
         });
-        held.await();
+        blocked.await();
         List<Socket> order = hedgeFirst ? List.of(hedge, call) : List.of(call, hedge);
         for (int i = 0; i < 2; i++) {
-            int rev = Integer.parseInt(lines[i]);
+            int rev = Integer.parseInt(versionOfEach[i]);
             write(order.get(i), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            part(order.get(i), rev == 0 ? "\n" : list(rev, false, change) + "\n");
+            writeChunk(order.get(i), rev == 0 ? "\n" : list(rev, false, change) + "\n");
         }
         written.countDown();
         assertEquals(true, turn.get());
@@ -279,9 +292,10 @@
         return discovery.ended.contains(call) ? hedge : call;
     }
 
-    private static int dialling(int port) throws IOException {
+    private static int pendingConnects(int port) throws IOException {
         String to = String.format(":%04X 02 ", port);  // SYN_SENT
-        return (int) Stream.concat(Files.readAllLines(Path.of("/proc/net/tcp")).stream(), Files.readAllLines(Path.of("/proc/net/tcp6")).stream())
+        return (int) Stream.concat(Files.readAllLines(Path.of("/proc/net/tcp")).stream(),
+                Files.readAllLines(Path.of("/proc/net/tcp6")).stream())
                 .filter(line -> line.contains(to)).count();
     }
 
@@ -290,8 +304,9 @@
      * up is applied.
      */
     @Test
-    void aDialThatNeverComesUpIsHedged() throws Exception {
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1")); Server one = host("one"); Server two = host("two");
+    void connectThatNeverCompletesIsHedged() throws Exception {
+        try (ServerSocket full = new ServerSocket(0, 1,
+                InetAddress.getByName("127.0.0.1")); Server one = host("one"); Server two = host("two");
                 Server unused = discovery()) {
             List<Socket> fill = new ArrayList<>();
             for (int i = 0; i < 4; i++) {  // the listen backlog holds these; further connects get no answer
@@ -303,10 +318,11 @@
                     socket.close();
                 }
             }
-            Map<String, String> environment = new HashMap<>(environment(folder, unused, list(1, true, up("s1", one)), SETTINGS));
+            Map<String, String> environment = new HashMap<>(environment(folder, unused,
+                    list(1, true, inService("s1", one)), SETTINGS));
             environment.put("NODE_DISCOVERY", "127.0.0.1:" + full.getLocalPort());
             try (Node node = new Node(environment)) {
-                eventually(() -> dialling(full.getLocalPort()) >= 2);
+                eventually(() -> pendingConnects(full.getLocalPort()) >= 2);
                 for (Socket socket : fill) {
                     socket.close();
                 }
@@ -316,7 +332,7 @@
                     fill.add(watch);
                 } while (Loopback.read(watch) == null);  // skips those that filled the backlog and were closed
                 write(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                Loopback.tell(watch, list(5, true, up("s2", two)));
+                Loopback.tell(watch, list(5, true, inService("s2", two)));
                 eventually(() -> log(node).contains("list 5"));
                 assertEquals("two", node.ask(read(20_000)).text());
             } finally {
@@ -332,8 +348,8 @@
      * answer to be applied within 6 s.
      */
     @Test
-    void aRefusedCallIsFollowedSoonEnough() throws Exception {
-        String seldom = SETTINGS.replace("\"must_ask_in\":1000000", "\"must_ask_in\":60000000");
+    void refusedCallIsRetriedSoonEnough() throws Exception {
+        String longBackOff = SETTINGS.replace("\"must_ask_in\":1000000", "\"must_ask_in\":60000000");
         int refused = 4;
         AtomicInteger calls = new AtomicInteger();
         AtomicLong last = new AtomicLong();
@@ -345,9 +361,9 @@
                 write(message.socket(), "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             } else {
                 write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                Loopback.tell(message.socket(), list(5, true, up("s2", two)));
+                Loopback.tell(message.socket(), list(5, true, inService("s2", two)));
             }
-        }); Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), seldom))) {
+        }); Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), longBackOff))) {
             eventually(() -> log(node).contains("list 5"));
             assertEquals("two", node.ask(read(20_000)).text());
             long millis = TimeUnit.NANOSECONDS.toMillis(longest.get());
@@ -362,13 +378,14 @@
      * reported.
      */
     @Test
-    void aMoveDuringASilentCallIsHeard() throws Exception {
-        try (Server silent = new Server(message -> { }); Server moved = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, silent, list(1, true, up("s1", one)), SETTINGS))) {
+    void moveDuringASilentCallTakesEffect() throws Exception {
+        try (Server silent = new Server(message ->
+                { }); Server moved = discovery(); Server one = host("one"); Server two = host("two");
+                Node node = new Node(environment(folder, silent, list(1, true, inService("s1", one)), SETTINGS))) {
             await(silent.received);
             await(silent.received);  // the hedge of the first
             node.loop.execute(() -> node.gateway.discoverAt(Loopback.at(moved)));
-            Loopback.tell(await(moved.received).socket(), list(5, true, up("s2", two)));
+            Loopback.tell(await(moved.received).socket(), list(5, true, inService("s2", two)));
             eventually(() -> log(node).contains("list 5"));
             assertEquals("two", node.ask(read(20_000)).text());
             await(silent.ended);
