--- a/src/main/java/mastdrift/membership/PoolList.java
+++ b/src/main/java/mastdrift/membership/PoolList.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** The hosts of one pool as they are in force, by uid, and what a source said that was left out. */
-public record PoolList(String pool, List<Listed> hosts, List<String> leftOut) {
+/** The merged list of one pool: its hosts by uid, and messages about reported nodes that were omitted. */
+public record PoolList(String pool, List<ListedHost> hosts, List<String> omissions) {
 
-    /** Nobody. */
+    /** A list without hosts. */
     public static PoolList empty(String pool) {
         return new PoolList(pool, List.of(), List.of());
     }
 
-    /** Whether there is anybody to send to. */
-    public boolean somebody() {
-        return hosts.stream().anyMatch(Listed::takesNew);
+    /** Whether any host accepts new requests. */
+    public boolean hasAcceptingHost() {
+        return hosts.stream().anyMatch(ListedHost::acceptsNewRequests);
     }
 }
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -48,7 +48,7 @@
 
             @Override
             public boolean listHolds() {
-                return discovery == null || discovery.listHolds();  // null while the known list is applied
+                return discovery == null || discovery.isListValid();  // null while the known list is applied
             }
         };
         Discovery.Listener listener = new DiscoveryListener();
@@ -62,10 +62,10 @@
             listener = tallyRecorder.countingListener(listener);
         }
         pool = new Pool("hosts", ledger, module, config.settings(), transport);
-        Discovery.Terms terms = new Discovery.Terms(!config.settings().registryOnRequest(), config.settings().rules().mustAskIn(), ledger::unseen);
+        Discovery.RegistryOptions terms = new Discovery.RegistryOptions(!config.settings().registryOnRequest(), config.settings().rules().mustAskIn(), ledger::unseen);
         discovery = new Discovery(loop, config.discovery(), terms, config.knownList(), listener);
-        ledger.notifications(discovery::look);
-        pool.start(source, config.knownList().rev(), config.knownList().entries());
+        ledger.notifications(discovery::readUnreadInput);
+        pool.start(source, config.knownList().version(), config.knownList().entries());
         log("settings: lists are " + (config.settings().registryOnRequest() ? "asked for" : "pushed") + ", " + config.settings().rules());
         logList(config.knownList());
         if (!config.settings().registryOnRequest()) {
@@ -105,7 +105,7 @@
     /** Sends calls to discovery to another address from now on. */
     void setDiscoveryAddress(InetSocketAddress address) {
         log("discovery address is now " + NetUtil.toSocketAddressString(address));
-        discovery.move(address);
+        discovery.moveTo(address);
     }
 
     @Override
@@ -117,33 +117,33 @@
     private final class DiscoveryListener implements Discovery.Listener {
 
         @Override
-        public void listed(HostList list) {
+        public void listAccepted(HostList list) {
             logList(list);
-            pool.learn(list.all() ? ListForm.FULL : ListForm.DELTA, list.rev(), list.entries());
+            pool.learn(list.full() ? ListForm.FULL : ListForm.DELTA, list.version(), list.entries());
             firstList.complete(null);
         }
 
         @Override
-        public boolean withdrawn(Discovery.Withdrawal withdrawal) {
-            int hosts = pool.withdraw(withdrawal.version(), withdrawal.named(), withdrawal.leaving());
+        public boolean hostsWithdrawn(Discovery.Withdrawal withdrawal) {
+            int hosts = pool.withdraw(withdrawal.version(), withdrawal.namedUids(), withdrawal.leaving());
             log("rejected list: " + hosts + " hosts are drained or removed");
             return hosts > 0;
         }
 
         @Override
-        public void noted(String line) {
+        public void logEvent(String line) {
             log(line);
         }
 
         @Override
-        public void failed(String cause) {
+        public void callFailed(String cause) {
             log("discovery failed: " + cause);
             pool.unheard();
         }
     }
 
     private void logList(HostList list) {
-        log("list " + list.rev() + ": " + list.entries().size() + (list.all() ? " hosts" : " changes"));
+        log("list " + list.version() + ": " + list.entries().size() + (list.full() ? " hosts" : " changes"));
     }
 
     void log(String line) {
--- a/src/main/java/mastdrift/net/JsonLines.java
+++ b/src/main/java/mastdrift/net/JsonLines.java
@@ -1,79 +1,85 @@
 package mastdrift.net;
 
-/** Finds the ends of JSON values in a stream that has one a line, or one over several lines where it comes indented (RFC 8259, section 2: line breaks are
-    white space between tokens, and can't stand within a string). An object or array ends with its last bracket, whenever the end of its line comes. An
-    empty line within a value, or one that breaks a string, ends what was cut off: that is for the parser to refuse, and what comes behind it is not
-    taken for its rest. Holds no text. */
+/**
+ * Finds the ends of JSON values in a stream that has one value a line, or one value over several lines if it is
+ * indented (RFC 8259, section 2: line breaks are white space between tokens, and can't occur within a string). An
+ * object or array ends with its closing bracket, no matter when the rest of its line arrives. An empty line within a
+ * value, or a line break within a string, ends a truncated value: the parser rejects that value, and the input after it
+ * is not taken for its rest. Keeps no text.
+ */
 final class JsonLines {
 
-    /** What a byte ends. */
-    enum End {
-        NOTHING,
-        /** A value, an empty line, or something that can't be either. */
+    /** What a byte completes. */
+    enum Boundary {
+        NONE,
+        /** A value, an empty line, or input that is neither. */
         VALUE,
-        /** An object two levels within a value that has begun: an entry of a list. */
+        /** An object nested two levels deep in a value that is not complete: an entry of a list. */
         ENTRY,
-        /** A line that is an object by itself, within a value that has begun: an entry of that, or a value behind one that was cut off. */
+        /**
+         * A line that is an object by itself, within a value that is not complete: an entry of that value, or a value
+         * that follows a truncated one.
+         */
         OBJECT_LINE
     }
 
-    private static final int ENTRIES = 2;  // a list is an object with an array of them
+    private static final int ENTRY_DEPTH = 2;  // a list is an object with an array of entries
 
     private int depth;
-    private int lineDepth;  // at the line's begin
-    private boolean opensObject;  // the line, with its first token
-    private boolean quoted;
+    private int lineStartDepth;  // at the start of the line
+    private boolean lineOpensObject;  // the first token of the line is an opening brace
+    private boolean inString;
     private boolean escaped;
-    private boolean blank = true;  // the line, so far
+    private boolean lineBlank = true;  // the line has only white space so far
 
-    /** Takes the next byte. */
-    End next(byte next) {
-        if (next == '\n') {
-            return lineEnds();
+    /** Processes the next byte. */
+    Boundary next(byte nextByte) {
+        if (nextByte == '\n') {
+            return endLine();
         }
-        boolean space = next == ' ' || next == '\t' || next == '\r';
-        if (blank && !space) {
-            opensObject = next == '{' && !quoted;
+        boolean whiteSpace = nextByte == ' ' || nextByte == '\t' || nextByte == '\r';
+        if (lineBlank && !whiteSpace) {
+            lineOpensObject = nextByte == '{' && !inString;
         }
-        blank &= space;
+        lineBlank &= whiteSpace;
         if (escaped) {
             escaped = false;
-        } else if (next == '"') {
-            quoted = !quoted;
-        } else if (quoted) {
-            escaped = next == '\\';
-        } else if (next == '{' || next == '[') {
+        } else if (nextByte == '"') {
+            inString = !inString;
+        } else if (inString) {
+            escaped = nextByte == '\\';
+        } else if (nextByte == '{' || nextByte == '[') {
             depth++;
-        } else if (next == '}' || next == ']') {
+        } else if (nextByte == '}' || nextByte == ']') {
             depth--;
-            return depth == 0 ? valueEnds() : depth == ENTRIES && next == '}' ? End.ENTRY : End.NOTHING;
+            return depth == 0 ? endValue() : depth == ENTRY_DEPTH && nextByte == '}' ? Boundary.ENTRY : Boundary.NONE;
         }
-        return End.NOTHING;
+        return Boundary.NONE;
     }
 
-    private End valueEnds() {
-        lineDepth = 0;
-        opensObject = false;
-        return End.VALUE;
+    private Boundary endValue() {
+        lineStartDepth = 0;
+        lineOpensObject = false;
+        return Boundary.VALUE;
     }
 
-    private End lineEnds() {
-        boolean over = depth <= 0 || quoted || blank;
-        boolean objectLine = !over && opensObject && depth == lineDepth;
-        if (over) {
-            restart();
+    private Boundary endLine() {
+        boolean endsValue = depth <= 0 || inString || lineBlank;
+        boolean objectLine = !endsValue && lineOpensObject && depth == lineStartDepth;
+        if (endsValue) {
+            reset();
         }
-        blank = true;
-        lineDepth = depth;
-        return over ? End.VALUE : objectLine ? End.OBJECT_LINE : End.NOTHING;
+        lineBlank = true;
+        lineStartDepth = depth;
+        return endsValue ? Boundary.VALUE : objectLine ? Boundary.OBJECT_LINE : Boundary.NONE;
     }
 
-    /** What has begun is no value: the next byte begins one. */
-    void restart() {
+    /** Discards an incomplete value: the next byte starts a new one. */
+    void reset() {
         depth = 0;
-        lineDepth = 0;
-        quoted = false;
+        lineStartDepth = 0;
+        inString = false;
         escaped = false;
-        blank = true;
+        lineBlank = true;
     }
 }
--- a/src/main/java/mastdrift/net/TallyRecorder.java
+++ b/src/main/java/mastdrift/net/TallyRecorder.java
@@ -90,29 +90,29 @@
     Discovery.Listener countingListener(Discovery.Listener listener) {
         return new Discovery.Listener() {
             @Override
-            public void listed(HostList list) {
+            public void listAccepted(HostList list) {
                 currentSecond.add(Count.LISTS);
-                listener.listed(list);
+                listener.listAccepted(list);
             }
 
             @Override
-            public boolean withdrawn(Discovery.Withdrawal withdrawal) {
-                return listener.withdrawn(withdrawal);
+            public boolean hostsWithdrawn(Discovery.Withdrawal withdrawal) {
+                return listener.hostsWithdrawn(withdrawal);
             }
 
             @Override
-            public void failed(String cause) {
+            public void callFailed(String cause) {
                 currentSecond.add(Count.CALLS_FAILED);
-                listener.failed(cause);
+                listener.callFailed(cause);
             }
 
             @Override
-            public void noted(String line) {
-                listener.noted(line);
+            public void logEvent(String line) {
+                listener.logEvent(line);
             }
 
             @Override
-            public void called() {
+            public void callStarted() {
                 currentSecond.add(Count.CALLS);
             }
         };
--- a/src/test/java/mastdrift/net/ConnectionReuseTest.java
+++ b/src/test/java/mastdrift/net/ConnectionReuseTest.java
@@ -61,7 +61,7 @@
             ConnectionPool pool = new ConnectionPool(loop, clock::get, Timers.of(loop), TIMEOUT_MICROS, TIMEOUT_MICROS,
                     10, line -> { });
             HostList list = HostList.parse(JSON.std.anyFrom(list(1, true, entry("s1", host.address(), "a", "in_service"))));
-            gate.take(list.rev(), true, list.entries());
+            gate.take(list.version(), true, list.entries());
             return pool;
         });
     }
@@ -159,7 +159,7 @@
             ConnectionPool pool = pool(unused);
             onLoop(() -> {
                 HostList list = HostList.parse(JSON.std.anyFrom(list(2, true, entry("s1", "127.0.0.1:" + host.getLocalPort(), "a", "in_service"))));
-                gate.take(list.rev(), true, list.entries());
+                gate.take(list.version(), true, list.entries());
                 pool.closeIdleOutOfService();
                 send(pool, "large", 64 << 20);  // more than socket buffers hold
                 return null;
--- a/src/test/java/mastdrift/net/WatchCrossingTest.java
+++ b/src/test/java/mastdrift/net/WatchRaceTest.java
@@ -41,17 +41,20 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What may cross with a change of the list: how it is laid out and cut, the end of its watch, an agent that is silent, repeats that wait meanwhile. */
-class WatchCrossingTest {
+/**
+ * Races around a change of the list: its format and fragmentation, the end of its watch, a silent agent, retries that
+ * wait meanwhile.
+ */
+class WatchRaceTest {
 
     @TempDir
     private Path folder;
 
-    private static String up(String uid, Server host) {
+    private static String inService(String uid, Server host) {
         return entry(uid, host.address(), "a", "in_service");
     }
 
-    private static void part(Socket watch, String text) throws IOException {
+    private static void writeChunk(Socket watch, String text) throws IOException {
         synchronized (watch) {
             write(watch, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
         }
@@ -61,27 +64,31 @@
         return node.log.toString(StandardCharsets.UTF_8);
     }
 
-    private static String laidOut(String list, String how) throws IOException {
-        return switch (how) {
+    private static String formatted(String list, String format) throws IOException {
+        return switch (format) {
             case "pretty" -> JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asString(JSON.std.anyFrom(list));
-            case "lines" -> list.replace(",\"", ",\n\"").replace("[{", "[\n{").replace(",{", ",\n{");  // over lines, with nothing ahead of them
-            case "crlf" -> JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asString(JSON.std.anyFrom(list)).replace("\n", "\r\n");
+            // one token a line without indentation
+            case "lines" -> list.replace(",\"", ",\n\"").replace("[{", "[\n{").replace(",{", ",\n{");
+            case "crlf" -> JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asString(JSON.std.anyFrom(list))
+                    .replace("\n", "\r\n");
             default -> "    " + list;
         };
     }
 
-    /** A list may come indented: on a watch too, over many lines, whole, as a change, and in pieces of any size. */
+    /** A list may be indented and span many lines on a watch too: full lists and changes, in fragments of any size. */
     @ParameterizedTest
     @CsvSource({"spaces,1000", "pretty,1000", "pretty,1", "lines,7", "crlf,3"})
-    void anIndentedListIsTaken(String how, int piece) throws Exception {
+    void indentedListIsApplied(String format, int fragmentSize) throws Exception {
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             Message watch = await(discovery.received);
-            String odd = "a \\\" { [ \\\\ odd zone";  // what looks like an end or a begin, within a string
-            String text = laidOut(list(7, true, up("s1", one), entry("s2", two.address(), odd, "in_service")), how).strip() + "\n\n"
-                    + laidOut(list(8, false, entry("s1", one.address(), "a", "terminating")), how).strip() + "\n";
-            for (int i = 0; i < text.length(); i += piece) {
-                part(watch.socket(), text.substring(i, Math.min(text.length(), i + piece)));
+            // looks like the end or the start of a value, but is within a string
+            String zoneWithBrackets = "a \\\" { [ \\\\ odd zone";
+            String text = formatted(list(7, true, inService("s1", one),
+                    entry("s2", two.address(), zoneWithBrackets, "in_service")), format).strip() + "\n\n"
+                    + formatted(list(8, false, entry("s1", one.address(), "a", "terminating")), format).strip() + "\n";
+            for (int i = 0; i < text.length(); i += fragmentSize) {
+                writeChunk(watch.socket(), text.substring(i, Math.min(text.length(), i + fragmentSize)));
             }
             eventually(() -> log(node).contains("list 8: 1 changes"));
             assertTrue(log(node).contains("list 7: 2 hosts"), log(node));
@@ -90,22 +97,25 @@
         }
     }
 
-    /** A change that is cut off within a string, between two tokens, or by the end of its watch is no change, and what comes behind is not taken for its
-        rest: the list is asked for again, from the version in force. */
+    /**
+     * A change that is truncated within a string, between two tokens, or by the end of its watch is not applied, and
+     * what follows is not taken for its rest: the list is requested again from the current version.
+     */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {"string | line", "tokens | line", "string | end", "tokens | end"})
-    void aChangeThatIsCutOffIsNone(String where, String then) throws Exception {
+    void truncatedChangeIsNotApplied(String where, String then) throws Exception {
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             Message watch = await(discovery.received);
-            Loopback.sendLine(watch.socket(), list(7, true, up("s1", one), up("s2", two)));
+            Loopback.sendLine(watch.socket(), list(7, true, inService("s1", one), inService("s2", two)));
             String change = list(8, false, entry("s1", one.address(), "a", "terminating"));
             int cut = where.equals("string") ? change.indexOf("endpoint") + 3 : change.indexOf("\"targets");
-            part(watch.socket(), change.substring(0, cut));
+            writeChunk(watch.socket(), change.substring(0, cut));
             if ("end".equals(then)) {
                 watch.socket().close();
             } else {
-                part(watch.socket(), (where.equals("string") ? "\n" : "\n\n") + list(9, false, entry("s2", two.address(), "a", "terminating")) + "\n");
+                writeChunk(watch.socket(), (where.equals("string") ? "\n" : "\n\n")
+                        + list(9, false, entry("s2", two.address(), "a", "terminating")) + "\n");
             }
             Message next = await(discovery.received);
             assertEquals("GET /v1/endpoints?watch=1&from=7 HTTP/1.1", next.line());
@@ -113,11 +123,12 @@
         }
     }
 
-    /** Told in the last bytes of a watch that ends with them, a change is in force. */
+    /** A change in the last bytes of a watch, which end with them, is applied. */
     @Test
-    void aChangeThatCameWithTheEndOfItsWatchIsTaken() throws Exception {
+    void changeInTheLastBytesOfAWatchIsApplied() throws Exception {
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one), up("s2", two)), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery,
+                        list(1, true, inService("s1", one), inService("s2", two)), SETTINGS))) {
             Message watch = await(discovery.received);
             String change = list(7, false, entry("s1", one.address(), "a", "terminating")) + "\n";
             synchronized (watch.socket()) {
@@ -131,120 +142,148 @@
         }
     }
 
-    /** An agent that is silent since its own source is down is asked again and again, each call with little time; what it says once it speaks is in force at once. */
+    /**
+     * An agent that is silent because its own source is down is called again with a short timeout each time; what it
+     * sends once it answers is applied at once.
+     */
     @Test
-    void aSilentAgentIsAskedAgainSoon() throws Exception {
+    void silentAgentIsCalledAgainSoon() throws Exception {
         String pushed = SETTINGS.replace("\"registry_mode\":\"on_request\"", "\"registry_mode\":\"pushed\"");
         try (Server agent = new Server(message -> { }); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, agent, list(1, true, up("s1", one)), pushed))) {
+                Node node = new Node(environment(folder, agent, list(1, true, inService("s1", one)), pushed))) {
             await(agent.received);
             long since = System.nanoTime();
             for (int calls = 0; calls < 4; calls++) {
                 await(agent.received);
             }
             long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since);
-            assertTrue(millis < 10_000, "four calls took " + millis + " ms");  // some 4.3 s; 19 s by the times of a discovery that has turns
+            // some 4.3 s; 19 s with the timeouts for a registry at which calls wait for their turn
+            assertTrue(millis < 10_000, "four calls took " + millis + " ms");
             Socket last = agent.accepted.get(agent.accepted.size() - 1);
             write(last, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Loopback.sendLine(last, list(5, true, up("s2", two)));
+            Loopback.sendLine(last, list(5, true, inService("s2", two)));
             eventually(() -> log(node).contains("list 5") || agent.received.poll() != null);
         }
     }
 
-    /** The drain is told while an attempt dials, and while a request that was turned away elsewhere has its repeat: after the grace neither host gets anything. */
+    /**
+     * A drain arrives while an attempt is connecting, and while a request that another host refused waits for its
+     * retry: after the grace neither host gets a request.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aDrainToldWhileARepeatWaitsIsKept(boolean all) throws Exception {
-        CountDownLatch told = new CountDownLatch(1);
+    void retryIsNotSentToAHostThatDrainedWhileItWaited(boolean full) throws Exception {
+        CountDownLatch drainSent = new CountDownLatch(1);
         try (Server discovery = discovery(); Server two = host("two");
                 Server one = new Server(message -> {
-                    told.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
-                    write(message.socket(), "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
+                    drainSent.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
+                    write(message.socket(),
+                            "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
                 });
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             Message watch = await(discovery.received);
             Socket client = node.connect();
             write(client, read(20_000));
             await(one.received);
-            Loopback.sendLine(watch.socket(), list(2, all, up("s1", one), up("s2", two)));
-            Loopback.sendLine(watch.socket(), all ? list(3, true, up("s1", one)) : list(3, false, entry("s2", two.address(), "a", "terminating")));
+            Loopback.sendLine(watch.socket(), list(2, full, inService("s1", one), inService("s2", two)));
+            Loopback.sendLine(watch.socket(), full ? list(3, true, inService("s1", one))
+                    : list(3, false, entry("s2", two.address(), "a", "terminating")));
             eventually(() -> log(node).contains("list 3"));
-            told.countDown();
+            drainSent.countDown();
             assertEquals(503, Loopback.read(client).status());
             assertTrue(two.received.isEmpty());
         }
     }
 
-    // ---- told in 6 s, whatever calls have come to: the table of these is in CallScheduleTest
+    // ---- changes are received within 6 s, however calls end: DiscoveryCallSchedulerTest has the table of these cases
 
-    /** A watch falls silent behind a line, and the new one is silent too: a third is open before that is given up, and what it tells is in force. */
+    /**
+     * A watch goes silent after a line, and the next one is silent too: a third call is open before that one times out,
+     * and what it receives is applied.
+     */
     @Test
-    void aSecondSilentWatchIsHedged() throws Exception {
+    void secondSilentWatchIsHedged() throws Exception {
         try (Server discovery = new Server(message -> { }); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one), up("s2", two)), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery,
+                        list(1, true, inService("s1", one), inService("s2", two)), SETTINGS))) {
             Socket first = await(discovery.received).socket();
             write(first, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Loopback.sendLine(first, list(5, true, up("s1", one), up("s2", two)));
-            Socket second = await(discovery.received).socket();  // says nothing
+            Loopback.sendLine(first, list(5, true, inService("s1", one), inService("s2", two)));
+            Socket second = await(discovery.received).socket();  // sends nothing
             Socket third = await(discovery.received).socket();
-            assertTrue(!discovery.ended.contains(second), "the second had its time ahead of the third");
+            assertTrue(!discovery.ended.contains(second), "the second call timed out before the third started");
             write(third, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             Loopback.sendLine(third, list(6, false, entry("s1", one.address(), "a", "terminating")));
             eventually(() -> log(node).contains("list 6"));
-            eventually(() -> discovery.ended.contains(second));  // the first to tell ends the other
+            eventually(() -> discovery.ended.contains(second));  // the first call to receive a line closes the other
             assertTrue(!discovery.ended.contains(third), log(node));
             assertEquals("two", node.ask(read(20_000)).text());
         }
     }
 
-    /** Two calls are out, and both are told in one turn of the loop; the one that is read first ends the other, whose line then stands unread. That was told
-        as well: what is newer in it is in force, what is older is no fault, and the one that goes on is heard. */
+    /**
+     * Both open calls receive a line in one turn of the event loop; the call that is read first closes the other, whose
+     * line is unread then. That line counts as delivered as well: newer content is applied, older content is no error,
+     * and the call that goes on is read.
+     */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"0, 5 | 5 | true", "0, 5 | 5 | false", "5, 6 | 6 | true", "6, 5 | 6 | true", "5, 5 | 5 | false"})
-    void whatStandsUnreadOnACallThatAnotherEndsIsTaken(String told, long newest, boolean hedgeFirst) throws Exception {
+    @CsvSource(delimiter = '|', value = {"0, 5 | 5 | true", "0, 5 | 5 | false", "5, 6 | 6 | true", "6, 5 | 6 | true",
+            "5, 5 | 5 | false"})
+    void unreadInputOfACallClosedForAnotherIsApplied(String versions, long newest,
+            boolean hedgeFirst) throws Exception {
         try (Server discovery = new Server(message -> { }); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one), up("s2", two)), SETTINGS))) {
-            Socket goesOn = cross(node, discovery, told, newest, hedgeFirst, entry("s1", one.address(), "a", "terminating"));
+                Node node = new Node(environment(folder, discovery,
+                        list(1, true, inService("s1", one), inService("s2", two)), SETTINGS))) {
+            Socket remaining = sendOnBothCalls(node, discovery, versions, newest, hedgeFirst,
+                    entry("s1", one.address(), "a", "terminating"));
             assertEquals("two", node.ask(read(20_000)).text());
-            Loopback.sendLine(goesOn, list(9, false, entry("s3", one.address(), "a", "in_service")));
+            Loopback.sendLine(remaining, list(9, false, entry("s3", one.address(), "a", "in_service")));
             eventually(() -> log(node).contains("list 9"));
             assertTrue(!log(node).contains("failed"), log(node));
         }
     }
 
-    /** What is older than another call has told is passed over once: a registry that was set back is believed as ever, when the next call tells the same. */
+    /**
+     * A list older than what another call has delivered is skipped once: a registry that was rolled back is accepted as
+     * usual, when the next call receives the same.
+     */
     @Test
-    void aRegistrySetBackBehindACallThatAnotherEndedIsBelieved() throws Exception {
+    void rolledBackRegistryIsAcceptedAfterACallWasClosedForAnother() throws Exception {
         try (Server discovery = new Server(message -> { }); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one), up("s2", two)), SETTINGS))) {
-            Socket goesOn = cross(node, discovery, "5, 6", 6, true, up("s1", one));
-            Loopback.sendLine(goesOn, list(4, true, up("s2", two)));
-            Loopback.sendLine(goesOn, list(4, true, up("s2", two)));
+                Node node = new Node(environment(folder, discovery,
+                        list(1, true, inService("s1", one), inService("s2", two)), SETTINGS))) {
+            Socket remaining = sendOnBothCalls(node, discovery, "5, 6", 6, true, inService("s1", one));
+            Loopback.sendLine(remaining, list(4, true, inService("s2", two)));
+            Loopback.sendLine(remaining, list(4, true, inService("s2", two)));
             Socket next = await(discovery.received).socket();
             write(next, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Loopback.sendLine(next, list(4, true, up("s2", two)));
+            Loopback.sendLine(next, list(4, true, inService("s2", two)));
             eventually(() -> log(node).contains("list 4"));
             assertEquals("two", node.ask(read(20_000)).text());
         }
     }
 
-    /** Has the two calls of a gateway that begins told in one turn, each of a version of the same change (an empty line for 0); returns the one that goes on. */
-    private static Socket cross(Node node, Server discovery, String told, long newest, boolean hedgeFirst, String change) throws Exception {
-        String[] lines = told.split(", ");
+    /**
+     * Sends a line on both calls of a starting gateway in one turn of its event loop, each with a version of the same
+     * change (an empty line for 0); returns the call that goes on.
+     */
+    private static Socket sendOnBothCalls(Node node, Server discovery, String versions, long newest, boolean hedgeFirst,
+            String change) throws Exception {
+        String[] versionOfEach = versions.split(", ");
         Socket call = await(discovery.received).socket();
         Socket hedge = await(discovery.received).socket();
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch written = new CountDownLatch(1);
         Future<?> turn = node.loop.submit(() -> {
-            held.countDown();
+            blocked.countDown();
             return written.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
         });
-        held.await();
+        blocked.await();
         List<Socket> order = hedgeFirst ? List.of(hedge, call) : List.of(call, hedge);
         for (int i = 0; i < 2; i++) {
-            int rev = Integer.parseInt(lines[i]);
+            int rev = Integer.parseInt(versionOfEach[i]);
             write(order.get(i), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            part(order.get(i), rev == 0 ? "\n" : list(rev, false, change) + "\n");
+            writeChunk(order.get(i), rev == 0 ? "\n" : list(rev, false, change) + "\n");
         }
         written.countDown();
         assertEquals(true, turn.get());
@@ -253,19 +292,24 @@
         return discovery.ended.contains(call) ? hedge : call;
     }
 
-    private static int dialling(int port) throws IOException {
+    private static int pendingConnects(int port) throws IOException {
         String to = String.format(":%04X 02 ", port);  // SYN_SENT
-        return (int) Stream.concat(Files.readAllLines(Path.of("/proc/net/tcp")).stream(), Files.readAllLines(Path.of("/proc/net/tcp6")).stream())
+        return (int) Stream.concat(Files.readAllLines(Path.of("/proc/net/tcp")).stream(),
+                Files.readAllLines(Path.of("/proc/net/tcp6")).stream())
                 .filter(line -> line.contains(to)).count();
     }
 
-    /** A dial to discovery never comes up: another one is begun beside it, and the one that does is heard. */
+    /**
+     * A connection to discovery never comes up: another one is started beside it, and a list on the one that does come
+     * up is applied.
+     */
     @Test
-    void aDialThatNeverComesUpIsHedged() throws Exception {
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1")); Server one = host("one"); Server two = host("two");
+    void connectThatNeverCompletesIsHedged() throws Exception {
+        try (ServerSocket full = new ServerSocket(0, 1,
+                InetAddress.getByName("127.0.0.1")); Server one = host("one"); Server two = host("two");
                 Server unused = discovery()) {
             List<Socket> fill = new ArrayList<>();
-            for (int i = 0; i < 4; i++) {  // the system's queue takes these, and then drops who comes
+            for (int i = 0; i < 4; i++) {  // the listen backlog holds these; further connects get no answer
                 Socket socket = new Socket();
                 fill.add(socket);
                 try {
@@ -274,10 +318,11 @@
                     socket.close();
                 }
             }
-            Map<String, String> environment = new HashMap<>(environment(folder, unused, list(1, true, up("s1", one)), SETTINGS));
+            Map<String, String> environment = new HashMap<>(environment(folder, unused,
+                    list(1, true, inService("s1", one)), SETTINGS));
             environment.put("NODE_DISCOVERY", "127.0.0.1:" + full.getLocalPort());
             try (Node node = new Node(environment)) {
-                eventually(() -> dialling(full.getLocalPort()) >= 2);
+                eventually(() -> pendingConnects(full.getLocalPort()) >= 2);
                 for (Socket socket : fill) {
                     socket.close();
                 }
@@ -285,9 +330,9 @@
                 do {
                     watch = full.accept();
                     fill.add(watch);
-                } while (Loopback.read(watch) == null);  // those that filled the queue have ended
+                } while (Loopback.read(watch) == null);  // skips those that filled the backlog and were closed
                 write(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                Loopback.sendLine(watch, list(5, true, up("s2", two)));
+                Loopback.sendLine(watch, list(5, true, inService("s2", two)));
                 eventually(() -> log(node).contains("list 5"));
                 assertEquals("two", node.ask(read(20_000)).text());
             } finally {
@@ -298,10 +343,13 @@
         }
     }
 
-    /** However long the pauses that the settings make of failed calls: the next one comes soon enough for its answer to be in force within 6 s. */
+    /**
+     * However long the back-off that the settings give after failed calls, the next call starts soon enough for its
+     * answer to be applied within 6 s.
+     */
     @Test
-    void aRefusedCallIsFollowedSoonEnough() throws Exception {
-        String seldom = SETTINGS.replace("\"must_ask_in\":1000000", "\"must_ask_in\":60000000");
+    void refusedCallIsRetriedSoonEnough() throws Exception {
+        String longBackOff = SETTINGS.replace("\"must_ask_in\":1000000", "\"must_ask_in\":60000000");
         int refused = 4;
         AtomicInteger calls = new AtomicInteger();
         AtomicLong last = new AtomicLong();
@@ -313,26 +361,31 @@
                 write(message.socket(), "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             } else {
                 write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                Loopback.sendLine(message.socket(), list(5, true, up("s2", two)));
+                Loopback.sendLine(message.socket(), list(5, true, inService("s2", two)));
             }
-        }); Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), seldom))) {
+        }); Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), longBackOff))) {
             eventually(() -> log(node).contains("list 5"));
             assertEquals("two", node.ask(read(20_000)).text());
             long millis = TimeUnit.NANOSECONDS.toMillis(longest.get());
-            assertTrue(millis < 5_000, "from a refusal to the next call: " + millis + " ms");  // 2.25 s; 6 to 18 s by the module's pauses alone
+            // 2.25 s; 6 to 18 s with the module's back-off alone
+            assertTrue(millis < 5_000, "from a refusal to the next call: " + millis + " ms");
             assertEquals(refused + 1, calls.get());
         }
     }
 
-    /** SIGHUP while the new watch, too, is silent: the new address is asked at once, and the old one's end says nothing. */
+    /**
+     * SIGHUP while the new watch is silent too: the new address is called at once, and the end of the old calls is not
+     * reported.
+     */
     @Test
-    void aMoveDuringASilentCallIsHeard() throws Exception {
-        try (Server silent = new Server(message -> { }); Server moved = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, silent, list(1, true, up("s1", one)), SETTINGS))) {
+    void moveDuringASilentCallTakesEffect() throws Exception {
+        try (Server silent = new Server(message ->
+                { }); Server moved = discovery(); Server one = host("one"); Server two = host("two");
+                Node node = new Node(environment(folder, silent, list(1, true, inService("s1", one)), SETTINGS))) {
             await(silent.received);
-            await(silent.received);  // beside the first
+            await(silent.received);  // the hedge of the first
             node.loop.execute(() -> node.gateway.setDiscoveryAddress(Loopback.socketAddress(moved)));
-            Loopback.sendLine(await(moved.received).socket(), list(5, true, up("s2", two)));
+            Loopback.sendLine(await(moved.received).socket(), list(5, true, inService("s2", two)));
             eventually(() -> log(node).contains("list 5"));
             assertEquals("two", node.ask(read(20_000)).text());
             await(silent.ended);
