--- a/src/main/java/mastdrift/net/BoundedLog.java
+++ b/src/main/java/mastdrift/net/BoundedLog.java
@@ -6,8 +6,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * A log of events that may come in any number: so many lines a second are written, and those beyond are counted by their kind and
- * told in one line once the second is over. On the loop's thread.
+ * Limits the log lines of events that may occur in any number: writes up to a given number of lines per second and
+ * counts the others by kind. The counts are logged in one line at the first event of a later second. Call it on the
+ * event loop.
  */
 final class BoundedLog {
 
@@ -20,14 +21,14 @@
     private long second;
     private int lines;
 
-    /** The clock is in microseconds and doesn't run back; {@code linesMost} lines a second are written. */
+    /** The clock is in microseconds and must be monotonic. */
     BoundedLog(LongSupplier clock, int linesMost, Consumer<String> log) {
         this.clock = clock;
         this.linesMost = linesMost;
         this.log = log;
     }
 
-    /** An event of a kind, in one line. */
+    /** Logs an event in one line, or counts it by its kind. */
     void event(String kind, String line) {
         long now = clock.getAsLong() / SECOND;
         if (now != second) {
@@ -45,7 +46,7 @@
 
     private void tellBeyond() {
         if (!beyond.isEmpty()) {
-            log.accept("not told one by one: " + beyond);
+            log.accept("log lines suppressed: " + beyond);
             beyond.clear();
         }
     }
--- a/src/main/java/mastdrift/net/ClientSide.java
+++ b/src/main/java/mastdrift/net/ClientSide.java
@@ -57,45 +57,53 @@
 import mastdrift.limits.Phase;
 import mastdrift.limits.PhaseBounds;
 
-/** The server that clients connect to: reads requests, refuses what is none, writes the final answers. */
+/**
+ * The HTTP/1.1 server that clients connect to: accepts connections, decodes and validates requests, hands them to the
+ * {@link Ledger} and writes the final responses. It bounds the number of connections and the time that each may spend
+ * in a {@link Phase}.
+ */
 public final class ClientSide {
 
-    /** Which pool a request is for. */
+    /** Chooses the pool that a request is for. */
     public interface Router {
-        /** Null where no route fits; the key (or null) is the same in repeats of a request. */
+        /** Returns null if no route matches. The key (or null) is the same in all repeats of a request. */
         Pool pool(RequestClass type, String tenant, HttpRequest message, Long key);
     }
 
     private static final int BODY_MOST = 64 << 10;
     private static final int BACKLOG = 1024;
-    // Connections that are taken from the system's queue in one turn: more would hold up everybody else.
+    // Connections accepted in one turn of the event loop: more would delay everything else on the loop.
     private static final int ACCEPTED_MOST = 16;
-    // Behind the current request so many are kept, and so many more are counted, to be refused in their turn. Reading goes on all the while, or
-    // the end of a connection would not be heard while its requests wait to be sent on. Where it has to pause, all that stands unread is refused.
+    // Requests that are queued on a connection behind the current one. Up to MAX_OVERFLOW_REQUESTS more are only
+    // counted, and refused in their turn. Reading goes on meanwhile, since the close of a connection would otherwise go
+    // unnoticed while its requests wait to be forwarded. When reading has to pause, the queued requests and all unread
+    // ones are refused.
     private static final int PIPELINED_MOST = 8;
     static final int COUNTED_MOST = 1_024;
-    // Stands for one of those that were only counted.
+    // Stands for a request that was only counted.
     private static final FullHttpRequest COUNTED = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "", Unpooled.EMPTY_BUFFER);
-    // Where reading had to pause, an end stands behind all that is unread: it is looked for by so many reads of 64 KiB at the most, and whoever has sent more
-    // counts as gone.
+    // When reading has paused, a close of the connection is behind all unread input. It is searched for with at most
+    // this many reads of 64 KiB; a client that has sent more than that is treated as gone.
     private static final int PAUSED_LOOKS = 16;
-    // At a stop, new connections go on coming for a while before the front has noticed.
+    // During a shutdown, new connections keep arriving for a while until it has been noticed that this gateway stops.
     private static final long STOP_ACCEPTING_MILLIS = 500;
-    // For so long clients are served on the connections that they have, since other gateways may be away as well; and
-    // all is answered so long after the longest deadline, before the program may be killed.
+    // During a shutdown, clients are served on their existing connections for this long, since other gateways may be
+    // unavailable as well. All requests are answered at the latest STOP_ANSWER_MARGIN_MICROS after the longest
+    // deadline, before the process may be killed.
     private static final long STOP_SERVING_MILLIS = 1500;
     private static final long STOP_ANSWERED = 400_000;
-    // Who connects as the listener closes has that long at the least, with deadlines however short.
+    // Minimum time for clients that connect just before the listener closes, however short the deadlines are.
     private static final long STOP_LAST = 50_000;
+    // Connections that are still open this long after all requests should have been answered are logged.
     private static final long STOP_SAID = 50_000;
     private static final int STOP_NAMED = 20;
-    // Connections that have been in their phase for too long are looked for so often, and so many closed at a time: closing ten
-    // thousand at once would hold up everybody else.
+    // Interval at which connections that exceeded the time bound of their phase are searched for, and how many of each
+    // phase are closed at a time: closing ten thousand at once would delay everything else on the loop.
     private static final long SWEEP_MILLIS = 250;
     private static final int SWEEP_MOST = 1_000;
-    // Connections that are looked at before one of them makes room.
+    // Connections examined before the search for one to evict is given up.
     private static final int GIVING_WAY_LOOKS = 4;
-    // After an accept that failed for want of something of this machine's own: it would fail again at once, and again.
+    // Pause after an accept that failed for lack of a local resource: an immediate retry would fail again.
     private static final long ACCEPT_PAUSE_MILLIS = 10;
     private static final long ACCEPT_SAID = 10_000_000;
 
@@ -107,27 +115,27 @@
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Set<String> tenants = new HashSet<>();
     private ChannelFactory<? extends ServerChannel> listener = NioServerSocketChannel::new;
-    private Function<InetAddress, String> zones;  // of clients; null where nobody asks
+    private Function<InetAddress, String> zones;  // zone of a client address; null if zones are not used
     private final PhaseBounds bounds;
     private final Connections<Connection> connections;
-    private final Set<String> open = new HashSet<>();  // the ids of requests that are not answered yet
-    private volatile Channel server;  // from before it accepts anybody
-    private boolean queueSeen = true;  // to its end, by the last look at the system's queue of new connections
-    private long acceptedIn;  // the last turn that found somebody there, or in which accepting went on after a pause
-    private long queuedSince;  // the earliest moment at which what is taken from it now may have come
+    private final Set<String> open = new HashSet<>();  // ids of requests that have no final answer yet
+    private volatile Channel server;  // set before the first connection is accepted
+    private boolean queueSeen = true;  // whether the last read of the listen backlog emptied it
+    private long acceptedIn;  // turn of the last accept, or in which accepting resumed after a pause
+    private long queuedSince;  // earliest time at which a connection that is accepted now may have arrived
     private long acceptSaidAt = -ACCEPT_SAID;
     private boolean stopping;
     private boolean closing;
     private long answerBy = Long.MAX_VALUE;
     private Runnable stopped;
 
-    /** Holds about {@code most} connections, by the usual bounds in time. */
+    /** Holds about {@code maxConnections} connections, with the default {@link PhaseBounds}. */
     public ClientSide(EventLoop loop, Ledger ledger, Router router, List<RequestClass> classes, List<Tenant> tenants,
             int most, Consumer<String> log) {
         this(loop, ledger, router, classes, tenants, most, PhaseBounds.USUAL, log);
     }
 
-    /** Likewise, by others. */
+    /** Holds about {@code maxConnections} connections, with the given time bounds. */
     public ClientSide(EventLoop loop, Ledger ledger, Router router, List<RequestClass> classes, List<Tenant> tenants,
             int most, PhaseBounds bounds, Consumer<String> log) {
         this.bounds = bounds;
@@ -141,45 +149,48 @@
         tenants.stream().map(Tenant::name).forEach(this.tenants::add);
     }
 
-    /** From now on requests say which zone their client's address is in. */
+    /** Requests from now on carry the zone of their client's address. */
     public void clientZones(Function<InetAddress, String> byAddress) {
         zones = byAddress;
     }
 
-    /** Listens by a channel of another kind; before {@link #listen}. */
+    /** Uses another kind of server channel; call it before {@link #listen}. */
     void listener(ChannelFactory<? extends ServerChannel> kind) {
         listener = kind;
     }
 
-    /** Where it listens, once it does. */
+    /** The address it listens on, once it is bound. */
     public InetSocketAddress address() {
         return (InetSocketAddress) server.localAddress();
     }
 
-    /** Connections that clients have; on the loop's thread. */
+    /** Number of open client connections. Call it on the event loop. */
     int connections() {
         return connections.size();
     }
 
-    /** Those of them that hold what reading a request needs, or those that don't; on the loop's thread. */
+    /**
+     * Number of connections that have the HTTP handlers in their pipeline, or of those that don't. Call it on the event
+     * loop.
+     */
     int connections(boolean awake) {
         int bare = connections.size(Phase.DORMANT) + connections.size(Phase.SILENT);
         return awake ? connections.size() - bare : bare;
     }
 
-    /** Whether nobody can connect any more; on the loop's thread. */
+    /** Whether the listener is closed, so that nobody can connect any more. Call it on the event loop. */
     boolean closed() {
         return server != null && !server.isOpen();
     }
 
-    /** Requests that are only counted, on all connections; on the loop's thread. */
+    /** Number of requests, on all connections, that are only counted and will be refused. Call it on the event loop. */
     int counted() {
         int[] all = new int[1];
         connections.each(Phase.BUSY, connection -> all[0] += connection.counted);
         return all[0];
     }
 
-    /** Binds; whether that went well is in the future. */
+    /** Binds the listener; the future tells whether that succeeded. */
     public ChannelFuture listen(InetSocketAddress at) {
         ChannelFuture bound = new ServerBootstrap().group(loop).channelFactory(listener)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
@@ -196,33 +207,40 @@
         return bound;
     }
 
-    /** Goes on serving for a moment, then finishes what was taken and closes; {@code then} runs once all is answered. That waits for the
-        longest deadline, but no more than {@code longest} microseconds: what is open 0.4 s later has its answer at once, since a program
-        that is killed answers nobody. */
+    /**
+     * Shuts down gracefully: keeps serving for a short time, then finishes the requests that were taken and closes the
+     * connections. {@code onStopped} runs once everything is answered and closed. The shutdown waits for the longest
+     * deadline of a class, but no more than {@code maxDeadlineMicros} microseconds: a request that is open 0.4 s later
+     * is answered at once, since a process that is killed answers nobody.
+     */
     public void stop(long longest, Runnable then) {
         stopping = true;
         long deadline = Math.min(longest, classes.values().stream().mapToLong(RequestClass::deadline).max().orElse(0));
         answerBy = ledger.now() + Math.max(deadline + STOP_ANSWERED, STOP_ACCEPTING_MILLIS * 1_000 + STOP_LAST);
         stopped = then;
-        if (server == null) {  // told so before it listened: now it never will
+        if (server == null) {  // stopped before it listened: it never will
             closing = true;
             checkStopped();
             return;
         }
         loop.schedule(() -> closeServer(ledger.turn()), STOP_ACCEPTING_MILLIS, TimeUnit.MILLISECONDS);
-        // With short deadlines the program may be killed sooner than that.
+        // With short deadlines the process may be killed sooner than that.
         long answered = answerBy - ledger.now();
         loop.schedule(this::endServing, Math.min(STOP_SERVING_MILLIS * 1_000, answered), TimeUnit.MICROSECONDS);
         loop.schedule(() -> {
             connections.each(Phase.BUSY, Connection::end);
-            List.of(Phase.SILENT, Phase.PART).forEach(phase -> closeUnasked(phase, true));  // what lacks its rest has had its time
+            // the time to complete partial requests is over
+            List.of(Phase.SILENT, Phase.PART).forEach(phase -> closeUnasked(phase, true));
         }, answered, TimeUnit.MICROSECONDS);
-        // Whoever is still there then is worth a line: the program may be killed next.
+        // Connections that are still open by then are logged, since the process may be killed next.
         loop.schedule(this::sayWaiting, answered + STOP_SAID, TimeUnit.MICROSECONDS);
     }
 
-    /** Who waits in the system's queue of new connections has been taken, and closing the listener would reset them: only once the wait of a turn behind
-        {@code since} has found nobody there, or when all is answered anyway. */
+    /**
+     * Closes the listener once the listen backlog is empty. Clients in the backlog count as connected, and closing the
+     * listener would reset them. It is therefore closed only after the wait of a turn later than {@code sinceTurn} has
+     * found no new connection, or when all requests have been answered anyway.
+     */
     private void closeServer(long since) {
         boolean empty = ledger.turn() > since && acceptedIn < ledger.turn() && queueEmpty() && server.config().isAutoRead();
         if (empty || ledger.turn() == 0 || ledger.now() >= answerBy) {
@@ -241,13 +259,15 @@
                     phases.add(connections.size(phase) + " " + phase);
                 }
             }
-            log.accept("the stop waits for connections: " + phases + "; requests without an answer: "
+            log.accept("shutdown is waiting for connections: " + phases + "; unanswered requests: "
                     + open.stream().limit(STOP_NAMED).toList());
         }
     }
 
-    /** From here on each connection ends with its next answer, and those that are owed none end now. One with a part of a request goes on: the rest of
-        it is on its way. */
+    /**
+     * From now on each connection closes after the last response that it is owed, and connections that are owed none
+     * close now. A connection with a partial request stays open, since the rest of it is on its way.
+     */
     void endServing() {
         closing = true;
         List.of(Phase.SILENT, Phase.IDLE, Phase.DORMANT).forEach(phase -> closeUnasked(phase, false));
@@ -262,8 +282,11 @@
         connections.overdue(ledger.now(), SWEEP_MOST, Connection::overdue);
     }
 
-    /** Looks at the system's queue of new connections. What waits there has been taken, by the platform's rules, and its time runs: while
-        a look doesn't come to the queue's end, the next one finds what may have come before it. */
+    /**
+     * Observes the accepts from the listen backlog. By the platform's rules a connection in the backlog has been taken,
+     * so its time is running. If a read does not empty the backlog, the connections found by the next read may have
+     * arrived before that read.
+     */
     private final class Queue extends ChannelInboundHandlerAdapter {
 
         private int accepted;
@@ -298,12 +321,15 @@
         }
     }
 
-    /** An accept failed. That a client gave up as it waited (ECONNABORTED) concerns nobody else; where descriptors or buffers are out, an idle connection
-        makes room, and the next try comes soon. The library by itself would accept nobody for a second. */
+    /**
+     * Handles a failed accept. A connection that its client aborted while it waited (ECONNABORTED) affects nobody else;
+     * if descriptors or buffers are exhausted, an idle connection is evicted, and accepting is retried soon. Netty by
+     * itself would not accept again for a second.
+     */
     private void acceptFailed(Throwable cause) {
         if (ledger.now() - acceptSaidAt >= ACCEPT_SAID) {
             acceptSaidAt = ledger.now();
-            log.accept("a connection could not be accepted: " + cause);
+            log.accept("failed to accept a connection: " + cause);
         }
         if (server.config().isAutoRead()) {
             makeRoom(null);
@@ -312,21 +338,27 @@
         }
     }
 
-    /** Whether nobody was left in the system's queue by the last wait, but for who has come since: a look came to its end, or, where it found as many as
-        are taken at a time, the wait of a turn behind it has found nobody. */
+    /**
+     * Whether the listen backlog was empty as of the last wait, not counting connections that have arrived since. That
+     * is so if a read has emptied it, or if, after a read that accepted as many as one turn may, the wait of the next
+     * turn found none.
+     */
     private boolean queueEmpty() {
         return queueSeen || ledger.turn() > acceptedIn + 1;
     }
 
     private void goOnAccepting() {
         if (!server.config().isAutoRead()) {
-            queueSeen = false;  // whoever is there may have come during the pause
+            queueSeen = false;  // the connections in the backlog may have arrived during the pause
             acceptedIn = ledger.turn();
             server.config().setAutoRead(true);
         }
     }
 
-    /** Closes one that is owed nothing, also once what stands unread on it has been read: a request may be there. */
+    /**
+     * Closes a connection that is owed no response. Its unread input is read first, since it may contain a request.
+     * Returns false if no connection could be closed.
+     */
     private boolean makeRoom(Connections.Entry<Connection> newcomer) {
         for (int i = 0; i < GIVING_WAY_LOOKS; i++) {
             Connection gives = connections.givesWay(newcomer);
@@ -343,7 +375,10 @@
         return false;
     }
 
-    /** Whom a connection counts for: an address, or 64 bits of it where one client has as many as it likes (RFC 4291, section 2.5). */
+    /**
+     * The client that a connection counts for: its address, or the first 64 bits of an IPv6 address, since one client
+     * may use any number of addresses with that prefix (RFC 4291, section 2.5).
+     */
     private static long holder(SocketAddress of) {
         byte[] address = of instanceof InetSocketAddress at ? at.getAddress().getAddress() : new byte[0];
         long holder = 0;
@@ -353,14 +388,19 @@
         return holder;
     }
 
-    /** Over only once nobody can connect any more, or who did in between would be reset. */
+    /**
+     * Completes the shutdown only once nobody can connect any more, since a client that connected in between would be
+     * reset.
+     */
     private void checkStopped() {
         if (closing && stopped != null && connections.size() == 0 && (server == null || !server.isOpen())) {
             stopped.run();
         }
     }
 
-    /** Whole requests; one that is too long is passed on as such, to be answered in its turn. */
+    /**
+     * Aggregates whole requests. One that is too large is passed on as a failed message, to be answered in its turn.
+     */
     private static final class Requests extends HttpObjectAggregator {
 
         Requests() {
@@ -377,33 +417,37 @@
         }
     }
 
-    /** A request, since when it may have waited, and the turn in which it was read. */
+    /** A request, the earliest time from which it may have been waiting, and the turn in which it was read. */
     private record Arrived(FullHttpRequest message, long at, long turn) { }
 
-    /** One client's connection. While it says nothing it is all that the pipeline has: what reads and writes HTTP is put ahead of it
-        by the first byte, and taken out again once the connection has been idle for a while. */
+    /**
+     * One client's connection. Until its first byte arrives, this is the only handler in the pipeline: the first byte
+     * adds the HTTP handlers in front of it, and they are removed again once the connection has been idle for a while.
+     */
     private final class Connection extends ChannelInboundHandlerAdapter implements Client {
 
         private final Channel channel;
         private Connections.Entry<Connection> entry;
-        private StrictDecoder decoder;  // null while there is none
-        private ArrayDeque<Arrived> waiting;  // requests behind the current one, null until there is one
-        private int counted;  // behind those
-        private boolean flooded;  // reading had to pause: what is read may stand far ahead of its client's end, until all has been read
+        private StrictDecoder decoder;  // null while the HTTP handlers are not in the pipeline
+        private ArrayDeque<Arrived> waiting;  // requests behind the current one; null until there is one
+        private int counted;  // requests behind those, which will be refused
+        // reading had to pause: the client's close may be far behind what was read, until all input has been read
+        private boolean flooded;
         private FullHttpRequest current;
         private Exchange exchange;
         private String id;
+        // whether the current read has completed a request
         private boolean read;
-        private boolean unreadable;  // what stands behind the current request can't be read as one
-        private boolean finished;  // its last answer is out
-        private long openedIn;  // the turn
-        private long openedSince;  // the earliest moment at which it may have been there
+        private boolean unreadable;  // no request can be read any more behind the current one
+        private boolean finished;
+        private long openedIn;
+        private long openedSince;  // earliest time at which it may have been in the listen backlog
 
         Connection(Channel channel) {
             this.channel = channel;
         }
 
-        /** At the bound another one makes room; where none can, no more are accepted for now. */
+        /** Above the connection limit another connection is evicted; if none can be, accepting pauses. */
         @Override
         public void channelActive(ChannelHandlerContext context) {
             openedIn = ledger.turn();
@@ -414,7 +458,10 @@
             }
         }
 
-        /** Without a word: a 408 might cross a request, and be taken for its answer. */
+        /**
+         * Removes the HTTP handlers of a connection that has been idle for a while; closes it in any other case. It
+         * closes without a response, since a 408 might cross a request and be taken for its answer.
+         */
         private void overdue(Phase phase) {
             if (phase == Phase.IDLE && decoder.isEmpty()) {
                 connections.moved(ledger.now(), entry, Phase.DORMANT);
@@ -428,8 +475,11 @@
             }
         }
 
-        /** Closes it in a phase in which it is owed no answer, unless what stands unread there changes that: a request that was there before the close
-            would be reset by it. Where a part of one has come, if {@code parts} alone. */
+        /**
+         * Closes the connection if it is in {@code phase}, in which it is owed no response, unless its unread input
+         * changes that: the close would reset a request that had arrived before it. Closes one with a partial request
+         * only if {@code includePartial}.
+         */
         private void closeUnasked(Phase phase, boolean parts) {
             if (entry.phase() == phase) {
                 Look.at(channel);
@@ -439,12 +489,12 @@
             }
         }
 
-        /** Whether a part of a request has come that is not whole yet. */
+        /** Whether a request has arrived in part, but not completely. */
         private boolean hasPart() {
             return decoder != null && !decoder.isEmpty();
         }
 
-        /** What is open is answered now. */
+        /** Ends the open request now, as if its deadline had passed. */
         private void end() {
             if (exchange != null) {
                 exchange.overdue();
@@ -485,14 +535,14 @@
             }
         }
 
-        /** Takes over the message. */
+        /** Takes ownership of the message. */
         private void arrived(FullHttpRequest message) {
             if (finished) {
                 message.release();
                 return;
             }
             read = true;
-            // What the first wait after the accept finds may have been there as long as the connection.
+            // A request found by the first wait after the accept may have been there as long as the connection.
             long at = ledger.turn() == openedIn + 1 ? Math.min(openedSince, ledger.arrived()) : ledger.arrived();
             Arrived arrived = new Arrived(message, at, ledger.turn());
             if (current == null) {
@@ -507,7 +557,8 @@
                 return;
             }
             message.release();
-            if (++counted >= COUNTED_MOST) {  // an end would be heard no more: then nothing of this connection may wait to be sent on
+            // a close would no longer be noticed: then no request of this connection may wait to be forwarded
+            if (++counted >= COUNTED_MOST) {
                 channel.config().setAutoRead(false);
                 flooded = true;
                 counted += waiting.size();
@@ -520,7 +571,7 @@
             waiting.clear();
         }
 
-        /** The next in order; null where there is none. */
+        /** The next request in order; null if there is none. */
         private Arrived poll() {
             Arrived next = waiting == null ? null : waiting.poll();
             if (next == null && counted > 0) {
@@ -530,11 +581,12 @@
             return next;
         }
 
-        /** What was read without a whole request coming of it is a part of one. */
+        /** Input that did not complete a request is part of one. */
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
             if (!read && current == null && !finished) {
-                // Where silence ends as soon, that bound goes on: what trickles in must not gain by its first byte.
+                // If the bound for silence is no longer, it stays in force: a client that trickles must not gain time
+                // by its first byte.
                 boolean goesOn = entry.phase() == Phase.SILENT && bounds.silent() <= bounds.whole();
                 connections.moved(ledger.now(), entry, goesOn ? Phase.SILENT : Phase.PART);
             }
@@ -546,28 +598,30 @@
                 channel.config().setAutoRead(true);
                 connections.moved(ledger.now(), entry, decoder.isEmpty() ? Phase.IDLE : Phase.PART);
                 if (closing && entry.phase() == Phase.IDLE) {
-                    close();  // its answer was on the way when the others were closed
-                } else if (connections.size() > most) {  // or accepting, once paused, would never go on
+                    close();  // its response was on the way when the other connections were closed
+                } else if (connections.size() > most) {  // else accepting, once paused, never resumes
                     makeRoom(null);
                 }
                 return;
             }
             connections.moved(ledger.now(), entry, Phase.BUSY);
             current = arrived.message;
-            // Since it was read, an end has been heard in the turn in which it came.
+            // How long a close of the connection may have gone unnoticed: after the turn in which the request was read,
+            // a close is noticed in the turn in which it arrives.
             long unheard = arrived.turn == ledger.turn() ? Math.max(ledger.now() - arrived.at, ledger.unseen()) : ledger.unseen();
             if (flooded && current != COUNTED) {
-                loop.execute(() -> {  // where all behind it has been read, it is as good as any
+                loop.execute(() -> {  // once all input behind it has been read, it is served like any other
                     flooded = !Look.through(channel, PAUSED_LOOKS);
                     beginNow(arrived, flooded);
                 });
             } else {
                 boolean late = unheard > Ledger.LOOK_AFTER;
-                loop.execute(() -> {  // not within the read that brought it: a look at the connection would find nothing there
+                loop.execute(() -> {  // not within the read that delivered it, where reading again would find nothing
                     if (late) {
                         Look.at(channel);
                     }
-                    beginNow(arrived, false);  // read ahead of a pause that its own read may have brought
+                    // false, since it was read before a pause that its own read may have caused
+                    beginNow(arrived, false);
                 });
             }
         }
@@ -605,7 +659,7 @@
             }
         }
 
-        /** Whether the target is this path, with a query or without. */
+        /** Whether the request target is this path, with a query or without. */
         private static boolean isPath(String uri, String path) {
             return uri.startsWith(path) && (uri.length() == path.length() || "?#".indexOf(uri.charAt(path.length())) >= 0);
         }
@@ -621,14 +675,16 @@
                     || !passable(trace) || !passable(message.uri()) || !(head.key() == null ? !keyed : passable(head.key()))
                     || head.doubled();
             if (message.method().equals(HttpMethod.GET) && message.content().isReadable()) {
-                plain(HttpResponseStatus.BAD_REQUEST, true);  // hosts that pass a body over would read it as a request
+                // hosts that ignore the body would read it as another request
+                plain(HttpResponseStatus.BAD_REQUEST, true);
             } else if (!message.method().equals(HttpMethod.GET) && !message.method().equals(HttpMethod.POST)
                     || !bad && message.method().equals(HttpMethod.GET) != (type.repeat() == Repeat.SAFE)) {
                 plain(HttpResponseStatus.METHOD_NOT_ALLOWED, false);
             } else if (bad) {
                 plain(HttpResponseStatus.BAD_REQUEST, false);
             } else if (!open.add(trace)) {
-                plain(HttpResponseStatus.CONFLICT, false);  // whose answer would it be?
+                // Else the answers of two requests could be confused
+                plain(HttpResponseStatus.CONFLICT, false);
             } else {
                 id = trace;
                 long left = Math.min(Math.min(expires * 1000, type.deadline()) - waited, answerBy - ledger.now());
@@ -649,7 +705,7 @@
             return zones == null || !(channel.remoteAddress() instanceof InetSocketAddress remote) ? "" : zones.apply(remote.getAddress());
         }
 
-        /** Whether it goes on as it came: other than visible ASCII would be changed on the way. */
+        /** Whether the text is forwarded unchanged: anything but visible ASCII would be altered on the way. */
         private static boolean passable(String text) {
             for (int i = 0; text != null && i < text.length(); i++) {
                 if (text.charAt(i) <= ' ' || text.charAt(i) > '~') {
@@ -659,7 +715,7 @@
             return text != null && !text.isEmpty();
         }
 
-        /** The same at every gateway, whatever the form of the name. */
+        /** Hash of a name of any form; the same at every gateway. */
         private static Long key(String object) {
             if (object == null) {
                 return null;
@@ -671,7 +727,10 @@
             return hash;
         }
 
-        /** Its end may stand unread: it is looked for each time, since the process may have been held up since it was read last. */
+        /**
+         * The client's close may be in unread input, which is read at each call, since the process may have been
+         * stalled since the last read.
+         */
         @Override
         public boolean there() {
             if (!channel.config().isAutoRead()) {
@@ -698,7 +757,7 @@
             write(response, false);
         }
 
-        /** Whole seconds, as HTTP has them; no word of when to come back where none is to be given. */
+        /** Retry-After is in whole seconds, as HTTP defines it; 0 omits it. */
         @Override
         public void refused(long retryAfter) {
             FullHttpResponse response = empty(HttpResponseStatus.SERVICE_UNAVAILABLE);
@@ -725,7 +784,7 @@
             exchange = null;
             open.remove(id);
             id = null;
-            // At a stop the connection ends with the last answer that it is owed.
+            // During a shutdown the connection closes with the last response that it is owed.
             boolean more = counted > 0 || waiting != null && !waiting.isEmpty();
             boolean keep = !close && !unreadable && (more || !closing) && HttpUtil.isKeepAlive(current);
             HttpUtil.setContentLength(response, response.content().readableBytes());
@@ -741,8 +800,10 @@
             });
         }
 
-        /** Ends it behind its last answer. What stands unread there by now would make a reset of the end, and that may take the answer with it: it is
-            read, and let go. */
+        /**
+         * Closes the connection after its last response. Unread input would turn the close into a reset, which may
+         * discard the response, so it is read and dropped first.
+         */
         private void finish() {
             finished = true;
             if (waiting != null) {
@@ -754,12 +815,15 @@
             });
         }
 
-        /** A break ends the connection. A request that is being answered, and any other fault, of the codec or of this program, still leave it its answer. */
+        /**
+         * An I/O error closes the connection. After any other fault, of the codec or of this program, a request that is
+         * being answered still gets its response.
+         */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             boolean clients = cause instanceof IOException || cause instanceof CodecException;
             if (!clients) {
-                log.accept("fault at a client's connection: " + cause);
+                log.accept("fault on a client connection: " + cause);
             }
             if (cause instanceof IOException || current == null || finished) {
                 context.close();
--- a/src/main/java/mastdrift/net/Head.java
+++ b/src/main/java/mastdrift/net/Head.java
@@ -5,8 +5,11 @@
 import java.util.Iterator;
 import java.util.Map;
 
-/** What a gateway reads of a request's head, picked out in one pass: to look each field up costs a hash of its name. Of fields that
-    come more than once the first counts; {@code doubled} tells of those that must not. */
+/**
+ * The header fields of a request that the gateway uses, extracted in one pass over the head, since looking up each
+ * field separately would hash its name every time. If a field is repeated its first value is used; {@link
+ * #hasDuplicates} reports repeats of fields that must not be repeated.
+ */
 final class Head {
 
     private static final AsciiString TRACE = AsciiString.cached("X-Trace-Id");
@@ -35,6 +38,7 @@
         }
     }
 
+    /** Keeps the value of a field that the gateway uses; compares only names of the same length. */
     private void read(CharSequence name, CharSequence value) {
         switch (name.length()) {
             case 5 -> {
@@ -80,52 +84,52 @@
         return before != null ? before : value.toString();
     }
 
-    /** Two of a field that would mean one thing here and may mean another at a host. */
+    /** Whether a field is repeated that the gateway and a host could interpret differently. */
     boolean doubled() {
         return doubled;
     }
 
-    /** The id, null where there is none. */
+    /** The trace id; null if there is none. */
     String trace() {
         return trace;
     }
 
-    /** By which hosts drop repeats, null where there is none. */
+    /** The key by which hosts drop repeats; null if there is none. */
     String key() {
         return key;
     }
 
-    /** The class, null where there is none. */
+    /** The name of the request class; null if there is none. */
     String qos() {
         return qos;
     }
 
-    /** The tenant, null where there is none. */
+    /** The name of the tenant; null if there is none. */
     String customer() {
         return customer;
     }
 
-    /** What the request is about, null where there is nothing. */
+    /** The name of the object that the request is about; null if there is none. */
     String object() {
         return object;
     }
 
-    /** Milliseconds for which the client waits; -1 for what is none. */
+    /** How long the client waits, in milliseconds; -1 if it is missing or invalid. */
     long expires() {
         return number(expires);
     }
 
-    /** Microseconds of work that the client expects; -1 for what is none. */
+    /** The work that the client expects, in microseconds; -1 if it is missing or invalid. */
     long size() {
         return number(size);
     }
 
-    /** Whether the client says that it asks once more. */
+    /** Whether the client marks the request as a repeat. */
     boolean again() {
         return "1".equals(again);
     }
 
-    /** Of what is no number, or more than fits: -1. */
+    /** The parsed number; -1 if the text is not a number or doesn't fit into an int. */
     private static long number(String text) {
         try {
             return text == null ? -1 : Integer.parseInt(text.strip());
--- a/src/main/java/mastdrift/net/Look.java
+++ b/src/main/java/mastdrift/net/Look.java
@@ -3,21 +3,27 @@
 import io.netty.channel.Channel;
 import io.netty.channel.nio.AbstractNioChannel;
 
-/** Reads what stands unread at a connection by now. A turn of the loop reads a connection once, and may leave its end behind what it read; what is
-    decided in the same turn wouldn't know of it. */
+/**
+ * Reads the input of a connection that is available now but unread. An event loop reads each connection once a turn,
+ * and may leave the close of the connection unread behind the data; a decision made in the same turn would not take it
+ * into account.
+ */
 final class Look {
 
     private Look() { }
 
-    /** On the loop's thread, and not within an event of the same connection. What comes of it (messages, the end) is told to the connection's handlers
-        before this returns, but for {@code channelInactive}; {@link Channel#isActive} says at once that it has ended. */
+    /**
+     * Reads once. Call it on the event loop, and not from within an event of the same channel. The channel's handlers
+     * get the resulting events (messages, end of input) before this returns, except for {@code channelInactive}; {@link
+     * Channel#isActive} reports at once that the channel has been closed.
+     */
     static void at(Channel channel) {
         if (channel.isActive() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
             socket.read();
         }
     }
 
-    /** Likewise, until nothing is left to be read, by {@code most} looks; false where more may stand there. */
+    /** Reads until no input is left, at most {@code maxReads} times; returns false if more input may be available. */
     static boolean through(Channel channel, int most) {
         for (int i = 0; i < most && channel.isActive(); i++) {
             at(channel);
--- a/src/main/java/mastdrift/net/RequestLog.java
+++ b/src/main/java/mastdrift/net/RequestLog.java
@@ -12,14 +12,15 @@
 import mastdrift.engine.Witness;
 
 /**
- * Writes a line for each request that was not served at its first attempt: how it ended and why, and its attempts with their outcomes.
- * Bounded by {@link BoundedLog}; keeps the attempts of requests that are open, of which there is a bound.
+ * Logs a line for each request that was not served at its first attempt: how it ended and why, and its attempts with
+ * their outcomes. The lines are rate-limited by {@link RateLimitedLog}. Attempts are kept for open requests only, whose
+ * number is bounded.
  */
 final class RequestLog implements Witness {
 
     static final int LINES_A_SECOND = 20;
 
-    /** An open request. */
+    /** An open request and its attempts that have ended. */
     private static final class Open {
         private final long since;
         private final StringJoiner attempts = new StringJoiner(", ");
--- a/src/main/java/mastdrift/net/RunQueue.java
+++ b/src/main/java/mastdrift/net/RunQueue.java
@@ -3,9 +3,12 @@
 import java.io.IOException;
 import java.io.RandomAccessFile;
 
-/** For how long the calling thread was ready to run and had no core, by the second figure of {@code /proc/thread-self/schedstat}
-    (Linux, Documentation/scheduler/sched-stats.rst): other programs on the core, and a limit on processor time. Reads memory of
-    the kernel, about a microsecond and a half, and never waits for a disk. */
+/**
+ * How long the calling thread was ready to run but had no core, because of other programs on the core or a limit on
+ * processor time: the second value of {@code /proc/thread-self/schedstat} (Linux,
+ * Documentation/scheduler/sched-stats.rst). A read takes about 1.5 microseconds, reads kernel memory and never waits
+ * for a disk.
+ */
 final class RunQueue {
 
     private static final String FIGURES = "/proc/thread-self/schedstat";
@@ -13,7 +16,7 @@
     private final byte[] text = new byte[96];
     private RandomAccessFile file;
 
-    /** Opens it for the thread that calls; where the system has no such figures, {@link #micros} stays 0. */
+    /** Opens the file for the calling thread; if the system doesn't provide it, {@link #totalMicros} returns 0. */
     void open() {
         try {
             file = new RandomAccessFile(FIGURES, "r");
@@ -22,7 +25,7 @@
         }
     }
 
-    /** Microseconds since the thread began. */
+    /** The delay since the thread started, in microseconds; 0 if it can't be read. */
     long micros() {
         if (file == null) {
             return 0;
@@ -36,7 +39,7 @@
         }
     }
 
-    /** The second of the numbers in the first {@code length} bytes, 0 where there is none. */
+    /** The second number in the first {@code length} bytes; 0 if there is none. */
     private long second(int length) {
         long value = 0;
         int spaces = 0;
@@ -58,7 +61,7 @@
                 open.close();
             }
         } catch (IOException e) {
-            // of a file that was only read nothing is lost
+            // nothing is lost by failing to close a file that was only read
         }
     }
 }
--- a/src/main/java/mastdrift/net/StrictDecoder.java
+++ b/src/main/java/mastdrift/net/StrictDecoder.java
@@ -13,36 +13,37 @@
 import java.util.List;
 
 /**
- * Reads requests and takes none that another reader might read differently: what is ambiguous here may hide a second
- * request there. Whatever it refuses is handed on as a message that failed, to be answered with 400, or with 501 for
- * {@link Unsupported}, and a close. By sections of RFC 9112, beyond what Netty's decoder refuses by itself:
- *
+ * Decodes requests and rejects any that another HTTP implementation might parse differently, since such a request could
+ * smuggle a second one past one of the two. A rejected request is passed on as a failed message, to be answered with
+ * 400, or with 501 for {@link UnsupportedTransferCodingException}, and the connection is closed. Checked in addition to
+ * what Netty's decoder rejects, by sections of RFC 9112:
  * <ul>
  * <li>2.3: the version is HTTP/1.1 or HTTP/1.0.
- * <li>3: method, target and version are parted by one space each, with none before or behind; a server may be lenient here
- * and another one is not.
- * <li>3.2, 3.2.1: the target is in origin-form; others name a host that may differ from Host.
- * <li>3.2: one Host, with no more than a host and a port in it; HTTP/1.0 may have none.
+ * <li>3: method, target and version are separated by exactly one space each, with no white space before or after them;
+ * a server may be lenient here, and another may not be.
+ * <li>3.2, 3.2.1: the target is in origin-form; the other forms name a host that may differ from Host.
+ * <li>3.2: there is exactly one Host field, which contains only a host and a port; HTTP/1.0 may have none.
  * <li>5.2: no line folding.
- * <li>6.1: the transfer coding is chunked alone, once, in one field; 501 for codings that are not undone here, 400 where
- * chunked is not the last or comes twice. None with HTTP/1.0, none beside Content-Length (6.3).
+ * <li>6.1: the only transfer coding is chunked, given once, in one field. 501 for codings that are not decoded here;
+ * 400 if chunked is not the last coding or is given twice. No transfer coding with HTTP/1.0, and none together with
+ * Content-Length (6.3).
  * </ul>
- *
- * <p>Refused by Netty: a bare LF or CR (2.2), white space before a colon (5.1), control characters in a field (5.5), a length
- * that is no number or comes twice (6.3), chunk sizes that are none (7.1).
+ * <p>Rejected by Netty: a bare LF or CR (2.2), white space before a colon (5.1), control characters in a field (5.5), a
+ * Content-Length that is not a number or is given twice (6.3), invalid chunk sizes (7.1).
  */
 final class StrictDecoder extends HttpRequestDecoder {
 
-    /** A transfer coding that this program doesn't undo: 501. */
+    /** A transfer coding that is not decoded here: answered with 501. */
     static final class Unsupported extends IllegalArgumentException {
 
         private static final long serialVersionUID = 1;
 
         Unsupported(String coding) {
-            super("transfer coding " + coding);
+            super("unsupported transfer coding " + coding);
         }
     }
 
+    // By ASCII code, whether a character is allowed in a Host field.
     private static final boolean[] HOST = new boolean['~' + 1];
 
     static {
@@ -52,7 +53,7 @@
     }
 
     private boolean inHead = true;
-    private boolean begun;  // the request line has been read
+    private boolean begun;
     private boolean folded;
     private int wordEnd;
 
@@ -69,8 +70,10 @@
         }
     }
 
-    /** Whether a line of the head, but for the first, begins with white space. Whole lines are taken off the buffer as they
-        are read, so that it begins with a line. */
+    /**
+     * Whether a line of the head other than the request line begins with white space. The decoder consumes whole lines,
+     * so the buffer always begins at the start of a line.
+     */
     private boolean folds(ByteBuf buffer) {
         boolean first = !begun;
         int end = buffer.writerIndex();
@@ -84,22 +87,22 @@
             if (feed < 0 || empty && !first) {
                 return false;
             }
-            first &= empty;  // empty lines may come ahead of a request
+            first &= empty;  // empty lines may precede a request
             at = feed + 1;
         }
         return false;
     }
 
-    /** Whether nothing of a request is waiting for its rest. */
+    /** Whether no part of a request has been received that is still incomplete. */
     boolean isEmpty() {
         return inHead && !begun && actualReadableBytes() == 0;
     }
 
-    // ---- the request line: the words' places tell what stands between them
+    // ---- request line: the positions of the words tell what separates them
 
     @Override
     protected String splitFirstWordInitialLine(byte[] line, int start, int length) {
-        require(start == 0, "white space ahead of the method");
+        require(start == 0, "white space before the method");
         wordEnd = start + length;
         return super.splitFirstWordInitialLine(line, start, length);
     }
@@ -115,12 +118,12 @@
     protected String splitThirdWordInitialLine(byte[] line, int start, int length) {
         afterOneSpace(line, start);
         String version = super.splitThirdWordInitialLine(line, start, length);
-        require(version.equals("HTTP/1.1") || version.equals("HTTP/1.0"), "another version than HTTP/1.1 or HTTP/1.0");
+        require(version.equals("HTTP/1.1") || version.equals("HTTP/1.0"), "a version other than HTTP/1.1 and HTTP/1.0");
         return version;
     }
 
     private void afterOneSpace(byte[] line, int start) {
-        require(start == wordEnd + 1 && line[wordEnd] == ' ', "other than one space in the request line");
+        require(start == wordEnd + 1 && line[wordEnd] == ' ', "other than one space between words of the request line");
     }
 
     @Override
@@ -129,31 +132,31 @@
         return super.createMessage(line);
     }
 
-    // ---- the head as a whole
+    // ---- the complete head
 
-    /** Asked once a head is whole, before anything is done about a body. */
+    /** Called once a head is complete, before its body is handled. */
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
         inHead = false;
-        require(!folded, "a folded line");
+        require(!folded, "a folded header line");
         boolean current = message.protocolVersion().equals(HttpVersion.HTTP_1_1);
-        require(((HttpRequest) message).uri().startsWith("/"), "a target that is no path");
+        require(((HttpRequest) message).uri().startsWith("/"), "a target that is not in origin-form");
         host(message.headers().getAll(HttpHeaderNames.HOST), current);
         List<String> codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (!codings.isEmpty()) {
-            require(current, "a transfer coding with HTTP/1.0");
-            require(!message.headers().contains(HttpHeaderNames.CONTENT_LENGTH), "a length beside a transfer coding");
+            require(current, "Transfer-Encoding with HTTP/1.0");
+            require(!message.headers().contains(HttpHeaderNames.CONTENT_LENGTH), "both Content-Length and Transfer-Encoding");
             coding(String.join(",", codings));
         }
         return super.isContentAlwaysEmpty(message);
     }
 
     private static void host(List<String> hosts, boolean current) {
-        require(hosts.size() == 1 || !current && hosts.isEmpty(), "other than one Host");
+        require(hosts.size() == 1 || !current && hosts.isEmpty(), "other than one Host field");
         String host = hosts.isEmpty() ? "" : hosts.get(0);
         for (int i = 0; i < host.length(); i++) {
             char c = host.charAt(i);
-            require(c < HOST.length && HOST[c], "a Host that is none");
+            require(c < HOST.length && HOST[c], "an invalid character in Host");
         }
     }
 
@@ -165,8 +168,8 @@
         for (int i = 0; i < each.length; i++) {
             String coding = each[i].strip();
             boolean chunked = HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(coding);
-            require(!chunked || i == each.length - 1, "chunked that is not the last coding");
-            require(!coding.isEmpty(), "a transfer coding that is none");
+            require(!chunked || i == each.length - 1, "chunked not as the last transfer coding");
+            require(!coding.isEmpty(), "an empty transfer coding");
             if (!chunked) {
                 throw new Unsupported(coding);
             }
@@ -175,7 +178,7 @@
 
     private static void require(boolean kept, String found) {
         if (!kept) {
-            throw new IllegalArgumentException("found " + found);
+            throw new IllegalArgumentException("invalid request: found " + found);
         }
     }
 }
--- a/src/main/java/mastdrift/net/TimedLoop.java
+++ b/src/main/java/mastdrift/net/TimedLoop.java
@@ -12,19 +12,20 @@
 import mastdrift.engine.Wheel;
 import mastdrift.lateness.Turns;
 
-/** An event loop that knows its own lateness, and the clock and timers that go with it. */
+/** An event loop that measures its own lateness, with its clock and timers. */
 public record TimedLoop(EventLoop loop, Clock clock, Timers timers, Turns turns) {
 
-    // What changes in less than that is not worth a look at the run queue.
+    // The run queue delay is not read again within this time: changes over less than that don't matter.
     private static final long LOOK = 1_000;
-    // A wait ends so soon even if nothing comes. One that ends late shows that the thread could not run, whoever had the core: a
-    // collection or a compiler of its own, a stopped process, a machine that stood still. One that ends in time can have hidden no
-    // more than this, which is the slack that the protocol gives to each limit (PROTOCOL, The rules on sockets).
+    // A wait for events ends after this time even if nothing arrives. A wait that ends late shows that the thread could
+    // not run, whatever the cause: garbage collection or compilation in this process, a stopped process, a suspended
+    // machine. A wait that ended in time can have hidden no more than this, which is the tolerance that the protocol
+    // gives each limit (PROTOCOL, The rules on sockets).
     private static final long WAIT_MOST = 50_000;
-    // The selector's time is in whole milliseconds, and a thread is woken a little late on any machine.
+    // The selector's timeout is in whole milliseconds, and a thread is always woken slightly late.
     private static final long OVERSLEPT = 5_000;
 
-    /** Starts one. */
+    /** Starts a loop on a thread of its own. */
     public static TimedLoop start() {
         Clock clock = Clock.system();
         Turns turns = new Turns();
@@ -33,8 +34,10 @@
         return new TimedLoop(loop, clock, new Wheel(clock, Timers.of(loop)), turns);
     }
 
-    /** Tells of turns. The library's handler asks whether its time is measured once it is back from the selector and before it
-        handles what is ready, which is the one moment of the two that it shows to nobody else. */
+    /**
+     * Reports the turns of the loop to {@link Turns}. Netty's handler asks {@link #shouldReportActiveIoTime} after it
+     * has returned from the selector and before it handles ready channels; no other hook is called between the two.
+     */
     private static final class Timed implements IoHandler, IoHandlerContext {
 
         private final IoHandler handler;
@@ -80,7 +83,7 @@
             long now = clock.now();
             long before = looked;
             long kept = now - waitsSince >= LOOK ? look(now) - before : 0;
-            // What came while the thread could not run came at a moment that nobody knows.
+            // Events that arrived while the thread could not run did so at an unknown time.
             turns.back(now, now - OVERSLEPT > waitsUntil ? now - waitsSince : kept);
             return context.shouldReportActiveIoTime();
         }
--- a/src/main/java/mastdrift/net/Tracing.java
+++ b/src/main/java/mastdrift/net/Tracing.java
@@ -23,18 +23,21 @@
 import mastdrift.engine.Witness;
 import mastdrift.tally.Step;
 
-/** Writes a line for each step of a request: taken, each attempt with its host, start and outcome, the final answer with its reason. It
-    stands before the transport, as {@link Tallying} does, and nothing of it is loaded where that is off. Follows up to
-    {@value #NEW_MOST} new requests a second and {@value #OPEN_MOST} at once, each of them whole; those beyond are counted. */
+/**
+ * Logs a line for each step of a request: taken, each attempt with its host, start and outcome, and the final answer
+ * with its reason. It wraps the transport, like {@link Tallying}, and is not loaded unless that is enabled. Traces up
+ * to {@value #MAX_TRACED_PER_SECOND} new requests a second and {@value #MAX_OPEN_TRACED} at a time, each of them
+ * completely; the others are counted.
+ */
 final class Tracing implements Transport, Witness {
 
     static final int NEW_MOST = 200;
     static final int OPEN_MOST = 2_000;
     private static final long SECOND = 1_000_000;
-    // Hosts that left are remembered for so long: nothing that was chosen before is written later.
+    // How long hosts that left are remembered. No step of an attempt that chose such a host before is logged later.
     private static final long LEFT_KEPT = 60_000_000;
 
-    /** A request that is followed. */
+    /** A request that is being traced. */
     private static final class Life {
         private final long takenAt;
         private int attempts;
@@ -52,6 +55,7 @@
     private final Map<String, Life> lives = new HashMap<>();
     private final Map<String, Long> warmAt = new HashMap<>();
     private final Map<String, Long> leftAt = new HashMap<>();
+    // Hosts that are up by the lists so far; only these can be recorded as departed.
     private final Set<String> named = new HashSet<>();
     private long second;
     private int begun;
@@ -66,7 +70,7 @@
                 .collect(Collectors.toMap(RequestClass::name, type -> type.name() + ":" + type.repeat()));
     }
 
-    /** Requests that were not followed since this was asked last. */
+    /** Number of requests that were not traced since the last call. */
     long unfollowed() {
         long since = unfollowed;
         unfollowed = 0;
@@ -97,6 +101,7 @@
         tell(id(call), Step.Kind.TAKEN, -1, "", taken(ask), ask.left());
     }
 
+    /** The word of a TAKEN step: {@code tenant:class:REPEAT}, or without the tenant if there is none. */
     private String taken(Ask ask) {
         return (ask.tenant() == null ? "" : ask.tenant() + ":") + classes.getOrDefault(ask.className(), ask.className());
     }
--- a/src/main/java/mastdrift/net/Unchecked.java
+++ b/src/main/java/mastdrift/net/Unchecked.java
@@ -11,8 +11,10 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** Messages whose fields are not looked through again: names are this program's own, and values are its own too or came through a
-    decoder, which refuses what a field can't hold (RFC 9110, section 5.5). */
+/**
+ * Creates HTTP messages whose header fields are not validated again: the names are constants of this program, and the
+ * values are its own or have passed a decoder, which rejects what is not allowed in a field (RFC 9110, section 5.5).
+ */
 final class Unchecked {
 
     private static final DefaultHttpHeadersFactory HEADERS = DefaultHttpHeadersFactory.headersFactory().withValidation(false);
--- a/src/test/java/mastdrift/net/ClientGoneTest.java
+++ b/src/test/java/mastdrift/net/ClientGoneTest.java
@@ -45,13 +45,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A client that leaves while its request waits: from 0.1 s later on no attempt of it begins, neither the first nor a further one, however its end crosses
-    with what it waits for. What lets an attempt begin is let go once that time is over, however late the gateway's loop was meanwhile; what came is counted
-    at the hosts, up to markers that are sent last. */
+/**
+ * A client that disconnects while its request waits: from 0.1 s later on no attempt of the request may begin, neither
+ * the first nor a further one, however the disconnect races with the event that the request waits for. In each test,
+ * that event is triggered only once the 0.1 s have passed, even if the gateway's loop was stalled meanwhile. The
+ * requests that the hosts received are counted up to marker requests that are sent last.
+ */
 class ClientGoneTest {
 
     private static final long TERM = TimeUnit.MILLISECONDS.toNanos(100);
-    private static final int FILLING = 2;  // the system holds one more than it is told
+    private static final int FILLING = 2;  // the kernel's backlog holds one more than requested
 
     @TempDir
     private Path folder;
@@ -69,7 +72,7 @@
         return request.replace("9b1f", id);
     }
 
-    /** Ends a client's connection, orderly, by a reset, or its half. */
+    /** Closes a client's connection in order, by a reset, or only its sending half. */
     private static void leave(Socket client, String how) throws IOException {
         if (how.equals("half")) {
             client.shutdownOutput();
@@ -79,10 +82,10 @@
         }
     }
 
-    /** From here on nothing of a client that has left may begin. */
+    /** After this, no attempt for a client that has disconnected may begin. */
     private static void passTerm() {
         long until = System.nanoTime() + TERM;
-        while (System.nanoTime() < until) {  // that it goes by is the case itself
+        while (System.nanoTime() < until) {  // the passing of this time is what the test is about
             Thread.onSpinWait();
         }
     }
@@ -92,7 +95,7 @@
         passTerm();
     }
 
-    /** A client that the gateway has met. */
+    /** Connects a client and completes one request, so that the gateway has accepted the connection. */
     private static Socket met(Node node) throws IOException {
         Socket client = node.connect();
         write(client, "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
@@ -100,8 +103,10 @@
         return client;
     }
 
-    /** Has the loop stand still at each request that it takes, from reading it until the latch is let go: what it has found ready besides is handled behind
-        that, and what comes meanwhile is unread by then. */
+    /**
+     * Stalls the loop inside each request that it takes, from reading it until the latch is released: other events that
+     * the loop had found ready are handled after the stall, and input that arrives during it is still unread then.
+     */
     private static CountDownLatch holdAtNextRequest(Node node, CountDownLatch go) {
         CountDownLatch held = new CountDownLatch(1);
         node.gateway.ledger().witness(new Witness() {
@@ -125,7 +130,7 @@
         }
     }
 
-    /** Whether a connection to the port is being dialled: SYN_SENT, by the system's own table (proc(5)). */
+    /** Whether a connection to the port is in state SYN_SENT, by the system's own table (proc(5)). */
     private static boolean dialling(int port) throws IOException {
         String to = String.format("0100007F:%04X 02 ", port);
         for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
@@ -142,7 +147,10 @@
         eventually(() -> node.loop.submit(() -> node.clients.connections()).get() == 0);
     }
 
-    /** The ids that hosts have had beside those taken out before, once two requests more have been served, one after the other. */
+    /**
+     * The ids that the hosts have received, other than those removed before, once two marker requests have been served
+     * one after the other.
+     */
     private static Set<String> seen(Node node, Server... hosts) throws Exception {
         eventually(() -> node.ask(id(read(20_000), "marker")).status() == 200);
         assertEquals(200, node.ask(id(read(20_000), "marker")).status());
@@ -154,7 +162,7 @@
         return ids;
     }
 
-    /** The loop does nothing from when this returns until the latch is let go. */
+    /** Stalls the loop from when this returns until the latch is released. */
     private static CountDownLatch hold(Node node) throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
@@ -166,7 +174,10 @@
         return go;
     }
 
-    /** More requests stand behind the current one than are kept: the end of the connection is behind them all, and is heard. */
+    /**
+     * More requests are pipelined behind the current one than are queued: the close of the connection comes after all
+     * of them, and must still be noticed.
+     */
     @ParameterizedTest
     @CsvSource({"close,true,true", "close,true,false", "close,false,true", "close,false,false", "half,true,true", "half,false,true", "reset,true,true",
         "reset,false,true"})
@@ -192,7 +203,10 @@
         }
     }
 
-    /** Those beyond the ones that are kept are refused in their turn, and the connection goes on, also where reading had to pause. */
+    /**
+     * Requests beyond the queue limit are refused in their turn, and the connection stays usable, even if reading had
+     * to pause.
+     */
     @ParameterizedTest
     @ValueSource(ints = {40, 3_000})
     void whatIsPipelinedBeyondTheBoundIsRefusedInItsTurn(int requests) throws Exception {
@@ -210,19 +224,19 @@
                         write(client, id(read(60_000), "id" + i));
                     }
                 } catch (IOException e) {
-                    return;  // the answers that are missed then say so
+                    return;  // reported by the missing answers
                 }
             });
             writer.start();
             await(host.received);
-            // All have been read, or as many as are counted at the most: then the first answer may come.
+            // The first answer is released once all requests have been read, or as many as are counted at most.
             eventually(() -> node.loop.submit(() -> node.clients.counted()).get() >= Math.min(requests - 9, ClientSide.COUNTED_MOST));
             answers.countDown();
             int served = 0;
             for (int i = 0; i < requests; i++) {
                 int status = Loopback.read(client).status();
                 assertTrue(status == 200 || status == 503, "status " + status);
-                assertTrue(i > 0 || status == 200, "the first has its answer");
+                assertTrue(i > 0 || status == 200, "the first request is served");
                 served += status == 200 ? 1 : 0;
             }
             writer.join();
@@ -232,7 +246,10 @@
         }
     }
 
-    /** The first of so many that one read brings them all, and reading pauses ahead of its turn, was read ahead of the pause: it is sent on as any. */
+    /**
+     * One read delivers so many requests that reading pauses before the first is handled. The first was read before the
+     * pause and must be forwarded like any other.
+     */
     @Test
     void theFirstOfWhatOneReadBringsIsSentOn() throws Exception {
         int requests = ClientSide.COUNTED_MOST + 200;
@@ -250,14 +267,17 @@
             for (int i = 0; i < requests; i++) {
                 int status = Loopback.read(client).status();
                 assertTrue(status == 503 || status == 200, "status " + status);
-                assertTrue(i > 0 || status == 200, "the first has its answer");
+                assertTrue(i > 0 || status == 200, "the first request is served");
             }
-            assertTrue(await(host.received).head().contains("id0"), "it came first");
+            assertTrue(await(host.received).head().contains("id0"), "the first request is forwarded");
         }
     }
 
-    /** So much stands unread behind its request that reading has paused, and its end behind that: it is looked for ahead of a further attempt, and where there
-        is too much to look through, none begins. */
+    /**
+     * So much unread input is behind the request that reading has paused, and the client's close comes after that
+     * input. The close is searched for before a further attempt; if there is too much input to search, no attempt
+     * begins.
+     */
     @ParameterizedTest
     @CsvSource({"close,false,3000", "half,false,3000", "reset,false,3000", "close,false,40000", "half,false,40000", "reset,false,40000", "close,true,3000",
         "half,true,3000", "reset,true,3000", "close,true,40000"})
@@ -278,7 +298,7 @@
         }
     }
 
-    /** Likewise while the connection to the host is dialled. */
+    /** As before, while the connection to the host is being established. */
     @ParameterizedTest
     @CsvSource({"close,false", "half,false", "reset,false", "close,true", "half,true", "reset,true"})
     void pausedBehindPipelinedRequestsWhileItsConnectionIsDialled(String how, boolean cancel) throws Exception {
@@ -293,7 +313,7 @@
         }
     }
 
-    /** Writes that many requests, and lets their answers go, until the end. */
+    /** Sends this many requests in the background and discards their answers until the connection ends. */
     private static void flood(Socket client, int requests) {
         run(() -> {
             for (int i = 0; i < requests; i++) {
@@ -303,7 +323,10 @@
         run(() -> client.getInputStream().transferTo(OutputStream.nullOutputStream()));
     }
 
-    /** A host that answers markers, and once the latch is let go ends others: turns them away, fails them, or breaks them off with no answer or a spoilt one. */
+    /**
+     * A host that answers markers. Other requests it ends once the latch is released: it sheds them, fails them, or
+     * breaks off with no answer or an invalid one.
+     */
     private static Server ends(String what, CountDownLatch once) throws IOException {
         return new Server(message -> {
             if (message.header("X-Trace-Id").equals("marker")) {
@@ -321,7 +344,9 @@
         });
     }
 
-    /** A host whose queue of new connections is full: who comes waits until there is room, and is answered from then on. */
+    /**
+     * A host whose listen backlog is full: connections wait until it starts accepting, and are answered from then on.
+     */
     private static final class Full implements AutoCloseable {
 
         private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
@@ -342,7 +367,7 @@
             return "127.0.0.1:" + port();
         }
 
-        /** Connections that have come beside those that filled it. */
+        /** Connections accepted besides those that filled the backlog. */
         int came() {
             return Math.max(0, sockets.size() - 2 * FILLING);
         }
@@ -380,20 +405,24 @@
             try {
                 body.run();
             } catch (IOException e) {
-                return;  // the other side has left, or the test's end closed it
+                return;  // the other side has disconnected, or the end of the test closed the socket
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** The ids that a host had which had no room, once it has it, beside the markers that it is asked for then. */
+    /**
+     * The ids that a host with a full backlog receives once it accepts connections, other than those of the markers
+     * sent then.
+     */
     private static Set<String> seen(Node node, Full full, boolean comesUp) throws Exception {
         full.room();
         eventually(() -> full.came() > 0 || !comesUp);
         awaitNobody(node);
         eventually(() -> node.ask(id(read(20_000), "marker")).status() == 200);
-        // What is dialled and can't be cancelled comes up all the same: for nobody, and is kept for the marker, which finds it there.
+        // A dial that can't be cancelled completes anyway: its connection serves nobody, and is kept idle for the
+        // marker.
         assertTrue(!comesUp || full.came() == 1, "connections to the host: " + full.came());
         assertEquals(200, node.ask(id(read(20_000), "marker")).status());
         Set<String> ids = new HashSet<>(full.received);
@@ -401,7 +430,10 @@
         return ids;
     }
 
-    /** The connection to the host comes up after the client has left, for its first attempt or for a further one. */
+    /**
+     * The connection to the host is established after the client has disconnected, for a first attempt or for a further
+     * one.
+     */
     @ParameterizedTest
     @CsvSource({"close,true,true,first", "close,true,false,first", "close,false,true,first", "close,false,false,first",
         "close,true,true,further", "close,false,true,further", "close,true,false,further", "close,false,false,further",
@@ -434,7 +466,10 @@
         }
     }
 
-    /** The module has chosen a host and its connection is being dialled; client's end and connection come up in the same turn. */
+    /**
+     * The module has chosen a host and the connection to it is being dialled; the client's close and the connection
+     * become ready in the same turn.
+     */
     @ParameterizedTest
     @CsvSource({"close,true,true", "close,true,false", "close,false,true", "close,false,false", "half,true,true", "half,false,true", "reset,true,true",
         "reset,false,true"})
@@ -446,7 +481,7 @@
             node.gateway.ledger().witness(new Witness() {
                 @Override
                 public void taken(Call call, Ask ask) {
-                    // Behind the event that dials, and what that leaves to the loop, in the same turn.
+                    // Runs after the event that dials, and the tasks that it schedules, in the same turn.
                     node.loop.execute(() -> node.loop.execute(() -> node.loop.execute(() -> {
                         dialled.countDown();
                         awaitGo(left);
@@ -467,8 +502,10 @@
         }
     }
 
-    /** Likewise, but the loop stands still once it has found that the connection is up, for longer than the term: the client's end is not among what
-        it found. */
+    /**
+     * As before, but the loop stalls for longer than 0.1 s after it has found the connection ready: the client's close
+     * is not among the events that it found.
+     */
     @ParameterizedTest
     @CsvSource({"close,true,true", "close,true,false", "close,false,true", "close,false,false", "half,true,true", "half,false,true", "reset,true,true",
         "reset,false,true"})
@@ -482,7 +519,7 @@
             node.gateway.ledger().witness(new Witness() {
                 @Override
                 public void taken(Call call, Ask ask) {
-                    // Behind the event that dials, and what that leaves to the loop, in the same turn.
+                    // Runs after the event that dials, and the tasks that it schedules, in the same turn.
                     node.loop.execute(() -> node.loop.execute(() -> node.loop.execute(() -> {
                         dialled.countDown();
                         awaitGo(ready);
@@ -506,11 +543,11 @@
             Set<String> ids = seen(node, host);
             ids.remove("holder");
             assertEquals(Set.of(), ids);
-            assertEquals(0, node.loop.submit(() -> node.gateway.ledger().count().of("read").refused()).get(), "known to have left, it is answered by nobody");
+            assertEquals(0, node.loop.submit(() -> node.gateway.ledger().count().of("read").refused()).get(), "a request whose client is known to have left must not be refused");
         }
     }
 
-    /** The host's refusal was found in the turn in which the loop stands still for longer than the term. */
+    /** The host's refusal was found ready in the turn in which the loop stalls for longer than 0.1 s. */
     @ParameterizedTest
     @CsvSource({"close,true,true", "close,true,false", "close,false,true", "close,false,false", "half,false,true", "reset,false,true"})
     void onALateLoopWhoseTurnFoundItsRefusal(String how, boolean cancel, boolean copies) throws Exception {
@@ -520,7 +557,7 @@
         try (Server discovery = discovery(); Server other = host("x");
                 Server host = new Server(message -> {
                     if (message.header("X-Trace-Id").equals("gone")) {
-                        // Its rest comes once the loop stands still, so that nothing can come of it before.
+                        // The rest is sent once the loop is stalled, so that the response can't be complete before.
                         refused.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
                         write(message.socket(), "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\n");
                         rest.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
@@ -553,11 +590,15 @@
         }
     }
 
-    /** It stands behind another one of its own client, whose answer was found in the turn in which the loop stands still for longer than the term. */
+    /**
+     * The request is queued behind another one of the same client, whose answer was found ready in the turn in which
+     * the loop stalls for longer than 0.1 s.
+     */
     @ParameterizedTest
     @CsvSource({"close,true,true", "close,true,false", "close,false,true", "close,false,false", "half,true,true", "half,false,true", "reset,true,true", "reset,false,true"})
     void onALateLoopWhoseTurnFoundTheAnswerAheadOfIt(String how, boolean cancel, boolean copies) throws Exception {
-        CountDownLatch met = new CountDownLatch(3);  // so that a connection stands idle for it, and one for the holder
+        // opens three host connections: one for the request under test, one for the stalling request
+        CountDownLatch met = new CountDownLatch(3);
         CountDownLatch answered = new CountDownLatch(1);
         CountDownLatch begun = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
@@ -569,7 +610,7 @@
                         met.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
                     }
                     if (message.header("X-Trace-Id").equals("ahead")) {
-                        // Its rest comes once the loop stands still, so that nothing can come of it before.
+                        // The rest is sent once the loop is stalled, so that the response can't be complete before.
                         answered.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
                         write(message.socket(), "HTTP/1.1 200 OK\r\n");
                         begun.countDown();
@@ -591,7 +632,7 @@
                 assertEquals(200, Loopback.read(each).status());
             }
             host.received.clear();
-            passTerm();  // connections rest behind an answer
+            passTerm();  // connections are not used again right after an answer
             write(client, id(read(60_000), "ahead") + id(read(60_000), "gone"));
             await(host.received);
             CountDownLatch turn = hold(node);
@@ -611,8 +652,11 @@
         }
     }
 
-    /** The request came while the loop was held, and its client left longer ago than the term when the loop goes on, or in the last moment: read together with
-        its end, which stands behind it, nothing is sent; nor where there is no host yet, one that has just started, or one to be dialled. */
+    /**
+     * The request arrives while the loop is stalled, and its client disconnects more than 0.1 s before the loop
+     * continues, or at the last moment. If the request is read together with the close behind it, nothing may be sent;
+     * nor if there is no connection to a host yet, if the only host has just started, or if it has to be dialled.
+     */
     @ParameterizedTest
     @CsvSource({"close,true,after", "close,false,after", "half,true,after", "half,false,after", "reset,true,after", "reset,false,after",
         "close,true,before", "close,false,before", "half,false,before", "reset,false,before", "close,false,cold", "half,false,cold", "reset,false,cold", "close,true,cold",
@@ -622,7 +666,8 @@
             String entry = up("s1", host.address()).replace("\"boot_ms\":0", "\"boot_ms\":" + (when.equals("cold") ? System.currentTimeMillis() : 0));
             try (Node node = node(discovery, cancel, true, entry)) {
                 if (!when.equals("dialled") && !when.equals("cold")) {
-                    assertEquals(200, node.ask(id(read(20_000), "marker")).status());  // a connection to the host stands
+                    // Opens a connection to the host.
+                    assertEquals(200, node.ask(id(read(20_000), "marker")).status());
                 }
                 Socket client = met(node);
                 CountDownLatch go = hold(node);
@@ -635,7 +680,8 @@
                 }
                 go.countDown();
                 if (when.equals("cold")) {
-                    Loopback.tell(await(discovery.received).socket(), list(2, true, up("s2", host.address())));  // so that markers needn't wait for it
+                    // so that markers need not wait for the cold host
+                    Loopback.tell(await(discovery.received).socket(), list(2, true, up("s2", host.address())));
                 }
                 assertEquals(Set.of(), seen(node, host));
                 assertFalse(node.log.toString(StandardCharsets.UTF_8).contains("fault"), node.log.toString(StandardCharsets.UTF_8));
@@ -643,7 +689,10 @@
         }
     }
 
-    /** The host ends the request after its client has left, in whatever way has those who stay tried elsewhere: it is not. */
+    /**
+     * The host ends the request after the client has disconnected, in each way that leads to a retry for a client that
+     * is still connected: the request must not be retried.
+     */
     @ParameterizedTest
     @CsvSource({"close,true,true,shed", "close,true,false,shed", "close,false,true,shed", "close,false,false,shed", "half,false,true,shed", "reset,false,true,shed",
         "half,true,true,shed", "reset,true,true,shed", "close,false,true,error", "close,false,false,error", "half,false,true,error", "reset,false,true,error",
@@ -658,7 +707,7 @@
             await(host.received);
             Loopback.tell(await(discovery.received).socket(), list(2, true, up("s1", host.address()), up("s2", other.address())));
             eventually(() -> node.log.toString(StandardCharsets.UTF_8).contains("list 2"));
-            boolean stays = how.equals("stays");  // without whom nothing would show that there would be a further attempt
+            boolean stays = how.equals("stays");  // shows that there is a retry for a client that stays
             if (!stays) {
                 leaveForGood(client, how);
             }
--- a/src/test/java/mastdrift/net/ConnectionBoundsTest.java
+++ b/src/test/java/mastdrift/net/ConnectionBoundsTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Clients that hold on to connections, each in its way, with the bounds in time made short. */
+/** Clients that hold connections open in various ways, with shortened time bounds per phase. */
 class ConnectionBoundsTest {
 
     private static final long SILENT = 5_000_000;
@@ -42,7 +42,7 @@
     private static final int MOST = 12;
     private static final String LARGE = "x".repeat(60_000);
 
-    /** What a client does with its connection; it is closed from the other side for it. */
+    /** What a client does with its connection, for which the gateway closes it. */
     private enum Manner {
         NOTHING, PART_OF_A_HEAD, A_BYTE_NOW_AND_THEN, PART_OF_A_BODY, IDLE_BETWEEN, PART_BEHIND_A_REQUEST, NEVER_READS
     }
@@ -111,7 +111,10 @@
         }
     }
 
-    /** Ends as it should, no sooner than its bound allows, while another client on the same loop is served all the time. */
+    /**
+     * The connection is closed, no sooner than its bound allows, while another client on the same loop is served all
+     * the time.
+     */
     @ParameterizedTest
     @EnumSource(Manner.class)
     void whoHoldsOnIsClosedAndNobodyElse(Manner manner) throws Exception {
@@ -135,7 +138,7 @@
         }
         long took = (System.nanoTime() - since) / 1000;
         assertTrue(took >= 390_000, "closed after " + took + " us");
-        assertTrue(manner == Manner.NOTHING == took >= SILENT, "a first byte ends silence: closed after " + took + " us");
+        assertTrue(manner == Manner.NOTHING == took >= SILENT, "only a client that sent nothing has the longer bound: closed after " + took + " us");
         assertTrue(manner != Manner.IDLE_BETWEEN || took >= 1_390_000, "closed after " + took + " us");
     }
 
@@ -148,7 +151,7 @@
         }
     }
 
-    /** Whether the other end still has it: it has nothing to read, so a byte tells. */
+    /** Whether the gateway still has the connection: the client doesn't read, so it finds out by sending a byte. */
     private boolean connected(Socket socket) throws Exception {
         return sends(socket) && timed.loop().submit(() -> clients.connections()).get() > 1;
     }
@@ -164,14 +167,16 @@
         }
     }
 
-    /** What reads and writes HTTP is taken out after a second between requests, and is there again for the next, as often as that
-        happens. */
+    /**
+     * The HTTP handlers are removed after a second between requests and added again for the next one, as often as that
+     * happens.
+     */
     @Test
     void aConnectionThatSleptIsServedAgain() throws Exception {
         Socket client = connect("127.0.0.1");
         for (int i = 0; i < 2; i++) {
             ask(client, "one" + i);
-            assertEquals(1, pipelines(true), "awake at first");
+            assertEquals(1, pipelines(true), "the HTTP handlers are in the pipeline right after a request");
             Loopback.eventually(() -> pipelines(false) == 1);
             ask(client, "two" + i);
         }
@@ -181,7 +186,10 @@
         return timed.loop().submit(() -> clients.connections(awake)).get();
     }
 
-    /** A flood of connections that say nothing, from one address: it makes room for itself, and who came before stays. */
+    /**
+     * Many connections from one address that send nothing: they are evicted in favour of each other, and earlier
+     * connections stay open.
+     */
     @Test
     void aSilentFloodClosesItsOwn() throws Exception {
         Socket good = connect("127.0.0.1");
@@ -194,6 +202,6 @@
         }
         ask(good, "after");
         assertTrue(timed.loop().submit(() -> clients.connections()).get() <= MOST + 1);
-        assertNull(Loopback.read(sockets.get(1)), "the eldest of the flood is gone");
+        assertNull(Loopback.read(sockets.get(1)), "the oldest connection of the flood is closed");
     }
 }
--- a/src/test/java/mastdrift/net/DescriptorsTest.java
+++ b/src/test/java/mastdrift/net/DescriptorsTest.java
@@ -49,19 +49,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Idle clients take all the descriptors that they are given, while discovery is down: its calls, hosts and timers still get theirs. And where a process has
-    none left, its dials fail on the loop as others do. */
+/**
+ * Idle clients use up all the descriptors that they are allowed while discovery is down: calls to discovery, hosts and
+ * timers must still get theirs. In a process that has no descriptor left, dials fail on the event loop like other
+ * failures.
+ */
 class DescriptorsTest {
 
     private static final int LIMIT = 160;
     private static final int IDLE = 400;
-    // Half of what the limit leaves beside the program's own: the hosts' part, and as much is the clients'.
+    // Half of what the limit leaves after the program's own descriptors is for hosts, the other half for clients.
     private static final int HOSTS = 32;
 
     @TempDir
     private Path folder;
 
-    /** What the program needs: each file of the class path takes a descriptor. */
+    /** Only what the program needs, since each file of the class path takes a descriptor. */
     private static String classPath() {
         return Arrays.stream(Loopback.classPath().split(File.pathSeparator)).filter(entry -> entry.matches(".*(target/(test-)?classes|netty-|jackson-).*"))
                 .collect(Collectors.joining(File.pathSeparator));
@@ -77,7 +80,9 @@
         }
     }
 
-    /** Connections that say nothing, or rest after one request, each opened anew as soon as the gateway closes it. */
+    /**
+     * Keeps connections open that send nothing, or one request each, and reopens each as soon as the gateway closes it.
+     */
     private static void idle(InetSocketAddress at, boolean used, AtomicBoolean over, AtomicInteger opened) {
         SocketChannel[] idle = new SocketChannel[IDLE];
         try {
@@ -117,7 +122,7 @@
         }
     }
 
-    /** The configuration may give more than the system does: the smaller of both is what there is. */
+    /** The configured limit may exceed the system's: the lower of the two applies. */
     @ParameterizedTest
     @CsvSource({LIMIT + ",true", "100000,false", "100000,true"})
     void idleClientsLeaveDiscoveryAndHostsTheirs(int configured, boolean used) throws Exception {
@@ -159,7 +164,7 @@
                 for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(2); System.nanoTime() < until; Thread.sleep(10)) {
                     most = Math.max(most, descriptors(process));
                 }
-                assertTrue(calls.get() > asked, "discovery was asked while it was away");
+                assertTrue(calls.get() > asked, "discovery was called while it was down");
                 assertTrue(most <= LIMIT - HOSTS, "descriptors: " + most + " of " + LIMIT + ", " + before + " with no client");
                 away.set(false);
                 eventually(() -> log().contains("list 5"));
@@ -185,8 +190,11 @@
         }
     }
 
-    /** A process of its own, which takes every descriptor that it may have, dials a host and discovery, and gives them back: prints what it hears, and whether
-        that is on the loop's thread. Its arguments are where discovery is, a host, and nobody. */
+    /**
+     * Runs in a process of its own: takes every descriptor that the process may have, dials a host and discovery, and
+     * then releases the descriptors. Prints the results, and whether they were reported on the event loop's thread.
+     * Arguments: the addresses of discovery, of a host, and one that nobody listens on.
+     */
     static final class Full {
 
         public static void main(String[] addresses) throws Exception {
@@ -199,7 +207,7 @@
                         entry("s3", addresses[2], "a", "in_service")).entries());
                 return made;
             }).get();
-            // What is loaded from the class path from here on would need a descriptor.
+            // Any class loaded after this point would need a descriptor.
             send(loop, pool, gate.find("s1"), heard);
             send(loop, pool, gate.find("s3"), heard);
             watch(loop, addresses[2], heard).watch(false);
@@ -258,8 +266,10 @@
         }
     }
 
-    /** A dial for which there is no descriptor fails on a thread of the library's own: it is heard on the loop, by the pool and by discovery, and both go on
-        once there is room. */
+    /**
+     * A dial for which there is no descriptor fails on a thread of Netty's own. The pool and discovery must get the
+     * failure on the event loop, and both must recover once descriptors are available.
+     */
     @Test
     void aDialWithoutADescriptorIsHeardOnTheLoop() throws Exception {
         try (Server one = host("one"); Server discovery = new Server(message -> {
--- a/src/test/java/mastdrift/net/HoldUpTest.java
+++ b/src/test/java/mastdrift/net/HoldUpTest.java
@@ -39,12 +39,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The process is held up for 0.15 s between deciding on an attempt and its first byte, or a turn of its loop goes on for long. */
+/**
+ * The process stalls for 0.15 s between the decision to send an attempt and its first byte, or a turn of the event loop
+ * takes long.
+ */
 class HoldUpTest {
 
     private static final long HELD_UP_MILLIS = 150;
     private static final int EXPIRES = 5_000;
-    // A server may be told so much more than the client has left (the slack of the rule).
+    // Tolerance by which the time that a server is told may exceed what the client has left.
     private static final long SLACK_MILLIS = 150;
 
     @TempDir
@@ -80,7 +83,7 @@
         one.close();
     }
 
-    /** The module, whose sends are preceded by what the test says. */
+    /** The module, with a hook of the test run before each of its sends. */
     private Balancer heldUp(Balancer module) {
         return proxy(Balancer.class, (method, arguments) -> {
             if (method.getName().equals("start")) {
@@ -127,16 +130,19 @@
         }
     }
 
-    /** A client that leaves meanwhile has gone by the time that the first byte would leave: on a connection that stands, and on one that is dialled. */
+    /**
+     * A client that disconnects during the stall is gone by the time the first byte would be sent: on an open
+     * connection, and on one that is being dialled.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {"stands, close", "stands, reset", "is dialled, close", "is dialled, reset"})
+    @ValueSource(strings = {"is open, close", "is open, reset", "is dialled, close", "is dialled, reset"})
     void whoLeavesMeanwhileHasNoAttemptBegun(String connection) throws Exception {
-        if (connection.startsWith("stands")) {
+        if (connection.startsWith("is open")) {
             Socket before = connect();
             write(before, read(EXPIRES).replace("9b1f", "before"));
             assertEquals(200, Loopback.read(before).status());
             await(one.received);
-            pause(50);  // connections rest for 25 ms behind an answer
+            pause(50);  // a connection is not used again within 25 ms after an answer
         }
         Socket leaves = connect();
         if (connection.endsWith("reset")) {
@@ -162,7 +168,10 @@
         assertEquals("after", first.header("X-Trace-Id"), "an attempt for a client that had left 0.15 s before");
     }
 
-    /** The time that a server is told is the client's, whatever the hold-up: the one behind the decision, and its own. */
+    /**
+     * The time that a server is told must not exceed what the client has left, whatever the stall, including one after
+     * the decision.
+     */
     @Test
     void aServerIsToldNoMoreThanTheClientHasLeft() throws Exception {
         beforeSend = () -> pause(HELD_UP_MILLIS);
@@ -172,7 +181,7 @@
         assertWithinTheClientsTime(await(one.received), sent);
     }
 
-    /** Several requests are there in one turn of a late loop; each is decided on behind the hold-ups of those before it. */
+    /** Several requests arrive in one turn of a late loop; each is decided on after the stalls of those before it. */
     @Test
     void whatWasHeldBackIsToldNoMoreThanTheClientHasLeft() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
@@ -198,14 +207,14 @@
         }
     }
 
-    /** Counted at the server's side, which is a little later than the first byte: to the test's disadvantage. */
+    /** Measured at the server, slightly later than the first byte is sent, which makes the check stricter. */
     private static void assertWithinTheClientsTime(Message got, long sentNanos) {
         long elapsed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNanos);
         long told = Long.parseLong(got.header("X-Expires-In-Ms"));
         assertTrue(told <= EXPIRES - elapsed + SLACK_MILLIS, "told " + told + " ms, " + elapsed + " ms after the client had sent");
     }
 
-    /** The whole is over in bounded time, whatever was held up. */
+    /** All requests are answered in bounded time despite the stalls. */
     @Test
     void allAreAnswered() throws Exception {
         beforeSend = () -> pause(HELD_UP_MILLIS);
--- a/src/test/java/mastdrift/net/LatenessTest.java
+++ b/src/test/java/mastdrift/net/LatenessTest.java
@@ -49,7 +49,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A gateway whose loop is held up, by tasks that do nothing: what is its own, what is the hosts', and the rules meanwhile. */
+/**
+ * A gateway whose event loop is stalled by tasks that do nothing: which delay is attributed to the gateway and which to
+ * the hosts, and that the rules hold meanwhile.
+ */
 class LatenessTest {
 
     private static final long HOLD = 300_000;
@@ -57,10 +60,13 @@
     @TempDir
     private Path folder;
 
-    /** What the module was told of an attempt: its host, for how long it was out by the clock, and of that the host's part. */
+    /**
+     * An attempt as reported to the module: its host, its outcome, how long it took by the clock, and which part of
+     * that is attributed to the host.
+     */
     private record Told(String uid, Outcome outcome, long all, long elapsed) { }
 
-    /** A gateway around the real module, which a test listens in on. */
+    /** A gateway with the real module, whose calls the test observes. */
     private final class Held implements AutoCloseable {
 
         private final TimedLoop timed = TimedLoop.start();
@@ -69,7 +75,8 @@
         private final List<Socket> sockets = new ArrayList<>();
         private final ClientSide clients;
         private final AtomicInteger requests = new AtomicInteger();
-        private volatile IntConsumer requested = number -> { };  // once the module has had the request of that number, from 1 up
+        // called with the request's number, from 1 up, once the module has handled it
+        private volatile IntConsumer requested = number -> { };
 
         Held(Server discovery, String... entries) throws Exception {
             Config config = Config.read(environment(folder, discovery, list(1, true, entries), SETTINGS));
@@ -112,7 +119,7 @@
             return socket;
         }
 
-        /** A request of each is there before one is read: one turn takes them. */
+        /** Sends a request on each connection before any is read, so that one turn takes them all. */
         void inOneTurn(List<Socket> clients) throws Exception {
             CountDownLatch written = new CountDownLatch(1);
             hold(0, written);
@@ -123,12 +130,12 @@
             written.countDown();
         }
 
-        /** The loop does nothing else for a while from the moment at which this returns. */
+        /** Stalls the loop for a time from when this returns. */
         CountDownLatch hold(long micros) throws InterruptedException {
             return hold(micros, new CountDownLatch(0));
         }
 
-        /** Likewise, and until something else has happened too. */
+        /** Stalls the loop for a time, and until the latch is released. */
         CountDownLatch hold(long micros, CountDownLatch until) throws InterruptedException {
             CountDownLatch begun = new CountDownLatch(1);
             CountDownLatch over = new CountDownLatch(1);
@@ -155,7 +162,7 @@
         try {
             assertTrue(latch.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
         } catch (InterruptedException e) {
-            throw new IllegalStateException(e);  // nobody does
+            throw new IllegalStateException(e);  // no thread interrupts it
         }
     }
 
@@ -169,7 +176,10 @@
         return entry(uid, host.address(), "a", "in_service");
     }
 
-    /** The host answers one request while the loop is held, and the other well after: the first is not blamed, the second is. */
+    /**
+     * The host answers one request while the loop is stalled, and the other well after: the stall must not be
+     * attributed to the host, its own delay must be.
+     */
     @Test
     void aHoldIsNotTheHostsButItsOwnSlownessIs() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
@@ -191,12 +201,12 @@
             assertEquals(200, Loopback.read(slow).status());
             Told first = await(gateway.told);
             Told second = await(gateway.told);
-            assertTrue(first.all() - first.elapsed() >= HOLD * 9 / 10, "the hold is taken off: " + first);
-            assertTrue(second.elapsed() >= HOLD * 2, "what comes after the hold is the host's: " + second);
+            assertTrue(first.all() - first.elapsed() >= HOLD * 9 / 10, "the stall is deducted: " + first);
+            assertTrue(second.elapsed() >= HOLD * 2, "the time after the stall is attributed to the host: " + second);
         }
     }
 
-    /** Four fifths of the loop's time are gone, in pieces; the host that takes its time is told from the one that doesn't. */
+    /** Four fifths of the loop's time are lost, in short pieces; a slow host must still be told from a fast one. */
     @Test
     void ofALoopThatHasLittleTimeTheSlowHostIsStillFound() throws Exception {
         long slowness = 60_000;
@@ -213,9 +223,9 @@
             long[] quick = told.stream().filter(t -> t.uid().equals("quick")).mapToLong(Told::elapsed).sorted().toArray();
             long[] late = told.stream().filter(t -> t.uid().equals("slow")).mapToLong(Told::elapsed).sorted().toArray();
             long byClock = median(told.stream().filter(t -> t.uid().equals("quick")).mapToLong(Told::all).sorted().toArray());
-            assertTrue(byClock >= 10_000, "by the clock the quick one takes long: " + byClock);
-            assertTrue(median(quick) <= 8_000, "but it isn't told so: " + Arrays.toString(quick));
-            assertTrue(median(late) >= slowness / 2, "the slow one is: " + Arrays.toString(late));
+            assertTrue(byClock >= 10_000, "by the clock the quick host takes long: " + byClock);
+            assertTrue(median(quick) <= 8_000, "but that is not attributed to it: " + Arrays.toString(quick));
+            assertTrue(median(late) >= slowness / 2, "the slow host's time is: " + Arrays.toString(late));
         }
     }
 
@@ -231,20 +241,24 @@
         return sorted[sorted.length / 2];
     }
 
-    /** Whoever's time is up by the end of a hold hears at once; what came during it, with less time than the hold took, is
-        turned away and not sent. So it is where the turn behind the hold is long itself, and its events are held back. */
+    /**
+     * A client whose time is up by the end of a stall is answered at once; a request that arrived during the stall,
+     * with less time than the stall took, is refused and not sent. This also holds if the turn after the stall takes
+     * long itself, so that its events are deferred.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void afterAHoldNobodyWaitsInVain(boolean longTurn) throws Exception {
         try (Server discovery = discovery(); Server host = new Server(message -> { });
                 Held gateway = new Held(discovery, up("s1", host))) {
-            Socket first = gateway.connect();  // loads classes, which takes longer than the other's whole time
+            // loads classes, which takes longer than the whole time of the other request
+            Socket first = gateway.connect();
             write(first, read(60_000));
             await(host.received);
             Socket out = gateway.connect();
             Socket coming = gateway.connect();
             Socket behind = gateway.connect();
-            long hold = 5 * HOLD;  // the time until the first send may not be a part of it that counts
+            long hold = 5 * HOLD;  // so that the time until the first send does not matter
             write(out, read((int) hold / 3_000).replace("9b1f", "out"));
             await(host.received);
             CountDownLatch over = gateway.hold(hold);
@@ -259,18 +273,22 @@
             if (longTurn) {
                 assertTrue(await(host.received).head().contains("long"));
             }
-            assertEquals(0, host.received.size(), "nothing more was sent");
-            assertEquals(Outcome.EXPIRED, await(gateway.told).outcome(), "the host had most of that time for itself, or all");
+            assertEquals(0, host.received.size(), "no further request was sent");
+            assertEquals(Outcome.EXPIRED, await(gateway.told).outcome(), "the host had all or most of that time");
         }
     }
 
-    /** Three requests are there as a turn begins. The first takes longer than the loop may be late, as code does that runs for the first time, so the others are
-        held back until all that is there has been read. Then the second takes half a second, in which the only host is drained for another one: the third,
-        for which an idle connection stands there, goes to the other. */
+    /**
+     * Three requests are ready when a turn begins. The first takes longer than the loop may be late (as code does that
+     * runs for the first time), so the others are deferred until all input has been read. The second then takes half a
+     * second, during which the only host is drained in favour of another: the third, for which an idle connection to
+     * the first host is open, must go to the other host.
+     */
     @Test
     void aDrainToldWhileEventsThatWereHeldBackArePlayedIsKept() throws Exception {
         CountDownLatch met = new CountDownLatch(3);
-        Script together = message -> {  // the first three meet, so that three connections stand
+        // the first three requests wait for each other, so that three connections are opened
+        Script together = message -> {
             met.countDown();
             held(met);
             write(message.socket(), answer("200 OK", "one"));
@@ -283,7 +301,7 @@
                 assertEquals("one", Loopback.read(client).text());
             }
             one.received.clear();
-            pause(100_000);  // connections rest for 25 ms behind an answer
+            pause(100_000);  // a connection is not used again within 25 ms after an answer
             gateway.requested = number -> {
                 if (number == clients.size() + 1) {
                     pause(HOLD);
@@ -297,11 +315,11 @@
             for (Socket client : clients) {
                 answers.add(Loopback.read(client).text());
             }
-            assertEquals(List.of("one", "one", "two"), answers.stream().sorted().toList(), "sent to a host half a second after its drain was told");
+            assertEquals(List.of("one", "one", "two"), answers.stream().sorted().toList(), "sent to a host half a second after its drain was announced");
         }
     }
 
-    /** Likewise, while a connection has come up that a task of the same turn sends on. */
+    /** As before, with a connection that has been established and on which a task of the same turn sends. */
     @Test
     void aDrainToldBetweenADialAndItsFirstByteIsKept() throws Exception {
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two"); Held gateway = new Held(discovery, up("s1", one))) {
@@ -309,13 +327,14 @@
             Socket first = gateway.connect();
             Socket second = gateway.connect();
             for (int i = 0; i < 3; i++) {
-                gateway.timed.loop().submit(() -> { }).get();  // both are accepted by then
+                gateway.timed.loop().submit(() -> { }).get();  // both connections are accepted by then
             }
             CountDownLatch dialled = new CountDownLatch(1);
             CountDownLatch written = new CountDownLatch(1);
             gateway.requested = number -> {
                 if (number == 1) {
-                    gateway.timed.loop().execute(() -> held(written));  // the next wait finds the dial up and the second's request there
+                    // the next wait finds the dial complete and the second request ready
+                    gateway.timed.loop().execute(() -> held(written));
                     dialled.countDown();
                 } else if (number == 2) {
                     drain(watch, two);
@@ -328,7 +347,7 @@
             written.countDown();
             assertEquals("two", Loopback.read(first).text());
             assertEquals("two", Loopback.read(second).text());
-            assertTrue(one.received.isEmpty(), "sent to a host half a second after its drain was told");
+            assertTrue(one.received.isEmpty(), "sent to a host half a second after its drain was announced");
         }
     }
 
@@ -340,8 +359,11 @@
         }
     }
 
-    /** Every turn of the loop is long, and more connections have come than one turn takes: the last of them is accepted some turns
-        after its request was there. However often it was passed over, its time counts from the client's send, but for one turn more. */
+    /**
+     * Every turn of the loop is long, and more connections have arrived than one turn accepts: the last of them is
+     * accepted some turns after its request arrived. However many turns it waited, its time counts from the client's
+     * send, to within one turn.
+     */
     @Test
     void whatWaitedToBeAcceptedHasItsAnswerInTime() throws Exception {
         int expires = 1_500;
@@ -367,7 +389,8 @@
                 assertNotNull(Loopback.read(sockets.get(i)));
                 long answered = System.nanoTime();
                 long due = sent[i] + TimeUnit.MILLISECONDS.toNanos(expires);
-                // As long as two turns last, the one in which its time ends and the next, however long the machine makes them.
+                // The tolerance is the length of two turns, the one in which the time ends and the next, however long
+                // they take on this machine.
                 List<Long> after = turns.tailSet(due).stream().limit(2).toList();
                 assertTrue(after.size() < 2 || answered - due <= after.get(1) - turns.floor(due),
                         "answered " + (answered - due) / 1_000 + " us after its time, number " + i);
@@ -375,7 +398,10 @@
         }
     }
 
-    /** The listener is to be closed while the loop is held, and somebody has come meanwhile: taken by the machine, they have their answer. */
+    /**
+     * The close of the listener falls due while the loop is stalled, and clients connect meanwhile: the kernel has
+     * accepted their connections, so they must be answered.
+     */
     @Test
     void whoWaitsToBeAcceptedAtAStopIsAnswered() throws Exception {
         try (Server discovery = discovery(); Server host = Loopback.host("x"); Held gateway = new Held(discovery, up("s1", host))) {
@@ -384,7 +410,8 @@
             assertEquals(200, Loopback.read(first).status());
             gateway.timed.loop().execute(() -> gateway.clients.stop(3_000_000, () -> { }));
             CountDownLatch sent = new CountDownLatch(1);
-            gateway.hold(3 * HOLD, sent);  // the close of the listener falls due in it, and all come during it
+            // the close of the listener falls due in it, and all clients connect during it
+            gateway.hold(3 * HOLD, sent);
             List<Socket> sockets = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 sockets.add(gateway.connect());
@@ -393,14 +420,16 @@
             sent.countDown();
             for (Socket each : sockets) {
                 Message answer = Loopback.read(each);
-                assertNotNull(answer, "an answer, and no reset");
+                assertNotNull(answer, "answered, not reset");
                 assertEquals(200, answer.status());
             }
         }
     }
 
-    /** The drain came in behind the request, while the loop was held for longer than a drain may take: read in the same turn, the
-        request must not go to the host that drains. */
+    /**
+     * The drain arrives behind the request, while the loop is stalled for longer than a drain may take: both are read
+     * in the same turn, and the request must not go to the draining host.
+     */
     @Test
     void aDrainToldDuringAHoldIsHeardBeforeAnythingIsSent() throws Exception {
         try (Server discovery = discovery(); Server host = Loopback.host("x"); Held gateway = new Held(discovery, up("s1", host))) {
@@ -419,7 +448,10 @@
         }
     }
 
-    /** Nobody listens there, which is known at once: that the loop had other things to do for part of that moment excuses nothing. */
+    /**
+     * Nobody listens on the host's address, which is known at once: that the loop was busy for part of that time must
+     * not excuse the host.
+     */
     @Test
     void whatFailsAtOnceIsTheHosts() throws Exception {
         try (Server discovery = discovery(); Held gateway = new Held(discovery, entry("s1", Loopback.nobody(), "a", "in_service"))) {
--- a/src/test/java/mastdrift/net/RequestLogTest.java
+++ b/src/test/java/mastdrift/net/RequestLogTest.java
@@ -14,6 +14,7 @@
 import mastdrift.engine.Witness;
 import org.junit.jupiter.api.Test;
 
+/** Which requests are logged, in what form, and how the number of lines is limited. */
 class RequestLogTest {
 
     private static final Ask ASK = new Ask("read", "acme", 7L, 300_000, false, false, 0);
@@ -68,7 +69,7 @@
         assertEquals(RequestLog.LINES_A_SECOND, lines.size());
         now += 1_000_000;
         log.ended(taken("next"), Witness.End.FAILED, null);
-        assertEquals(List.of("not told one by one: {LEFT=1, REFUSED=5}", "request next FAILED after 0 ms, no attempt ended"),
+        assertEquals(List.of("log lines suppressed: {LEFT=1, REFUSED=5}", "request next FAILED after 0 ms, no attempt ended"),
                 lines.subList(RequestLog.LINES_A_SECOND, lines.size()));
     }
 }
--- a/src/test/java/mastdrift/net/ServingTest.java
+++ b/src/test/java/mastdrift/net/ServingTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests through a whole gateway: what is passed on, how attempts end, and what that allows. */
+/** Requests through a complete gateway: what is forwarded, how attempts end, and whether a retry follows. */
 class ServingTest {
 
     @TempDir
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Acts as told on the first request that reaches any of its hosts, and serves the others. */
+    /** Acts as given on the first request that reaches any of its hosts, and serves the others. */
     private static Script first(AtomicInteger count, String what) {
         return message -> {
             if (count.getAndIncrement() > 0) {
@@ -79,7 +79,7 @@
         };
     }
 
-    /** What never ran goes to the other host even where it must not run twice. */
+    /** A request that never ran goes to the other host even if it must not run twice. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 503 No~X-Never-Ran: 1~Content-Length: 0~~",
         "HTTP/1.1 504 No~X-Never-Ran: 1~Content-Length: 0~~"})
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Whichever host the key draws first, it is the closed one in one of the two cases. */
+    /** Whichever host the key selects first, it is the closed one in one of the two cases. */
     @ParameterizedTest
     @CsvSource({"s1, s2", "s2, s1"})
     void aRefusedConnectionNeverRan(String down, String up) throws Exception {
@@ -104,7 +104,10 @@
         }
     }
 
-    /** Guards against a second effect: each of these may have run, so the request fails and isn't refused. */
+    /**
+     * Guards against a second effect: after each of these endings the request may have run, so it fails and is not
+     * refused.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"break", "HTTP/1.1 500 Oh~Content-Length: 0~~", "HTTP/1.1 503 Oh~Content-Length: 0~~",
         "HTTP/1.1 404 Oh~Content-Length: 0~~", "HTTP/1.1 503 Oh~X-Never-Ran: 0~Content-Length: 0~~", "nonsense~~",
@@ -118,7 +121,7 @@
         }
     }
 
-    /** A keyed request that may have run stays within the zone that drops its repeats. */
+    /** A keyed request that may have run is retried only within the zone that drops its repeats. */
     @ParameterizedTest
     @CsvSource({"a, a, 200, 2", "a, b, 502, 1"})
     void aKeyedRequestIsSentAgainWithinItsGroupOnly(String zone, String other, int status, int sends) throws Exception {
@@ -135,7 +138,7 @@
         }
     }
 
-    /** Told when to come back where the settings allow it, by the module's figure, in whole seconds; else without a word of that. */
+    /** Retry-After is the module's value in whole seconds if the settings allow it, and omitted otherwise. */
     @ParameterizedTest
     @CsvSource({"true, 2000000, 2", "true, 500000, 1", "false, 2000000,"})
     void withNoHostARequestIsRefusedAtOnceAndToldWhenToComeBack(boolean allowed, long most, String told) throws Exception {
@@ -148,7 +151,7 @@
         }
     }
 
-    /** Guards against a request that waits past its client: a silent host must not hold its answer back. */
+    /** Guards against a request that outlasts its client: a silent host must not delay the answer. */
     @ParameterizedTest
     @CsvSource({"read, 503", "once, 504"})
     void aSilentHostIsGivenUpAtTheDeadline(String type, int status) throws Exception {
@@ -160,7 +163,7 @@
         }
     }
 
-    /** Guards against work for nobody: when the client goes, its attempt's connection closes. */
+    /** Guards against useless work: when the client disconnects, the connection of its attempt is closed. */
     @Test
     void aClientThatLeavesEndsItsAttempt() throws Exception {
         try (Server discovery = discovery(); Server host = new Server(message -> { });
@@ -215,8 +218,10 @@
         }
     }
 
-    /** Guards against a request hidden in the body of another: where the end of one is in doubt, nothing is passed on
-        and the connection ends. */
+    /**
+     * Guards against request smuggling, a request hidden in the body of another: if the end of a request is ambiguous,
+     * nothing is forwarded and the connection is closed.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 5~Transfer-Encoding: chunked~~0~~", "Transfer-Encoding: gzip~~",
         "Content-Length: 5~Content-Length: 6~~12345", "Content-Length: -1~~", "Content-Length: 99999999999999999999~~",
@@ -257,7 +262,7 @@
         }
     }
 
-    /** Guards against connections held by clients that never finish a request, however they trickle. */
+    /** Guards against connections held by clients that never complete a request, however slowly they trickle it. */
     @ParameterizedTest
     @ValueSource(strings = {"", "GET /api HT", "POST /api HTTP/1.1~Host: s~Content-Length: 99~~part"})
     void aRequestThatDoesNotComeWholeInTimeEndsItsConnection(String part) throws Exception {
--- a/src/test/java/mastdrift/net/StopCrossingTest.java
+++ b/src/test/java/mastdrift/net/StopCrossingTest.java
@@ -38,7 +38,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What may cross with a stop: requests that come just then, in parts or behind others, connections that wait, short deadlines, a stop ahead of the first client. */
+/**
+ * Races with a shutdown: requests that arrive just then, in parts or behind others, connections that wait, short
+ * deadlines, and a stop before the first client.
+ */
 class StopCrossingTest {
 
     private static final String SHORT = SETTINGS.replace("\"deadline\":60000000", "\"deadline\":300000").replace("\"target\":10000000", "\"target\":100000");
@@ -55,8 +58,11 @@
         return Loopback.read(client);
     }
 
-    /** Idle connections close at a moment at which a request stands unread on one: on one that was used, on one that said nothing so far, and
-        the rest of one of which a part had come. Each has its answer, and its connection ends behind it. */
+    /**
+     * Idle connections are closed at a moment at which a request is unread on one: on a connection that was used, on
+     * one that has sent nothing so far, or the rest of a request of which a part had arrived. Each request is answered,
+     * and its connection closes after that.
+     */
     @ParameterizedTest
     @CsvSource({"used,false", "silent,false", "part,false", "silent part,false", "dormant,false", "used,true", "silent,true"})
     void whatStandsUnreadAtTheEndOfServingIsAnswered(String how, boolean shortDeadlines) throws Exception {
@@ -81,14 +87,14 @@
                 return null;
             }).sync();
             Message answer = Loopback.read(client);
-            assertNotNull(answer, "an answer, and no reset");
+            assertNotNull(answer, "answered, not reset");
             assertEquals("ok", answer.text());
             assertEquals("close", answer.header("Connection"));
             assertNull(Loopback.read(client));
         }
     }
 
-    /** The same a moment earlier: a part has been read when serving ends, and the rest comes after. */
+    /** As before, but a part of the request has been read when serving ends, and the rest arrives later. */
     @Test
     void theRestOfARequestMayComeAfterTheEndOfServing() throws Exception {
         String request = post("once", 20_000, "body");
@@ -97,17 +103,17 @@
             assertEquals(200, ready(client).status());
             write(client, request.substring(0, 40));
             node.loop.submit(() -> {
-                node.clients.endServing();  // looks at what stands unread there, be it in a part
+                node.clients.endServing();  // reads the unread input, which may be part of a request
                 return null;
             }).sync();
             write(client, request.substring(40));
             Message answer = Loopback.read(client);
-            assertNotNull(answer, "an answer, and no reset");
+            assertNotNull(answer, "answered, not reset");
             assertEquals("ok", answer.text());
         }
     }
 
-    /** A request that was read behind another is owed its answer too: the connection ends with the last one. */
+    /** A request read behind another is owed its answer too: the connection closes with the last one. */
     @Test
     void requestsBehindTheCurrentOneAreAnswered() throws Exception {
         CountDownLatch answers = new CountDownLatch(1);
@@ -135,9 +141,12 @@
         }
     }
 
-    /** By deadlines of 0.3 s the platform may kill from 1 s on: nobody has a connection by then, so that nothing can come and stay unanswered. The moment
-        is looked at on the gateway's own loop, and a client asks all the while: each answer is whole, and its connection ends with one that says so or, where
-        it is between two requests just then, with none. What stands unread in that moment is the test above. */
+    /**
+     * With deadlines of 0.3 s the platform may kill the process from 1 s on: nobody may have a connection by then, so
+     * that no request can arrive and stay unanswered. That moment is checked on the gateway's own loop, while a client
+     * sends requests all the time: each answer is complete, and the connection closes with an answer that says so or,
+     * if it is between two requests just then, with none. The test above covers input that is unread at that moment.
+     */
     @Test
     void withShortDeadlinesServingEndsBeforeTheKill() throws Exception {
         CompletableFuture<Integer> left = new CompletableFuture<>();
@@ -153,19 +162,24 @@
             int answers = 0;
             try {
                 for (Message answer = ready(client); answer != null; answer = "close".equals(answer.header("Connection")) ? null : ready(client)) {
-                    assertEquals(503, answer.status(), "a gateway that stops isn't ready");
+                    assertEquals(503, answer.status(), "a gateway that is shutting down is not ready");
                     answers++;
                 }
             } catch (SocketException e) {
-                client.close();  // what it asked crossed with the end of its connection, unread: clients ask that elsewhere
+                // its request crossed with the close of the connection and is unread: clients send such a request
+                // elsewhere
+                client.close();
             }
             assertTrue(answers > 0);
-            assertNull(Loopback.read(idle), "an end, and no reset");
+            assertNull(Loopback.read(idle), "closed, not reset");
             assertEquals(0, left.get(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
-    /** By deadlines of 0.05 s all could be answered before the listener closes: the stop, behind which the program ends, is over only then. */
+    /**
+     * With deadlines of 0.05 s all requests could be answered before the listener closes: the stop, after which the
+     * process ends, may complete only after that.
+     */
     @Test
     void aStopIsNotOverBeforeItsListenerIsClosed() throws Exception {
         String settings = SETTINGS.replace("\"deadline\":60000000", "\"deadline\":50000").replace("\"target\":10000000", "\"target\":20000");
@@ -173,11 +187,11 @@
         try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, host, settings)) {
             assertEquals(200, ready(node.connect()).status());
             node.loop.submit(() -> node.clients.stop(3_000_000, () -> closed.complete(node.clients.closed()))).sync();
-            assertTrue(closed.get(Loopback.WAIT_SECONDS, TimeUnit.SECONDS), "the listener is closed as the stop is over");
+            assertTrue(closed.get(Loopback.WAIT_SECONDS, TimeUnit.SECONDS), "the listener is closed when the stop completes");
         }
     }
 
-    /** A stop ahead of listening: nobody is let in, and the stop is over at once. */
+    /** A stop before listening: nobody can connect, and the stop completes at once. */
     @Test
     void aStopAheadOfListening() throws Exception {
         PrintStream out = new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8);
@@ -191,7 +205,8 @@
             try {
                 Main.listen(started, config, out);
             } catch (IllegalArgumentException e) {
-                assertFalse(e.getMessage().isEmpty());  // it may say that it can't, or close in the same moment
+                // it may report that it can't listen, or close at the same moment
+                assertFalse(e.getMessage().isEmpty());
             }
             eventually(() -> timed.loop().submit(() -> started.clients().closed()).get());
         } finally {
@@ -199,8 +214,10 @@
         }
     }
 
-    /** As many connections as are accepted in one look came at once, and nobody behind them. Who comes a second later has not waited since: a request with
-        half a second is served. */
+    /**
+     * As many connections as one turn accepts arrive at once, and none after them. A client that connects a second
+     * later has not waited since then: a request with half a second left is served.
+     */
     @Test
     void whoComesLongAfterAFullLookHasNotWaited() throws Exception {
         try (Server discovery = discovery(); Server host = host("ok");
@@ -222,7 +239,8 @@
                 sockets.add(node.connect());
             }
             go.countDown();
-            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(1_000);  // the case itself: that time goes by in which nobody comes
+            // the passing of time in which nobody connects is what the test is about
+            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(1_000);
             while (System.nanoTime() < until) {
                 node.loop.submit(() -> { }).sync();
             }
--- a/src/test/java/mastdrift/net/StrictFrontTest.java
+++ b/src/test/java/mastdrift/net/StrictFrontTest.java
@@ -25,8 +25,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests that two readers might read differently (RFC 9112): each kind is refused and its connection closed, and nothing
-    of it reaches a host. In a row, {@code |} stands for the end of a line, {@code ~} for a tab, {@code ^} for a space. */
+/**
+ * Guards against request smuggling: a request that two HTTP implementations might parse differently (RFC 9112) is
+ * rejected, its connection closed, and nothing of it reaches a host. In the rows, {@code |} stands for the end of a
+ * line, {@code ~} for a tab, {@code ^} for a space.
+ */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class StrictFrontTest {
 
@@ -61,15 +64,15 @@
         try (Socket client = node.connect()) {
             write(client, wire(request));
             Message answer = Loopback.read(client);
-            assertNotNull(answer, "an answer");
+            assertNotNull(answer, "an answer is sent");
             assertEquals(status, answer.status());
             assertEquals("close", answer.header("Connection"));
-            assertNull(Loopback.read(client), "a close");
-            assertNull(host.received.poll(), "nothing passed on");
+            assertNull(Loopback.read(client), "the connection is closed");
+            assertNull(host.received.poll(), "nothing is forwarded");
         }
     }
 
-    /** 3, 2.3, 3.2: the request line. */
+    /** RFC 9112, sections 3, 2.3, 3.2: the request line. */
     @ParameterizedTest
     @ValueSource(strings = {"^GET /api HTTP/1.1", "~GET /api HTTP/1.1", "GET~/api HTTP/1.1", "GET /api~HTTP/1.1",
         "GET ^/api HTTP/1.1", "GET /api ^HTTP/1.1", "GET /api HTTP/1.1^", "GET /api HTTP/1.1~", "GET /a^pi HTTP/1.1",
@@ -80,7 +83,7 @@
         refused(400, line + "|Host: s|" + REST + "|");
     }
 
-    /** 3.2, 5.1, 5.2, 5.5, 2.2: fields. */
+    /** RFC 9112, sections 3.2, 5.1, 5.2, 5.5, 2.2: header fields. */
     @ParameterizedTest
     @ValueSource(strings = {"", "Host: s|Host: s|", "Host: s|Host: t|", "Host: s, t|", "Host: s t|", "Host: u@s|",
         "Host: s/x|", "Host^: s|", "Host~: s|", "^Host: s|", "Host: s|^X-A: 1|", "Host: s|X-A: 1|^2|", "Host: s|X-A: 1|~2|",
@@ -90,7 +93,7 @@
         refused(400, "GET /api HTTP/1.1|" + fields + REST + "|");
     }
 
-    /** 6.1, 6.2, 6.3, 7.1: what tells a body's length. */
+    /** RFC 9112, sections 6.1, 6.2, 6.3, 7.1: the length of the body. */
     @ParameterizedTest
     @CsvSource(delimiter = '!', value = {"501! Transfer-Encoding: gzip, chunked|", "501! Transfer-Encoding: identity, chunked|",
         "501! Transfer-Encoding: gzip|", "501! Transfer-Encoding: identity|", "501! Transfer-Encoding: xchunked|",
@@ -109,13 +112,13 @@
         refused(status, "POST /api HTTP/1.1|Host: s|" + POST + fields + "|5|hello|0||");
     }
 
-    /** 6.1: a server must not take a transfer coding from a version that has none. */
+    /** RFC 9112, section 6.1: a server must not accept a transfer coding from a version that doesn't define them. */
     @Test
     void ofACodingWithAnOldVersion() throws Exception {
         refused(400, "POST /api HTTP/1.0|Host: s|" + POST + "Transfer-Encoding: chunked||5|hello|0||");
     }
 
-    /** 7.1: chunks. */
+    /** RFC 9112, section 7.1: chunks. */
     @ParameterizedTest
     @ValueSource(strings = {"x|hello|0||", "0x5|hello|0||", "-5|hello|0||", "|hello|0||", "+5|hello|0||", "5|hellox|0||",
         "5%Nhello|0||", "fffffffff|hello|0||", "5|hello%N0||"})
@@ -123,7 +126,10 @@
         refused(400, "POST /api HTTP/1.1|Host: s|" + POST + "Transfer-Encoding: chunked||" + chunks);
     }
 
-    /** What is whole and unambiguous is served, in one write or byte by byte; also a request behind an empty line (2.2). */
+    /**
+     * A complete and unambiguous request is served, sent in one write or byte by byte; also after an empty line (RFC
+     * 9112, section 2.2).
+     */
     @ParameterizedTest
     @ValueSource(strings = {"GET /api HTTP/1.1|Host: s|", "|GET /api HTTP/1.1|Host: s|", "GET /api HTTP/1.0|",
         "GET /api HTTP/1.0|Host: s|", "GET /api HTTP/1.1|Host:|", "GET /api HTTP/1.1|host: s:80|",
@@ -154,7 +160,7 @@
         }
     }
 
-    /** Guards against a reader that keeps something of one request for the next one on its connection. */
+    /** Guards against decoder state of one request that affects the next one on its connection. */
     @Test
     void theNextRequestIsReadAfresh() throws Exception {
         try (Socket client = node.connect()) {
@@ -171,7 +177,7 @@
         }
     }
 
-    /** A fold is seen also where its line comes in a piece of its own. */
+    /** A folded line is detected even if it arrives in a read of its own. */
     @Test
     void aFoldInAPieceOfItsOwn() throws Exception {
         try (Socket client = node.connect()) {
--- a/src/test/java/mastdrift/net/SystemCallTest.java
+++ b/src/test/java/mastdrift/net/SystemCallTest.java
@@ -50,14 +50,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** System calls that fail as Linux documents, by channels of the test's own. */
+/** System calls that fail as Linux documents it, simulated by channel implementations of the test. */
 class SystemCallTest {
 
     private static final long DIAL = 20_000_000;
     private static final long IDLE = 5_000_000;
     private static final long LONG = 60_000_000;
     private static final int EXPIRES = 5_000;
-    // The library's own pause after a failed accept is a second.
+    // Netty itself pauses for a second after a failed accept.
     private static final long ACCEPTED_MILLIS = 500;
 
     @TempDir
@@ -71,7 +71,7 @@
         loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** A listener of which the next accepts fail; who waits in the system's queue stays there. */
+    /** A listener whose next accepts fail; waiting clients stay in the listen backlog. */
     private static final class FailingListener extends NioServerSocketChannel {
 
         private final AtomicInteger failures;
@@ -91,7 +91,10 @@
         }
     }
 
-    /** ECONNABORTED, EMFILE, ENFILE, ENOBUFS: whoever waits has its answer soon, once or many times in a row. */
+    /**
+     * ECONNABORTED, EMFILE, ENFILE, ENOBUFS: a waiting client is answered soon, whether the failure occurs once or many
+     * times in a row.
+     */
     @ParameterizedTest
     @CsvSource({"Software caused connection abort, 1", "Too many open files, 5", "Too many open files in system, 1", "No buffer space available, 5"})
     void anAcceptThatFailsHoldsUpNobodyForLong(String why, int times) throws Exception {
@@ -166,14 +169,17 @@
         }
     }
 
-    /** What failed here was never sent, and is no failure of the server; what failed on the way there is. */
+    /**
+     * A failure on this machine means that nothing was sent, and is no failure of the server; a failure on the way to
+     * the server is.
+     */
     @ParameterizedTest
     @CsvSource({"EADDRNOTAVAIL, UNUSED", "ENOBUFS, UNUSED", "ECONNREFUSED, DIAL_FAILED", "ETIMEDOUT, DIAL_FAILED", "EHOSTUNREACH, DIAL_FAILED", "ENETUNREACH, DIAL_FAILED"})
     void aDialThatFailsHereIsNotTheServersFault(String of, Outcome expected) throws Exception {
         assertEquals(expected, outcome(() -> new FailingSocket(failure(of))));
     }
 
-    /** EMFILE, ENFILE: there is not even a socket. */
+    /** EMFILE, ENFILE: not even a socket can be opened. */
     @ParameterizedTest
     @ValueSource(strings = {"Too many open files", "Too many open files in system"})
     void aSocketThatCantBeOpenedIsNotTheServersFault(String why) throws Exception {
@@ -182,7 +188,7 @@
         }));
     }
 
-    /** Takes a byte at each write, as a socket whose buffer is full, or an interrupted call. */
+    /** Reads and writes one byte at a time, like a socket whose buffer is full or whose calls are interrupted. */
     private static final class ShortWrites extends NioSocketChannel {
 
         @Override
