--- a/src/main/java/mastdrift/net/BoundedLog.java
+++ b/src/main/java/mastdrift/net/BoundedLog.java
@@ -12,42 +12,42 @@
  */
 final class BoundedLog {
 
-    private static final long SECOND = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
-    private final LongSupplier clock;
+    private final LongSupplier clockMicros;
     private final Consumer<String> log;
-    private final int linesMost;
-    private final Map<String, Integer> beyond = new TreeMap<>();
-    private long second;
-    private int lines;
+    private final int maxLinesPerSecond;
+    private final Map<String, Integer> suppressedByKind = new TreeMap<>();
+    private long currentSecond;
+    private int linesThisSecond;
 
     /** The clock is in microseconds and must be monotonic. */
-    BoundedLog(LongSupplier clock, int linesMost, Consumer<String> log) {
-        this.clock = clock;
-        this.linesMost = linesMost;
+    BoundedLog(LongSupplier clockMicros, int maxLinesPerSecond, Consumer<String> log) {
+        this.clockMicros = clockMicros;
+        this.maxLinesPerSecond = maxLinesPerSecond;
         this.log = log;
     }
 
     /** Logs an event in one line, or counts it by its kind. */
-    void event(String kind, String line) {
-        long now = clock.getAsLong() / SECOND;
-        if (now != second) {
-            tellBeyond();
-            second = now;
-            lines = 0;
+    void logEvent(String kind, String line) {
+        long nowSecond = clockMicros.getAsLong() / MICROS_PER_SECOND;
+        if (nowSecond != currentSecond) {
+            logSuppressed();
+            currentSecond = nowSecond;
+            linesThisSecond = 0;
         }
-        if (lines < linesMost) {
-            lines++;
+        if (linesThisSecond < maxLinesPerSecond) {
+            linesThisSecond++;
             log.accept(line);
         } else {
-            beyond.merge(kind, 1, Integer::sum);
+            suppressedByKind.merge(kind, 1, Integer::sum);
         }
     }
 
-    private void tellBeyond() {
-        if (!beyond.isEmpty()) {
-            log.accept("log lines suppressed: " + beyond);
-            beyond.clear();
+    private void logSuppressed() {
+        if (!suppressedByKind.isEmpty()) {
+            log.accept("log lines suppressed: " + suppressedByKind);
+            suppressedByKind.clear();
         }
     }
 }
--- a/src/main/java/mastdrift/net/ClientSide.java
+++ b/src/main/java/mastdrift/net/ClientSide.java
@@ -67,105 +67,105 @@
     /** Chooses the pool that a request is for. */
     public interface Router {
         /** Returns null if no route matches. The key (or null) is the same in all repeats of a request. */
-        Pool pool(RequestClass type, String tenant, HttpRequest message, Long key);
+        Pool pool(RequestClass requestClass, String tenant, HttpRequest message, Long key);
     }
 
-    private static final int BODY_MOST = 64 << 10;
-    private static final int BACKLOG = 1024;
+    private static final int MAX_BODY_BYTES = 64 << 10;
+    private static final int LISTEN_BACKLOG = 1024;
     // Connections accepted in one turn of the event loop: more would delay everything else on the loop.
-    private static final int ACCEPTED_MOST = 16;
+    private static final int MAX_ACCEPTS_PER_TURN = 16;
     // Requests that are queued on a connection behind the current one. Up to MAX_OVERFLOW_REQUESTS more are only
     // counted, and refused in their turn. Reading goes on meanwhile, since the close of a connection would otherwise go
     // unnoticed while its requests wait to be forwarded. When reading has to pause, the queued requests and all unread
     // ones are refused.
-    private static final int PIPELINED_MOST = 8;
-    static final int COUNTED_MOST = 1_024;
+    private static final int MAX_PIPELINED_REQUESTS = 8;
+    static final int MAX_OVERFLOW_REQUESTS = 1_024;
     // Stands for a request that was only counted.
-    private static final FullHttpRequest COUNTED = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "", Unpooled.EMPTY_BUFFER);
+    private static final FullHttpRequest OVERFLOW_REQUEST = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "", Unpooled.EMPTY_BUFFER);
     // When reading has paused, a close of the connection is behind all unread input. It is searched for with at most
     // this many reads of 64 KiB; a client that has sent more than that is treated as gone.
-    private static final int PAUSED_LOOKS = 16;
+    private static final int MAX_READS_AFTER_PAUSE = 16;
     // During a shutdown, new connections keep arriving for a while until it has been noticed that this gateway stops.
-    private static final long STOP_ACCEPTING_MILLIS = 500;
+    private static final long STOP_ACCEPT_MILLIS = 500;
     // During a shutdown, clients are served on their existing connections for this long, since other gateways may be
     // unavailable as well. All requests are answered at the latest STOP_ANSWER_MARGIN_MICROS after the longest
     // deadline, before the process may be killed.
-    private static final long STOP_SERVING_MILLIS = 1500;
-    private static final long STOP_ANSWERED = 400_000;
+    private static final long STOP_SERVE_MILLIS = 1500;
+    private static final long STOP_ANSWER_MARGIN_MICROS = 400_000;
     // Minimum time for clients that connect just before the listener closes, however short the deadlines are.
-    private static final long STOP_LAST = 50_000;
+    private static final long STOP_MIN_LAST_CONNECTION_MICROS = 50_000;
     // Connections that are still open this long after all requests should have been answered are logged.
-    private static final long STOP_SAID = 50_000;
-    private static final int STOP_NAMED = 20;
+    private static final long STOP_LOG_DELAY_MICROS = 50_000;
+    private static final int MAX_LOGGED_IDS = 20;
     // Interval at which connections that exceeded the time bound of their phase are searched for, and how many of each
     // phase are closed at a time: closing ten thousand at once would delay everything else on the loop.
-    private static final long SWEEP_MILLIS = 250;
-    private static final int SWEEP_MOST = 1_000;
+    private static final long SWEEP_INTERVAL_MILLIS = 250;
+    private static final int MAX_CLOSES_PER_SWEEP = 1_000;
     // Connections examined before the search for one to evict is given up.
-    private static final int GIVING_WAY_LOOKS = 4;
+    private static final int MAX_EVICTION_CANDIDATES = 4;
     // Pause after an accept that failed for lack of a local resource: an immediate retry would fail again.
-    private static final long ACCEPT_PAUSE_MILLIS = 10;
-    private static final long ACCEPT_SAID = 10_000_000;
+    private static final long ACCEPT_RETRY_DELAY_MILLIS = 10;
+    private static final long ACCEPT_FAILURE_LOG_INTERVAL_MICROS = 10_000_000;
 
     private final EventLoop loop;
     private final Ledger ledger;
     private final Router router;
     private final Consumer<String> log;
-    private final int most;
+    private final int maxConnections;
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Set<String> tenants = new HashSet<>();
-    private ChannelFactory<? extends ServerChannel> listener = NioServerSocketChannel::new;
-    private Function<InetAddress, String> zones;  // zone of a client address; null if zones are not used
-    private final PhaseBounds bounds;
+    private ChannelFactory<? extends ServerChannel> serverChannelFactory = NioServerSocketChannel::new;
+    private Function<InetAddress, String> clientZoneByAddress;  // zone of a client address; null if zones are not used
+    private final PhaseBounds phaseBounds;
     private final Connections<Connection> connections;
-    private final Set<String> open = new HashSet<>();  // ids of requests that have no final answer yet
-    private volatile Channel server;  // set before the first connection is accepted
-    private boolean queueSeen = true;  // whether the last read of the listen backlog emptied it
-    private long acceptedIn;  // turn of the last accept, or in which accepting resumed after a pause
-    private long queuedSince;  // earliest time at which a connection that is accepted now may have arrived
-    private long acceptSaidAt = -ACCEPT_SAID;
+    private final Set<String> openRequestIds = new HashSet<>();  // ids of requests that have no final answer yet
+    private volatile Channel serverChannel;  // set before the first connection is accepted
+    private boolean backlogEmptied = true;  // whether the last read of the listen backlog emptied it
+    private long lastAcceptTurn;  // turn of the last accept, or in which accepting resumed after a pause
+    private long earliestArrivalMicros;  // earliest time at which a connection that is accepted now may have arrived
+    private long acceptFailureLoggedAtMicros = -ACCEPT_FAILURE_LOG_INTERVAL_MICROS;
     private boolean stopping;
-    private boolean closing;
-    private long answerBy = Long.MAX_VALUE;
-    private Runnable stopped;
+    private boolean servingEnded;
+    private long answerDeadlineMicros = Long.MAX_VALUE;
+    private Runnable stopCallback;
 
     /** Holds about {@code maxConnections} connections, with the default {@link PhaseBounds}. */
     public ClientSide(EventLoop loop, Ledger ledger, Router router, List<RequestClass> classes, List<Tenant> tenants,
-            int most, Consumer<String> log) {
-        this(loop, ledger, router, classes, tenants, most, PhaseBounds.USUAL, log);
+            int maxConnections, Consumer<String> log) {
+        this(loop, ledger, router, classes, tenants, maxConnections, PhaseBounds.USUAL, log);
     }
 
     /** Holds about {@code maxConnections} connections, with the given time bounds. */
     public ClientSide(EventLoop loop, Ledger ledger, Router router, List<RequestClass> classes, List<Tenant> tenants,
-            int most, PhaseBounds bounds, Consumer<String> log) {
-        this.bounds = bounds;
-        connections = new Connections<>(bounds);
+            int maxConnections, PhaseBounds phaseBounds, Consumer<String> log) {
+        this.phaseBounds = phaseBounds;
+        connections = new Connections<>(phaseBounds);
         this.loop = loop;
         this.ledger = ledger;
         this.router = router;
         this.log = log;
-        this.most = most;
+        this.maxConnections = maxConnections;
         classes.forEach(type -> this.classes.put(type.name(), type));
         tenants.stream().map(Tenant::name).forEach(this.tenants::add);
     }
 
     /** Requests from now on carry the zone of their client's address. */
-    public void clientZones(Function<InetAddress, String> byAddress) {
-        zones = byAddress;
+    public void setClientZones(Function<InetAddress, String> zoneByAddress) {
+        clientZoneByAddress = zoneByAddress;
     }
 
     /** Uses another kind of server channel; call it before {@link #listen}. */
-    void listener(ChannelFactory<? extends ServerChannel> kind) {
-        listener = kind;
+    void setServerChannelFactory(ChannelFactory<? extends ServerChannel> factory) {
+        serverChannelFactory = factory;
     }
 
     /** The address it listens on, once it is bound. */
     public InetSocketAddress address() {
-        return (InetSocketAddress) server.localAddress();
+        return (InetSocketAddress) serverChannel.localAddress();
     }
 
     /** Number of open client connections. Call it on the event loop. */
-    int connections() {
+    int connectionCount() {
         return connections.size();
     }
 
@@ -173,28 +173,28 @@
      * Number of connections that have the HTTP handlers in their pipeline, or of those that don't. Call it on the event
      * loop.
      */
-    int connections(boolean awake) {
-        int bare = connections.size(Phase.DORMANT) + connections.size(Phase.SILENT);
-        return awake ? connections.size() - bare : bare;
+    int connectionCount(boolean withHttpHandlers) {
+        int withoutHandlers = connections.size(Phase.DORMANT) + connections.size(Phase.SILENT);
+        return withHttpHandlers ? connections.size() - withoutHandlers : withoutHandlers;
     }
 
     /** Whether the listener is closed, so that nobody can connect any more. Call it on the event loop. */
-    boolean closed() {
-        return server != null && !server.isOpen();
+    boolean isListenerClosed() {
+        return serverChannel != null && !serverChannel.isOpen();
     }
 
     /** Number of requests, on all connections, that are only counted and will be refused. Call it on the event loop. */
-    int counted() {
-        int[] all = new int[1];
-        connections.each(Phase.BUSY, connection -> all[0] += connection.counted);
-        return all[0];
+    int overflowRequestCount() {
+        int[] total = new int[1];
+        connections.each(Phase.BUSY, connection -> total[0] += connection.overflowCount);
+        return total[0];
     }
 
     /** Binds the listener; the future tells whether that succeeded. */
-    public ChannelFuture listen(InetSocketAddress at) {
-        ChannelFuture bound = new ServerBootstrap().group(loop).channelFactory(listener)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTED_MOST))
+    public ChannelFuture listen(InetSocketAddress address) {
+        ChannelFuture bound = new ServerBootstrap().group(loop).channelFactory(serverChannelFactory)
+                .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_TURN))
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .handler(new Queue())
                 .childHandler(new ChannelInitializer<Channel>() {
@@ -202,8 +202,8 @@
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new Connection(channel));
                     }
-                }).bind(at);
-        loop.scheduleWithFixedDelay(this::closeOverdue, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+                }).bind(address);
+        loop.scheduleWithFixedDelay(this::closeOverdueConnections, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         return bound;
     }
 
@@ -213,27 +213,27 @@
      * deadline of a class, but no more than {@code maxDeadlineMicros} microseconds: a request that is open 0.4 s later
      * is answered at once, since a process that is killed answers nobody.
      */
-    public void stop(long longest, Runnable then) {
+    public void stop(long maxDeadlineMicros, Runnable onStopped) {
         stopping = true;
-        long deadline = Math.min(longest, classes.values().stream().mapToLong(RequestClass::deadline).max().orElse(0));
-        answerBy = ledger.now() + Math.max(deadline + STOP_ANSWERED, STOP_ACCEPTING_MILLIS * 1_000 + STOP_LAST);
-        stopped = then;
-        if (server == null) {  // stopped before it listened: it never will
-            closing = true;
-            checkStopped();
+        long longestDeadlineMicros = Math.min(maxDeadlineMicros, classes.values().stream().mapToLong(RequestClass::deadline).max().orElse(0));
+        answerDeadlineMicros = ledger.now() + Math.max(longestDeadlineMicros + STOP_ANSWER_MARGIN_MICROS, STOP_ACCEPT_MILLIS * 1_000 + STOP_MIN_LAST_CONNECTION_MICROS);
+        stopCallback = onStopped;
+        if (serverChannel == null) {  // stopped before it listened: it never will
+            servingEnded = true;
+            completeStopIfDone();
             return;
         }
-        loop.schedule(() -> closeServer(ledger.turn()), STOP_ACCEPTING_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> closeListener(ledger.turn()), STOP_ACCEPT_MILLIS, TimeUnit.MILLISECONDS);
         // With short deadlines the process may be killed sooner than that.
-        long answered = answerBy - ledger.now();
-        loop.schedule(this::endServing, Math.min(STOP_SERVING_MILLIS * 1_000, answered), TimeUnit.MICROSECONDS);
+        long answeredInMicros = answerDeadlineMicros - ledger.now();
+        loop.schedule(this::endServing, Math.min(STOP_SERVE_MILLIS * 1_000, answeredInMicros), TimeUnit.MICROSECONDS);
         loop.schedule(() -> {
-            connections.each(Phase.BUSY, Connection::end);
+            connections.each(Phase.BUSY, Connection::failOpenRequest);
             // the time to complete partial requests is over
-            List.of(Phase.SILENT, Phase.PART).forEach(phase -> closeUnasked(phase, true));
-        }, answered, TimeUnit.MICROSECONDS);
+            List.of(Phase.SILENT, Phase.PART).forEach(phase -> closeUnlessRequested(phase, true));
+        }, answeredInMicros, TimeUnit.MICROSECONDS);
         // Connections that are still open by then are logged, since the process may be killed next.
-        loop.schedule(this::sayWaiting, answered + STOP_SAID, TimeUnit.MICROSECONDS);
+        loop.schedule(this::logOpenConnections, answeredInMicros + STOP_LOG_DELAY_MICROS, TimeUnit.MICROSECONDS);
     }
 
     /**
@@ -241,17 +241,17 @@
      * listener would reset them. It is therefore closed only after the wait of a turn later than {@code sinceTurn} has
      * found no new connection, or when all requests have been answered anyway.
      */
-    private void closeServer(long since) {
-        boolean empty = ledger.turn() > since && acceptedIn < ledger.turn() && queueEmpty() && server.config().isAutoRead();
-        if (empty || ledger.turn() == 0 || ledger.now() >= answerBy) {
-            server.close();
-            checkStopped();
+    private void closeListener(long sinceTurn) {
+        boolean backlogEmpty = ledger.turn() > sinceTurn && lastAcceptTurn < ledger.turn() && isBacklogEmpty() && serverChannel.config().isAutoRead();
+        if (backlogEmpty || ledger.turn() == 0 || ledger.now() >= answerDeadlineMicros) {
+            serverChannel.close();
+            completeStopIfDone();
         } else {
-            loop.schedule(() -> closeServer(since), 1, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> closeListener(sinceTurn), 1, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void sayWaiting() {
+    private void logOpenConnections() {
         if (connections.size() > 0) {
             StringJoiner phases = new StringJoiner(", ");
             for (Phase phase : Phase.values()) {
@@ -260,7 +260,7 @@
                 }
             }
             log.accept("shutdown is waiting for connections: " + phases + "; unanswered requests: "
-                    + open.stream().limit(STOP_NAMED).toList());
+                    + openRequestIds.stream().limit(MAX_LOGGED_IDS).toList());
         }
     }
 
@@ -269,17 +269,17 @@
      * close now. A connection with a partial request stays open, since the rest of it is on its way.
      */
     void endServing() {
-        closing = true;
-        List.of(Phase.SILENT, Phase.IDLE, Phase.DORMANT).forEach(phase -> closeUnasked(phase, false));
-        checkStopped();
+        servingEnded = true;
+        List.of(Phase.SILENT, Phase.IDLE, Phase.DORMANT).forEach(phase -> closeUnlessRequested(phase, false));
+        completeStopIfDone();
     }
 
-    private void closeUnasked(Phase phase, boolean parts) {
-        connections.each(phase, connection -> connection.closeUnasked(phase, parts));
+    private void closeUnlessRequested(Phase phase, boolean includePartial) {
+        connections.each(phase, connection -> connection.closeUnlessRequested(phase, includePartial));
     }
 
-    private void closeOverdue() {
-        connections.overdue(ledger.now(), SWEEP_MOST, Connection::overdue);
+    private void closeOverdueConnections() {
+        connections.overdue(ledger.now(), MAX_CLOSES_PER_SWEEP, Connection::handleOverdue);
     }
 
     /**
@@ -289,35 +289,35 @@
      */
     private final class Queue extends ChannelInboundHandlerAdapter {
 
-        private int accepted;
+        private int acceptedInRead;
 
         @Override
         public void handlerAdded(ChannelHandlerContext context) {
-            server = context.channel();
+            serverChannel = context.channel();
             if (stopping) {
-                server.close();
+                serverChannel.close();
             }
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object child) {
-            if (accepted++ == 0 && queueEmpty()) {
-                queuedSince = ledger.arrived();
+            if (acceptedInRead++ == 0 && isBacklogEmpty()) {
+                earliestArrivalMicros = ledger.arrived();
             }
-            acceptedIn = ledger.turn();
+            lastAcceptTurn = ledger.turn();
             context.fireChannelRead(child);
         }
 
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
-            queueSeen = accepted < ACCEPTED_MOST && context.channel().config().isAutoRead();
-            accepted = 0;
+            backlogEmptied = acceptedInRead < MAX_ACCEPTS_PER_TURN && context.channel().config().isAutoRead();
+            acceptedInRead = 0;
             context.fireChannelReadComplete();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            acceptFailed(cause);
+            handleAcceptFailure(cause);
         }
     }
 
@@ -326,15 +326,15 @@
      * if descriptors or buffers are exhausted, an idle connection is evicted, and accepting is retried soon. Netty by
      * itself would not accept again for a second.
      */
-    private void acceptFailed(Throwable cause) {
-        if (ledger.now() - acceptSaidAt >= ACCEPT_SAID) {
-            acceptSaidAt = ledger.now();
+    private void handleAcceptFailure(Throwable cause) {
+        if (ledger.now() - acceptFailureLoggedAtMicros >= ACCEPT_FAILURE_LOG_INTERVAL_MICROS) {
+            acceptFailureLoggedAtMicros = ledger.now();
             log.accept("failed to accept a connection: " + cause);
         }
-        if (server.config().isAutoRead()) {
-            makeRoom(null);
-            server.config().setAutoRead(false);
-            loop.schedule(this::goOnAccepting, ACCEPT_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+        if (serverChannel.config().isAutoRead()) {
+            evictConnection(null);
+            serverChannel.config().setAutoRead(false);
+            loop.schedule(this::resumeAccepting, ACCEPT_RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -343,15 +343,15 @@
      * is so if a read has emptied it, or if, after a read that accepted as many as one turn may, the wait of the next
      * turn found none.
      */
-    private boolean queueEmpty() {
-        return queueSeen || ledger.turn() > acceptedIn + 1;
+    private boolean isBacklogEmpty() {
+        return backlogEmptied || ledger.turn() > lastAcceptTurn + 1;
     }
 
-    private void goOnAccepting() {
-        if (!server.config().isAutoRead()) {
-            queueSeen = false;  // the connections in the backlog may have arrived during the pause
-            acceptedIn = ledger.turn();
-            server.config().setAutoRead(true);
+    private void resumeAccepting() {
+        if (!serverChannel.config().isAutoRead()) {
+            backlogEmptied = false;  // the connections in the backlog may have arrived during the pause
+            lastAcceptTurn = ledger.turn();
+            serverChannel.config().setAutoRead(true);
         }
     }
 
@@ -359,16 +359,16 @@
      * Closes a connection that is owed no response. Its unread input is read first, since it may contain a request.
      * Returns false if no connection could be closed.
      */
-    private boolean makeRoom(Connections.Entry<Connection> newcomer) {
-        for (int i = 0; i < GIVING_WAY_LOOKS; i++) {
-            Connection gives = connections.givesWay(newcomer);
-            if (gives == null) {
+    private boolean evictConnection(Connections.Entry<Connection> newcomer) {
+        for (int i = 0; i < MAX_EVICTION_CANDIDATES; i++) {
+            Connection candidate = connections.givesWay(newcomer);
+            if (candidate == null) {
                 return false;
             }
-            boolean part = gives.hasPart();
-            Look.at(gives.channel);
-            if (gives.current == null && gives.hasPart() == part) {
-                gives.close();
+            boolean hadPartialRequest = candidate.hasPartialRequest();
+            Look.read(candidate.channel);
+            if (candidate.currentRequest == null && candidate.hasPartialRequest() == hadPartialRequest) {
+                candidate.close();
                 return true;
             }
         }
@@ -379,22 +379,22 @@
      * The client that a connection counts for: its address, or the first 64 bits of an IPv6 address, since one client
      * may use any number of addresses with that prefix (RFC 4291, section 2.5).
      */
-    private static long holder(SocketAddress of) {
-        byte[] address = of instanceof InetSocketAddress at ? at.getAddress().getAddress() : new byte[0];
-        long holder = 0;
-        for (int i = 0; i < Math.min(Long.BYTES, address.length); i++) {
-            holder = holder << Byte.SIZE | address[i] & 0xFF;
+    private static long addressPrefix(SocketAddress remote) {
+        byte[] addressBytes = remote instanceof InetSocketAddress inetAddress ? inetAddress.getAddress().getAddress() : new byte[0];
+        long prefix = 0;
+        for (int i = 0; i < Math.min(Long.BYTES, addressBytes.length); i++) {
+            prefix = prefix << Byte.SIZE | addressBytes[i] & 0xFF;
         }
-        return holder;
+        return prefix;
     }
 
     /**
      * Completes the shutdown only once nobody can connect any more, since a client that connected in between would be
      * reset.
      */
-    private void checkStopped() {
-        if (closing && stopped != null && connections.size() == 0 && (server == null || !server.isOpen())) {
-            stopped.run();
+    private void completeStopIfDone() {
+        if (servingEnded && stopCallback != null && connections.size() == 0 && (serverChannel == null || !serverChannel.isOpen())) {
+            stopCallback.run();
         }
     }
 
@@ -404,21 +404,21 @@
     private static final class Requests extends HttpObjectAggregator {
 
         Requests() {
-            super(BODY_MOST);
+            super(MAX_BODY_BYTES);
         }
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
             HttpRequest request = (HttpRequest) oversized;
-            FullHttpRequest failed = new DefaultFullHttpRequest(request.protocolVersion(), request.method(),
+            FullHttpRequest failedRequest = new DefaultFullHttpRequest(request.protocolVersion(), request.method(),
                     request.uri(), Unpooled.EMPTY_BUFFER);
-            failed.setDecoderResult(DecoderResult.failure(new TooLongFrameException("body")));
-            context.fireChannelRead(failed);
+            failedRequest.setDecoderResult(DecoderResult.failure(new TooLongFrameException("body")));
+            context.fireChannelRead(failedRequest);
         }
     }
 
     /** A request, the earliest time from which it may have been waiting, and the turn in which it was read. */
-    private record Arrived(FullHttpRequest message, long at, long turn) { }
+    private record Arrived(FullHttpRequest message, long waitingSinceMicros, long readTurn) { }
 
     /**
      * One client's connection. Until its first byte arrives, this is the only handler in the pipeline: the first byte
@@ -429,19 +429,19 @@
         private final Channel channel;
         private Connections.Entry<Connection> entry;
         private StrictDecoder decoder;  // null while the HTTP handlers are not in the pipeline
-        private ArrayDeque<Arrived> waiting;  // requests behind the current one; null until there is one
-        private int counted;  // requests behind those, which will be refused
+        private ArrayDeque<Arrived> pipelined;  // requests behind the current one; null until there is one
+        private int overflowCount;  // requests behind those, which will be refused
         // reading had to pause: the client's close may be far behind what was read, until all input has been read
-        private boolean flooded;
-        private FullHttpRequest current;
+        private boolean overflowed;
+        private FullHttpRequest currentRequest;
         private Exchange exchange;
-        private String id;
+        private String requestId;
         // whether the current read has completed a request
-        private boolean read;
-        private boolean unreadable;  // no request can be read any more behind the current one
-        private boolean finished;
-        private long openedIn;
-        private long openedSince;  // earliest time at which it may have been in the listen backlog
+        private boolean requestCompleted;
+        private boolean inputFailed;  // no request can be read any more behind the current one
+        private boolean lastResponseWritten;
+        private long openedTurn;
+        private long earliestOpenMicros;  // earliest time at which it may have been in the listen backlog
 
         Connection(Channel channel) {
             this.channel = channel;
@@ -450,11 +450,11 @@
         /** Above the connection limit another connection is evicted; if none can be, accepting pauses. */
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            openedIn = ledger.turn();
-            openedSince = queuedSince;
-            entry = connections.opened(ledger.now(), this, holder(channel.remoteAddress()));
-            if (connections.size() > most && !makeRoom(entry)) {
-                server.config().setAutoRead(false);
+            openedTurn = ledger.turn();
+            earliestOpenMicros = earliestArrivalMicros;
+            entry = connections.opened(ledger.now(), this, addressPrefix(channel.remoteAddress()));
+            if (connections.size() > maxConnections && !evictConnection(entry)) {
+                serverChannel.config().setAutoRead(false);
             }
         }
 
@@ -462,16 +462,16 @@
          * Removes the HTTP handlers of a connection that has been idle for a while; closes it in any other case. It
          * closes without a response, since a 408 might cross a request and be taken for its answer.
          */
-        private void overdue(Phase phase) {
-            if (phase == Phase.IDLE && decoder.isEmpty()) {
+        private void handleOverdue(Phase phase) {
+            if (phase == Phase.IDLE && decoder.isBetweenRequests()) {
                 connections.moved(ledger.now(), entry, Phase.DORMANT);
                 channel.pipeline().remove(StrictDecoder.class);
                 channel.pipeline().remove(HttpResponseEncoder.class);
                 channel.pipeline().remove(Requests.class);
                 decoder = null;
-                waiting = null;
+                pipelined = null;
             } else {
-                closeUnasked(phase, true);
+                closeUnlessRequested(phase, true);
             }
         }
 
@@ -480,22 +480,22 @@
          * changes that: the close would reset a request that had arrived before it. Closes one with a partial request
          * only if {@code includePartial}.
          */
-        private void closeUnasked(Phase phase, boolean parts) {
+        private void closeUnlessRequested(Phase phase, boolean includePartial) {
             if (entry.phase() == phase) {
-                Look.at(channel);
+                Look.read(channel);
             }
-            if (entry.phase() == phase && (parts || !hasPart())) {
+            if (entry.phase() == phase && (includePartial || !hasPartialRequest())) {
                 close();
             }
         }
 
         /** Whether a request has arrived in part, but not completely. */
-        private boolean hasPart() {
-            return decoder != null && !decoder.isEmpty();
+        private boolean hasPartialRequest() {
+            return decoder != null && !decoder.isBetweenRequests();
         }
 
         /** Ends the open request now, as if its deadline had passed. */
-        private void end() {
+        private void failOpenRequest() {
             if (exchange != null) {
                 exchange.overdue();
             }
@@ -511,23 +511,23 @@
             if (entry != null) {
                 connections.closed(entry);
             }
-            open.remove(id);
-            if (connections.size() <= most) {
-                goOnAccepting();
+            openRequestIds.remove(requestId);
+            if (connections.size() <= maxConnections) {
+                resumeAccepting();
             }
-            if (waiting != null) {
-                dropWaiting();
+            if (pipelined != null) {
+                releasePipelined();
             }
             if (exchange != null) {
                 exchange.departed();
             }
-            checkStopped();
+            completeStopIfDone();
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             if (message instanceof FullHttpRequest request) {
-                arrived(request);
+                receiveRequest(request);
             } else {
                 decoder = new StrictDecoder();
                 channel.pipeline().addFirst(decoder, new HttpResponseEncoder(), new Requests());
@@ -536,47 +536,47 @@
         }
 
         /** Takes ownership of the message. */
-        private void arrived(FullHttpRequest message) {
-            if (finished) {
+        private void receiveRequest(FullHttpRequest message) {
+            if (lastResponseWritten) {
                 message.release();
                 return;
             }
-            read = true;
+            requestCompleted = true;
             // A request found by the first wait after the accept may have been there as long as the connection.
-            long at = ledger.turn() == openedIn + 1 ? Math.min(openedSince, ledger.arrived()) : ledger.arrived();
-            Arrived arrived = new Arrived(message, at, ledger.turn());
-            if (current == null) {
-                next(arrived);
+            long waitingSinceMicros = ledger.turn() == openedTurn + 1 ? Math.min(earliestOpenMicros, ledger.arrived()) : ledger.arrived();
+            Arrived received = new Arrived(message, waitingSinceMicros, ledger.turn());
+            if (currentRequest == null) {
+                startNext(received);
                 return;
             }
-            if (waiting == null) {
-                waiting = new ArrayDeque<>(2);
+            if (pipelined == null) {
+                pipelined = new ArrayDeque<>(2);
             }
-            if (!flooded && counted == 0 && waiting.size() < PIPELINED_MOST) {
-                waiting.add(arrived);
+            if (!overflowed && overflowCount == 0 && pipelined.size() < MAX_PIPELINED_REQUESTS) {
+                pipelined.add(received);
                 return;
             }
             message.release();
             // a close would no longer be noticed: then no request of this connection may wait to be forwarded
-            if (++counted >= COUNTED_MOST) {
+            if (++overflowCount >= MAX_OVERFLOW_REQUESTS) {
                 channel.config().setAutoRead(false);
-                flooded = true;
-                counted += waiting.size();
-                dropWaiting();
+                overflowed = true;
+                overflowCount += pipelined.size();
+                releasePipelined();
             }
         }
 
-        private void dropWaiting() {
-            waiting.forEach(arrived -> arrived.message.release());
-            waiting.clear();
+        private void releasePipelined() {
+            pipelined.forEach(request -> request.message.release());
+            pipelined.clear();
         }
 
         /** The next request in order; null if there is none. */
-        private Arrived poll() {
-            Arrived next = waiting == null ? null : waiting.poll();
-            if (next == null && counted > 0) {
-                counted--;
-                return new Arrived(COUNTED, ledger.now(), ledger.turn());
+        private Arrived pollNext() {
+            Arrived next = pipelined == null ? null : pipelined.poll();
+            if (next == null && overflowCount > 0) {
+                overflowCount--;
+                return new Arrived(OVERFLOW_REQUEST, ledger.now(), ledger.turn());
             }
             return next;
         }
@@ -584,129 +584,129 @@
         /** Input that did not complete a request is part of one. */
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
-            if (!read && current == null && !finished) {
+            if (!requestCompleted && currentRequest == null && !lastResponseWritten) {
                 // If the bound for silence is no longer, it stays in force: a client that trickles must not gain time
                 // by its first byte.
-                boolean goesOn = entry.phase() == Phase.SILENT && bounds.silent() <= bounds.whole();
-                connections.moved(ledger.now(), entry, goesOn ? Phase.SILENT : Phase.PART);
+                boolean keepsSilentBound = entry.phase() == Phase.SILENT && phaseBounds.silent() <= phaseBounds.whole();
+                connections.moved(ledger.now(), entry, keepsSilentBound ? Phase.SILENT : Phase.PART);
             }
-            read = false;
+            requestCompleted = false;
         }
 
-        private void next(Arrived arrived) {
-            if (arrived == null) {
+        private void startNext(Arrived request) {
+            if (request == null) {
                 channel.config().setAutoRead(true);
-                connections.moved(ledger.now(), entry, decoder.isEmpty() ? Phase.IDLE : Phase.PART);
-                if (closing && entry.phase() == Phase.IDLE) {
+                connections.moved(ledger.now(), entry, decoder.isBetweenRequests() ? Phase.IDLE : Phase.PART);
+                if (servingEnded && entry.phase() == Phase.IDLE) {
                     close();  // its response was on the way when the other connections were closed
-                } else if (connections.size() > most) {  // else accepting, once paused, never resumes
-                    makeRoom(null);
+                } else if (connections.size() > maxConnections) {  // else accepting, once paused, never resumes
+                    evictConnection(null);
                 }
                 return;
             }
             connections.moved(ledger.now(), entry, Phase.BUSY);
-            current = arrived.message;
+            currentRequest = request.message;
             // How long a close of the connection may have gone unnoticed: after the turn in which the request was read,
             // a close is noticed in the turn in which it arrives.
-            long unheard = arrived.turn == ledger.turn() ? Math.max(ledger.now() - arrived.at, ledger.unseen()) : ledger.unseen();
-            if (flooded && current != COUNTED) {
+            long closeUnnoticedMicros = request.readTurn == ledger.turn() ? Math.max(ledger.now() - request.waitingSinceMicros, ledger.unseen()) : ledger.unseen();
+            if (overflowed && currentRequest != OVERFLOW_REQUEST) {
                 loop.execute(() -> {  // once all input behind it has been read, it is served like any other
-                    flooded = !Look.through(channel, PAUSED_LOOKS);
-                    beginNow(arrived, flooded);
+                    overflowed = !Look.readAll(channel, MAX_READS_AFTER_PAUSE);
+                    processAndRelease(request, overflowed);
                 });
             } else {
-                boolean late = unheard > Ledger.LOOK_AFTER;
+                boolean readFirst = closeUnnoticedMicros > Ledger.LOOK_AFTER;
                 loop.execute(() -> {  // not within the read that delivered it, where reading again would find nothing
-                    if (late) {
-                        Look.at(channel);
+                    if (readFirst) {
+                        Look.read(channel);
                     }
                     // false, since it was read before a pause that its own read may have caused
-                    beginNow(arrived, false);
+                    processAndRelease(request, false);
                 });
             }
         }
 
-        private void beginNow(Arrived arrived, boolean behindPause) {
+        private void processAndRelease(Arrived request, boolean behindPause) {
             try {
                 if (channel.isActive()) {
-                    begin(arrived, behindPause);
+                    process(request, behindPause);
                 }
             } finally {
-                arrived.message.release();
+                request.message.release();
             }
         }
 
-        private void begin(Arrived arrived, boolean behindPause) {
-            FullHttpRequest message = arrived.message;
-            if (message == COUNTED || behindPause) {
+        private void process(Arrived request, boolean behindPause) {
+            FullHttpRequest message = request.message;
+            if (message == OVERFLOW_REQUEST || behindPause) {
                 refused(0);
                 return;
             }
             Throwable fault = message.decoderResult().cause();
             if (fault != null) {
-                boolean body = fault instanceof TooLongFrameException && "body".equals(fault.getMessage());
-                plain(body ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
+                boolean bodyTooLarge = fault instanceof TooLongFrameException && "body".equals(fault.getMessage());
+                writeEmptyResponse(bodyTooLarge ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
                         : fault instanceof StrictDecoder.Unsupported ? HttpResponseStatus.NOT_IMPLEMENTED
                         : HttpResponseStatus.BAD_REQUEST, true);
-            } else if (isPath(message.uri(), "/ready")) {
-                boolean get = message.method().equals(HttpMethod.GET);
-                plain(!get ? HttpResponseStatus.METHOD_NOT_ALLOWED
+            } else if (matchesPath(message.uri(), "/ready")) {
+                boolean isGet = message.method().equals(HttpMethod.GET);
+                writeEmptyResponse(!isGet ? HttpResponseStatus.METHOD_NOT_ALLOWED
                         : stopping ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK, false);
-            } else if (isPath(message.uri(), "/api") || message.uri().startsWith("/api/")) {
-                take(message, ledger.now() - arrived.at);
+            } else if (matchesPath(message.uri(), "/api") || message.uri().startsWith("/api/")) {
+                handleApiRequest(message, ledger.now() - request.waitingSinceMicros);
             } else {
-                plain(HttpResponseStatus.NOT_FOUND, false);
+                writeEmptyResponse(HttpResponseStatus.NOT_FOUND, false);
             }
         }
 
         /** Whether the request target is this path, with a query or without. */
-        private static boolean isPath(String uri, String path) {
+        private static boolean matchesPath(String uri, String path) {
             return uri.startsWith(path) && (uri.length() == path.length() || "?#".indexOf(uri.charAt(path.length())) >= 0);
         }
 
-        private void take(FullHttpRequest message, long waited) {
+        private void handleApiRequest(FullHttpRequest message, long waitedMicros) {
             Head head = new Head(message.headers());
-            RequestClass type = head.qos() == null ? null : classes.get(head.qos());
-            String tenant = head.customer();
-            long expires = head.expires();
-            String trace = head.trace();
-            boolean keyed = type != null && type.repeat() == Repeat.KEYED;
-            boolean bad = type == null || expires <= 0 || !tenants.isEmpty() && !tenants.contains(tenant)
-                    || !passable(trace) || !passable(message.uri()) || !(head.key() == null ? !keyed : passable(head.key()))
-                    || head.doubled();
+            RequestClass requestClass = head.className() == null ? null : classes.get(head.className());
+            String tenant = head.tenant();
+            long expiresMillis = head.expiresMillis();
+            String traceId = head.traceId();
+            boolean keyed = requestClass != null && requestClass.repeat() == Repeat.KEYED;
+            boolean invalid = requestClass == null || expiresMillis <= 0 || !tenants.isEmpty() && !tenants.contains(tenant)
+                    || !isForwardedUnchanged(traceId) || !isForwardedUnchanged(message.uri()) || !(head.idempotencyKey() == null ? !keyed : isForwardedUnchanged(head.idempotencyKey()))
+                    || head.hasDuplicates();
             if (message.method().equals(HttpMethod.GET) && message.content().isReadable()) {
                 // hosts that ignore the body would read it as another request
-                plain(HttpResponseStatus.BAD_REQUEST, true);
+                writeEmptyResponse(HttpResponseStatus.BAD_REQUEST, true);
             } else if (!message.method().equals(HttpMethod.GET) && !message.method().equals(HttpMethod.POST)
-                    || !bad && message.method().equals(HttpMethod.GET) != (type.repeat() == Repeat.SAFE)) {
-                plain(HttpResponseStatus.METHOD_NOT_ALLOWED, false);
-            } else if (bad) {
-                plain(HttpResponseStatus.BAD_REQUEST, false);
-            } else if (!open.add(trace)) {
+                    || !invalid && message.method().equals(HttpMethod.GET) != (requestClass.repeat() == Repeat.SAFE)) {
+                writeEmptyResponse(HttpResponseStatus.METHOD_NOT_ALLOWED, false);
+            } else if (invalid) {
+                writeEmptyResponse(HttpResponseStatus.BAD_REQUEST, false);
+            } else if (!openRequestIds.add(traceId)) {
                 // Else the answers of two requests could be confused
-                plain(HttpResponseStatus.CONFLICT, false);
+                writeEmptyResponse(HttpResponseStatus.CONFLICT, false);
             } else {
-                id = trace;
-                long left = Math.min(Math.min(expires * 1000, type.deadline()) - waited, answerBy - ledger.now());
-                long work = Math.max(0, head.size());
-                Long key = key(head.object());
-                Long effect = keyed ? key(head.key()) : null;
-                Pool pool = router.pool(type, tenant, message, keyed ? effect : key);
+                requestId = traceId;
+                long timeLeftMicros = Math.min(Math.min(expiresMillis * 1000, requestClass.deadline()) - waitedMicros, answerDeadlineMicros - ledger.now());
+                long workMicros = Math.max(0, head.workMicros());
+                Long affinityKey = hash(head.objectName());
+                Long effectKey = keyed ? hash(head.idempotencyKey()) : null;
+                Pool pool = router.pool(requestClass, tenant, message, keyed ? effectKey : affinityKey);
                 if (pool == null) {
-                    plain(HttpResponseStatus.NOT_FOUND, false);
+                    writeEmptyResponse(HttpResponseStatus.NOT_FOUND, false);
                     return;
                 }
-                exchange = ledger.take(pool, this, new HttpCall(message.retain()), new Ask(type.name(), tenant, key, left,
-                        head.again(), message.method().equals(HttpMethod.POST), work, zone(), effect), waited);
+                exchange = ledger.take(pool, this, new HttpCall(message.retain()), new Ask(requestClass.name(), tenant, affinityKey, timeLeftMicros,
+                        head.isRepeat(), message.method().equals(HttpMethod.POST), workMicros, clientZone(), effectKey), waitedMicros);
             }
         }
 
-        private String zone() {
-            return zones == null || !(channel.remoteAddress() instanceof InetSocketAddress remote) ? "" : zones.apply(remote.getAddress());
+        private String clientZone() {
+            return clientZoneByAddress == null || !(channel.remoteAddress() instanceof InetSocketAddress remote) ? "" : clientZoneByAddress.apply(remote.getAddress());
         }
 
         /** Whether the text is forwarded unchanged: anything but visible ASCII would be altered on the way. */
-        private static boolean passable(String text) {
+        private static boolean isForwardedUnchanged(String text) {
             for (int i = 0; text != null && i < text.length(); i++) {
                 if (text.charAt(i) <= ' ' || text.charAt(i) > '~') {
                     return false;
@@ -716,13 +716,13 @@
         }
 
         /** Hash of a name of any form; the same at every gateway. */
-        private static Long key(String object) {
-            if (object == null) {
+        private static Long hash(String name) {
+            if (name == null) {
                 return null;
             }
             long hash = 0xCBF29CE484222325L;  // FNV-1a
-            for (int i = 0; i < object.length(); i++) {
-                hash = (hash ^ object.charAt(i)) * 0x100000001B3L;
+            for (int i = 0; i < name.length(); i++) {
+                hash = (hash ^ name.charAt(i)) * 0x100000001B3L;
             }
             return hash;
         }
@@ -734,9 +734,9 @@
         @Override
         public boolean there() {
             if (!channel.config().isAutoRead()) {
-                return Look.through(channel, PAUSED_LOOKS) && channel.isActive();
+                return Look.readAll(channel, MAX_READS_AFTER_PAUSE) && channel.isActive();
             }
-            Look.at(channel);
+            Look.read(channel);
             return channel.isActive();
         }
 
@@ -746,56 +746,56 @@
         }
 
         @Override
-        public void served(Answer given) {
-            FullHttpResponse answer = ((HttpAnswer) given).message();
-            ByteBuf body = answer.content().retain();
-            FullHttpResponse response = Unchecked.response(HttpResponseStatus.OK, body);
-            String type = answer.headers().get(HttpHeaderNames.CONTENT_TYPE);
-            if (type != null) {
-                response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
+        public void served(Answer hostAnswer) {
+            FullHttpResponse hostResponse = ((HttpAnswer) hostAnswer).message();
+            ByteBuf body = hostResponse.content().retain();
+            FullHttpResponse response = Unchecked.newResponse(HttpResponseStatus.OK, body);
+            String contentType = hostResponse.headers().get(HttpHeaderNames.CONTENT_TYPE);
+            if (contentType != null) {
+                response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
             }
-            write(response, false);
+            writeResponse(response, false);
         }
 
         /** Retry-After is in whole seconds, as HTTP defines it; 0 omits it. */
         @Override
-        public void refused(long retryAfter) {
-            FullHttpResponse response = empty(HttpResponseStatus.SERVICE_UNAVAILABLE);
-            if (retryAfter > 0) {
-                response.headers().set(HttpHeaderNames.RETRY_AFTER, (retryAfter + 999_999) / 1_000_000);
+        public void refused(long retryAfterMicros) {
+            FullHttpResponse response = emptyResponse(HttpResponseStatus.SERVICE_UNAVAILABLE);
+            if (retryAfterMicros > 0) {
+                response.headers().set(HttpHeaderNames.RETRY_AFTER, (retryAfterMicros + 999_999) / 1_000_000);
             }
-            write(response, false);
+            writeResponse(response, false);
         }
 
         @Override
         public void failed(boolean late) {
-            plain(late ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY, false);
+            writeEmptyResponse(late ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY, false);
         }
 
-        private void plain(HttpResponseStatus status, boolean close) {
-            write(empty(status), close);
+        private void writeEmptyResponse(HttpResponseStatus status, boolean close) {
+            writeResponse(emptyResponse(status), close);
         }
 
-        private static FullHttpResponse empty(HttpResponseStatus status) {
-            return Unchecked.response(status, Unpooled.EMPTY_BUFFER);
+        private static FullHttpResponse emptyResponse(HttpResponseStatus status) {
+            return Unchecked.newResponse(status, Unpooled.EMPTY_BUFFER);
         }
 
-        private void write(FullHttpResponse response, boolean close) {
+        private void writeResponse(FullHttpResponse response, boolean close) {
             exchange = null;
-            open.remove(id);
-            id = null;
+            openRequestIds.remove(requestId);
+            requestId = null;
             // During a shutdown the connection closes with the last response that it is owed.
-            boolean more = counted > 0 || waiting != null && !waiting.isEmpty();
-            boolean keep = !close && !unreadable && (more || !closing) && HttpUtil.isKeepAlive(current);
+            boolean moreRequests = overflowCount > 0 || pipelined != null && !pipelined.isEmpty();
+            boolean keepAlive = !close && !inputFailed && (moreRequests || !servingEnded) && HttpUtil.isKeepAlive(currentRequest);
             HttpUtil.setContentLength(response, response.content().readableBytes());
-            HttpUtil.setKeepAlive(response, keep);
+            HttpUtil.setKeepAlive(response, keepAlive);
             connections.moved(ledger.now(), entry, Phase.UNREAD);
-            channel.writeAndFlush(response).addListener((ChannelFutureListener) done -> {
-                current = null;
-                if (keep && done.isSuccess()) {
-                    next(poll());
+            channel.writeAndFlush(response).addListener((ChannelFutureListener) written -> {
+                currentRequest = null;
+                if (keepAlive && written.isSuccess()) {
+                    startNext(pollNext());
                 } else {
-                    finish();
+                    closeAfterResponse();
                 }
             });
         }
@@ -804,13 +804,13 @@
          * Closes the connection after its last response. Unread input would turn the close into a reset, which may
          * discard the response, so it is read and dropped first.
          */
-        private void finish() {
-            finished = true;
-            if (waiting != null) {
-                dropWaiting();
+        private void closeAfterResponse() {
+            lastResponseWritten = true;
+            if (pipelined != null) {
+                releasePipelined();
             }
             loop.execute(() -> {
-                Look.at(channel);
+                Look.read(channel);
                 close();
             });
         }
@@ -821,17 +821,17 @@
          */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            boolean clients = cause instanceof IOException || cause instanceof CodecException;
-            if (!clients) {
+            boolean clientFault = cause instanceof IOException || cause instanceof CodecException;
+            if (!clientFault) {
                 log.accept("fault on a client connection: " + cause);
             }
-            if (cause instanceof IOException || current == null || finished) {
+            if (cause instanceof IOException || currentRequest == null || lastResponseWritten) {
                 context.close();
             } else if (exchange != null) {
-                unreadable = true;
+                inputFailed = true;
                 channel.config().setAutoRead(false);
             } else {
-                plain(HttpResponseStatus.INTERNAL_SERVER_ERROR, true);
+                writeEmptyResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR, true);
             }
         }
     }
--- a/src/main/java/mastdrift/net/Head.java
+++ b/src/main/java/mastdrift/net/Head.java
@@ -12,125 +12,125 @@
  */
 final class Head {
 
-    private static final AsciiString TRACE = AsciiString.cached("X-Trace-Id");
-    private static final AsciiString KEY = AsciiString.cached("Idempotency-Key");
-    private static final AsciiString EXPIRES = AsciiString.cached("X-Expires-In-Ms");
-    private static final AsciiString QOS = AsciiString.cached("X-Qos");
-    private static final AsciiString CUSTOMER = AsciiString.cached("X-Customer");
-    private static final AsciiString OBJECT = AsciiString.cached("X-Object");
-    private static final AsciiString SIZE = AsciiString.cached("X-Size-Hint");
-    private static final AsciiString AGAIN = AsciiString.cached("X-Second-Try");
-
-    private String trace;
-    private String key;
-    private String expires;
-    private String qos;
-    private String customer;
-    private String object;
-    private String size;
-    private String again;
-    private boolean doubled;
+    private static final AsciiString X_TRACE_ID = AsciiString.cached("X-Trace-Id");
+    private static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("Idempotency-Key");
+    private static final AsciiString X_EXPIRES_IN_MS = AsciiString.cached("X-Expires-In-Ms");
+    private static final AsciiString X_QOS = AsciiString.cached("X-Qos");
+    private static final AsciiString X_CUSTOMER = AsciiString.cached("X-Customer");
+    private static final AsciiString X_OBJECT = AsciiString.cached("X-Object");
+    private static final AsciiString X_SIZE_HINT = AsciiString.cached("X-Size-Hint");
+    private static final AsciiString X_SECOND_TRY = AsciiString.cached("X-Second-Try");
+
+    private String traceId;
+    private String idempotencyKey;
+    private String expiresText;
+    private String className;
+    private String tenant;
+    private String objectName;
+    private String workText;
+    private String repeatText;
+    private boolean duplicateFound;
 
     Head(HttpHeaders headers) {
         for (Iterator<Map.Entry<CharSequence, CharSequence>> all = headers.iteratorCharSequence(); all.hasNext(); ) {
             Map.Entry<CharSequence, CharSequence> field = all.next();
-            read(field.getKey(), field.getValue());
+            readField(field.getKey(), field.getValue());
         }
     }
 
     /** Keeps the value of a field that the gateway uses; compares only names of the same length. */
-    private void read(CharSequence name, CharSequence value) {
+    private void readField(CharSequence name, CharSequence value) {
         switch (name.length()) {
             case 5 -> {
-                if (QOS.contentEqualsIgnoreCase(name)) {
-                    qos = once(qos, value);
+                if (X_QOS.contentEqualsIgnoreCase(name)) {
+                    className = keepFirst(className, value);
                 }
             }
             case 8 -> {
-                if (OBJECT.contentEqualsIgnoreCase(name)) {
-                    object = once(object, value);
+                if (X_OBJECT.contentEqualsIgnoreCase(name)) {
+                    objectName = keepFirst(objectName, value);
                 }
             }
             case 10 -> {
-                if (TRACE.contentEqualsIgnoreCase(name)) {
-                    trace = once(trace, value);
-                } else if (CUSTOMER.contentEqualsIgnoreCase(name)) {
-                    customer = once(customer, value);
+                if (X_TRACE_ID.contentEqualsIgnoreCase(name)) {
+                    traceId = keepFirst(traceId, value);
+                } else if (X_CUSTOMER.contentEqualsIgnoreCase(name)) {
+                    tenant = keepFirst(tenant, value);
                 }
             }
             case 11 -> {
-                if (size == null && SIZE.contentEqualsIgnoreCase(name)) {
-                    size = value.toString();
+                if (workText == null && X_SIZE_HINT.contentEqualsIgnoreCase(name)) {
+                    workText = value.toString();
                 }
             }
             case 12 -> {
-                if (again == null && AGAIN.contentEqualsIgnoreCase(name)) {
-                    again = value.toString();
+                if (repeatText == null && X_SECOND_TRY.contentEqualsIgnoreCase(name)) {
+                    repeatText = value.toString();
                 }
             }
             case 15 -> {
-                if (KEY.contentEqualsIgnoreCase(name)) {
-                    key = once(key, value);
-                } else if (EXPIRES.contentEqualsIgnoreCase(name)) {
-                    expires = once(expires, value);
+                if (IDEMPOTENCY_KEY.contentEqualsIgnoreCase(name)) {
+                    idempotencyKey = keepFirst(idempotencyKey, value);
+                } else if (X_EXPIRES_IN_MS.contentEqualsIgnoreCase(name)) {
+                    expiresText = keepFirst(expiresText, value);
                 }
             }
             default -> { }
         }
     }
 
-    private String once(String before, CharSequence value) {
-        doubled |= before != null;
-        return before != null ? before : value.toString();
+    private String keepFirst(String previous, CharSequence value) {
+        duplicateFound |= previous != null;
+        return previous != null ? previous : value.toString();
     }
 
     /** Whether a field is repeated that the gateway and a host could interpret differently. */
-    boolean doubled() {
-        return doubled;
+    boolean hasDuplicates() {
+        return duplicateFound;
     }
 
     /** The trace id; null if there is none. */
-    String trace() {
-        return trace;
+    String traceId() {
+        return traceId;
     }
 
     /** The key by which hosts drop repeats; null if there is none. */
-    String key() {
-        return key;
+    String idempotencyKey() {
+        return idempotencyKey;
     }
 
     /** The name of the request class; null if there is none. */
-    String qos() {
-        return qos;
+    String className() {
+        return className;
     }
 
     /** The name of the tenant; null if there is none. */
-    String customer() {
-        return customer;
+    String tenant() {
+        return tenant;
     }
 
     /** The name of the object that the request is about; null if there is none. */
-    String object() {
-        return object;
+    String objectName() {
+        return objectName;
     }
 
     /** How long the client waits, in milliseconds; -1 if it is missing or invalid. */
-    long expires() {
-        return number(expires);
+    long expiresMillis() {
+        return parseNumber(expiresText);
     }
 
     /** The work that the client expects, in microseconds; -1 if it is missing or invalid. */
-    long size() {
-        return number(size);
+    long workMicros() {
+        return parseNumber(workText);
     }
 
     /** Whether the client marks the request as a repeat. */
-    boolean again() {
-        return "1".equals(again);
+    boolean isRepeat() {
+        return "1".equals(repeatText);
     }
 
     /** The parsed number; -1 if the text is not a number or doesn't fit into an int. */
-    private static long number(String text) {
+    private static long parseNumber(String text) {
         try {
             return text == null ? -1 : Integer.parseInt(text.strip());
         } catch (NumberFormatException e) {
--- a/src/main/java/mastdrift/net/HttpTransport.java
+++ b/src/main/java/mastdrift/net/HttpTransport.java
@@ -66,7 +66,7 @@
 
     private static FullHttpRequest onward(FullHttpRequest from) {
         ByteBuf body = from.content().retainedDuplicate();
-        FullHttpRequest message = Unchecked.request(from.method(), from.uri(), body);
+        FullHttpRequest message = Unchecked.newRequest(from.method(), from.uri(), body);
         for (AsciiString name : PASSED_ON) {
             String value = from.headers().get(name);
             if (value != null) {
@@ -82,7 +82,7 @@
     @Override
     public void probe(Endpoint to, Probed probed) {
         boolean given = reports != Reports.OFF;
-        FullHttpRequest message = Unchecked.request(HttpMethod.GET, given ? "/status/load" : "/health", Unpooled.EMPTY_BUFFER);
+        FullHttpRequest message = Unchecked.newRequest(HttpMethod.GET, given ? "/status/load" : "/health", Unpooled.EMPTY_BUFFER);
         connections.send(to, message, PROBE_TIMEOUT, PROBE_TIMEOUT, new HttpAttempt.Listener() {
             @Override
             public void ended(Outcome outcome, FullHttpResponse answer) {
--- a/src/main/java/mastdrift/net/Look.java
+++ b/src/main/java/mastdrift/net/Look.java
@@ -17,16 +17,16 @@
      * get the resulting events (messages, end of input) before this returns, except for {@code channelInactive}; {@link
      * Channel#isActive} reports at once that the channel has been closed.
      */
-    static void at(Channel channel) {
+    static void read(Channel channel) {
         if (channel.isActive() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
             socket.read();
         }
     }
 
     /** Reads until no input is left, at most {@code maxReads} times; returns false if more input may be available. */
-    static boolean through(Channel channel, int most) {
-        for (int i = 0; i < most && channel.isActive(); i++) {
-            at(channel);
+    static boolean readAll(Channel channel, int maxReads) {
+        for (int i = 0; i < maxReads && channel.isActive(); i++) {
+            read(channel);
             if (channel.unsafe().recvBufAllocHandle().lastBytesRead() <= 0) {
                 return true;
             }
--- a/src/main/java/mastdrift/net/RequestLog.java
+++ b/src/main/java/mastdrift/net/RequestLog.java
@@ -18,52 +18,52 @@
  */
 final class RequestLog implements Witness {
 
-    static final int LINES_A_SECOND = 20;
+    static final int MAX_LINES_PER_SECOND = 20;
 
     /** An open request and its attempts that have ended. */
     private static final class Open {
-        private final long since;
+        private final long takenAtMicros;
         private final StringJoiner attempts = new StringJoiner(", ");
-        private int count;
+        private int attemptCount;
 
-        Open(long since) {
-            this.since = since;
+        Open(long takenAtMicros) {
+            this.takenAtMicros = takenAtMicros;
         }
     }
 
-    private final LongSupplier clock;
+    private final LongSupplier clockMicros;
     private final BoundedLog log;
-    private final Map<Call, Open> open = new IdentityHashMap<>();
+    private final Map<Call, Open> openRequests = new IdentityHashMap<>();
 
     /** The clock is in microseconds. */
-    RequestLog(LongSupplier clock, Consumer<String> log) {
-        this.clock = clock;
-        this.log = new BoundedLog(clock, LINES_A_SECOND, log);
+    RequestLog(LongSupplier clockMicros, Consumer<String> log) {
+        this.clockMicros = clockMicros;
+        this.log = new BoundedLog(clockMicros, MAX_LINES_PER_SECOND, log);
     }
 
     @Override
     public void taken(Call call, Ask ask) {
-        open.put(call, new Open(clock.getAsLong()));
+        openRequests.put(call, new Open(clockMicros.getAsLong()));
     }
 
     @Override
     public void attemptEnded(Call call, String uid, Outcome outcome) {
-        Open request = open.get(call);
+        Open request = openRequests.get(call);
         if (request != null) {
-            request.count++;
+            request.attemptCount++;
             request.attempts.add(uid + " " + outcome);
         }
     }
 
     @Override
     public void ended(Call call, End end, Why why) {
-        Open request = open.remove(call);
-        if (request == null || end == End.SERVED && request.count <= 1) {
+        Open request = openRequests.remove(call);
+        if (request == null || end == End.SERVED && request.attemptCount <= 1) {
             return;
         }
         String id = call instanceof HttpCall http ? http.message().headers().get("X-Trace-Id") : "";
-        long millis = (clock.getAsLong() - request.since) / 1_000;
-        log.event(end.name(), "request " + id + " " + end + (why == null ? "" : " " + why) + " after " + millis + " ms"
-                + (request.count == 0 ? ", no attempt ended" : ", attempts: " + request.attempts));
+        long millis = (clockMicros.getAsLong() - request.takenAtMicros) / 1_000;
+        log.logEvent(end.name(), "request " + id + " " + end + (why == null ? "" : " " + why) + " after " + millis + " ms"
+                + (request.attemptCount == 0 ? ", no attempt ended" : ", attempts: " + request.attempts));
     }
 }
--- a/src/main/java/mastdrift/net/RunQueue.java
+++ b/src/main/java/mastdrift/net/RunQueue.java
@@ -11,28 +11,28 @@
  */
 final class RunQueue {
 
-    private static final String FIGURES = "/proc/thread-self/schedstat";
+    private static final String SCHEDSTAT_PATH = "/proc/thread-self/schedstat";
 
-    private final byte[] text = new byte[96];
+    private final byte[] buffer = new byte[96];
     private RandomAccessFile file;
 
     /** Opens the file for the calling thread; if the system doesn't provide it, {@link #totalMicros} returns 0. */
     void open() {
         try {
-            file = new RandomAccessFile(FIGURES, "r");
+            file = new RandomAccessFile(SCHEDSTAT_PATH, "r");
         } catch (IOException e) {
             file = null;
         }
     }
 
     /** The delay since the thread started, in microseconds; 0 if it can't be read. */
-    long micros() {
+    long totalMicros() {
         if (file == null) {
             return 0;
         }
         try {
             file.seek(0);
-            return second(file.read(text)) / 1000;
+            return secondNumber(file.read(buffer)) / 1000;
         } catch (IOException e) {
             close();
             return 0;
@@ -40,25 +40,25 @@
     }
 
     /** The second number in the first {@code length} bytes; 0 if there is none. */
-    private long second(int length) {
-        long value = 0;
+    private long secondNumber(int length) {
+        long number = 0;
         int spaces = 0;
         for (int i = 0; i < length && spaces < 2; i++) {
-            if (text[i] == ' ') {
+            if (buffer[i] == ' ') {
                 spaces++;
             } else if (spaces == 1) {
-                value = value * 10 + text[i] - '0';
+                number = number * 10 + buffer[i] - '0';
             }
         }
-        return spaces == 2 ? value : 0;
+        return spaces == 2 ? number : 0;
     }
 
     void close() {
-        RandomAccessFile open = file;
+        RandomAccessFile opened = file;
         file = null;
         try {
-            if (open != null) {
-                open.close();
+            if (opened != null) {
+                opened.close();
             }
         } catch (IOException e) {
             // nothing is lost by failing to close a file that was only read
--- a/src/main/java/mastdrift/net/StrictDecoder.java
+++ b/src/main/java/mastdrift/net/StrictDecoder.java
@@ -44,29 +44,29 @@
     }
 
     // By ASCII code, whether a character is allowed in a Host field.
-    private static final boolean[] HOST = new boolean['~' + 1];
+    private static final boolean[] HOST_CHARACTERS = new boolean['~' + 1];
 
     static {
         for (char c = '!'; c <= '~'; c++) {
-            HOST[c] = "/?#@,\\\"<>".indexOf(c) < 0;
+            HOST_CHARACTERS[c] = "/?#@,\\\"<>".indexOf(c) < 0;
         }
     }
 
     private boolean inHead = true;
-    private boolean begun;
-    private boolean folded;
-    private int wordEnd;
+    private boolean requestLineRead;
+    private boolean lineFolded;
+    private int previousWordEnd;
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf buffer, List<Object> out) throws Exception {
-        if (inHead && !folded) {
-            folded = folds(buffer);
+        if (inHead && !lineFolded) {
+            lineFolded = hasFoldedLine(buffer);
         }
         super.decode(context, buffer, out);
         if (!out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent) {
             inHead = true;
-            begun = false;
-            folded = false;
+            requestLineRead = false;
+            lineFolded = false;
         }
     }
 
@@ -74,28 +74,28 @@
      * Whether a line of the head other than the request line begins with white space. The decoder consumes whole lines,
      * so the buffer always begins at the start of a line.
      */
-    private boolean folds(ByteBuf buffer) {
-        boolean first = !begun;
+    private boolean hasFoldedLine(ByteBuf buffer) {
+        boolean beforeRequestLine = !requestLineRead;
         int end = buffer.writerIndex();
-        for (int at = buffer.readerIndex(); at < end; ) {
-            byte begin = buffer.getByte(at);
-            if (!first && (begin == ' ' || begin == '\t')) {
+        for (int lineStart = buffer.readerIndex(); lineStart < end; ) {
+            byte firstByte = buffer.getByte(lineStart);
+            if (!beforeRequestLine && (firstByte == ' ' || firstByte == '\t')) {
                 return true;
             }
-            int feed = buffer.indexOf(at, end, HttpConstants.LF);
-            boolean empty = feed == at || feed == at + 1 && begin == HttpConstants.CR;
-            if (feed < 0 || empty && !first) {
+            int lineFeed = buffer.indexOf(lineStart, end, HttpConstants.LF);
+            boolean emptyLine = lineFeed == lineStart || lineFeed == lineStart + 1 && firstByte == HttpConstants.CR;
+            if (lineFeed < 0 || emptyLine && !beforeRequestLine) {
                 return false;
             }
-            first &= empty;  // empty lines may precede a request
-            at = feed + 1;
+            beforeRequestLine &= emptyLine;  // empty lines may precede a request
+            lineStart = lineFeed + 1;
         }
         return false;
     }
 
     /** Whether no part of a request has been received that is still incomplete. */
-    boolean isEmpty() {
-        return inHead && !begun && actualReadableBytes() == 0;
+    boolean isBetweenRequests() {
+        return inHead && !requestLineRead && actualReadableBytes() == 0;
     }
 
     // ---- request line: the positions of the words tell what separates them
@@ -103,32 +103,32 @@
     @Override
     protected String splitFirstWordInitialLine(byte[] line, int start, int length) {
         require(start == 0, "white space before the method");
-        wordEnd = start + length;
+        previousWordEnd = start + length;
         return super.splitFirstWordInitialLine(line, start, length);
     }
 
     @Override
     protected String splitSecondWordInitialLine(byte[] line, int start, int length) {
-        afterOneSpace(line, start);
-        wordEnd = start + length;
+        requireSingleSpace(line, start);
+        previousWordEnd = start + length;
         return super.splitSecondWordInitialLine(line, start, length);
     }
 
     @Override
     protected String splitThirdWordInitialLine(byte[] line, int start, int length) {
-        afterOneSpace(line, start);
+        requireSingleSpace(line, start);
         String version = super.splitThirdWordInitialLine(line, start, length);
         require(version.equals("HTTP/1.1") || version.equals("HTTP/1.0"), "a version other than HTTP/1.1 and HTTP/1.0");
         return version;
     }
 
-    private void afterOneSpace(byte[] line, int start) {
-        require(start == wordEnd + 1 && line[wordEnd] == ' ', "other than one space between words of the request line");
+    private void requireSingleSpace(byte[] line, int start) {
+        require(start == previousWordEnd + 1 && line[previousWordEnd] == ' ', "other than one space between words of the request line");
     }
 
     @Override
     protected HttpMessage createMessage(String[] line) throws Exception {
-        begun = true;
+        requestLineRead = true;
         return super.createMessage(line);
     }
 
@@ -138,29 +138,29 @@
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
         inHead = false;
-        require(!folded, "a folded header line");
-        boolean current = message.protocolVersion().equals(HttpVersion.HTTP_1_1);
+        require(!lineFolded, "a folded header line");
+        boolean isHttp11 = message.protocolVersion().equals(HttpVersion.HTTP_1_1);
         require(((HttpRequest) message).uri().startsWith("/"), "a target that is not in origin-form");
-        host(message.headers().getAll(HttpHeaderNames.HOST), current);
+        validateHost(message.headers().getAll(HttpHeaderNames.HOST), isHttp11);
         List<String> codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (!codings.isEmpty()) {
-            require(current, "Transfer-Encoding with HTTP/1.0");
+            require(isHttp11, "Transfer-Encoding with HTTP/1.0");
             require(!message.headers().contains(HttpHeaderNames.CONTENT_LENGTH), "both Content-Length and Transfer-Encoding");
-            coding(String.join(",", codings));
+            validateTransferCoding(String.join(",", codings));
         }
         return super.isContentAlwaysEmpty(message);
     }
 
-    private static void host(List<String> hosts, boolean current) {
-        require(hosts.size() == 1 || !current && hosts.isEmpty(), "other than one Host field");
+    private static void validateHost(List<String> hosts, boolean isHttp11) {
+        require(hosts.size() == 1 || !isHttp11 && hosts.isEmpty(), "other than one Host field");
         String host = hosts.isEmpty() ? "" : hosts.get(0);
         for (int i = 0; i < host.length(); i++) {
             char c = host.charAt(i);
-            require(c < HOST.length && HOST[c], "an invalid character in Host");
+            require(c < HOST_CHARACTERS.length && HOST_CHARACTERS[c], "an invalid character in Host");
         }
     }
 
-    private static void coding(String codings) {
+    private static void validateTransferCoding(String codings) {
         if (HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings)) {
             return;
         }
@@ -176,9 +176,9 @@
         }
     }
 
-    private static void require(boolean kept, String found) {
-        if (!kept) {
-            throw new IllegalArgumentException("invalid request: found " + found);
+    private static void require(boolean valid, String problem) {
+        if (!valid) {
+            throw new IllegalArgumentException("invalid request: found " + problem);
         }
     }
 }
--- a/src/main/java/mastdrift/net/Tallying.java
+++ b/src/main/java/mastdrift/net/Tallying.java
@@ -57,7 +57,7 @@
 
     private void tell() {
         answered();
-        second.add(Count.UNFOLLOWED, tracing.unfollowed());
+        second.add(Count.UNFOLLOWED, tracing.takeUntracedCount());
         String line = second.line();
         if (line.indexOf('=') != line.lastIndexOf('=')) {
             log.accept(line);
--- a/src/main/java/mastdrift/net/TimedLoop.java
+++ b/src/main/java/mastdrift/net/TimedLoop.java
@@ -16,14 +16,14 @@
 public record TimedLoop(EventLoop loop, Clock clock, Timers timers, Turns turns) {
 
     // The run queue delay is not read again within this time: changes over less than that don't matter.
-    private static final long LOOK = 1_000;
+    private static final long RUN_QUEUE_READ_INTERVAL_MICROS = 1_000;
     // A wait for events ends after this time even if nothing arrives. A wait that ends late shows that the thread could
     // not run, whatever the cause: garbage collection or compilation in this process, a stopped process, a suspended
     // machine. A wait that ended in time can have hidden no more than this, which is the tolerance that the protocol
     // gives each limit (PROTOCOL, The rules on sockets).
-    private static final long WAIT_MOST = 50_000;
+    private static final long MAX_WAIT_MICROS = 50_000;
     // The selector's timeout is in whole milliseconds, and a thread is always woken slightly late.
-    private static final long OVERSLEPT = 5_000;
+    private static final long WAKEUP_TOLERANCE_MICROS = 5_000;
 
     /** Starts a loop on a thread of its own. */
     public static TimedLoop start() {
@@ -43,12 +43,12 @@
         private final IoHandler handler;
         private final Clock clock;
         private final Turns turns;
-        private final RunQueue runQueue = new RunQueue();
+        private final RunQueue runQueueDelay = new RunQueue();
         private IoHandlerContext context;
-        private long waitsSince;
-        private long waitsUntil;
-        private long lookedAt;
-        private long looked;
+        private long waitStartMicros;
+        private long waitDueMicros;
+        private long runQueueReadAtMicros;
+        private long runQueueDelayMicros;
 
         Timed(IoHandler handler, Clock clock, Turns turns) {
             this.handler = handler;
@@ -58,20 +58,20 @@
 
         @Override
         public void initialize() {
-            runQueue.open();
+            runQueueDelay.open();
             handler.initialize();
         }
 
         @Override
-        public int run(IoHandlerContext given) {
-            context = given;
+        public int run(IoHandlerContext handlerContext) {
+            context = handlerContext;
             long now = clock.now();
-            if (now - lookedAt >= LOOK) {
-                look(now);
+            if (now - runQueueReadAtMicros >= RUN_QUEUE_READ_INTERVAL_MICROS) {
+                readRunQueueDelay(now);
                 now = clock.now();
             }
-            waitsSince = now;
-            waitsUntil = Long.MAX_VALUE;
+            waitStartMicros = now;
+            waitDueMicros = Long.MAX_VALUE;
             turns.waits(now);
             int handled = handler.run(this);
             turns.handled();
@@ -81,17 +81,17 @@
         @Override
         public boolean shouldReportActiveIoTime() {
             long now = clock.now();
-            long before = looked;
-            long kept = now - waitsSince >= LOOK ? look(now) - before : 0;
+            long previousDelayMicros = runQueueDelayMicros;
+            long queuedMicros = now - waitStartMicros >= RUN_QUEUE_READ_INTERVAL_MICROS ? readRunQueueDelay(now) - previousDelayMicros : 0;
             // Events that arrived while the thread could not run did so at an unknown time.
-            turns.back(now, now - OVERSLEPT > waitsUntil ? now - waitsSince : kept);
+            turns.back(now, now - WAKEUP_TOLERANCE_MICROS > waitDueMicros ? now - waitStartMicros : queuedMicros);
             return context.shouldReportActiveIoTime();
         }
 
-        private long look(long now) {
-            lookedAt = now;
-            looked = runQueue.micros();
-            return looked;
+        private long readRunQueueDelay(long now) {
+            runQueueReadAtMicros = now;
+            runQueueDelayMicros = runQueueDelay.totalMicros();
+            return runQueueDelayMicros;
         }
 
         @Override
@@ -101,8 +101,8 @@
 
         @Override
         public long delayNanos(long currentTimeNanos) {
-            long nanos = Math.min(context.delayNanos(currentTimeNanos), WAIT_MOST * 1_000);
-            waitsUntil = clock.now() + nanos / 1_000;
+            long nanos = Math.min(context.delayNanos(currentTimeNanos), MAX_WAIT_MICROS * 1_000);
+            waitDueMicros = clock.now() + nanos / 1_000;
             return nanos;
         }
 
@@ -123,7 +123,7 @@
 
         @Override
         public void destroy() {
-            runQueue.close();
+            runQueueDelay.close();
             handler.destroy();
         }
 
--- a/src/main/java/mastdrift/net/Tracing.java
+++ b/src/main/java/mastdrift/net/Tracing.java
@@ -31,133 +31,133 @@
  */
 final class Tracing implements Transport, Witness {
 
-    static final int NEW_MOST = 200;
-    static final int OPEN_MOST = 2_000;
-    private static final long SECOND = 1_000_000;
+    static final int MAX_TRACED_PER_SECOND = 200;
+    static final int MAX_OPEN_TRACED = 2_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
     // How long hosts that left are remembered. No step of an attempt that chose such a host before is logged later.
-    private static final long LEFT_KEPT = 60_000_000;
+    private static final long DEPARTED_HOST_RETENTION_MICROS = 60_000_000;
 
     /** A request that is being traced. */
     private static final class Life {
-        private final long takenAt;
-        private int attempts;
+        private final long takenAtMicros;
+        private int attemptCount;
 
-        Life(long takenAt) {
-            this.takenAt = takenAt;
+        Life(long takenAtMicros) {
+            this.takenAtMicros = takenAtMicros;
         }
     }
 
     private final Transport transport;
     private final Clock clock;
-    private final long warmWithin;
+    private final long warmWithinMicros;
     private final Consumer<String> log;
-    private final Map<String, String> classes;
-    private final Map<String, Life> lives = new HashMap<>();
-    private final Map<String, Long> warmAt = new HashMap<>();
-    private final Map<String, Long> leftAt = new HashMap<>();
+    private final Map<String, String> classLabels;
+    private final Map<String, Life> tracedRequests = new HashMap<>();
+    private final Map<String, Long> warmAtMicros = new HashMap<>();
+    private final Map<String, Long> departedAtMicros = new HashMap<>();
     // Hosts that are up by the lists so far; only these can be recorded as departed.
-    private final Set<String> named = new HashSet<>();
-    private long second;
-    private int begun;
-    private long unfollowed;
+    private final Set<String> upHosts = new HashSet<>();
+    private long currentSecond;
+    private int tracedThisSecond;
+    private long untracedCount;
 
-    Tracing(Transport transport, TimedLoop timed, Settings settings, Consumer<String> log) {
+    Tracing(Transport transport, TimedLoop timedLoop, Settings settings, Consumer<String> log) {
         this.transport = transport;
-        clock = timed.clock();
-        warmWithin = settings.rules().warmWithin();
+        clock = timedLoop.clock();
+        warmWithinMicros = settings.rules().warmWithin();
         this.log = log;
-        classes = settings.classes().stream()
+        classLabels = settings.classes().stream()
                 .collect(Collectors.toMap(RequestClass::name, type -> type.name() + ":" + type.repeat()));
     }
 
     /** Number of requests that were not traced since the last call. */
-    long unfollowed() {
-        long since = unfollowed;
-        unfollowed = 0;
-        return since;
+    long takeUntracedCount() {
+        long count = untracedCount;
+        untracedCount = 0;
+        return count;
     }
 
-    private static String id(Call call) {
+    private static String traceId(Call call) {
         return ((HttpCall) call).message().headers().get("X-Trace-Id");
     }
 
-    private void tell(String id, Step.Kind kind, int attempt, String host, String word, long span) {
-        log.accept(new Step(clock.now(), id, kind, attempt, host, word, span).line());
+    private void logStep(String id, Step.Kind kind, int attempt, String host, String word, long spanMicros) {
+        log.accept(new Step(clock.now(), id, kind, attempt, host, word, spanMicros).line());
     }
 
     @Override
     public void taken(Call call, Ask ask) {
         long now = clock.now();
-        if (now / SECOND != second) {
-            second = now / SECOND;
-            begun = 0;
+        if (now / MICROS_PER_SECOND != currentSecond) {
+            currentSecond = now / MICROS_PER_SECOND;
+            tracedThisSecond = 0;
         }
-        if (begun >= NEW_MOST || lives.size() >= OPEN_MOST) {
-            unfollowed++;
+        if (tracedThisSecond >= MAX_TRACED_PER_SECOND || tracedRequests.size() >= MAX_OPEN_TRACED) {
+            untracedCount++;
             return;
         }
-        begun++;
-        lives.put(id(call), new Life(now));
-        tell(id(call), Step.Kind.TAKEN, -1, "", taken(ask), ask.left());
+        tracedThisSecond++;
+        tracedRequests.put(traceId(call), new Life(now));
+        logStep(traceId(call), Step.Kind.TAKEN, -1, "", taken(ask), ask.left());
     }
 
     /** The word of a TAKEN step: {@code tenant:class:REPEAT}, or without the tenant if there is none. */
     private String taken(Ask ask) {
-        return (ask.tenant() == null ? "" : ask.tenant() + ":") + classes.getOrDefault(ask.className(), ask.className());
+        return (ask.tenant() == null ? "" : ask.tenant() + ":") + classLabels.getOrDefault(ask.className(), ask.className());
     }
 
     @Override
     public void ended(Call call, End end, Why why) {
-        Life life = lives.remove(id(call));
-        if (life != null) {
-            tell(id(call), Step.Kind.ANSWERED, -1, "", why == null ? end.name() : end + " " + why, clock.now() - life.takenAt);
+        Life request = tracedRequests.remove(traceId(call));
+        if (request != null) {
+            logStep(traceId(call), Step.Kind.ANSWERED, -1, "", why == null ? end.name() : end + " " + why, clock.now() - request.takenAtMicros);
         }
     }
 
-    private void tellState(String id, Step.Kind kind, int attempt, String uid) {
+    private void logHostState(String id, Step.Kind kind, int attempt, String uid) {
         long now = clock.now();
-        Long left = leftAt.get(uid);
-        long warm = warmAt.getOrDefault(uid, 0L);
-        if (left != null) {
-            tell(id, kind, attempt, uid, Step.LEAVING, now - left);
-        } else if (warm > now) {
-            tell(id, kind, attempt, uid, Step.COLD, now - (warm - warmWithin));
+        Long departedAt = departedAtMicros.get(uid);
+        long warmFrom = warmAtMicros.getOrDefault(uid, 0L);
+        if (departedAt != null) {
+            logStep(id, kind, attempt, uid, Step.LEAVING, now - departedAt);
+        } else if (warmFrom > now) {
+            logStep(id, kind, attempt, uid, Step.COLD, now - (warmFrom - warmWithinMicros));
         } else {
-            tell(id, kind, attempt, uid, Step.WARM, 0);
+            logStep(id, kind, attempt, uid, Step.WARM, 0);
         }
     }
 
     @Override
-    public Attempt send(Endpoint to, Call call, long timeout, long leaveWithin, Ended ended) {
+    public Attempt send(Endpoint to, Call call, long timeoutMicros, long sendWithinMicros, Ended listener) {
         String uid = to.uid();
-        String id = id(call);
-        Life life = lives.get(id);
-        if (life == null) {
-            return transport.send(to, call, timeout, leaveWithin, ended);
+        String id = traceId(call);
+        Life request = tracedRequests.get(id);
+        if (request == null) {
+            return transport.send(to, call, timeoutMicros, sendWithinMicros, listener);
         }
-        int number = life.attempts++;
-        tellState(id, Step.Kind.SENT, number, uid);
-        return transport.send(to, call, timeout, leaveWithin, new Ended() {
+        int attemptNumber = request.attemptCount++;
+        logHostState(id, Step.Kind.SENT, attemptNumber, uid);
+        return transport.send(to, call, timeoutMicros, sendWithinMicros, new Ended() {
             @Override
             public void ended(Outcome outcome, Answer answer, LoadReport report) {
-                tell(id, Step.Kind.ENDED, number, uid, outcome.name(), 0);
-                ended.ended(outcome, answer, report);
+                logStep(id, Step.Kind.ENDED, attemptNumber, uid, outcome.name(), 0);
+                listener.ended(outcome, answer, report);
             }
 
             @Override
             public boolean wanted() {
-                return ended.wanted();
+                return listener.wanted();
             }
 
             @Override
             public void step() {
-                tellState(id, Step.Kind.OPENED, number, uid);
-                ended.step();
+                logHostState(id, Step.Kind.OPENED, attemptNumber, uid);
+                listener.step();
             }
 
             @Override
             public void passed(long sent, long received) {
-                ended.passed(sent, received);
+                listener.passed(sent, received);
             }
         });
     }
@@ -170,26 +170,26 @@
     @Override
     public void update(boolean all, List<Member> members) {
         long now = clock.now();
-        leftAt.values().removeIf(at -> now - at > LEFT_KEPT);
-        warmAt.values().removeIf(at -> at <= now);
-        Set<String> up = new HashSet<>();
+        departedAtMicros.values().removeIf(at -> now - at > DEPARTED_HOST_RETENTION_MICROS);
+        warmAtMicros.values().removeIf(at -> at <= now);
+        Set<String> upNow = new HashSet<>();
         for (Member member : members) {
             String uid = member.host().address();
             if (member.host().health() == Health.UP) {
-                up.add(uid);
-                leftAt.remove(uid);
+                upNow.add(uid);
+                departedAtMicros.remove(uid);
                 if (member.host().born() > 0) {
-                    warmAt.put(uid, member.host().born() + warmWithin);
+                    warmAtMicros.put(uid, member.host().born() + warmWithinMicros);
                 }
-            } else if (named.remove(uid)) {
-                leftAt.putIfAbsent(uid, now);
+            } else if (upHosts.remove(uid)) {
+                departedAtMicros.putIfAbsent(uid, now);
             }
         }
         if (all) {
-            named.stream().filter(uid -> !up.contains(uid)).forEach(uid -> leftAt.putIfAbsent(uid, now));
-            named.clear();
+            upHosts.stream().filter(uid -> !upNow.contains(uid)).forEach(uid -> departedAtMicros.putIfAbsent(uid, now));
+            upHosts.clear();
         }
-        named.addAll(up);
+        upHosts.addAll(upNow);
         transport.update(all, members);
     }
 
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -360,7 +360,7 @@
         if (next.zones() != null) {
             zones = new ZoneService(file, loop, clock::now, gateway, next.zones(),
                     line -> events.event(Level.WARN, "zones", line));
-            clients.clientZones(zones::zone);
+            clients.setClientZones(zones::zone);
             radius.forEach(front -> front.clientZones(zones::zone));
         }
     }
--- a/src/test/java/mastdrift/net/ClientGoneTest.java
+++ b/src/test/java/mastdrift/net/ClientGoneTest.java
@@ -53,50 +53,50 @@
  */
 class ClientGoneTest {
 
-    private static final long TERM = TimeUnit.MILLISECONDS.toNanos(100);
-    private static final int FILLING = 2;  // the kernel's backlog holds one more than requested
+    private static final long ATTEMPT_CUTOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final int BACKLOG_CAPACITY = 2;  // the kernel's backlog holds one more than requested
 
     @TempDir
     private Path folder;
 
-    private Node node(Server discovery, boolean cancel, boolean copies, String... entries) throws Exception {
+    private Node node(Server discovery, boolean cancelAttempts, boolean parallelTries, String... entries) throws Exception {
         return new Node(environment(folder, discovery, list(1, true, entries), SETTINGS
-                .replace("\"cancel\":true", "\"cancel\":" + cancel).replace("\"parallel_tries\":true", "\"parallel_tries\":" + copies)));
+                .replace("\"cancel\":true", "\"cancel\":" + cancelAttempts).replace("\"parallel_tries\":true", "\"parallel_tries\":" + parallelTries)));
     }
 
-    private static String up(String uid, String address) {
+    private static String inServiceEntry(String uid, String address) {
         return entry(uid, address, "a", "in_service");
     }
 
-    private static String id(String request, String id) {
-        return request.replace("9b1f", id);
+    private static String withTraceId(String request, String traceId) {
+        return request.replace("9b1f", traceId);
     }
 
     /** Closes a client's connection in order, by a reset, or only its sending half. */
-    private static void leave(Socket client, String how) throws IOException {
-        if (how.equals("half")) {
+    private static void disconnect(Socket client, String closeMode) throws IOException {
+        if (closeMode.equals("half")) {
             client.shutdownOutput();
         } else {
-            client.setSoLinger(how.equals("reset"), 0);
+            client.setSoLinger(closeMode.equals("reset"), 0);
             client.close();
         }
     }
 
     /** After this, no attempt for a client that has disconnected may begin. */
-    private static void passTerm() {
-        long until = System.nanoTime() + TERM;
-        while (System.nanoTime() < until) {  // the passing of this time is what the test is about
+    private static void awaitCutoff() {
+        long cutoffNanos = System.nanoTime() + ATTEMPT_CUTOFF_NANOS;
+        while (System.nanoTime() < cutoffNanos) {  // the passing of this time is what the test is about
             Thread.onSpinWait();
         }
     }
 
-    private static void leaveForGood(Socket client, String how) throws IOException {
-        leave(client, how);
-        passTerm();
+    private static void disconnectBeyondCutoff(Socket client, String closeMode) throws IOException {
+        disconnect(client, closeMode);
+        awaitCutoff();
     }
 
     /** Connects a client and completes one request, so that the gateway has accepted the connection. */
-    private static Socket met(Node node) throws IOException {
+    private static Socket connectAndRequest(Node node) throws IOException {
         Socket client = node.connect();
         write(client, "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
         assertEquals(200, Loopback.read(client).status());
@@ -107,35 +107,35 @@
      * Stalls the loop inside each request that it takes, from reading it until the latch is released: other events that
      * the loop had found ready are handled after the stall, and input that arrives during it is still unread then.
      */
-    private static CountDownLatch holdAtNextRequest(Node node, CountDownLatch go) {
-        CountDownLatch held = new CountDownLatch(1);
+    private static CountDownLatch stallAtNextRequest(Node node, CountDownLatch release) {
+        CountDownLatch stalled = new CountDownLatch(1);
         node.gateway.ledger().witness(new Witness() {
             @Override
             public void taken(Call call, Ask ask) {
-                held.countDown();
-                awaitGo(go);
+                stalled.countDown();
+                awaitLatch(release);
             }
 
             @Override
             public void ended(Call call, End end, Balancer.Why why) { }
         });
-        return held;
+        return stalled;
     }
 
-    private static void awaitGo(CountDownLatch go) {
+    private static void awaitLatch(CountDownLatch latch) {
         try {
-            go.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
+            latch.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** Whether a connection to the port is in state SYN_SENT, by the system's own table (proc(5)). */
-    private static boolean dialling(int port) throws IOException {
-        String to = String.format("0100007F:%04X 02 ", port);
+    private static boolean isDialling(int port) throws IOException {
+        String synSent = String.format("0100007F:%04X 02 ", port);
         for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
             try (Stream<String> lines = Files.lines(Path.of(table))) {
-                if (lines.anyMatch(line -> line.contains(to))) {
+                if (lines.anyMatch(line -> line.contains(synSent))) {
                     return true;
                 }
             }
@@ -143,35 +143,35 @@
         return false;
     }
 
-    private static void awaitNobody(Node node) throws Exception {
-        eventually(() -> node.loop.submit(() -> node.clients.connections()).get() == 0);
+    private static void awaitNoConnections(Node node) throws Exception {
+        eventually(() -> node.loop.submit(() -> node.clients.connectionCount()).get() == 0);
     }
 
     /**
      * The ids that the hosts have received, other than those removed before, once two marker requests have been served
      * one after the other.
      */
-    private static Set<String> seen(Node node, Server... hosts) throws Exception {
-        eventually(() -> node.ask(id(read(20_000), "marker")).status() == 200);
-        assertEquals(200, node.ask(id(read(20_000), "marker")).status());
-        Set<String> ids = new HashSet<>();
+    private static Set<String> receivedIds(Node node, Server... hosts) throws Exception {
+        eventually(() -> node.ask(withTraceId(read(20_000), "marker")).status() == 200);
+        assertEquals(200, node.ask(withTraceId(read(20_000), "marker")).status());
+        Set<String> received = new HashSet<>();
         for (Server host : hosts) {
-            host.received.forEach(message -> ids.add(message.header("X-Trace-Id")));
+            host.received.forEach(message -> received.add(message.header("X-Trace-Id")));
         }
-        assertTrue(ids.remove("marker"));
-        return ids;
+        assertTrue(received.remove("marker"));
+        return received;
     }
 
     /** Stalls the loop from when this returns until the latch is released. */
-    private static CountDownLatch hold(Node node) throws Exception {
-        CountDownLatch begun = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+    private static CountDownLatch stall(Node node) throws Exception {
+        CountDownLatch stalled = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         node.loop.execute(() -> {
-            begun.countDown();
-            awaitGo(go);
+            stalled.countDown();
+            awaitLatch(release);
         });
-        assertTrue(begun.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-        return go;
+        assertTrue(stalled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+        return release;
     }
 
     /**
@@ -181,7 +181,7 @@
     @ParameterizedTest
     @CsvSource({"close,true,true", "close,true,false", "close,false,true", "close,false,false", "half,true,true", "half,false,true", "reset,true,true",
         "reset,false,true"})
-    void behindPipelinedRequestsTheEndIsHeard(String how, boolean cancel, boolean copies) throws Exception {
+    void pipelinedRequestsAreNotSentAfterClientLeaves(String closeMode, boolean cancel, boolean parallelTries) throws Exception {
         CountDownLatch answers = new CountDownLatch(1);
         try (Server discovery = discovery();
                 Server host = new Server(message -> {
@@ -190,16 +190,16 @@
                     }
                     write(message.socket(), answer("200 OK", "x"));
                 });
-                Node node = node(discovery, cancel, copies, up("s1", host.address()))) {
+                Node node = node(discovery, cancel, parallelTries, inServiceEntry("s1", host.address()))) {
             Socket client = node.connect();
             for (int i = 0; i < 40; i++) {
-                write(client, id(read(60_000), "id" + i));
+                write(client, withTraceId(read(60_000), "id" + i));
             }
             await(host.received);
-            leaveForGood(client, how);
+            disconnectBeyondCutoff(client, closeMode);
             answers.countDown();
-            awaitNobody(node);
-            assertEquals(Set.of(), seen(node, host));
+            awaitNoConnections(node);
+            assertEquals(Set.of(), receivedIds(node, host));
         }
     }
 
@@ -209,19 +209,19 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {40, 3_000})
-    void whatIsPipelinedBeyondTheBoundIsRefusedInItsTurn(int requests) throws Exception {
+    void requestsPipelinedBeyondTheLimitAreRefusedInOrder(int requests) throws Exception {
         CountDownLatch answers = new CountDownLatch(1);
         try (Server discovery = discovery();
                 Server host = new Server(message -> {
                     answers.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
                     write(message.socket(), answer("200 OK", "x"));
                 });
-                Node node = node(discovery, true, true, up("s1", host.address()))) {
+                Node node = node(discovery, true, true, inServiceEntry("s1", host.address()))) {
             Socket client = node.connect();
             Thread writer = new Thread(() -> {
                 try {
                     for (int i = 0; i < requests; i++) {
-                        write(client, id(read(60_000), "id" + i));
+                        write(client, withTraceId(read(60_000), "id" + i));
                     }
                 } catch (IOException e) {
                     return;  // reported by the missing answers
@@ -230,7 +230,7 @@
             writer.start();
             await(host.received);
             // The first answer is released once all requests have been read, or as many as are counted at most.
-            eventually(() -> node.loop.submit(() -> node.clients.counted()).get() >= Math.min(requests - 9, ClientSide.COUNTED_MOST));
+            eventually(() -> node.loop.submit(() -> node.clients.overflowRequestCount()).get() >= Math.min(requests - 9, ClientSide.MAX_OVERFLOW_REQUESTS));
             answers.countDown();
             int served = 0;
             for (int i = 0; i < requests; i++) {
@@ -241,7 +241,7 @@
             }
             writer.join();
             assertTrue(requests > 1_000 || served == 9, "served " + served);
-            write(client, id(read(60_000), "last"));
+            write(client, withTraceId(read(60_000), "last"));
             assertEquals(200, Loopback.read(client).status());
         }
     }
@@ -251,19 +251,19 @@
      * pause and must be forwarded like any other.
      */
     @Test
-    void theFirstOfWhatOneReadBringsIsSentOn() throws Exception {
-        int requests = ClientSide.COUNTED_MOST + 200;
+    void firstRequestOfAnOverflowingReadIsForwarded() throws Exception {
+        int requests = ClientSide.MAX_OVERFLOW_REQUESTS + 200;
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < requests; i++) {
-            all.append(id(read(60_000), "id" + i));
+            all.append(withTraceId(read(60_000), "id" + i));
         }
-        try (Server discovery = discovery(); Server host = host("x"); Node node = node(discovery, true, true, up("s1", host.address()))) {
-            Socket client = met(node);
+        try (Server discovery = discovery(); Server host = host("x"); Node node = node(discovery, true, true, inServiceEntry("s1", host.address()))) {
+            Socket client = connectAndRequest(node);
             CountDownLatch written = new CountDownLatch(1);
-            Future<?> held = node.loop.submit(() -> written.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+            Future<?> stall = node.loop.submit(() -> written.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
             write(client, all.toString());
             written.countDown();
-            held.get();
+            stall.get();
             for (int i = 0; i < requests; i++) {
                 int status = Loopback.read(client).status();
                 assertTrue(status == 503 || status == 200, "status " + status);
@@ -281,65 +281,65 @@
     @ParameterizedTest
     @CsvSource({"close,false,3000", "half,false,3000", "reset,false,3000", "close,false,40000", "half,false,40000", "reset,false,40000", "close,true,3000",
         "half,true,3000", "reset,true,3000", "close,true,40000"})
-    void pausedBehindPipelinedRequestsBeforeItsRepeat(String how, boolean cancel, int requests) throws Exception {
+    void noRetryIsSentWhenClientLeavesWhileReadingIsPaused(String closeMode, boolean cancel, int requests) throws Exception {
         CountDownLatch left = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server other = host("x"); Server host = ends("shed", left);
-                Node node = node(discovery, cancel, true, up("s1", host.address()))) {
+        try (Server discovery = discovery(); Server other = host("x"); Server host = hostEnding("shed", left);
+                Node node = node(discovery, cancel, true, inServiceEntry("s1", host.address()))) {
             Socket client = node.connect();
-            write(client, id(read(60_000), "gone"));
+            write(client, withTraceId(read(60_000), "gone"));
             await(host.received);
-            Loopback.tell(await(discovery.received).socket(), list(2, true, up("s1", host.address()), up("s2", other.address())));
+            Loopback.tell(await(discovery.received).socket(), list(2, true, inServiceEntry("s1", host.address()), inServiceEntry("s2", other.address())));
             flood(client, requests);
-            eventually(() -> node.loop.submit(() -> node.clients.counted()).get() >= ClientSide.COUNTED_MOST);
-            leaveForGood(client, how);
+            eventually(() -> node.loop.submit(() -> node.clients.overflowRequestCount()).get() >= ClientSide.MAX_OVERFLOW_REQUESTS);
+            disconnectBeyondCutoff(client, closeMode);
             left.countDown();
-            awaitNobody(node);
-            assertEquals(Set.of(), seen(node, host, other));
+            awaitNoConnections(node);
+            assertEquals(Set.of(), receivedIds(node, host, other));
         }
     }
 
     /** As before, while the connection to the host is being established. */
     @ParameterizedTest
     @CsvSource({"close,false", "half,false", "reset,false", "close,true", "half,true", "reset,true"})
-    void pausedBehindPipelinedRequestsWhileItsConnectionIsDialled(String how, boolean cancel) throws Exception {
-        try (Server discovery = discovery(); Full full = new Full(); Node node = node(discovery, cancel, true, up("s1", full.address()))) {
+    void noAttemptIsSentWhenClientLeavesDuringDialWhileReadingIsPaused(String closeMode, boolean cancel) throws Exception {
+        try (Server discovery = discovery(); Full full = new Full(); Node node = node(discovery, cancel, true, inServiceEntry("s1", full.address()))) {
             Socket client = node.connect();
-            write(client, id(read(60_000), "gone"));
-            eventually(() -> dialling(full.port()));
+            write(client, withTraceId(read(60_000), "gone"));
+            eventually(() -> isDialling(full.port()));
             flood(client, 3_000);
-            eventually(() -> node.loop.submit(() -> node.clients.counted()).get() >= ClientSide.COUNTED_MOST);
-            leaveForGood(client, how);
-            assertEquals(Set.of(), seen(node, full, true));
+            eventually(() -> node.loop.submit(() -> node.clients.overflowRequestCount()).get() >= ClientSide.MAX_OVERFLOW_REQUESTS);
+            disconnectBeyondCutoff(client, closeMode);
+            assertEquals(Set.of(), receivedIds(node, full, true));
         }
     }
 
     /** Sends this many requests in the background and discards their answers until the connection ends. */
     private static void flood(Socket client, int requests) {
-        run(() -> {
+        runInBackground(() -> {
             for (int i = 0; i < requests; i++) {
-                write(client, id(read(60_000), "id" + i));
+                write(client, withTraceId(read(60_000), "id" + i));
             }
         });
-        run(() -> client.getInputStream().transferTo(OutputStream.nullOutputStream()));
+        runInBackground(() -> client.getInputStream().transferTo(OutputStream.nullOutputStream()));
     }
 
     /**
      * A host that answers markers. Other requests it ends once the latch is released: it sheds them, fails them, or
      * breaks off with no answer or an invalid one.
      */
-    private static Server ends(String what, CountDownLatch once) throws IOException {
+    private static Server hostEnding(String ending, CountDownLatch release) throws IOException {
         return new Server(message -> {
             if (message.header("X-Trace-Id").equals("marker")) {
                 write(message.socket(), answer("200 OK", "x"));
                 return;
             }
-            once.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
-            switch (what) {
+            release.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
+            switch (ending) {
                 case "shed" -> write(message.socket(), "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
                 case "error" -> write(message.socket(), answer("500 Internal Server Error", "x"));
                 case "dropped" -> message.socket().close();
                 case "spoilt" -> write(message.socket(), "HTTP/1.1 200 OK\r\n\r\n");
-                default -> throw new IllegalArgumentException(what);
+                default -> throw new IllegalArgumentException(ending);
             }
         });
     }
@@ -351,10 +351,10 @@
 
         private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-        private final List<String> received = new CopyOnWriteArrayList<>();
+        private final List<String> receivedIds = new CopyOnWriteArrayList<>();
 
         Full() throws IOException {
-            for (int i = 0; i < FILLING; i++) {
+            for (int i = 0; i < BACKLOG_CAPACITY; i++) {
                 sockets.add(new Socket(listener.getInetAddress(), port()));
             }
         }
@@ -368,19 +368,19 @@
         }
 
         /** Connections accepted besides those that filled the backlog. */
-        int came() {
-            return Math.max(0, sockets.size() - 2 * FILLING);
+        int acceptedCount() {
+            return Math.max(0, sockets.size() - 2 * BACKLOG_CAPACITY);
         }
 
-        void room() {
-            run(() -> {
+        void startAccepting() {
+            runInBackground(() -> {
                 while (true) {
-                    Socket came = listener.accept();
-                    sockets.add(came);
-                    run(() -> {
-                        for (Message next = Loopback.read(came); next != null; next = Loopback.read(came)) {
-                            received.add(next.header("X-Trace-Id"));
-                            write(came, answer("200 OK", "x"));
+                    Socket accepted = listener.accept();
+                    sockets.add(accepted);
+                    runInBackground(() -> {
+                        for (Message next = Loopback.read(accepted); next != null; next = Loopback.read(accepted)) {
+                            receivedIds.add(next.header("X-Trace-Id"));
+                            write(accepted, answer("200 OK", "x"));
                         }
                     });
                 }
@@ -400,10 +400,10 @@
         void run() throws IOException;
     }
 
-    private static void run(Body body) {
+    private static void runInBackground(Body task) {
         Thread thread = new Thread(() -> {
             try {
-                body.run();
+                task.run();
             } catch (IOException e) {
                 return;  // the other side has disconnected, or the end of the test closed the socket
             }
@@ -416,18 +416,18 @@
      * The ids that a host with a full backlog receives once it accepts connections, other than those of the markers
      * sent then.
      */
-    private static Set<String> seen(Node node, Full full, boolean comesUp) throws Exception {
-        full.room();
-        eventually(() -> full.came() > 0 || !comesUp);
-        awaitNobody(node);
-        eventually(() -> node.ask(id(read(20_000), "marker")).status() == 200);
+    private static Set<String> receivedIds(Node node, Full full, boolean dialCompletes) throws Exception {
+        full.startAccepting();
+        eventually(() -> full.acceptedCount() > 0 || !dialCompletes);
+        awaitNoConnections(node);
+        eventually(() -> node.ask(withTraceId(read(20_000), "marker")).status() == 200);
         // A dial that can't be cancelled completes anyway: its connection serves nobody, and is kept idle for the
         // marker.
-        assertTrue(!comesUp || full.came() == 1, "connections to the host: " + full.came());
-        assertEquals(200, node.ask(id(read(20_000), "marker")).status());
-        Set<String> ids = new HashSet<>(full.received);
-        assertTrue(ids.remove("marker"));
-        return ids;
+        assertTrue(!dialCompletes || full.acceptedCount() == 1, "connections to the host: " + full.acceptedCount());
+        assertEquals(200, node.ask(withTraceId(read(20_000), "marker")).status());
+        Set<String> received = new HashSet<>(full.receivedIds);
+        assertTrue(received.remove("marker"));
+        return received;
     }
 
     /**
@@ -439,29 +439,29 @@
         "close,true,true,further", "close,false,true,further", "close,true,false,further", "close,false,false,further",
         "half,true,true,first", "half,false,true,first", "half,true,true,further", "half,false,true,further",
         "reset,true,true,first", "reset,false,true,first", "reset,true,true,further", "reset,false,true,further"})
-    void whileItsConnectionIsDialled(String how, boolean cancel, boolean copies, String which) throws Exception {
-        CountDownLatch told = new CountDownLatch(1);
-        try (Server discovery = discovery(); Full full = new Full(); Server refuses = ends("shed", told)) {
-            String entry = up("s2", full.address());
-            String other = up("s1", refuses.address());
-            boolean further = which.equals("further");
-            try (Node node = node(discovery, cancel, copies, further ? other : entry)) {
+    void noAttemptIsSentWhenClientLeavesDuringDial(String closeMode, boolean cancel, boolean parallelTries, String attempt) throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        try (Server discovery = discovery(); Full full = new Full(); Server refusingHost = hostEnding("shed", release)) {
+            String entry = inServiceEntry("s2", full.address());
+            String other = inServiceEntry("s1", refusingHost.address());
+            boolean further = attempt.equals("further");
+            try (Node node = node(discovery, cancel, parallelTries, further ? other : entry)) {
                 Socket client = node.connect();
                 Socket watch = await(discovery.received).socket();
-                write(client, id(read(60_000), "gone"));
+                write(client, withTraceId(read(60_000), "gone"));
                 if (further) {
-                    await(refuses.received);
+                    await(refusingHost.received);
                     Loopback.tell(watch, list(2, true, other, entry));
                     eventually(() -> node.log.toString(StandardCharsets.UTF_8).contains("list 2"));
-                    told.countDown();
+                    release.countDown();
                 }
-                eventually(() -> dialling(full.port()));
+                eventually(() -> isDialling(full.port()));
                 if (further) {
                     Loopback.tell(watch, list(3, true, entry));
                     eventually(() -> node.log.toString(StandardCharsets.UTF_8).contains("list 3"));
                 }
-                leaveForGood(client, how);
-                assertEquals(Set.of(), seen(node, full, !cancel));
+                disconnectBeyondCutoff(client, closeMode);
+                assertEquals(Set.of(), receivedIds(node, full, !cancel));
             }
         }
     }
@@ -473,9 +473,9 @@
     @ParameterizedTest
     @CsvSource({"close,true,true", "close,true,false", "close,false,true", "close,false,false", "half,true,true", "half,false,true", "reset,true,true",
         "reset,false,true"})
-    void inTheTurnInWhichItsConnectionComesUp(String how, boolean cancel, boolean copies) throws Exception {
-        try (Server discovery = discovery(); Server host = host("x"); Node node = node(discovery, cancel, copies, up("s1", host.address()))) {
-            Socket client = met(node);
+    void noAttemptIsSentWhenClientLeavesInTheTurnOfTheDialsCompletion(String closeMode, boolean cancel, boolean parallelTries) throws Exception {
+        try (Server discovery = discovery(); Server host = host("x"); Node node = node(discovery, cancel, parallelTries, inServiceEntry("s1", host.address()))) {
+            Socket client = connectAndRequest(node);
             CountDownLatch dialled = new CountDownLatch(1);
             CountDownLatch left = new CountDownLatch(1);
             node.gateway.ledger().witness(new Witness() {
@@ -484,21 +484,21 @@
                     // Runs after the event that dials, and the tasks that it schedules, in the same turn.
                     node.loop.execute(() -> node.loop.execute(() -> node.loop.execute(() -> {
                         dialled.countDown();
-                        awaitGo(left);
+                        awaitLatch(left);
                     })));
                 }
 
                 @Override
                 public void ended(Call call, End end, Balancer.Why why) { }
             });
-            write(client, id(read(60_000), "gone"));
+            write(client, withTraceId(read(60_000), "gone"));
             assertTrue(dialled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
             node.gateway.ledger().witness(null);
             eventually(() -> !host.accepted.isEmpty());
-            leaveForGood(client, how);
+            disconnectBeyondCutoff(client, closeMode);
             left.countDown();
-            awaitNobody(node);
-            assertEquals(Set.of(), seen(node, host));
+            awaitNoConnections(node);
+            assertEquals(Set.of(), receivedIds(node, host));
         }
     }
 
@@ -509,11 +509,11 @@
     @ParameterizedTest
     @CsvSource({"close,true,true", "close,true,false", "close,false,true", "close,false,false", "half,true,true", "half,false,true", "reset,true,true",
         "reset,false,true"})
-    void onALateLoopWhoseTurnFoundItsConnectionUp(String how, boolean cancel, boolean copies) throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server host = host("x"); Node node = node(discovery, cancel, copies, up("s1", host.address()))) {
-            Socket client = met(node);
-            Socket holder = met(node);
+    void noAttemptIsSentWhenClientLeavesDuringAStallAfterTheDial(String closeMode, boolean cancel, boolean parallelTries) throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        try (Server discovery = discovery(); Server host = host("x"); Node node = node(discovery, cancel, parallelTries, inServiceEntry("s1", host.address()))) {
+            Socket client = connectAndRequest(node);
+            Socket stallingClient = connectAndRequest(node);
             CountDownLatch dialled = new CountDownLatch(1);
             CountDownLatch ready = new CountDownLatch(1);
             node.gateway.ledger().witness(new Witness() {
@@ -522,25 +522,25 @@
                     // Runs after the event that dials, and the tasks that it schedules, in the same turn.
                     node.loop.execute(() -> node.loop.execute(() -> node.loop.execute(() -> {
                         dialled.countDown();
-                        awaitGo(ready);
+                        awaitLatch(ready);
                     })));
                 }
 
                 @Override
                 public void ended(Call call, End end, Balancer.Why why) { }
             });
-            write(client, id(read(60_000), "gone"));
+            write(client, withTraceId(read(60_000), "gone"));
             assertTrue(dialled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            CountDownLatch held = holdAtNextRequest(node, go);
+            CountDownLatch stalled = stallAtNextRequest(node, release);
             eventually(() -> !host.accepted.isEmpty());
-            write(holder, id(read(60_000), "holder"));
+            write(stallingClient, withTraceId(read(60_000), "holder"));
             ready.countDown();
-            assertTrue(held.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            leaveForGood(client, how);
+            assertTrue(stalled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+            disconnectBeyondCutoff(client, closeMode);
             node.gateway.ledger().witness(null);
-            go.countDown();
-            assertEquals(200, Loopback.read(holder).status());
-            Set<String> ids = seen(node, host);
+            release.countDown();
+            assertEquals(200, Loopback.read(stallingClient).status());
+            Set<String> ids = receivedIds(node, host);
             ids.remove("holder");
             assertEquals(Set.of(), ids);
             assertEquals(0, node.loop.submit(() -> node.gateway.ledger().count().of("read").refused()).get(), "a request whose client is known to have left must not be refused");
@@ -550,9 +550,9 @@
     /** The host's refusal was found ready in the turn in which the loop stalls for longer than 0.1 s. */
     @ParameterizedTest
     @CsvSource({"close,true,true", "close,true,false", "close,false,true", "close,false,false", "half,false,true", "reset,false,true"})
-    void onALateLoopWhoseTurnFoundItsRefusal(String how, boolean cancel, boolean copies) throws Exception {
+    void noRetryIsSentWhenClientLeavesDuringAStallAfterARefusal(String closeMode, boolean cancel, boolean parallelTries) throws Exception {
         CountDownLatch refused = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         CountDownLatch rest = new CountDownLatch(1);
         try (Server discovery = discovery(); Server other = host("x");
                 Server host = new Server(message -> {
@@ -562,29 +562,29 @@
                         write(message.socket(), "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\n");
                         rest.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
                         write(message.socket(), "Content-Length: 0\r\n\r\n");
-                        go.countDown();
+                        release.countDown();
                     } else {
                         write(message.socket(), answer("200 OK", "x"));
                     }
                 });
-                Node node = node(discovery, cancel, copies, up("s1", host.address()))) {
-            Socket client = met(node);
-            Socket holder = met(node);
-            write(client, id(read(60_000), "gone"));
+                Node node = node(discovery, cancel, parallelTries, inServiceEntry("s1", host.address()))) {
+            Socket client = connectAndRequest(node);
+            Socket stallingClient = connectAndRequest(node);
+            write(client, withTraceId(read(60_000), "gone"));
             await(host.received);
-            Loopback.tell(await(discovery.received).socket(), list(2, true, up("s1", host.address()), up("s2", other.address())));
+            Loopback.tell(await(discovery.received).socket(), list(2, true, inServiceEntry("s1", host.address()), inServiceEntry("s2", other.address())));
             eventually(() -> node.log.toString(StandardCharsets.UTF_8).contains("list 2"));
-            CountDownLatch turn = hold(node);
-            CountDownLatch held = holdAtNextRequest(node, go);
-            write(holder, id(read(60_000), "holder"));
+            CountDownLatch firstStall = stall(node);
+            CountDownLatch stalled = stallAtNextRequest(node, release);
+            write(stallingClient, withTraceId(read(60_000), "holder"));
             refused.countDown();
-            turn.countDown();
-            assertTrue(held.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            leaveForGood(client, how);
+            firstStall.countDown();
+            assertTrue(stalled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+            disconnectBeyondCutoff(client, closeMode);
             node.gateway.ledger().witness(null);
             rest.countDown();
-            assertEquals(200, Loopback.read(holder).status());
-            Set<String> ids = seen(node, host, other);
+            assertEquals(200, Loopback.read(stallingClient).status());
+            Set<String> ids = receivedIds(node, host, other);
             ids.remove("holder");
             assertEquals(Set.of(), ids);
         }
@@ -596,18 +596,18 @@
      */
     @ParameterizedTest
     @CsvSource({"close,true,true", "close,true,false", "close,false,true", "close,false,false", "half,true,true", "half,false,true", "reset,true,true", "reset,false,true"})
-    void onALateLoopWhoseTurnFoundTheAnswerAheadOfIt(String how, boolean cancel, boolean copies) throws Exception {
+    void noAttemptIsSentWhenClientLeavesDuringAStallAfterThePreviousAnswer(String closeMode, boolean cancel, boolean parallelTries) throws Exception {
         // opens three host connections: one for the request under test, one for the stalling request
-        CountDownLatch met = new CountDownLatch(3);
+        CountDownLatch warmedUp = new CountDownLatch(3);
         CountDownLatch answered = new CountDownLatch(1);
         CountDownLatch begun = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         CountDownLatch rest = new CountDownLatch(1);
         try (Server discovery = discovery();
                 Server host = new Server(message -> {
                     if (message.header("X-Trace-Id").startsWith("met")) {
-                        met.countDown();
-                        met.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
+                        warmedUp.countDown();
+                        warmedUp.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
                     }
                     if (message.header("X-Trace-Id").equals("ahead")) {
                         // The rest is sent once the loop is stalled, so that the response can't be complete before.
@@ -616,37 +616,37 @@
                         begun.countDown();
                         rest.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
                         write(message.socket(), "Content-Length: 1\r\n\r\nx");
-                        go.countDown();
+                        release.countDown();
                     } else {
                         write(message.socket(), answer("200 OK", "x"));
                     }
                 });
-                Node node = node(discovery, cancel, copies, up("s1", host.address()))) {
-            Socket client = met(node);
-            Socket holder = met(node);
-            List<Socket> warm = List.of(client, holder, met(node));
+                Node node = node(discovery, cancel, parallelTries, inServiceEntry("s1", host.address()))) {
+            Socket client = connectAndRequest(node);
+            Socket stallingClient = connectAndRequest(node);
+            List<Socket> warm = List.of(client, stallingClient, connectAndRequest(node));
             for (int i = 0; i < warm.size(); i++) {
-                write(warm.get(i), id(read(60_000), "met" + i).replace("7f3a", "object" + i));
+                write(warm.get(i), withTraceId(read(60_000), "met" + i).replace("7f3a", "object" + i));
             }
             for (Socket each : warm) {
                 assertEquals(200, Loopback.read(each).status());
             }
             host.received.clear();
-            passTerm();  // connections are not used again right after an answer
-            write(client, id(read(60_000), "ahead") + id(read(60_000), "gone"));
+            awaitCutoff();  // connections are not used again right after an answer
+            write(client, withTraceId(read(60_000), "ahead") + withTraceId(read(60_000), "gone"));
             await(host.received);
-            CountDownLatch turn = hold(node);
-            CountDownLatch held = holdAtNextRequest(node, go);
-            write(holder, id(read(60_000), "holder"));
+            CountDownLatch firstStall = stall(node);
+            CountDownLatch stalled = stallAtNextRequest(node, release);
+            write(stallingClient, withTraceId(read(60_000), "holder"));
             answered.countDown();
             assertTrue(begun.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            turn.countDown();
-            assertTrue(held.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            leaveForGood(client, how);
+            firstStall.countDown();
+            assertTrue(stalled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+            disconnectBeyondCutoff(client, closeMode);
             node.gateway.ledger().witness(null);
             rest.countDown();
-            assertEquals(200, Loopback.read(holder).status());
-            Set<String> ids = seen(node, host);
+            assertEquals(200, Loopback.read(stallingClient).status());
+            Set<String> ids = receivedIds(node, host);
             assertTrue(ids.remove("holder"));
             assertEquals(Set.of(), ids);
         }
@@ -661,29 +661,29 @@
     @CsvSource({"close,true,after", "close,false,after", "half,true,after", "half,false,after", "reset,true,after", "reset,false,after",
         "close,true,before", "close,false,before", "half,false,before", "reset,false,before", "close,false,cold", "half,false,cold", "reset,false,cold", "close,true,cold",
         "close,false,dialled", "half,false,dialled", "reset,false,dialled", "close,true,dialled"})
-    void whileTheLoopWasHeld(String how, boolean cancel, String when) throws Exception {
+    void noAttemptIsSentWhenClientLeavesWhileTheLoopIsStalled(String closeMode, boolean cancel, String variant) throws Exception {
         try (Server discovery = discovery(); Server host = host("x")) {
-            String entry = up("s1", host.address()).replace("\"boot_ms\":0", "\"boot_ms\":" + (when.equals("cold") ? System.currentTimeMillis() : 0));
+            String entry = inServiceEntry("s1", host.address()).replace("\"boot_ms\":0", "\"boot_ms\":" + (variant.equals("cold") ? System.currentTimeMillis() : 0));
             try (Node node = node(discovery, cancel, true, entry)) {
-                if (!when.equals("dialled") && !when.equals("cold")) {
+                if (!variant.equals("dialled") && !variant.equals("cold")) {
                     // Opens a connection to the host.
-                    assertEquals(200, node.ask(id(read(20_000), "marker")).status());
+                    assertEquals(200, node.ask(withTraceId(read(20_000), "marker")).status());
                 }
-                Socket client = met(node);
-                CountDownLatch go = hold(node);
-                write(client, id(read(60_000), "gone"));
-                if (when.equals("before")) {
-                    passTerm();
-                    leave(client, how);
+                Socket client = connectAndRequest(node);
+                CountDownLatch release = stall(node);
+                write(client, withTraceId(read(60_000), "gone"));
+                if (variant.equals("before")) {
+                    awaitCutoff();
+                    disconnect(client, closeMode);
                 } else {
-                    leaveForGood(client, how);
+                    disconnectBeyondCutoff(client, closeMode);
                 }
-                go.countDown();
-                if (when.equals("cold")) {
+                release.countDown();
+                if (variant.equals("cold")) {
                     // so that markers need not wait for the cold host
-                    Loopback.tell(await(discovery.received).socket(), list(2, true, up("s2", host.address())));
+                    Loopback.tell(await(discovery.received).socket(), list(2, true, inServiceEntry("s2", host.address())));
                 }
-                assertEquals(Set.of(), seen(node, host));
+                assertEquals(Set.of(), receivedIds(node, host));
                 assertFalse(node.log.toString(StandardCharsets.UTF_8).contains("fault"), node.log.toString(StandardCharsets.UTF_8));
             }
         }
@@ -698,26 +698,26 @@
         "half,true,true,shed", "reset,true,true,shed", "close,false,true,error", "close,false,false,error", "half,false,true,error", "reset,false,true,error",
         "close,false,true,dropped", "close,false,false,dropped", "half,false,true,dropped", "reset,false,true,dropped", "close,false,true,spoilt",
         "close,true,true,error", "close,true,true,dropped", "stays,false,true,shed", "stays,false,true,error", "stays,false,true,dropped", "stays,false,true,spoilt"})
-    void betweenTwoTries(String how, boolean cancel, boolean copies, String what) throws Exception {
+    void retryIsSentOnlyIfTheClientStays(String closeMode, boolean cancel, boolean parallelTries, String ending) throws Exception {
         CountDownLatch left = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server other = host("x"); Server host = ends(what, left);
-                Node node = node(discovery, cancel, copies, up("s1", host.address()))) {
+        try (Server discovery = discovery(); Server other = host("x"); Server host = hostEnding(ending, left);
+                Node node = node(discovery, cancel, parallelTries, inServiceEntry("s1", host.address()))) {
             Socket client = node.connect();
-            write(client, id(read(60_000), "gone"));
+            write(client, withTraceId(read(60_000), "gone"));
             await(host.received);
-            Loopback.tell(await(discovery.received).socket(), list(2, true, up("s1", host.address()), up("s2", other.address())));
+            Loopback.tell(await(discovery.received).socket(), list(2, true, inServiceEntry("s1", host.address()), inServiceEntry("s2", other.address())));
             eventually(() -> node.log.toString(StandardCharsets.UTF_8).contains("list 2"));
-            boolean stays = how.equals("stays");  // shows that there is a retry for a client that stays
+            boolean stays = closeMode.equals("stays");  // shows that there is a retry for a client that stays
             if (!stays) {
-                leaveForGood(client, how);
+                disconnectBeyondCutoff(client, closeMode);
             }
             left.countDown();
             if (stays) {
                 assertEquals(200, Loopback.read(client).status());
             } else {
-                awaitNobody(node);
+                awaitNoConnections(node);
             }
-            assertEquals(stays ? Set.of("gone") : Set.of(), seen(node, host, other));
+            assertEquals(stays ? Set.of("gone") : Set.of(), receivedIds(node, host, other));
         }
     }
 }
--- a/src/test/java/mastdrift/net/ConnectionBoundsTest.java
+++ b/src/test/java/mastdrift/net/ConnectionBoundsTest.java
@@ -37,14 +37,14 @@
 /** Clients that hold connections open in various ways, with shortened time bounds per phase. */
 class ConnectionBoundsTest {
 
-    private static final long SILENT = 5_000_000;
-    private static final PhaseBounds BOUNDS = new PhaseBounds(SILENT, 400_000, 400_000, 1_400_000);
-    private static final int MOST = 12;
-    private static final String LARGE = "x".repeat(60_000);
+    private static final long SILENT_BOUND_MICROS = 5_000_000;
+    private static final PhaseBounds BOUNDS = new PhaseBounds(SILENT_BOUND_MICROS, 400_000, 400_000, 1_400_000);
+    private static final int MAX_CONNECTIONS = 12;
+    private static final String LARGE_BODY = "x".repeat(60_000);
 
     /** What a client does with its connection, for which the gateway closes it. */
     private enum Manner {
-        NOTHING, PART_OF_A_HEAD, A_BYTE_NOW_AND_THEN, PART_OF_A_BODY, IDLE_BETWEEN, PART_BEHIND_A_REQUEST, NEVER_READS
+        SENDS_NOTHING, PARTIAL_HEAD, TRICKLED_HEAD, PARTIAL_BODY, IDLE_AFTER_REQUEST, PARTIAL_SECOND_REQUEST, NEVER_READS
     }
 
     @TempDir
@@ -59,14 +59,14 @@
     @BeforeEach
     void start() throws Exception {
         discovery = discovery();
-        host = new Server(message -> write(message.socket(), answer("200 OK", LARGE)));
+        host = new Server(message -> write(message.socket(), answer("200 OK", LARGE_BODY)));
         Config config = Config.read(environment(folder, discovery, list(1, true, entry("s1", host.address(), "a", "in_service")),
                 SETTINGS));
         clients = timed.loop().submit(() -> {
             Gateway gateway = new Gateway(config, timed, new Balance(), 100, 100, false,
                     new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8));
             return new ClientSide(timed.loop(), gateway.ledger(), gateway, config.settings().classes(),
-                    config.settings().tenants(), MOST, BOUNDS, line -> { });
+                    config.settings().tenants(), MAX_CONNECTIONS, BOUNDS, line -> { });
         }).get();
         clients.listen(new InetSocketAddress("127.0.0.1", 0)).sync();
     }
@@ -91,18 +91,18 @@
         return socket;
     }
 
-    private void ask(Socket socket, String id) throws IOException {
+    private void requestOnce(Socket socket, String id) throws IOException {
         write(socket, read(20_000).replace("9b1f", id));
-        assertEquals(LARGE, Loopback.read(socket).text());
+        assertEquals(LARGE_BODY, Loopback.read(socket).text());
     }
 
-    private void begin(Socket socket, Manner manner) throws IOException {
-        switch (manner) {
-            case NOTHING -> { }
-            case PART_OF_A_HEAD, A_BYTE_NOW_AND_THEN -> write(socket, "GET /api HTTP/1.1\r\nHost: s\r\nX-");
-            case PART_OF_A_BODY -> write(socket, Loopback.post("once", 20_000, "whole").replaceFirst("whole$", "w"));
-            case IDLE_BETWEEN -> ask(socket, "before");
-            case PART_BEHIND_A_REQUEST -> write(socket, read(20_000) + "GET /ap");
+    private void startBehavior(Socket socket, Manner behavior) throws IOException {
+        switch (behavior) {
+            case SENDS_NOTHING -> { }
+            case PARTIAL_HEAD, TRICKLED_HEAD -> write(socket, "GET /api HTTP/1.1\r\nHost: s\r\nX-");
+            case PARTIAL_BODY -> write(socket, Loopback.post("once", 20_000, "whole").replaceFirst("whole$", "w"));
+            case IDLE_AFTER_REQUEST -> requestOnce(socket, "before");
+            case PARTIAL_SECOND_REQUEST -> write(socket, read(20_000) + "GET /ap");
             default -> {
                 for (int i = 0; i < 8; i++) {
                     write(socket, read(20_000).replace("9b1f", "unread" + i));
@@ -117,32 +117,32 @@
      */
     @ParameterizedTest
     @EnumSource(Manner.class)
-    void whoHoldsOnIsClosedAndNobodyElse(Manner manner) throws Exception {
-        Socket good = connect("127.0.0.1");
-        Socket bad = connect("127.0.0.2");
-        long since = System.nanoTime();
-        begin(bad, manner);
+    void stallingClientIsClosedAtItsBoundWhileOthersAreServed(Manner behavior) throws Exception {
+        Socket servedClient = connect("127.0.0.1");
+        Socket stallingClient = connect("127.0.0.2");
+        long startNanos = System.nanoTime();
+        startBehavior(stallingClient, behavior);
         boolean open = true;
         for (int i = 0; open; i++) {
-            assertTrue(System.nanoTime() - since < TimeUnit.SECONDS.toNanos(Loopback.WAIT_SECONDS), "still open");
-            ask(good, "good" + i);
-            if (manner == Manner.A_BYTE_NOW_AND_THEN) {
-                open = sends(bad);
-            } else if (manner == Manner.NEVER_READS) {
-                open = connected(bad);
+            assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(Loopback.WAIT_SECONDS), "still open");
+            requestOnce(servedClient, "good" + i);
+            if (behavior == Manner.TRICKLED_HEAD) {
+                open = canSend(stallingClient);
+            } else if (behavior == Manner.NEVER_READS) {
+                open = isConnected(stallingClient);
             } else {
-                bad.setSoTimeout(20);
-                open = !ended(bad);
+                stallingClient.setSoTimeout(20);
+                open = !isEnded(stallingClient);
             }
             Thread.sleep(20);
         }
-        long took = (System.nanoTime() - since) / 1000;
-        assertTrue(took >= 390_000, "closed after " + took + " us");
-        assertTrue(manner == Manner.NOTHING == took >= SILENT, "only a client that sent nothing has the longer bound: closed after " + took + " us");
-        assertTrue(manner != Manner.IDLE_BETWEEN || took >= 1_390_000, "closed after " + took + " us");
+        long tookMicros = (System.nanoTime() - startNanos) / 1000;
+        assertTrue(tookMicros >= 390_000, "closed after " + tookMicros + " us");
+        assertTrue(behavior == Manner.SENDS_NOTHING == tookMicros >= SILENT_BOUND_MICROS, "only a client that sent nothing has the longer bound: closed after " + tookMicros + " us");
+        assertTrue(behavior != Manner.IDLE_AFTER_REQUEST || tookMicros >= 1_390_000, "closed after " + tookMicros + " us");
     }
 
-    private static boolean sends(Socket socket) {
+    private static boolean canSend(Socket socket) {
         try {
             socket.getOutputStream().write('x');
             return true;
@@ -152,11 +152,11 @@
     }
 
     /** Whether the gateway still has the connection: the client doesn't read, so it finds out by sending a byte. */
-    private boolean connected(Socket socket) throws Exception {
-        return sends(socket) && timed.loop().submit(() -> clients.connections()).get() > 1;
+    private boolean isConnected(Socket socket) throws Exception {
+        return canSend(socket) && timed.loop().submit(() -> clients.connectionCount()).get() > 1;
     }
 
-    private static boolean ended(Socket socket) throws IOException {
+    private static boolean isEnded(Socket socket) throws IOException {
         try {
             while (socket.getInputStream().read() >= 0) { }
             return true;
@@ -172,18 +172,18 @@
      * happens.
      */
     @Test
-    void aConnectionThatSleptIsServedAgain() throws Exception {
+    void dormantConnectionIsServedAgain() throws Exception {
         Socket client = connect("127.0.0.1");
         for (int i = 0; i < 2; i++) {
-            ask(client, "one" + i);
-            assertEquals(1, pipelines(true), "the HTTP handlers are in the pipeline right after a request");
-            Loopback.eventually(() -> pipelines(false) == 1);
-            ask(client, "two" + i);
+            requestOnce(client, "one" + i);
+            assertEquals(1, connectionCount(true), "the HTTP handlers are in the pipeline right after a request");
+            Loopback.eventually(() -> connectionCount(false) == 1);
+            requestOnce(client, "two" + i);
         }
     }
 
-    private long pipelines(boolean awake) throws Exception {
-        return timed.loop().submit(() -> clients.connections(awake)).get();
+    private long connectionCount(boolean withHttpHandlers) throws Exception {
+        return timed.loop().submit(() -> clients.connectionCount(withHttpHandlers)).get();
     }
 
     /**
@@ -191,17 +191,17 @@
      * connections stay open.
      */
     @Test
-    void aSilentFloodClosesItsOwn() throws Exception {
-        Socket good = connect("127.0.0.1");
-        ask(good, "before");
-        for (int i = 0; i < 5 * MOST; i++) {
+    void floodOfSilentConnectionsEvictsOnlyItsOwn() throws Exception {
+        Socket servedClient = connect("127.0.0.1");
+        requestOnce(servedClient, "before");
+        for (int i = 0; i < 5 * MAX_CONNECTIONS; i++) {
             connect("127.0.0.2");
             if (i % 8 == 0) {
-                ask(good, "during" + i);
+                requestOnce(servedClient, "during" + i);
             }
         }
-        ask(good, "after");
-        assertTrue(timed.loop().submit(() -> clients.connections()).get() <= MOST + 1);
+        requestOnce(servedClient, "after");
+        assertTrue(timed.loop().submit(() -> clients.connectionCount()).get() <= MAX_CONNECTIONS + 1);
         assertNull(Loopback.read(sockets.get(1)), "the oldest connection of the flood is closed");
     }
 }
--- a/src/test/java/mastdrift/net/DescriptorsTest.java
+++ b/src/test/java/mastdrift/net/DescriptorsTest.java
@@ -56,10 +56,10 @@
  */
 class DescriptorsTest {
 
-    private static final int LIMIT = 160;
-    private static final int IDLE = 400;
+    private static final int DESCRIPTOR_LIMIT = 160;
+    private static final int IDLE_CONNECTIONS = 400;
     // Half of what the limit leaves after the program's own descriptors is for hosts, the other half for clients.
-    private static final int HOSTS = 32;
+    private static final int HOST_DESCRIPTORS = 32;
 
     @TempDir
     private Path folder;
@@ -83,16 +83,16 @@
     /**
      * Keeps connections open that send nothing, or one request each, and reopens each as soon as the gateway closes it.
      */
-    private static void idle(InetSocketAddress at, boolean used, AtomicBoolean over, AtomicInteger opened) {
-        SocketChannel[] idle = new SocketChannel[IDLE];
+    private static void keepIdleConnections(InetSocketAddress address, boolean sendsRequest, AtomicBoolean stop, AtomicInteger opened) {
+        SocketChannel[] idle = new SocketChannel[IDLE_CONNECTIONS];
         try {
-            while (!over.get()) {
-                for (int i = 0; i < IDLE && !over.get(); i++) {
+            while (!stop.get()) {
+                for (int i = 0; i < IDLE_CONNECTIONS && !stop.get(); i++) {
                     try {
                         if (idle[i] == null) {
                             idle[i] = SocketChannel.open();
-                            idle[i].socket().connect(at, 100);
-                            if (used) {
+                            idle[i].socket().connect(address, 100);
+                            if (sendsRequest) {
                                 idle[i].write(ByteBuffer.wrap("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n".getBytes()));
                             }
                             idle[i].configureBlocking(false);
@@ -124,15 +124,15 @@
 
     /** The configured limit may exceed the system's: the lower of the two applies. */
     @ParameterizedTest
-    @CsvSource({LIMIT + ",true", "100000,false", "100000,true"})
-    void idleClientsLeaveDiscoveryAndHostsTheirs(int configured, boolean used) throws Exception {
-        AtomicBoolean away = new AtomicBoolean();
-        AtomicBoolean over = new AtomicBoolean();
+    @CsvSource({DESCRIPTOR_LIMIT + ",true", "100000,false", "100000,true"})
+    void idleClientsLeaveDescriptorsForDiscoveryAndHosts(int configured, boolean sendsRequest) throws Exception {
+        AtomicBoolean discoveryDown = new AtomicBoolean();
+        AtomicBoolean stop = new AtomicBoolean();
         AtomicInteger opened = new AtomicInteger();
         AtomicInteger calls = new AtomicInteger();
         try (Server one = host("one"); Server two = host("two"); Server discovery = new Server(message -> {
             calls.incrementAndGet();
-            if (away.get()) {
+            if (discoveryDown.get()) {
                 message.socket().close();
                 return;
             }
@@ -140,7 +140,7 @@
             tell(message.socket(), calls.get() == 1 ? list(2, true, entry("s1", one.address(), "a", "in_service"))
                     : list(5, true, entry("s2", two.address(), "a", "in_service")));
         })) {
-            ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n " + LIMIT + "; exec \"$0\" -Xmx64m -cp \"$1\" mastdrift.net.Main",
+            ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n " + DESCRIPTOR_LIMIT + "; exec \"$0\" -Xmx64m -cp \"$1\" mastdrift.net.Main",
                     System.getProperty("java.home") + "/bin/java", classPath());
             builder.environment().keySet().removeIf(name -> name.startsWith("NODE_"));
             builder.environment().putAll(environment(folder, discovery, list(1, true, entry("s1", one.address(), "a", "in_service")), SETTINGS));
@@ -151,26 +151,26 @@
             try {
                 eventually(() -> log().contains("listening on /"));
                 int port = Integer.parseInt(log().replaceFirst("(?s).*listening on /127.0.0.1:(\\d+).*", "$1"));
-                InetSocketAddress at = new InetSocketAddress("127.0.0.1", port);
+                InetSocketAddress address = new InetSocketAddress("127.0.0.1", port);
                 Socket watch = await(discovery.received).socket();
                 int before = descriptors(process);
-                clients = new Thread(() -> idle(at, used, over, opened));
+                clients = new Thread(() -> keepIdleConnections(address, sendsRequest, stop, opened));
                 clients.start();
-                eventually(() -> opened.get() >= IDLE && descriptors(process) >= before + HOSTS);
-                away.set(true);
+                eventually(() -> opened.get() >= IDLE_CONNECTIONS && descriptors(process) >= before + HOST_DESCRIPTORS);
+                discoveryDown.set(true);
                 watch.close();
-                int asked = calls.get();
-                int most = 0;
+                int callsBefore = calls.get();
+                int maxDescriptors = 0;
                 for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(2); System.nanoTime() < until; Thread.sleep(10)) {
-                    most = Math.max(most, descriptors(process));
+                    maxDescriptors = Math.max(maxDescriptors, descriptors(process));
                 }
-                assertTrue(calls.get() > asked, "discovery was called while it was down");
-                assertTrue(most <= LIMIT - HOSTS, "descriptors: " + most + " of " + LIMIT + ", " + before + " with no client");
-                away.set(false);
+                assertTrue(calls.get() > callsBefore, "discovery was called while it was down");
+                assertTrue(maxDescriptors <= DESCRIPTOR_LIMIT - HOST_DESCRIPTORS, "descriptors: " + maxDescriptors + " of " + DESCRIPTOR_LIMIT + ", " + before + " with no client");
+                discoveryDown.set(false);
                 eventually(() -> log().contains("list 5"));
                 eventually(() -> {
                     try (Socket socket = new Socket()) {
-                        socket.connect(at, 1_000);
+                        socket.connect(address, 1_000);
                         socket.setSoTimeout(2_000);
                         write(socket, read(2_000));
                         Message answer = Loopback.read(socket);
@@ -181,7 +181,7 @@
                 });
                 assertTrue(process.isAlive() && !log().contains("fault"), log());
             } finally {
-                over.set(true);
+                stop.set(true);
                 if (clients != null) {
                     clients.join(TimeUnit.SECONDS.toMillis(Loopback.WAIT_SECONDS));
                 }
@@ -199,18 +199,18 @@
 
         public static void main(String[] addresses) throws Exception {
             EventLoop loop = TimedLoop.start().loop();
-            BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+            BlockingQueue<String> results = new LinkedBlockingQueue<>();
             EndpointGate gate = new EndpointGate();
             ConnectionPool pool = loop.submit(() -> {
-                ConnectionPool made = new ConnectionPool(loop, Clock.system()::now, Timers.of(loop), 20_000_000, 5_000_000, 10, heard::add);
+                ConnectionPool created = new ConnectionPool(loop, Clock.system()::now, Timers.of(loop), 20_000_000, 5_000_000, 10, results::add);
                 gate.take(1, true, members(entry("s1", addresses[1], "a", "in_service"), entry("s2", addresses[1], "a", "in_service"),
                         entry("s3", addresses[2], "a", "in_service")).entries());
-                return made;
+                return created;
             }).get();
             // Any class loaded after this point would need a descriptor.
-            send(loop, pool, gate.find("s1"), heard);
-            send(loop, pool, gate.find("s3"), heard);
-            watch(loop, addresses[2], heard).watch(false);
+            send(loop, pool, gate.find("s1"), results);
+            send(loop, pool, gate.find("s3"), results);
+            watch(loop, addresses[2], results).watch(false);
             List<FileInputStream> taken = new ArrayList<>();
             boolean full = false;
             while (!full) {
@@ -221,14 +221,14 @@
                 }
             }
             System.out.println("full");
-            send(loop, pool, gate.find("s2"), heard);
-            watch(loop, addresses[0], heard);
+            send(loop, pool, gate.find("s2"), results);
+            watch(loop, addresses[0], results);
             for (FileInputStream one : taken) {
                 one.close();
             }
             System.out.println("room");
-            System.out.println(await(heard));
-            send(loop, pool, gate.find("s2"), heard);
+            System.out.println(await(results));
+            send(loop, pool, gate.find("s2"), results);
             System.exit(0);
         }
 
@@ -236,32 +236,32 @@
             return HostList.parse(JSON.std.anyFrom(list(1, true, entries)));
         }
 
-        private static void send(EventLoop loop, ConnectionPool pool, Endpoint to, BlockingQueue<String> heard) throws Exception {
+        private static void send(EventLoop loop, ConnectionPool pool, Endpoint to, BlockingQueue<String> results) throws Exception {
             loop.execute(() -> pool.send(to, new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api"), 60_000_000, 40_000_000,
-                    (outcome, answer) -> heard.add(to.uid() + " " + outcome + " " + loop.inEventLoop())));
-            System.out.println(await(heard));
+                    (outcome, answer) -> results.add(to.uid() + " " + outcome + " " + loop.inEventLoop())));
+            System.out.println(await(results));
         }
 
-        private static Discovery watch(EventLoop loop, String at, BlockingQueue<String> heard) throws Exception {
+        private static Discovery watch(EventLoop loop, String at, BlockingQueue<String> results) throws Exception {
             HostList known = members(entry("s1", at, "a", "in_service"));
             Discovery discovery = loop.submit(() -> new Discovery(loop, Config.address(at), known, new Discovery.Listener() {
                 @Override
-                public void listed(HostList told) {
-                    heard.add("list " + told.rev() + " " + loop.inEventLoop());
+                public void listed(HostList list) {
+                    results.add("list " + list.rev() + " " + loop.inEventLoop());
                 }
 
                 @Override
                 public boolean withdrawn(Discovery.Withdrawal withdrawal) {
-                    return heard.add("withdrawn by " + withdrawal.version());
+                    return results.add("withdrawn by " + withdrawal.version());
                 }
 
                 @Override
                 public void failed(String cause) {
-                    heard.add(cause + " " + loop.inEventLoop());
+                    results.add(cause + " " + loop.inEventLoop());
                 }
             })).get();
             loop.execute(() -> discovery.watch(true));
-            System.out.println(await(heard));
+            System.out.println(await(results));
             return discovery;
         }
     }
@@ -271,12 +271,12 @@
      * failure on the event loop, and both must recover once descriptors are available.
      */
     @Test
-    void aDialWithoutADescriptorIsHeardOnTheLoop() throws Exception {
+    void dialWithoutADescriptorFailsOnTheEventLoop() throws Exception {
         try (Server one = host("one"); Server discovery = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             tell(message.socket(), list(5, true, entry("s1", "127.0.0.1:7", "a", "in_service")));
         })) {
-            Process process = new ProcessBuilder("sh", "-c", "ulimit -n " + LIMIT + "; exec \"$0\" -Xmx64m -cp \"$1\" 'mastdrift.net.DescriptorsTest$Full' $2 $3 $4",
+            Process process = new ProcessBuilder("sh", "-c", "ulimit -n " + DESCRIPTOR_LIMIT + "; exec \"$0\" -Xmx64m -cp \"$1\" 'mastdrift.net.DescriptorsTest$Full' $2 $3 $4",
                     System.getProperty("java.home") + "/bin/java", classPath(), discovery.address(), one.address(), Loopback.nobody())
                     .redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
             try {
@@ -290,7 +290,7 @@
     }
 
     @Test
-    void theLimitIsRead() throws Exception {
+    void descriptorLimitIsRead() throws Exception {
         Path file = folder.resolve("limits");
         assertEquals(Integer.MAX_VALUE, Descriptors.limit(file));
         for (String[] line : new String[][] {{"Max open files            160                  1048576              files     ", "160"},
--- a/src/test/java/mastdrift/net/HoldUpTest.java
+++ b/src/test/java/mastdrift/net/HoldUpTest.java
@@ -45,10 +45,10 @@
  */
 class HoldUpTest {
 
-    private static final long HELD_UP_MILLIS = 150;
-    private static final int EXPIRES = 5_000;
+    private static final long STALL_MILLIS = 150;
+    private static final int EXPIRES_MILLIS = 5_000;
     // Tolerance by which the time that a server is told may exceed what the client has left.
-    private static final long SLACK_MILLIS = 150;
+    private static final long TOLERANCE_MILLIS = 150;
 
     @TempDir
     private Path folder;
@@ -57,16 +57,16 @@
     private final List<Socket> sockets = new ArrayList<>();
     private volatile Runnable beforeSend = () -> { };
     private Server discovery;
-    private Server one;
+    private Server host;
     private ClientSide clients;
 
     @BeforeEach
     void open() throws Exception {
         discovery = discovery();
-        one = host("one");
-        Config config = Config.read(environment(folder, discovery, list(1, true, entry("s1", one.address(), "a", "in_service")), SETTINGS));
+        host = host("one");
+        Config config = Config.read(environment(folder, discovery, list(1, true, entry("s1", host.address(), "a", "in_service")), SETTINGS));
         clients = timed.loop().submit(() -> {
-            Gateway gateway = new Gateway(config, timed, heldUp(new Balance()), 100, 100, false,
+            Gateway gateway = new Gateway(config, timed, withSendHook(new Balance()), 100, 100, false,
                     new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8));
             return new ClientSide(timed.loop(), gateway.ledger(), gateway, config.settings().classes(), config.settings().tenants(), 100, line -> { });
         }).get();
@@ -80,20 +80,20 @@
         }
         timed.loop().parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
         discovery.close();
-        one.close();
+        host.close();
     }
 
     /** The module, with a hook of the test run before each of its sends. */
-    private Balancer heldUp(Balancer module) {
+    private Balancer withSendHook(Balancer module) {
         return proxy(Balancer.class, (method, arguments) -> {
             if (method.getName().equals("start")) {
-                arguments[2] = heldUp((Balancer.Actions) arguments[2]);
+                arguments[2] = withSendHook((Balancer.Actions) arguments[2]);
             }
             return method.invoke(module, arguments);
         });
     }
 
-    private Balancer.Actions heldUp(Balancer.Actions actions) {
+    private Balancer.Actions withSendHook(Balancer.Actions actions) {
         return proxy(Balancer.Actions.class, (method, arguments) -> {
             if (method.getName().equals("send")) {
                 beforeSend.run();
@@ -136,35 +136,35 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"is open, close", "is open, reset", "is dialled, close", "is dialled, reset"})
-    void whoLeavesMeanwhileHasNoAttemptBegun(String connection) throws Exception {
+    void noAttemptIsSentWhenClientLeavesDuringStall(String connection) throws Exception {
         if (connection.startsWith("is open")) {
             Socket before = connect();
-            write(before, read(EXPIRES).replace("9b1f", "before"));
+            write(before, read(EXPIRES_MILLIS).replace("9b1f", "before"));
             assertEquals(200, Loopback.read(before).status());
-            await(one.received);
+            await(host.received);
             pause(50);  // a connection is not used again within 25 ms after an answer
         }
-        Socket leaves = connect();
+        Socket leaving = connect();
         if (connection.endsWith("reset")) {
-            leaves.setSoLinger(true, 0);
+            leaving.setSoLinger(true, 0);
         }
         CountDownLatch decided = new CountDownLatch(1);
         beforeSend = () -> {
             beforeSend = () -> { };
             try {
-                leaves.close();
+                leaving.close();
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
-            pause(HELD_UP_MILLIS);
+            pause(STALL_MILLIS);
             decided.countDown();
         };
-        leaves.getOutputStream().write(read(EXPIRES).getBytes(StandardCharsets.US_ASCII));
+        leaving.getOutputStream().write(read(EXPIRES_MILLIS).getBytes(StandardCharsets.US_ASCII));
         assertTrue(decided.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
         Socket after = connect();
-        write(after, read(EXPIRES).replace("9b1f", "after"));
+        write(after, read(EXPIRES_MILLIS).replace("9b1f", "after"));
         assertEquals(200, Loopback.read(after).status());
-        Message first = await(one.received);
+        Message first = await(host.received);
         assertEquals("after", first.header("X-Trace-Id"), "an attempt for a client that had left 0.15 s before");
     }
 
@@ -173,60 +173,60 @@
      * the decision.
      */
     @Test
-    void aServerIsToldNoMoreThanTheClientHasLeft() throws Exception {
-        beforeSend = () -> pause(HELD_UP_MILLIS);
+    void serverIsToldNoMoreTimeThanTheClientHasLeft() throws Exception {
+        beforeSend = () -> pause(STALL_MILLIS);
         Socket client = connect();
         long sent = System.nanoTime();
-        write(client, read(EXPIRES));
-        assertWithinTheClientsTime(await(one.received), sent);
+        write(client, read(EXPIRES_MILLIS));
+        assertToldWithinTimeLeft(await(host.received), sent);
     }
 
     /** Several requests arrive in one turn of a late loop; each is decided on after the stalls of those before it. */
     @Test
-    void whatWasHeldBackIsToldNoMoreThanTheClientHasLeft() throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
+    void serverIsToldNoMoreTimeThanTheClientHasLeftAfterALateTurn() throws Exception {
+        CountDownLatch stalled = new CountDownLatch(1);
         CountDownLatch written = new CountDownLatch(1);
         timed.loop().execute(() -> {
-            held.countDown();
+            stalled.countDown();
             try {
                 written.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
-            pause(2 * HELD_UP_MILLIS);
+            pause(2 * STALL_MILLIS);
         });
-        assertTrue(held.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-        beforeSend = () -> pause(HELD_UP_MILLIS);
+        assertTrue(stalled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+        beforeSend = () -> pause(STALL_MILLIS);
         long sent = System.nanoTime();
         for (int i = 0; i < 4; i++) {
-            write(connect(), read(EXPIRES).replace("9b1f", "id-" + i).replace("7f3a", "key-" + i));
+            write(connect(), read(EXPIRES_MILLIS).replace("9b1f", "id-" + i).replace("7f3a", "key-" + i));
         }
         written.countDown();
         for (int i = 0; i < 4; i++) {
-            assertWithinTheClientsTime(await(one.received), sent);
+            assertToldWithinTimeLeft(await(host.received), sent);
         }
     }
 
     /** Measured at the server, slightly later than the first byte is sent, which makes the check stricter. */
-    private static void assertWithinTheClientsTime(Message got, long sentNanos) {
-        long elapsed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNanos);
-        long told = Long.parseLong(got.header("X-Expires-In-Ms"));
-        assertTrue(told <= EXPIRES - elapsed + SLACK_MILLIS, "told " + told + " ms, " + elapsed + " ms after the client had sent");
+    private static void assertToldWithinTimeLeft(Message request, long sentNanos) {
+        long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNanos);
+        long toldMillis = Long.parseLong(request.header("X-Expires-In-Ms"));
+        assertTrue(toldMillis <= EXPIRES_MILLIS - elapsedMillis + TOLERANCE_MILLIS, "told " + toldMillis + " ms, " + elapsedMillis + " ms after the client had sent");
     }
 
     /** All requests are answered in bounded time despite the stalls. */
     @Test
-    void allAreAnswered() throws Exception {
-        beforeSend = () -> pause(HELD_UP_MILLIS);
-        List<Socket> asked = new ArrayList<>();
+    void allRequestsAreAnsweredDespiteStalls() throws Exception {
+        beforeSend = () -> pause(STALL_MILLIS);
+        List<Socket> waiting = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             Socket client = connect();
-            write(client, read(EXPIRES).replace("9b1f", "id-" + i));
-            asked.add(client);
+            write(client, read(EXPIRES_MILLIS).replace("9b1f", "id-" + i));
+            waiting.add(client);
         }
-        for (Socket client : asked) {
+        for (Socket client : waiting) {
             assertEquals(200, Loopback.read(client).status());
         }
-        eventually(() -> clients.connections() == asked.size());
+        eventually(() -> clients.connectionCount() == waiting.size());
     }
 }
--- a/src/test/java/mastdrift/net/LatenessTest.java
+++ b/src/test/java/mastdrift/net/LatenessTest.java
@@ -55,7 +55,7 @@
  */
 class LatenessTest {
 
-    private static final long HOLD = 300_000;
+    private static final long STALL_MICROS = 300_000;
 
     @TempDir
     private Path folder;
@@ -64,23 +64,23 @@
      * An attempt as reported to the module: its host, its outcome, how long it took by the clock, and which part of
      * that is attributed to the host.
      */
-    private record Told(String uid, Outcome outcome, long all, long elapsed) { }
+    private record Told(String uid, Outcome outcome, long totalMicros, long hostMicros) { }
 
     /** A gateway with the real module, whose calls the test observes. */
     private final class Held implements AutoCloseable {
 
         private final TimedLoop timed = TimedLoop.start();
-        private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
-        private final Map<Object, Long> asked = new ConcurrentHashMap<>();
+        private final BlockingQueue<Told> resolvedAttempts = new LinkedBlockingQueue<>();
+        private final Map<Object, Long> requestedAtMicros = new ConcurrentHashMap<>();
         private final List<Socket> sockets = new ArrayList<>();
         private final ClientSide clients;
-        private final AtomicInteger requests = new AtomicInteger();
+        private final AtomicInteger requestCount = new AtomicInteger();
         // called with the request's number, from 1 up, once the module has handled it
-        private volatile IntConsumer requested = number -> { };
+        private volatile IntConsumer afterRequest = number -> { };
 
         Held(Server discovery, String... entries) throws Exception {
             Config config = Config.read(environment(folder, discovery, list(1, true, entries), SETTINGS));
-            Balancer module = listenedTo(new Balance());
+            Balancer module = observed(new Balance());
             clients = timed.loop().submit(() -> {
                 Gateway gateway = new Gateway(config, timed, module, 100, 100, false,
                         new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8));
@@ -90,21 +90,21 @@
             clients.listen(new InetSocketAddress("127.0.0.1", 0)).sync();
         }
 
-        private Balancer listenedTo(Balancer module) {
+        private Balancer observed(Balancer module) {
             return (Balancer) Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[] {Balancer.class},
                     (proxy, method, arguments) -> {
                         if (method.getName().equals("request")) {
-                            asked.put(((Balancer.Request) arguments[1]).id(), (Long) arguments[0]);
+                            requestedAtMicros.put(((Balancer.Request) arguments[1]).id(), (Long) arguments[0]);
                         } else if (method.getName().equals("resolved")) {
-                            told.add(new Told((String) arguments[3], (Outcome) arguments[4],
-                                    (Long) arguments[0] - asked.get(arguments[1]), (Long) arguments[5]));
+                            resolvedAttempts.add(new Told((String) arguments[3], (Outcome) arguments[4],
+                                    (Long) arguments[0] - requestedAtMicros.get(arguments[1]), (Long) arguments[5]));
                         }
                         try {
-                            Object none = method.invoke(module, arguments);
+                            Object result = method.invoke(module, arguments);
                             if (method.getName().equals("request")) {
-                                requested.accept(requests.incrementAndGet());
+                                afterRequest.accept(requestCount.incrementAndGet());
                             }
-                            return none;
+                            return result;
                         } catch (InvocationTargetException e) {
                             throw e.getCause();
                         }
@@ -120,9 +120,9 @@
         }
 
         /** Sends a request on each connection before any is read, so that one turn takes them all. */
-        void inOneTurn(List<Socket> clients) throws Exception {
+        void sendInOneTurn(List<Socket> clients) throws Exception {
             CountDownLatch written = new CountDownLatch(1);
-            hold(0, written);
+            stall(0, written);
             for (Socket client : clients) {
                 int number = clients.indexOf(client);
                 write(client, read(20_000).replace("9b1f", "id-" + number).replace("7f3a", "key-" + number));
@@ -131,21 +131,21 @@
         }
 
         /** Stalls the loop for a time from when this returns. */
-        CountDownLatch hold(long micros) throws InterruptedException {
-            return hold(micros, new CountDownLatch(0));
+        CountDownLatch stall(long micros) throws InterruptedException {
+            return stall(micros, new CountDownLatch(0));
         }
 
         /** Stalls the loop for a time, and until the latch is released. */
-        CountDownLatch hold(long micros, CountDownLatch until) throws InterruptedException {
-            CountDownLatch begun = new CountDownLatch(1);
+        CountDownLatch stall(long micros, CountDownLatch release) throws InterruptedException {
+            CountDownLatch stalled = new CountDownLatch(1);
             CountDownLatch over = new CountDownLatch(1);
             timed.loop().execute(() -> {
-                begun.countDown();
+                stalled.countDown();
                 pause(micros);
-                held(until);
+                awaitLatch(release);
                 over.countDown();
             });
-            assertTrue(begun.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+            assertTrue(stalled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
             return over;
         }
 
@@ -158,7 +158,7 @@
         }
     }
 
-    private static void held(CountDownLatch latch) {
+    private static void awaitLatch(CountDownLatch latch) {
         try {
             assertTrue(latch.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
         } catch (InterruptedException e) {
@@ -172,7 +172,7 @@
         }
     }
 
-    private static String up(String uid, Server host) {
+    private static String inServiceEntry(String uid, Server host) {
         return entry(uid, host.address(), "a", "in_service");
     }
 
@@ -181,55 +181,55 @@
      * attributed to the host, its own delay must be.
      */
     @Test
-    void aHoldIsNotTheHostsButItsOwnSlownessIs() throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
+    void hostIsChargedForItsOwnDelayButNotForAStall() throws Exception {
+        CountDownLatch stalled = new CountDownLatch(1);
         Script script = message -> {
-            assertTrue(held.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            pause(message.header("X-Trace-Id").equals("slow") ? 3 * HOLD : HOLD / 10);
+            assertTrue(stalled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+            pause(message.header("X-Trace-Id").equals("slow") ? 3 * STALL_MICROS : STALL_MICROS / 10);
             write(message.socket(), answer("200 OK", "x"));
         };
-        try (Server discovery = discovery(); Server host = new Server(script); Held gateway = new Held(discovery, up("s1", host))) {
+        try (Server discovery = discovery(); Server host = new Server(script); Held gateway = new Held(discovery, inServiceEntry("s1", host))) {
             Socket quick = gateway.connect();
             Socket slow = gateway.connect();
             write(quick, read(20_000).replace("9b1f", "quick"));
             write(slow, read(20_000).replace("9b1f", "slow"));
             await(host.received);
             await(host.received);
-            gateway.hold(HOLD);
-            held.countDown();
+            gateway.stall(STALL_MICROS);
+            stalled.countDown();
             assertEquals(200, Loopback.read(quick).status());
             assertEquals(200, Loopback.read(slow).status());
-            Told first = await(gateway.told);
-            Told second = await(gateway.told);
-            assertTrue(first.all() - first.elapsed() >= HOLD * 9 / 10, "the stall is deducted: " + first);
-            assertTrue(second.elapsed() >= HOLD * 2, "the time after the stall is attributed to the host: " + second);
+            Told first = await(gateway.resolvedAttempts);
+            Told second = await(gateway.resolvedAttempts);
+            assertTrue(first.totalMicros() - first.hostMicros() >= STALL_MICROS * 9 / 10, "the stall is deducted: " + first);
+            assertTrue(second.hostMicros() >= STALL_MICROS * 2, "the time after the stall is attributed to the host: " + second);
         }
     }
 
     /** Four fifths of the loop's time are lost, in short pieces; a slow host must still be told from a fast one. */
     @Test
-    void ofALoopThatHasLittleTimeTheSlowHostIsStillFound() throws Exception {
-        long slowness = 60_000;
-        try (Server discovery = discovery(); Server one = taking(3_000); Server two = taking(slowness);
-                Held gateway = new Held(discovery, up("quick", one), up("slow", two))) {
+    void slowHostIsIdentifiedOnABusyLoop() throws Exception {
+        long slownessMicros = 60_000;
+        try (Server discovery = discovery(); Server one = serverTaking(3_000); Server two = serverTaking(slownessMicros);
+                Held gateway = new Held(discovery, inServiceEntry("quick", one), inServiceEntry("slow", two))) {
             gateway.timed.loop().scheduleWithFixedDelay(() -> pause(20_000), 0, 1_000, TimeUnit.MICROSECONDS);
             Socket client = gateway.connect();
             for (int i = 0; i < 60; i++) {
                 write(client, read(20_000).replace("7f3a", "key" + i));
                 assertEquals(200, Loopback.read(client).status());
             }
-            List<Told> told = new ArrayList<>();
-            gateway.told.drainTo(told);
-            long[] quick = told.stream().filter(t -> t.uid().equals("quick")).mapToLong(Told::elapsed).sorted().toArray();
-            long[] late = told.stream().filter(t -> t.uid().equals("slow")).mapToLong(Told::elapsed).sorted().toArray();
-            long byClock = median(told.stream().filter(t -> t.uid().equals("quick")).mapToLong(Told::all).sorted().toArray());
-            assertTrue(byClock >= 10_000, "by the clock the quick host takes long: " + byClock);
+            List<Told> attempts = new ArrayList<>();
+            gateway.resolvedAttempts.drainTo(attempts);
+            long[] quick = attempts.stream().filter(t -> t.uid().equals("quick")).mapToLong(Told::hostMicros).sorted().toArray();
+            long[] late = attempts.stream().filter(t -> t.uid().equals("slow")).mapToLong(Told::hostMicros).sorted().toArray();
+            long quickByClock = median(attempts.stream().filter(t -> t.uid().equals("quick")).mapToLong(Told::totalMicros).sorted().toArray());
+            assertTrue(quickByClock >= 10_000, "by the clock the quick host takes long: " + quickByClock);
             assertTrue(median(quick) <= 8_000, "but that is not attributed to it: " + Arrays.toString(quick));
-            assertTrue(median(late) >= slowness / 2, "the slow host's time is: " + Arrays.toString(late));
+            assertTrue(median(late) >= slownessMicros / 2, "the slow host's time is: " + Arrays.toString(late));
         }
     }
 
-    private static Server taking(long micros) throws IOException {
+    private static Server serverTaking(long micros) throws IOException {
         return new Server(message -> {
             pause(micros);
             write(message.socket(), answer("200 OK", "x"));
@@ -250,31 +250,31 @@
     @ValueSource(booleans = {false, true})
     void afterAHoldNobodyWaitsInVain(boolean longTurn) throws Exception {
         try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Held gateway = new Held(discovery, up("s1", host))) {
+                Held gateway = new Held(discovery, inServiceEntry("s1", host))) {
             // loads classes, which takes longer than the whole time of the other request
             Socket first = gateway.connect();
             write(first, read(60_000));
             await(host.received);
-            Socket out = gateway.connect();
-            Socket coming = gateway.connect();
-            Socket behind = gateway.connect();
-            long hold = 5 * HOLD;  // so that the time until the first send does not matter
-            write(out, read((int) hold / 3_000).replace("9b1f", "out"));
+            Socket waiting = gateway.connect();
+            Socket arriving = gateway.connect();
+            Socket queued = gateway.connect();
+            long stallMicros = 5 * STALL_MICROS;  // so that the time until the first send does not matter
+            write(waiting, read((int) stallMicros / 3_000).replace("9b1f", "out"));
             await(host.received);
-            CountDownLatch over = gateway.hold(hold);
-            write(coming, read((int) hold / 3_000).replace("9b1f", "coming"));
+            CountDownLatch over = gateway.stall(stallMicros);
+            write(arriving, read((int) stallMicros / 3_000).replace("9b1f", "coming"));
             if (longTurn) {
-                gateway.requested = number -> pause(HOLD);
-                write(behind, read(60_000).replace("9b1f", "long"));
+                gateway.afterRequest = number -> pause(STALL_MICROS);
+                write(queued, read(60_000).replace("9b1f", "long"));
             }
             assertTrue(over.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            assertEquals(503, Loopback.read(out).status());
-            assertEquals(503, Loopback.read(coming).status());
+            assertEquals(503, Loopback.read(waiting).status());
+            assertEquals(503, Loopback.read(arriving).status());
             if (longTurn) {
                 assertTrue(await(host.received).head().contains("long"));
             }
             assertEquals(0, host.received.size(), "no further request was sent");
-            assertEquals(Outcome.EXPIRED, await(gateway.told).outcome(), "the host had all or most of that time");
+            assertEquals(Outcome.EXPIRED, await(gateway.resolvedAttempts).outcome(), "the host had all or most of that time");
         }
     }
 
@@ -285,32 +285,32 @@
      * the first host is open, must go to the other host.
      */
     @Test
-    void aDrainToldWhileEventsThatWereHeldBackArePlayedIsKept() throws Exception {
-        CountDownLatch met = new CountDownLatch(3);
+    void drainReadWhileDeferredEventsAreHandledIsObeyed() throws Exception {
+        CountDownLatch allArrived = new CountDownLatch(3);
         // the first three requests wait for each other, so that three connections are opened
         Script together = message -> {
-            met.countDown();
-            held(met);
+            allArrived.countDown();
+            awaitLatch(allArrived);
             write(message.socket(), answer("200 OK", "one"));
         };
-        try (Server discovery = discovery(); Server one = new Server(together); Server two = host("two"); Held gateway = new Held(discovery, up("s1", one))) {
+        try (Server discovery = discovery(); Server one = new Server(together); Server two = host("two"); Held gateway = new Held(discovery, inServiceEntry("s1", one))) {
             Message watch = await(discovery.received);
             List<Socket> clients = List.of(gateway.connect(), gateway.connect(), gateway.connect());
-            gateway.inOneTurn(clients);
+            gateway.sendInOneTurn(clients);
             for (Socket client : clients) {
                 assertEquals("one", Loopback.read(client).text());
             }
             one.received.clear();
             pause(100_000);  // a connection is not used again within 25 ms after an answer
-            gateway.requested = number -> {
+            gateway.afterRequest = number -> {
                 if (number == clients.size() + 1) {
-                    pause(HOLD);
+                    pause(STALL_MICROS);
                 } else if (number == clients.size() + 2) {
                     drain(watch, two);
-                    pause(2 * HOLD);
+                    pause(2 * STALL_MICROS);
                 }
             };
-            gateway.inOneTurn(clients);
+            gateway.sendInOneTurn(clients);
             List<String> answers = new ArrayList<>();
             for (Socket client : clients) {
                 answers.add(Loopback.read(client).text());
@@ -321,8 +321,8 @@
 
     /** As before, with a connection that has been established and on which a task of the same turn sends. */
     @Test
-    void aDrainToldBetweenADialAndItsFirstByteIsKept() throws Exception {
-        try (Server discovery = discovery(); Server one = host("one"); Server two = host("two"); Held gateway = new Held(discovery, up("s1", one))) {
+    void drainReadBetweenADialAndItsFirstByteIsObeyed() throws Exception {
+        try (Server discovery = discovery(); Server one = host("one"); Server two = host("two"); Held gateway = new Held(discovery, inServiceEntry("s1", one))) {
             Message watch = await(discovery.received);
             Socket first = gateway.connect();
             Socket second = gateway.connect();
@@ -331,18 +331,18 @@
             }
             CountDownLatch dialled = new CountDownLatch(1);
             CountDownLatch written = new CountDownLatch(1);
-            gateway.requested = number -> {
+            gateway.afterRequest = number -> {
                 if (number == 1) {
                     // the next wait finds the dial complete and the second request ready
-                    gateway.timed.loop().execute(() -> held(written));
+                    gateway.timed.loop().execute(() -> awaitLatch(written));
                     dialled.countDown();
                 } else if (number == 2) {
                     drain(watch, two);
-                    pause(2 * HOLD);
+                    pause(2 * STALL_MICROS);
                 }
             };
             write(first, read(20_000));
-            held(dialled);
+            awaitLatch(dialled);
             write(second, read(20_000).replace("9b1f", "second").replace("7f3a", "other"));
             written.countDown();
             assertEquals("two", Loopback.read(first).text());
@@ -353,7 +353,7 @@
 
     private static void drain(Message watch, Server other) {
         try {
-            tell(watch.socket(), list(7, true, up("s2", other)));
+            tell(watch.socket(), list(7, true, inServiceEntry("s2", other)));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -365,30 +365,30 @@
      * send, to within one turn.
      */
     @Test
-    void whatWaitedToBeAcceptedHasItsAnswerInTime() throws Exception {
-        int expires = 1_500;
-        long turn = 150_000;
+    void requestWaitingForAcceptIsAnsweredInTime() throws Exception {
+        int expiresMillis = 1_500;
+        long turnMicros = 150_000;
         try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Held gateway = new Held(discovery, up("s1", host))) {
+                Held gateway = new Held(discovery, inServiceEntry("s1", host))) {
             Socket first = gateway.connect();  // loads classes
             write(first, read(1));
             assertNotNull(Loopback.read(first));
             ConcurrentSkipListSet<Long> turns = new ConcurrentSkipListSet<>();
             gateway.timed.loop().scheduleWithFixedDelay(() -> {
                 turns.add(System.nanoTime());
-                pause(turn);
+                pause(turnMicros);
             }, 0, 1_000, TimeUnit.MICROSECONDS);
             List<Socket> sockets = new ArrayList<>();
             long[] sent = new long[80];
             for (int i = 0; i < sent.length; i++) {
                 sockets.add(gateway.connect());
-                write(sockets.get(i), read(expires).replace("9b1f", "id" + i));
+                write(sockets.get(i), read(expiresMillis).replace("9b1f", "id" + i));
                 sent[i] = System.nanoTime();
             }
             for (int i = 0; i < sent.length; i++) {
                 assertNotNull(Loopback.read(sockets.get(i)));
                 long answered = System.nanoTime();
-                long due = sent[i] + TimeUnit.MILLISECONDS.toNanos(expires);
+                long due = sent[i] + TimeUnit.MILLISECONDS.toNanos(expiresMillis);
                 // The tolerance is the length of two turns, the one in which the time ends and the next, however long
                 // they take on this machine.
                 List<Long> after = turns.tailSet(due).stream().limit(2).toList();
@@ -403,15 +403,15 @@
      * accepted their connections, so they must be answered.
      */
     @Test
-    void whoWaitsToBeAcceptedAtAStopIsAnswered() throws Exception {
-        try (Server discovery = discovery(); Server host = Loopback.host("x"); Held gateway = new Held(discovery, up("s1", host))) {
+    void clientWaitingForAcceptAtShutdownIsAnswered() throws Exception {
+        try (Server discovery = discovery(); Server host = Loopback.host("x"); Held gateway = new Held(discovery, inServiceEntry("s1", host))) {
             Socket first = gateway.connect();
             write(first, read(20_000));
             assertEquals(200, Loopback.read(first).status());
             gateway.timed.loop().execute(() -> gateway.clients.stop(3_000_000, () -> { }));
             CountDownLatch sent = new CountDownLatch(1);
             // the close of the listener falls due in it, and all clients connect during it
-            gateway.hold(3 * HOLD, sent);
+            gateway.stall(3 * STALL_MICROS, sent);
             List<Socket> sockets = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 sockets.add(gateway.connect());
@@ -431,14 +431,14 @@
      * in the same turn, and the request must not go to the draining host.
      */
     @Test
-    void aDrainToldDuringAHoldIsHeardBeforeAnythingIsSent() throws Exception {
-        try (Server discovery = discovery(); Server host = Loopback.host("x"); Held gateway = new Held(discovery, up("s1", host))) {
+    void drainArrivingDuringAStallIsObeyedBeforeAnySend() throws Exception {
+        try (Server discovery = discovery(); Server host = Loopback.host("x"); Held gateway = new Held(discovery, inServiceEntry("s1", host))) {
             Socket client = gateway.connect();
             Socket watch = await(discovery.received).socket();
             write(client, read(20_000));
             assertEquals(200, Loopback.read(client).status());
             await(host.received);
-            gateway.hold(HOLD);
+            gateway.stall(STALL_MICROS);
             write(client, read(20_000));
             pause(1_000);
             tell(watch, list(2, false, entry("s1", host.address(), "a", "terminating")));
@@ -453,14 +453,14 @@
      * not excuse the host.
      */
     @Test
-    void whatFailsAtOnceIsTheHosts() throws Exception {
+    void immediateDialFailureIsAttributedToTheHost() throws Exception {
         try (Server discovery = discovery(); Held gateway = new Held(discovery, entry("s1", Loopback.nobody(), "a", "in_service"))) {
             Told last = null;
             for (int i = 0; i < 5; i++) {  // the first ones load classes
                 Socket client = gateway.connect();
                 write(client, read(20_000));
                 assertEquals(503, Loopback.read(client).status());
-                last = gateway.told.isEmpty() ? last : gateway.told.poll();
+                last = gateway.resolvedAttempts.isEmpty() ? last : gateway.resolvedAttempts.poll();
             }
             assertEquals(Outcome.DIAL_FAILED, last.outcome());
         }
--- a/src/test/java/mastdrift/net/RequestLogTest.java
+++ b/src/test/java/mastdrift/net/RequestLogTest.java
@@ -24,7 +24,7 @@
     private final RequestLog log = new RequestLog(() -> now, lines::add);
 
     private static Call call(String id) {
-        FullHttpRequest message = Unchecked.request(HttpMethod.GET, "/api", Unpooled.EMPTY_BUFFER);
+        FullHttpRequest message = Unchecked.newRequest(HttpMethod.GET, "/api", Unpooled.EMPTY_BUFFER);
         message.headers().add("X-Trace-Id", id);
         return new HttpCall(message);
     }
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void whatIsServedAtOnceIsNotTold() {
+    void requestServedAtFirstAttemptIsNotLogged() {
         Call call = taken("a");
         log.attemptEnded(call, "s1", Outcome.DELIVERED);
         log.ended(call, Witness.End.SERVED, null);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void repeatsRefusalsAndFailuresAreToldWithTheirAttempts() {
+    void retriesRefusalsAndFailuresAreLoggedWithTheirAttempts() {
         Call repeated = taken("a");
         log.attemptEnded(repeated, "s1", Outcome.SHED);
         log.attemptEnded(repeated, "s2", Outcome.DELIVERED);
@@ -61,15 +61,15 @@
     }
 
     @Test
-    void manyInASecondAreCountedAndToldInTheNext() {
-        for (int i = 0; i < RequestLog.LINES_A_SECOND + 5; i++) {
+    void suppressedLinesAreCountedAndLoggedInTheNextSecond() {
+        for (int i = 0; i < RequestLog.MAX_LINES_PER_SECOND + 5; i++) {
             log.ended(taken("r" + i), Witness.End.REFUSED, Why.HOSTS);
         }
         log.ended(taken("l"), Witness.End.LEFT, null);
-        assertEquals(RequestLog.LINES_A_SECOND, lines.size());
+        assertEquals(RequestLog.MAX_LINES_PER_SECOND, lines.size());
         now += 1_000_000;
         log.ended(taken("next"), Witness.End.FAILED, null);
         assertEquals(List.of("log lines suppressed: {LEFT=1, REFUSED=5}", "request next FAILED after 0 ms, no attempt ended"),
-                lines.subList(RequestLog.LINES_A_SECOND, lines.size()));
+                lines.subList(RequestLog.MAX_LINES_PER_SECOND, lines.size()));
     }
 }
