--- a/src/test/java/mastdrift/net/ServingTest.java
+++ b/src/test/java/mastdrift/net/ServingTest.java
@@ -42,14 +42,14 @@
         return new Node(environment(folder, discovery, list(1, true, entries), SETTINGS));
     }
 
-    private static String up(String uid, Server host) {
+    private static String inServiceEntry(String uid, Server host) {
         return entry(uid, host.address(), "a", "in_service");
     }
 
     @Test
-    void aRequestAndItsAnswerPassUnchanged() throws Exception {
+    void requestAndAnswerAreForwardedUnchanged() throws Exception {
         try (Server discovery = discovery(); Server host = host("{\"answer\":1}");
-                Node node = node(discovery, up("s1", host))) {
+                Node node = node(discovery, inServiceEntry("s1", host))) {
             Message answer = node.ask(post("start", 20_000, "{\"b\": 2}"));
             Message got = await(host.received);
             assertEquals(200, answer.status());
@@ -64,15 +64,15 @@
     }
 
     /** Acts as given on the first request that reaches any of its hosts, and serves the others. */
-    private static Script first(AtomicInteger count, String what) {
+    private static Script actOnFirstRequest(AtomicInteger count, String action) {
         return message -> {
             if (count.getAndIncrement() > 0) {
                 write(message.socket(), answer("200 OK", "late"));
-            } else if (what.equals("break")) {
+            } else if (action.equals("break")) {
                 message.socket().close();
             } else {
-                write(message.socket(), what.replace("~", "\r\n"));
-                if (what.contains("Length: 9")) {
+                write(message.socket(), action.replace("~", "\r\n"));
+                if (action.contains("Length: 9")) {
                     message.socket().close();
                 }
             }
@@ -83,10 +83,10 @@
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 503 No~X-Never-Ran: 1~Content-Length: 0~~",
         "HTTP/1.1 504 No~X-Never-Ran: 1~Content-Length: 0~~"})
-    void whatNeverRanIsSentAgain(String what) throws Exception {
+    void requestThatNeverRanIsRetried(String response) throws Exception {
         AtomicInteger count = new AtomicInteger();
-        try (Server discovery = discovery(); Server one = new Server(first(count, what));
-                Server two = new Server(first(count, what)); Node node = node(discovery, up("s1", one), up("s2", two))) {
+        try (Server discovery = discovery(); Server one = new Server(actOnFirstRequest(count, response));
+                Server two = new Server(actOnFirstRequest(count, response)); Node node = node(discovery, inServiceEntry("s1", one), inServiceEntry("s2", two))) {
             assertEquals("late", node.ask(post("once", 20_000, "x")).text());
             assertEquals(2, count.get());
         }
@@ -95,11 +95,11 @@
     /** Whichever host the key selects first, it is the closed one in one of the two cases. */
     @ParameterizedTest
     @CsvSource({"s1, s2", "s2, s1"})
-    void aRefusedConnectionNeverRan(String down, String up) throws Exception {
+    void requestIsRetriedWhenItsHostRefusesTheConnection(String down, String up) throws Exception {
         Server closed = host("");
         closed.close();
         try (Server discovery = discovery(); Server host = host("ok");
-                Node node = node(discovery, up(down, closed), up(up, host))) {
+                Node node = node(discovery, inServiceEntry(down, closed), inServiceEntry(up, host))) {
             assertEquals(200, node.ask(post("once", 20_000, "x")).status());
         }
     }
@@ -112,10 +112,10 @@
     @ValueSource(strings = {"break", "HTTP/1.1 500 Oh~Content-Length: 0~~", "HTTP/1.1 503 Oh~Content-Length: 0~~",
         "HTTP/1.1 404 Oh~Content-Length: 0~~", "HTTP/1.1 503 Oh~X-Never-Ran: 0~Content-Length: 0~~", "nonsense~~",
         "HTTP/1.1 200 OK~Content-Length: 9~~part", "HTTP/1.1 200 OK~Content-Length: 99999~~"})
-    void whatMayHaveRunIsNotSentAgain(String what) throws Exception {
+    void requestThatMayHaveRunIsNotRetried(String action) throws Exception {
         AtomicInteger count = new AtomicInteger();
-        try (Server discovery = discovery(); Server one = new Server(first(count, what));
-                Server two = new Server(first(count, what)); Node node = node(discovery, up("s1", one), up("s2", two))) {
+        try (Server discovery = discovery(); Server one = new Server(actOnFirstRequest(count, action));
+                Server two = new Server(actOnFirstRequest(count, action)); Node node = node(discovery, inServiceEntry("s1", one), inServiceEntry("s2", two))) {
             assertEquals(502, node.ask(post("once", 20_000, "x")).status());
             assertEquals(1, count.get());
         }
@@ -124,9 +124,9 @@
     /** A keyed request that may have run is retried only within the zone that drops its repeats. */
     @ParameterizedTest
     @CsvSource({"a, a, 200, 2", "a, b, 502, 1"})
-    void aKeyedRequestIsSentAgainWithinItsGroupOnly(String zone, String other, int status, int sends) throws Exception {
+    void keyedRequestIsRetriedOnlyWithinItsZone(String zone, String other, int status, int sends) throws Exception {
         AtomicInteger count = new AtomicInteger();
-        Script script = first(count, "break");
+        Script script = actOnFirstRequest(count, "break");
         try (Server discovery = discovery(); Server one = new Server(script); Server two = new Server(script);
                 Node node = node(discovery, entry("s1", one.address(), zone, "in_service"),
                         entry("s2", two.address(), other, "in_service"))) {
@@ -141,7 +141,7 @@
     /** Retry-After is the module's value in whole seconds if the settings allow it, and omitted otherwise. */
     @ParameterizedTest
     @CsvSource({"true, 2000000, 2", "true, 500000, 1", "false, 2000000,"})
-    void withNoHostARequestIsRefusedAtOnceAndToldWhenToComeBack(boolean allowed, long most, String told) throws Exception {
+    void requestIsRefusedWithRetryAfterWhenThereIsNoHost(boolean allowed, long most, String told) throws Exception {
         String settings = SETTINGS.replace("\"retry_after\":false", "\"retry_after\":" + allowed)
                 .replace("\"max_retry_after\":2000000", "\"max_retry_after\":" + most);
         try (Server discovery = discovery(); Node node = new Node(environment(folder, discovery, list(1, true), settings))) {
@@ -154,9 +154,9 @@
     /** Guards against a request that outlasts its client: a silent host must not delay the answer. */
     @ParameterizedTest
     @CsvSource({"read, 503", "once, 504"})
-    void aSilentHostIsGivenUpAtTheDeadline(String type, int status) throws Exception {
+    void silentHostIsAbandonedAtTheDeadline(String type, int status) throws Exception {
         try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, up("s1", host))) {
+                Node node = node(discovery, inServiceEntry("s1", host))) {
             Message answer = node.ask(type.equals("read") ? read(1000) : post(type, 1000, "x"));
             assertEquals(status, answer.status());
             assertNotNull(await(host.ended));
@@ -165,9 +165,9 @@
 
     /** Guards against useless work: when the client disconnects, the connection of its attempt is closed. */
     @Test
-    void aClientThatLeavesEndsItsAttempt() throws Exception {
+    void attemptIsClosedWhenItsClientLeaves() throws Exception {
         try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, up("s1", host))) {
+                Node node = node(discovery, inServiceEntry("s1", host))) {
             Socket client = node.connect();
             write(client, read(60_000));
             await(host.received);
@@ -179,7 +179,7 @@
 
     @Test
     void requestsOnOneConnectionAreAnsweredInOrder() throws Exception {
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, up("s1", host))) {
+        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, inServiceEntry("s1", host))) {
             Socket client = node.connect();
             write(client, read(20_000) + "GET /none HTTP/1.1\r\nHost: s\r\n\r\n" + post("start", 20_000, "x"));
             assertEquals(200, Loopback.read(client).status());
@@ -210,8 +210,8 @@
         "400 | POST /api HTTP/1.1~Host: s~X-Trace-Id: \u00e9~X-Qos: once~X-Customer: acme~X-Expires-In-Ms: 900",
         "400 | GET /api HTTP/1.1~Host: s~X-Trace-Id: 1~X-Qos: read~X-Customer: acme~X-Expires-In-Ms: -9",
         "200 | GET /ready HTTP/1.1~Host: s"})
-    void badInputIsAnsweredAsSuch(int status, String request) throws Exception {
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, up("s1", host))) {
+    void requestThatIsNotForwardedIsAnsweredWithItsStatus(int status, String request) throws Exception {
+        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, inServiceEntry("s1", host))) {
             Message answer = node.ask(request.replace("~", "\r\n") + "\r\n\r\n");
             assertEquals(status, answer.status());
             assertNull(host.received.peek());
@@ -226,8 +226,8 @@
     @ValueSource(strings = {"Content-Length: 5~Transfer-Encoding: chunked~~0~~", "Transfer-Encoding: gzip~~",
         "Content-Length: 5~Content-Length: 6~~12345", "Content-Length: -1~~", "Content-Length: 99999999999999999999~~",
         "Transfer-Encoding: chunked~~zz~~", "Content-Length : 5~~12345"})
-    void aRequestWithoutAClearEndIsNotPassedOn(String rest) throws Exception {
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, up("s1", host))) {
+    void requestOfAmbiguousLengthIsNotForwarded(String rest) throws Exception {
+        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, inServiceEntry("s1", host))) {
             Socket client = node.connect();
             String head = post("once", 20_000, "").replaceFirst("Content-Length.*(?s:.*)", "");
             write(client, head + rest.replace("~", "\r\n") + read(20_000));
@@ -238,8 +238,8 @@
     }
 
     @Test
-    void aBodyWhereNoneBelongsIsNotPassedOn() throws Exception {
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, up("s1", host))) {
+    void getWithABodyIsNotForwarded() throws Exception {
+        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, inServiceEntry("s1", host))) {
             Message answer = node.ask(read(20_000).replace("\r\n\r\n", "\r\nContent-Length: 1\r\n\r\nx"));
             assertEquals(400, answer.status());
             assertNull(host.received.peek());
@@ -248,9 +248,9 @@
 
     /** Guards against answers mixed up between clients, one of which uses the id of the other's open request. */
     @Test
-    void theIdOfAnOpenRequestIsTurnedAway() throws Exception {
+    void idOfAnOpenRequestIsRejected() throws Exception {
         try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, up("s1", host))) {
+                Node node = node(discovery, inServiceEntry("s1", host))) {
             Socket first = node.connect();
             write(first, read(60_000));
             Message held = await(host.received);
@@ -265,8 +265,8 @@
     /** Guards against connections held by clients that never complete a request, however slowly they trickle it. */
     @ParameterizedTest
     @ValueSource(strings = {"", "GET /api HT", "POST /api HTTP/1.1~Host: s~Content-Length: 99~~part"})
-    void aRequestThatDoesNotComeWholeInTimeEndsItsConnection(String part) throws Exception {
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, up("s1", host))) {
+    void connectionIsClosedWhenItsRequestIsIncompleteInTime(String part) throws Exception {
+        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, inServiceEntry("s1", host))) {
             Socket client = node.connect();
             write(client, part.replace("~", "\r\n"));
             assertEquals(-1, client.getInputStream().read());
--- a/src/test/java/mastdrift/net/StopCrossingTest.java
+++ b/src/test/java/mastdrift/net/StopCrossingTest.java
@@ -44,7 +44,7 @@
  */
 class StopCrossingTest {
 
-    private static final String SHORT = SETTINGS.replace("\"deadline\":60000000", "\"deadline\":300000").replace("\"target\":10000000", "\"target\":100000");
+    private static final String SHORT_DEADLINE_SETTINGS = SETTINGS.replace("\"deadline\":60000000", "\"deadline\":300000").replace("\"target\":10000000", "\"target\":100000");
 
     @TempDir
     private Path folder;
@@ -53,7 +53,7 @@
         return new Node(environment(folder, discovery, list(1, true, entry("s1", host.address(), "a", "in_service")), settings));
     }
 
-    private static Message ready(Socket client) throws IOException {
+    private static Message requestReady(Socket client) throws IOException {
         write(client, "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
         return Loopback.read(client);
     }
@@ -65,21 +65,21 @@
      */
     @ParameterizedTest
     @CsvSource({"used,false", "silent,false", "part,false", "silent part,false", "dormant,false", "used,true", "silent,true"})
-    void whatStandsUnreadAtTheEndOfServingIsAnswered(String how, boolean shortDeadlines) throws Exception {
+    void requestUnreadWhenServingEndsIsAnswered(String connectionState, boolean shortDeadlines) throws Exception {
         String request = post("once", 20_000, "body");
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, host, shortDeadlines ? SHORT : SETTINGS)) {
+        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, host, shortDeadlines ? SHORT_DEADLINE_SETTINGS : SETTINGS)) {
             Socket client = node.connect();
-            if (!how.startsWith("silent")) {
-                assertEquals(200, ready(client).status());
+            if (!connectionState.startsWith("silent")) {
+                assertEquals(200, requestReady(client).status());
             }
-            if (how.equals("dormant")) {
-                eventually(() -> node.loop.submit(() -> node.clients.connections(false)).get() == 1);
+            if (connectionState.equals("dormant")) {
+                eventually(() -> node.loop.submit(() -> node.clients.connectionCount(false)).get() == 1);
             }
-            eventually(() -> node.loop.submit(() -> node.clients.connections()).get() == 1);
-            int sent = how.endsWith("part") ? request.length() - 2 : 0;
+            eventually(() -> node.loop.submit(() -> node.clients.connectionCount()).get() == 1);
+            int sent = connectionState.endsWith("part") ? request.length() - 2 : 0;
             if (sent > 0) {
                 write(client, request.substring(0, sent));
-                eventually(() -> node.loop.submit(() -> node.clients.connections(true)).get() == 1 || how.startsWith("silent"));
+                eventually(() -> node.loop.submit(() -> node.clients.connectionCount(true)).get() == 1 || connectionState.startsWith("silent"));
             }
             node.loop.submit(() -> {
                 write(client, request.substring(sent));
@@ -96,11 +96,11 @@
 
     /** As before, but a part of the request has been read when serving ends, and the rest arrives later. */
     @Test
-    void theRestOfARequestMayComeAfterTheEndOfServing() throws Exception {
+    void requestCompletedAfterServingEndsIsAnswered() throws Exception {
         String request = post("once", 20_000, "body");
         try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, host, SETTINGS)) {
             Socket client = node.connect();
-            assertEquals(200, ready(client).status());
+            assertEquals(200, requestReady(client).status());
             write(client, request.substring(0, 40));
             node.loop.submit(() -> {
                 node.clients.endServing();  // reads the unread input, which may be part of a request
@@ -115,7 +115,7 @@
 
     /** A request read behind another is owed its answer too: the connection closes with the last one. */
     @Test
-    void requestsBehindTheCurrentOneAreAnswered() throws Exception {
+    void pipelinedRequestsAreAnsweredAfterServingEnds() throws Exception {
         CountDownLatch answers = new CountDownLatch(1);
         try (Server discovery = discovery();
                 Server host = new Server(message -> {
@@ -148,20 +148,20 @@
      * if it is between two requests just then, with none. The test above covers input that is unread at that moment.
      */
     @Test
-    void withShortDeadlinesServingEndsBeforeTheKill() throws Exception {
-        CompletableFuture<Integer> left = new CompletableFuture<>();
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, host, SHORT)) {
+    void servingEndsBeforeTheKillWithShortDeadlines() throws Exception {
+        CompletableFuture<Integer> connectionsLeft = new CompletableFuture<>();
+        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, host, SHORT_DEADLINE_SETTINGS)) {
             Socket client = node.connect();
             Socket idle = node.connect();
-            assertEquals(200, ready(client).status());
-            assertEquals(200, ready(idle).status());
+            assertEquals(200, requestReady(client).status());
+            assertEquals(200, requestReady(idle).status());
             node.loop.submit(() -> {
                 node.clients.stop(3_000_000, () -> { });
-                node.loop.schedule(() -> left.complete(node.clients.connections()), 1_000, TimeUnit.MILLISECONDS);
+                node.loop.schedule(() -> connectionsLeft.complete(node.clients.connectionCount()), 1_000, TimeUnit.MILLISECONDS);
             }).sync();
             int answers = 0;
             try {
-                for (Message answer = ready(client); answer != null; answer = "close".equals(answer.header("Connection")) ? null : ready(client)) {
+                for (Message answer = requestReady(client); answer != null; answer = "close".equals(answer.header("Connection")) ? null : requestReady(client)) {
                     assertEquals(503, answer.status(), "a gateway that is shutting down is not ready");
                     answers++;
                 }
@@ -172,7 +172,7 @@
             }
             assertTrue(answers > 0);
             assertNull(Loopback.read(idle), "closed, not reset");
-            assertEquals(0, left.get(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+            assertEquals(0, connectionsLeft.get(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
@@ -181,19 +181,19 @@
      * process ends, may complete only after that.
      */
     @Test
-    void aStopIsNotOverBeforeItsListenerIsClosed() throws Exception {
+    void stopCompletesOnlyOnceTheListenerIsClosed() throws Exception {
         String settings = SETTINGS.replace("\"deadline\":60000000", "\"deadline\":50000").replace("\"target\":10000000", "\"target\":20000");
         CompletableFuture<Boolean> closed = new CompletableFuture<>();
         try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, host, settings)) {
-            assertEquals(200, ready(node.connect()).status());
-            node.loop.submit(() -> node.clients.stop(3_000_000, () -> closed.complete(node.clients.closed()))).sync();
+            assertEquals(200, requestReady(node.connect()).status());
+            node.loop.submit(() -> node.clients.stop(3_000_000, () -> closed.complete(node.clients.isListenerClosed()))).sync();
             assertTrue(closed.get(Loopback.WAIT_SECONDS, TimeUnit.SECONDS), "the listener is closed when the stop completes");
         }
     }
 
     /** A stop before listening: nobody can connect, and the stop completes at once. */
     @Test
-    void aStopAheadOfListening() throws Exception {
+    void stopBeforeListeningCompletesAtOnce() throws Exception {
         PrintStream out = new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8);
         TimedLoop timed = TimedLoop.start();
         try (Server discovery = discovery(); Server host = host("ok")) {
@@ -208,7 +208,7 @@
                 // it may report that it can't listen, or close at the same moment
                 assertFalse(e.getMessage().isEmpty());
             }
-            eventually(() -> timed.loop().submit(() -> started.clients().closed()).get());
+            eventually(() -> timed.loop().submit(() -> started.clients().isListenerClosed()).get());
         } finally {
             timed.loop().parent().shutdownGracefully(0, 0, TimeUnit.SECONDS);
         }
@@ -219,26 +219,26 @@
      * later has not waited since then: a request with half a second left is served.
      */
     @Test
-    void whoComesLongAfterAFullLookHasNotWaited() throws Exception {
+    void connectionLongAfterAFullAcceptBatchHasNotWaited() throws Exception {
         try (Server discovery = discovery(); Server host = host("ok");
                 Node node = node(discovery, host, SETTINGS.replace("\"max_open\":20000", "\"max_open\":2000"))) {
             assertEquals(200, node.ask(read(20_000)).status());
-            CountDownLatch begun = new CountDownLatch(1);
-            CountDownLatch go = new CountDownLatch(1);
+            CountDownLatch stalled = new CountDownLatch(1);
+            CountDownLatch release = new CountDownLatch(1);
             node.loop.execute(() -> {
-                begun.countDown();
+                stalled.countDown();
                 try {
-                    go.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
+                    release.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
                 } catch (InterruptedException e) {
                     throw new IllegalStateException(e);
                 }
             });
-            assertTrue(begun.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+            assertTrue(stalled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
             List<Socket> sockets = new ArrayList<>();
             for (int i = 0; i < 16; i++) {
                 sockets.add(node.connect());
             }
-            go.countDown();
+            release.countDown();
             // the passing of time in which nobody connects is what the test is about
             long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(1_000);
             while (System.nanoTime() < until) {
--- a/src/test/java/mastdrift/net/StrictFrontTest.java
+++ b/src/test/java/mastdrift/net/StrictFrontTest.java
@@ -33,8 +33,8 @@
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class StrictFrontTest {
 
-    private static final String REST = "X-Trace-Id: 9b1f|X-Qos: read|X-Customer: acme|X-Expires-In-Ms: 5000|";
-    private static final String POST = "X-Trace-Id: 9b1f|X-Qos: once|X-Customer: acme|X-Expires-In-Ms: 5000|";
+    private static final String READ_FIELDS = "X-Trace-Id: 9b1f|X-Qos: read|X-Customer: acme|X-Expires-In-Ms: 5000|";
+    private static final String ONCE_FIELDS = "X-Trace-Id: 9b1f|X-Qos: once|X-Customer: acme|X-Expires-In-Ms: 5000|";
 
     private Server host;
     private Server discovery;
@@ -55,14 +55,14 @@
         discovery.close();
     }
 
-    private static String wire(String text) {
+    private static String decodeRow(String text) {
         return text.replace("^", " ").replace("~", "\t").replace("|", "\r\n").replace("%N", "\n").replace("%R", "\r")
                 .replace("%0", "\0");
     }
 
-    private void refused(int status, String request) throws Exception {
+    private void assertRejected(int status, String request) throws Exception {
         try (Socket client = node.connect()) {
-            write(client, wire(request));
+            write(client, decodeRow(request));
             Message answer = Loopback.read(client);
             assertNotNull(answer, "an answer is sent");
             assertEquals(status, answer.status());
@@ -79,8 +79,8 @@
         "GET /api HTTP/2.0", "GET /api HTTP/1.2", "GET /api HTTP/0.9", "GET /api HTTP/3.0", "GET /api http/1.1",
         "GET /api HTTP/1", "GET /api HTTP/1.10", "GET /api HTTP/01.1", "GET /api HTTP/ 1.1", "GET /api", "GET",
         "GET http://s/api HTTP/1.1", "GET s/api HTTP/1.1", "GET * HTTP/1.1", "GET s:80 HTTP/1.1", "GET /api%RHTTP/1.1"})
-    void ofTheRequestLine(String line) throws Exception {
-        refused(400, line + "|Host: s|" + REST + "|");
+    void ambiguousRequestLineIsRejected(String line) throws Exception {
+        assertRejected(400, line + "|Host: s|" + READ_FIELDS + "|");
     }
 
     /** RFC 9112, sections 3.2, 5.1, 5.2, 5.5, 2.2: header fields. */
@@ -89,8 +89,8 @@
         "Host: s/x|", "Host^: s|", "Host~: s|", "^Host: s|", "Host: s|^X-A: 1|", "Host: s|X-A: 1|^2|", "Host: s|X-A: 1|~2|",
         "Host: s|~|", "Host: s|X-A: 1%0|", "Host: s|X-A: 1%R2|", "Host: s%N", "Host: s|X-A: 1%N", "Host: s|: 1|",
         "Host: s|X A: 1|", "Host: s|X-A|", "Host: s|X(A: 1|", "Host: s|Host%0: t|"})
-    void ofTheFields(String fields) throws Exception {
-        refused(400, "GET /api HTTP/1.1|" + fields + REST + "|");
+    void ambiguousFieldsAreRejected(String fields) throws Exception {
+        assertRejected(400, "GET /api HTTP/1.1|" + fields + READ_FIELDS + "|");
     }
 
     /** RFC 9112, sections 6.1, 6.2, 6.3, 7.1: the length of the body. */
@@ -108,22 +108,22 @@
         "400! Content-Length: 5, 5|", "400! Content-Length: +5|", "400! Content-Length: -5|", "400! Content-Length: 0x5|",
         "400! Content-Length: 5 5|", "400! Content-Length: 5.0|", "400! Content-Length:|",
         "400! Content-Length: 99999999999999999999|"})
-    void ofTheLength(int status, String fields) throws Exception {
-        refused(status, "POST /api HTTP/1.1|Host: s|" + POST + fields + "|5|hello|0||");
+    void ambiguousBodyLengthIsRejected(int status, String fields) throws Exception {
+        assertRejected(status, "POST /api HTTP/1.1|Host: s|" + ONCE_FIELDS + fields + "|5|hello|0||");
     }
 
     /** RFC 9112, section 6.1: a server must not accept a transfer coding from a version that doesn't define them. */
     @Test
-    void ofACodingWithAnOldVersion() throws Exception {
-        refused(400, "POST /api HTTP/1.0|Host: s|" + POST + "Transfer-Encoding: chunked||5|hello|0||");
+    void transferCodingWithHttp10IsRejected() throws Exception {
+        assertRejected(400, "POST /api HTTP/1.0|Host: s|" + ONCE_FIELDS + "Transfer-Encoding: chunked||5|hello|0||");
     }
 
     /** RFC 9112, section 7.1: chunks. */
     @ParameterizedTest
     @ValueSource(strings = {"x|hello|0||", "0x5|hello|0||", "-5|hello|0||", "|hello|0||", "+5|hello|0||", "5|hellox|0||",
         "5%Nhello|0||", "fffffffff|hello|0||", "5|hello%N0||"})
-    void ofChunks(String chunks) throws Exception {
-        refused(400, "POST /api HTTP/1.1|Host: s|" + POST + "Transfer-Encoding: chunked||" + chunks);
+    void malformedChunksAreRejected(String chunks) throws Exception {
+        assertRejected(400, "POST /api HTTP/1.1|Host: s|" + ONCE_FIELDS + "Transfer-Encoding: chunked||" + chunks);
     }
 
     /**
@@ -135,11 +135,11 @@
         "GET /api HTTP/1.0|Host: s|", "GET /api HTTP/1.1|Host:|", "GET /api HTTP/1.1|host: s:80|",
         "GET /api HTTP/1.1|Host: [::1]:80|", "GET /api HTTP/1.1|Host:~s~|", "GET /api HTTP/1.1|Host: s|X-A: 1 2~3|",
         "GET /api HTTP/1.1|Host: s|X-Empty:|"})
-    void whatIsPlainIsServed(String head) throws Exception {
+    void unambiguousRequestIsServed(String head) throws Exception {
         for (boolean bytewise : new boolean[] {false, true}) {
             try (Socket client = node.connect()) {
                 client.setTcpNoDelay(true);
-                String request = wire(head + REST + "|");
+                String request = decodeRow(head + READ_FIELDS + "|");
                 for (String part : bytewise ? request.split("") : new String[] {request}) {
                     write(client, part);
                 }
@@ -152,9 +152,9 @@
     @ParameterizedTest
     @ValueSource(strings = {"Transfer-Encoding: chunked||5|hello|0||", "Transfer-Encoding: Chunked||5;a=b|hello|0||",
         "Content-Length: 5||hello", "Content-Length:^^5~||hello"})
-    void aBodyIsPassedOn(String body) throws Exception {
+    void bodyIsForwarded(String body) throws Exception {
         try (Socket client = node.connect()) {
-            write(client, wire("POST /api HTTP/1.1|Host: s|" + POST + body));
+            write(client, decodeRow("POST /api HTTP/1.1|Host: s|" + ONCE_FIELDS + body));
             assertEquals(200, Loopback.read(client).status());
             assertEquals("hello", Loopback.await(host.received).text());
         }
@@ -162,16 +162,16 @@
 
     /** Guards against decoder state of one request that affects the next one on its connection. */
     @Test
-    void theNextRequestIsReadAfresh() throws Exception {
+    void decoderStateIsResetBetweenRequests() throws Exception {
         try (Socket client = node.connect()) {
-            String plain = wire("GET /api HTTP/1.1|Host: s|" + REST + "|");
-            String chunked = wire("POST /api HTTP/1.1|Host: s|" + POST + "Transfer-Encoding: chunked||5|hello|0||");
+            String plain = decodeRow("GET /api HTTP/1.1|Host: s|" + READ_FIELDS + "|");
+            String chunked = decodeRow("POST /api HTTP/1.1|Host: s|" + ONCE_FIELDS + "Transfer-Encoding: chunked||5|hello|0||");
             for (String request : new String[] {plain, chunked, plain, chunked}) {
                 write(client, request);
                 assertEquals(200, Loopback.read(client).status());
                 Loopback.await(host.received);
             }
-            write(client, wire("GET /api HTTP/1.1|Host: s|X-A: 1|^2|" + REST + "|"));
+            write(client, decodeRow("GET /api HTTP/1.1|Host: s|X-A: 1|^2|" + READ_FIELDS + "|"));
             assertEquals(400, Loopback.read(client).status());
             assertNull(Loopback.read(client));
         }
@@ -179,10 +179,10 @@
 
     /** A folded line is detected even if it arrives in a read of its own. */
     @Test
-    void aFoldInAPieceOfItsOwn() throws Exception {
+    void foldedLineInASeparateReadIsRejected() throws Exception {
         try (Socket client = node.connect()) {
             client.setTcpNoDelay(true);
-            for (String part : wire("GET /api HTTP/1.1|Host: s|X-A: 1|^2|" + REST + "|").split("")) {
+            for (String part : decodeRow("GET /api HTTP/1.1|Host: s|X-A: 1|^2|" + READ_FIELDS + "|").split("")) {
                 write(client, part);
             }
             assertEquals(400, Loopback.read(client).status());
--- a/src/test/java/mastdrift/net/SystemCallTest.java
+++ b/src/test/java/mastdrift/net/SystemCallTest.java
@@ -53,12 +53,12 @@
 /** System calls that fail as Linux documents it, simulated by channel implementations of the test. */
 class SystemCallTest {
 
-    private static final long DIAL = 20_000_000;
-    private static final long IDLE = 5_000_000;
-    private static final long LONG = 60_000_000;
-    private static final int EXPIRES = 5_000;
+    private static final long DIAL_TIMEOUT_MICROS = 20_000_000;
+    private static final long IDLE_TIMEOUT_MICROS = 5_000_000;
+    private static final long ATTEMPT_TIMEOUT_MICROS = 60_000_000;
+    private static final int EXPIRES_MILLIS = 5_000;
     // Netty itself pauses for a second after a failed accept.
-    private static final long ACCEPTED_MILLIS = 500;
+    private static final long MAX_ACCEPT_MILLIS = 500;
 
     @TempDir
     private Path folder;
@@ -75,17 +75,17 @@
     private static final class FailingListener extends NioServerSocketChannel {
 
         private final AtomicInteger failures;
-        private final String why;
+        private final String message;
 
-        FailingListener(AtomicInteger failures, String why) {
+        FailingListener(AtomicInteger failures, String message) {
             this.failures = failures;
-            this.why = why;
+            this.message = message;
         }
 
         @Override
         protected int doReadMessages(List<Object> accepted) throws Exception {
             if (failures.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
-                throw new IOException(why);
+                throw new IOException(message);
             }
             return super.doReadMessages(accepted);
         }
@@ -97,25 +97,25 @@
      */
     @ParameterizedTest
     @CsvSource({"Software caused connection abort, 1", "Too many open files, 5", "Too many open files in system, 1", "No buffer space available, 5"})
-    void anAcceptThatFailsHoldsUpNobodyForLong(String why, int times) throws Exception {
+    void waitingClientIsServedSoonAfterAcceptFails(String message, int times) throws Exception {
         try (Server discovery = discovery(); Server one = host("one")) {
             Config config = Config.read(environment(folder, discovery, list(1, true, entry("s1", one.address(), "a", "in_service")), SETTINGS));
             PrintStream out = new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8);
             Main.Started started = Main.prepare(config, timed, false, out);
             AtomicInteger failures = new AtomicInteger();
-            started.clients().listener(() -> new FailingListener(failures, why));
+            started.clients().setServerChannelFactory(() -> new FailingListener(failures, message));
             Main.listen(started, config, out);
             try (Socket first = connect(started)) {  // loads classes
-                write(first, read(EXPIRES).replace("9b1f", "first"));
+                write(first, read(EXPIRES_MILLIS).replace("9b1f", "first"));
                 assertEquals(200, Loopback.read(first).status());
             }
             failures.set(times);
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             try (Socket second = connect(started)) {
-                write(second, read(EXPIRES));
+                write(second, read(EXPIRES_MILLIS));
                 assertEquals(200, Loopback.read(second).status());
-                long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
-                assertTrue(failures.get() == 0 && millis < ACCEPTED_MILLIS, "answered after " + millis + " ms");
+                long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
+                assertTrue(failures.get() == 0 && millis < MAX_ACCEPT_MILLIS, "answered after " + millis + " ms");
             }
         }
     }
@@ -130,39 +130,39 @@
     /** A socket whose connect fails. */
     private static final class FailingSocket extends NioSocketChannel {
 
-        private final IOException why;
+        private final IOException failure;
 
-        FailingSocket(IOException why) {
-            this.why = why;
+        FailingSocket(IOException failure) {
+            this.failure = failure;
         }
 
         @Override
         protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
-            throw why;
+            throw failure;
         }
     }
 
-    private static IOException failure(String of) {
-        return switch (of) {
+    private static IOException failure(String errno) {
+        return switch (errno) {
             case "EADDRNOTAVAIL" -> new BindException("Cannot assign requested address");
             case "ENOBUFS" -> new SocketException("No buffer space available");
             case "ECONNREFUSED" -> new ConnectException("Connection refused");
             case "ETIMEDOUT" -> new ConnectException("Connection timed out");
             case "EHOSTUNREACH" -> new NoRouteToHostException("No route to host");
             case "ENETUNREACH" -> new SocketException("Network is unreachable");
-            default -> throw new IllegalArgumentException(of);
+            default -> throw new IllegalArgumentException(errno);
         };
     }
 
-    private Outcome outcome(Supplier<Channel> sockets) throws Exception {
+    private Outcome outcomeOfSend(Supplier<Channel> socketFactory) throws Exception {
         BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
         try (Server one = host("one")) {
             loop.submit(() -> {
                 EndpointGate gate = new EndpointGate();
                 gate.take(1, true, HostList.parse(com.fasterxml.jackson.jr.ob.JSON.std.anyFrom(
                         list(1, true, entry("s1", one.address(), "a", "in_service")))).entries());
-                ConnectionPool pool = new ConnectionPool(loop, Clock.system()::now, Timers.of(loop), DIAL, IDLE, 10, line -> { }, sockets);
-                return pool.send(gate.find("s1"), new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api"), LONG, LONG,
+                ConnectionPool pool = new ConnectionPool(loop, Clock.system()::now, Timers.of(loop), DIAL_TIMEOUT_MICROS, IDLE_TIMEOUT_MICROS, 10, line -> { }, socketFactory);
+                return pool.send(gate.find("s1"), new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api"), ATTEMPT_TIMEOUT_MICROS, ATTEMPT_TIMEOUT_MICROS,
                         (outcome, answer) -> outcomes.add(outcome));
             }).get();
             return await(outcomes);
@@ -175,16 +175,16 @@
      */
     @ParameterizedTest
     @CsvSource({"EADDRNOTAVAIL, UNUSED", "ENOBUFS, UNUSED", "ECONNREFUSED, DIAL_FAILED", "ETIMEDOUT, DIAL_FAILED", "EHOSTUNREACH, DIAL_FAILED", "ENETUNREACH, DIAL_FAILED"})
-    void aDialThatFailsHereIsNotTheServersFault(String of, Outcome expected) throws Exception {
-        assertEquals(expected, outcome(() -> new FailingSocket(failure(of))));
+    void onlyRemoteDialFailureIsAttributedToTheServer(String errno, Outcome expected) throws Exception {
+        assertEquals(expected, outcomeOfSend(() -> new FailingSocket(failure(errno))));
     }
 
     /** EMFILE, ENFILE: not even a socket can be opened. */
     @ParameterizedTest
     @ValueSource(strings = {"Too many open files", "Too many open files in system"})
-    void aSocketThatCantBeOpenedIsNotTheServersFault(String why) throws Exception {
-        assertEquals(Outcome.UNUSED, outcome(() -> {
-            throw new ChannelException("Failed to open a socket.", new SocketException(why));
+    void socketOpenFailureIsNotAttributedToTheServer(String message) throws Exception {
+        assertEquals(Outcome.UNUSED, outcomeOfSend(() -> {
+            throw new ChannelException("Failed to open a socket.", new SocketException(message));
         }));
     }
 
@@ -215,7 +215,7 @@
     }
 
     @Test
-    void shortReadsAndWritesChangeNothing() throws Exception {
-        assertEquals(Outcome.DELIVERED, outcome(ShortWrites::new));
+    void requestIsDeliveredDespiteShortReadsAndWrites() throws Exception {
+        assertEquals(Outcome.DELIVERED, outcomeOfSend(ShortWrites::new));
     }
 }
