--- a/src/main/java/mastdrift/net/ConnectionPool.java
+++ b/src/main/java/mastdrift/net/ConnectionPool.java
@@ -183,7 +183,7 @@
                 continue;
             }
             kept.remove();
-            Look.read(next.channel());  // its end, or more than an answer, may stand there unread
+            UnreadInput.read(next.channel());  // its end, or more than an answer, may stand there unread
             if (next.channel().isActive() && now - next.idleSince() < longest) {
                 return next;
             }
--- a/src/main/java/mastdrift/net/Discovery.java
+++ b/src/main/java/mastdrift/net/Discovery.java
@@ -137,7 +137,7 @@
         for (Asked asked : List.of(watch, fetch)) {
             for (Channel channel : asked.schedule.calls()) {
                 if (call(channel) != null) {
-                    all &= Look.readAll(channel, LOOKS);
+                    all &= UnreadInput.readAll(channel, LOOKS);
                 }
             }
         }
@@ -242,7 +242,7 @@
         private void closeOverdue() {
             for (Channel late : schedule.overdue(now())) {
                 if (call(late) != null) {
-                    Look.readAll(late, LOOKS);
+                    UnreadInput.readAll(late, LOOKS);
                 }
             }
             for (Channel late : schedule.overdue(now())) {
@@ -289,7 +289,7 @@
                 DiscoveryCall call = call(channel);
                 if (call != null) {
                     call.end("another call goes on in its place, or nobody asks any more");
-                    Look.readAll(channel, LOOKS);
+                    UnreadInput.readAll(channel, LOOKS);
                 }
                 channel.close();
             }
@@ -341,7 +341,7 @@
         @Override
         public void refused(DiscoveryCall call) {
             loop.execute(() -> {  // not within the read that brought it
-                Look.readAll(call.channel(), LOOKS);
+                UnreadInput.readAll(call.channel(), LOOKS);
                 call.channel().close();
             });
         }
--- a/src/main/java/mastdrift/net/DryStart.java
+++ b/src/main/java/mastdrift/net/DryStart.java
@@ -13,8 +13,8 @@
     public static void main(String[] args) throws InterruptedException {
         Main.quiet();
         Config config = Config.read(System.getenv());
-        Main.Started started = Main.prepare(config, TimedLoop.start(), false, System.out);
-        Main.rehearse(config, TimedLoop.start(), System.out::println);
+        Main.Started started = Main.prepare(config, TimedEventLoop.start(), false, System.out);
+        Main.rehearse(config, TimedEventLoop.start(), System.out::println);
         Main.listen(started, config, System.out);
         Thread.sleep(ASKED_MILLIS);
         System.exit(0);
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -15,7 +15,7 @@
 import mastdrift.engine.Transport;
 
 /** The platform's gateway: one pool, to which every request goes, with its hosts from discovery. */
-final class Gateway implements ClientSide.Router {
+final class Gateway implements HttpFront.Router {
 
     private final PrintStream out;
     private final Pool pool;
@@ -26,7 +26,7 @@
     private boolean asked;  // whether one does
 
     /** Starts the module; on the loop's thread. */
-    Gateway(Config config, TimedLoop timed, Balancer module, int hostConnections, int openMost, boolean tally, PrintStream out) {
+    Gateway(Config config, TimedEventLoop timed, Balancer module, int hostConnections, int openMost, boolean tally, PrintStream out) {
         this.out = out;
         EventLoop loop = timed.loop();
         ledger = new Ledger(timed.timers(), timed.clock(), timed.turns(), openMost, this::log);
@@ -53,7 +53,7 @@
         Discovery.Listener listener = new Lists();
         ledger.witness(new RequestLog(timed.clock()::now, this::log));
         if (tally) {
-            Tracing tracing = new Tracing(hosts, timed, config.settings(), this::log);
+            RequestTracer tracing = new RequestTracer(hosts, timed, config.settings(), this::log);
             ledger.witness(tracing);
             Tallying tallying = new Tallying(tracing, timed, config.settings().rules().warmWithin(), ledger, tracing, this::log);
             hosts = tallying;
--- a/src/main/java/mastdrift/net/ClientSide.java
+++ b/src/main/java/mastdrift/net/HttpFront.java
@@ -62,7 +62,7 @@
  * {@link Ledger} and writes the final responses. It bounds the number of connections and the time that each may spend
  * in a {@link Phase}.
  */
-public final class ClientSide {
+public final class HttpFront {
 
     /** Chooses the pool that a request is for. */
     public interface Router {
@@ -130,13 +130,13 @@
     private Runnable stopCallback;
 
     /** Holds about {@code maxConnections} connections, with the default {@link PhaseBounds}. */
-    public ClientSide(EventLoop loop, Ledger ledger, Router router, List<RequestClass> classes, List<Tenant> tenants,
+    public HttpFront(EventLoop loop, Ledger ledger, Router router, List<RequestClass> classes, List<Tenant> tenants,
             int maxConnections, Consumer<String> log) {
         this(loop, ledger, router, classes, tenants, maxConnections, PhaseBounds.USUAL, log);
     }
 
     /** Holds about {@code maxConnections} connections, with the given time bounds. */
-    public ClientSide(EventLoop loop, Ledger ledger, Router router, List<RequestClass> classes, List<Tenant> tenants,
+    public HttpFront(EventLoop loop, Ledger ledger, Router router, List<RequestClass> classes, List<Tenant> tenants,
             int maxConnections, PhaseBounds phaseBounds, Consumer<String> log) {
         this.phaseBounds = phaseBounds;
         connections = new Connections<>(phaseBounds);
@@ -196,7 +196,7 @@
                 .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_TURN))
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .handler(new Queue())
+                .handler(new AcceptHandler())
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -287,7 +287,7 @@
      * so its time is running. If a read does not empty the backlog, the connections found by the next read may have
      * arrived before that read.
      */
-    private final class Queue extends ChannelInboundHandlerAdapter {
+    private final class AcceptHandler extends ChannelInboundHandlerAdapter {
 
         private int acceptedInRead;
 
@@ -366,7 +366,7 @@
                 return false;
             }
             boolean hadPartialRequest = candidate.hasPartialRequest();
-            Look.read(candidate.channel);
+            UnreadInput.read(candidate.channel);
             if (candidate.currentRequest == null && candidate.hasPartialRequest() == hadPartialRequest) {
                 candidate.close();
                 return true;
@@ -401,9 +401,9 @@
     /**
      * Aggregates whole requests. One that is too large is passed on as a failed message, to be answered in its turn.
      */
-    private static final class Requests extends HttpObjectAggregator {
+    private static final class RequestAggregator extends HttpObjectAggregator {
 
-        Requests() {
+        RequestAggregator() {
             super(MAX_BODY_BYTES);
         }
 
@@ -418,7 +418,7 @@
     }
 
     /** A request, the earliest time from which it may have been waiting, and the turn in which it was read. */
-    private record Arrived(FullHttpRequest message, long waitingSinceMicros, long readTurn) { }
+    private record ReceivedRequest(FullHttpRequest message, long waitingSinceMicros, long readTurn) { }
 
     /**
      * One client's connection. Until its first byte arrives, this is the only handler in the pipeline: the first byte
@@ -429,7 +429,7 @@
         private final Channel channel;
         private Connections.Entry<Connection> entry;
         private StrictDecoder decoder;  // null while the HTTP handlers are not in the pipeline
-        private ArrayDeque<Arrived> pipelined;  // requests behind the current one; null until there is one
+        private ArrayDeque<ReceivedRequest> pipelined;  // requests behind the current one; null until there is one
         private int overflowCount;  // requests behind those, which will be refused
         // reading had to pause: the client's close may be far behind what was read, until all input has been read
         private boolean overflowed;
@@ -467,7 +467,7 @@
                 connections.moved(ledger.now(), entry, Phase.DORMANT);
                 channel.pipeline().remove(StrictDecoder.class);
                 channel.pipeline().remove(HttpResponseEncoder.class);
-                channel.pipeline().remove(Requests.class);
+                channel.pipeline().remove(RequestAggregator.class);
                 decoder = null;
                 pipelined = null;
             } else {
@@ -482,7 +482,7 @@
          */
         private void closeUnlessRequested(Phase phase, boolean includePartial) {
             if (entry.phase() == phase) {
-                Look.read(channel);
+                UnreadInput.read(channel);
             }
             if (entry.phase() == phase && (includePartial || !hasPartialRequest())) {
                 close();
@@ -530,7 +530,7 @@
                 receiveRequest(request);
             } else {
                 decoder = new StrictDecoder();
-                channel.pipeline().addFirst(decoder, new HttpResponseEncoder(), new Requests());
+                channel.pipeline().addFirst(decoder, new HttpResponseEncoder(), new RequestAggregator());
                 channel.pipeline().fireChannelRead(message);
             }
         }
@@ -544,7 +544,7 @@
             requestCompleted = true;
             // A request found by the first wait after the accept may have been there as long as the connection.
             long waitingSinceMicros = ledger.turn() == openedTurn + 1 ? Math.min(earliestOpenMicros, ledger.arrived()) : ledger.arrived();
-            Arrived received = new Arrived(message, waitingSinceMicros, ledger.turn());
+            ReceivedRequest received = new ReceivedRequest(message, waitingSinceMicros, ledger.turn());
             if (currentRequest == null) {
                 startNext(received);
                 return;
@@ -572,11 +572,11 @@
         }
 
         /** The next request in order; null if there is none. */
-        private Arrived pollNext() {
-            Arrived next = pipelined == null ? null : pipelined.poll();
+        private ReceivedRequest pollNext() {
+            ReceivedRequest next = pipelined == null ? null : pipelined.poll();
             if (next == null && overflowCount > 0) {
                 overflowCount--;
-                return new Arrived(OVERFLOW_REQUEST, ledger.now(), ledger.turn());
+                return new ReceivedRequest(OVERFLOW_REQUEST, ledger.now(), ledger.turn());
             }
             return next;
         }
@@ -593,7 +593,7 @@
             requestCompleted = false;
         }
 
-        private void startNext(Arrived request) {
+        private void startNext(ReceivedRequest request) {
             if (request == null) {
                 channel.config().setAutoRead(true);
                 connections.moved(ledger.now(), entry, decoder.isBetweenRequests() ? Phase.IDLE : Phase.PART);
@@ -611,14 +611,14 @@
             long closeUnnoticedMicros = request.readTurn == ledger.turn() ? Math.max(ledger.now() - request.waitingSinceMicros, ledger.unseen()) : ledger.unseen();
             if (overflowed && currentRequest != OVERFLOW_REQUEST) {
                 loop.execute(() -> {  // once all input behind it has been read, it is served like any other
-                    overflowed = !Look.readAll(channel, MAX_READS_AFTER_PAUSE);
+                    overflowed = !UnreadInput.readAll(channel, MAX_READS_AFTER_PAUSE);
                     processAndRelease(request, overflowed);
                 });
             } else {
                 boolean readFirst = closeUnnoticedMicros > Ledger.LOOK_AFTER;
                 loop.execute(() -> {  // not within the read that delivered it, where reading again would find nothing
                     if (readFirst) {
-                        Look.read(channel);
+                        UnreadInput.read(channel);
                     }
                     // false, since it was read before a pause that its own read may have caused
                     processAndRelease(request, false);
@@ -626,7 +626,7 @@
             }
         }
 
-        private void processAndRelease(Arrived request, boolean behindPause) {
+        private void processAndRelease(ReceivedRequest request, boolean behindPause) {
             try {
                 if (channel.isActive()) {
                     process(request, behindPause);
@@ -636,7 +636,7 @@
             }
         }
 
-        private void process(Arrived request, boolean behindPause) {
+        private void process(ReceivedRequest request, boolean behindPause) {
             FullHttpRequest message = request.message;
             if (message == OVERFLOW_REQUEST || behindPause) {
                 refused(0);
@@ -646,7 +646,7 @@
             if (fault != null) {
                 boolean bodyTooLarge = fault instanceof TooLongFrameException && "body".equals(fault.getMessage());
                 writeEmptyResponse(bodyTooLarge ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
-                        : fault instanceof StrictDecoder.Unsupported ? HttpResponseStatus.NOT_IMPLEMENTED
+                        : fault instanceof StrictDecoder.UnsupportedTransferCodingException ? HttpResponseStatus.NOT_IMPLEMENTED
                         : HttpResponseStatus.BAD_REQUEST, true);
             } else if (matchesPath(message.uri(), "/ready")) {
                 boolean isGet = message.method().equals(HttpMethod.GET);
@@ -665,7 +665,7 @@
         }
 
         private void handleApiRequest(FullHttpRequest message, long waitedMicros) {
-            Head head = new Head(message.headers());
+            RequestHead head = new RequestHead(message.headers());
             RequestClass requestClass = head.className() == null ? null : classes.get(head.className());
             String tenant = head.tenant();
             long expiresMillis = head.expiresMillis();
@@ -734,9 +734,9 @@
         @Override
         public boolean there() {
             if (!channel.config().isAutoRead()) {
-                return Look.readAll(channel, MAX_READS_AFTER_PAUSE) && channel.isActive();
+                return UnreadInput.readAll(channel, MAX_READS_AFTER_PAUSE) && channel.isActive();
             }
-            Look.read(channel);
+            UnreadInput.read(channel);
             return channel.isActive();
         }
 
@@ -749,7 +749,7 @@
         public void served(Answer hostAnswer) {
             FullHttpResponse hostResponse = ((HttpAnswer) hostAnswer).message();
             ByteBuf body = hostResponse.content().retain();
-            FullHttpResponse response = Unchecked.newResponse(HttpResponseStatus.OK, body);
+            FullHttpResponse response = UncheckedHeaders.newResponse(HttpResponseStatus.OK, body);
             String contentType = hostResponse.headers().get(HttpHeaderNames.CONTENT_TYPE);
             if (contentType != null) {
                 response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
@@ -777,7 +777,7 @@
         }
 
         private static FullHttpResponse emptyResponse(HttpResponseStatus status) {
-            return Unchecked.newResponse(status, Unpooled.EMPTY_BUFFER);
+            return UncheckedHeaders.newResponse(status, Unpooled.EMPTY_BUFFER);
         }
 
         private void writeResponse(FullHttpResponse response, boolean close) {
@@ -810,7 +810,7 @@
                 releasePipelined();
             }
             loop.execute(() -> {
-                Look.read(channel);
+                UnreadInput.read(channel);
                 close();
             });
         }
--- a/src/main/java/mastdrift/net/HttpTransport.java
+++ b/src/main/java/mastdrift/net/HttpTransport.java
@@ -31,7 +31,7 @@
     private final Reports reports;
 
     /** Holds {@code most} connections to all hosts together. */
-    public HttpTransport(TimedLoop timed, Settings settings, int most, Consumer<String> faults) {
+    public HttpTransport(TimedEventLoop timed, Settings settings, int most, Consumer<String> faults) {
         reports = settings.habits().reports();
         connections = new ConnectionPool(timed.loop(), timed.clock()::now, timed.timers(), settings.links().dialTimeout(), settings.links().idle(),
                 most, faults);
@@ -66,7 +66,7 @@
 
     private static FullHttpRequest onward(FullHttpRequest from) {
         ByteBuf body = from.content().retainedDuplicate();
-        FullHttpRequest message = Unchecked.newRequest(from.method(), from.uri(), body);
+        FullHttpRequest message = UncheckedHeaders.newRequest(from.method(), from.uri(), body);
         for (AsciiString name : PASSED_ON) {
             String value = from.headers().get(name);
             if (value != null) {
@@ -82,7 +82,7 @@
     @Override
     public void probe(Endpoint to, Probed probed) {
         boolean given = reports != Reports.OFF;
-        FullHttpRequest message = Unchecked.newRequest(HttpMethod.GET, given ? "/status/load" : "/health", Unpooled.EMPTY_BUFFER);
+        FullHttpRequest message = UncheckedHeaders.newRequest(HttpMethod.GET, given ? "/status/load" : "/health", Unpooled.EMPTY_BUFFER);
         connections.send(to, message, PROBE_TIMEOUT, PROBE_TIMEOUT, new HttpAttempt.Listener() {
             @Override
             public void ended(Outcome outcome, FullHttpResponse answer) {
--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -52,7 +52,7 @@
             System.exit(2);
         }
         quiet();
-        TimedLoop timed = TimedLoop.start();
+        TimedEventLoop timed = TimedEventLoop.start();
         EventLoop loop = timed.loop();
         CompletableFuture<Gateway> started = new CompletableFuture<>();
         // First of all, or the signal would end the program. One that comes ahead of the gateway is heard once there is one.
@@ -61,10 +61,10 @@
             Config config = Config.read(System.getenv());
             Started now = prepare(config, timed, askMillis(config.settings()), tally, System.out);  // asks discovery, whose answer takes its time
             // Ahead of the first client: a signal between the two would end the program, and with it what had been taken.
-            ClientSide clients = now.clients();
+            HttpFront clients = now.clients();
             Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(loop, clients, System.out, () -> Runtime.getRuntime().halt(0))));
             started.complete(now.gateway());  // discovery may move while it is waited for
-            open(now, loop, config, TimedLoop.start(), began, System.out);
+            open(now, loop, config, TimedEventLoop.start(), began, System.out);
             listen(now, config, System.out);
         } catch (IllegalArgumentException | CompletionException e) {
             Throwable cause = e instanceof CompletionException ? e.getCause() : e;
@@ -84,7 +84,7 @@
 
     /** What comes ahead of the first client: the gateway has been told of the hosts, or has waited for that in vain since {@code began},
         by {@link System#nanoTime}; meanwhile the path of a request is {@code rehearsed}, on a loop that this ends. */
-    static void open(Started now, EventLoop loop, Config config, TimedLoop rehearsed, long began, PrintStream out) {
+    static void open(Started now, EventLoop loop, Config config, TimedEventLoop rehearsed, long began, PrintStream out) {
         rehearse(config, rehearsed, out::println);
         loop.execute(now.gateway()::ask);
         awaitList(now.gateway(), began, out);
@@ -99,7 +99,7 @@
         return settings.registryOnRequest() ? (long) ((part - Math.floor(part)) * FIRST_CALLS_MILLIS) : 0;
     }
 
-    static void rehearse(Config config, TimedLoop on, Consumer<String> log) {
+    static void rehearse(Config config, TimedEventLoop on, Consumer<String> log) {
         PrintStream silent = new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8);
         Rehearsal.play((hosts, at) -> Started.with(new Config(at, at, config.sockets(), new HostList(0, true, hosts),
                 config.settings()), on, hosts.size() * 2, hosts.size(), hosts.size(), false,
@@ -125,20 +125,20 @@
     }
 
     /** A gateway and its front. */
-    record Started(Gateway gateway, ClientSide clients) {
+    record Started(Gateway gateway, HttpFront clients) {
 
         /** On the loop's thread. */
-        static Started with(Config config, TimedLoop loop, int hostConnections, int openMost, int clients, boolean tally,
+        static Started with(Config config, TimedEventLoop loop, int hostConnections, int openMost, int clients, boolean tally,
                 PrintStream out) {
             Gateway gateway = new Gateway(config, loop, new Balance(), hostConnections, openMost, tally, out);
-            return new Started(gateway, new ClientSide(loop.loop(), gateway.ledger(), gateway, config.settings().classes(),
+            return new Started(gateway, new HttpFront(loop.loop(), gateway.ledger(), gateway, config.settings().classes(),
                     config.settings().tenants(), clients, gateway::log));
         }
     }
 
     /** Starts a gateway on the loop, not yet listening; throws IllegalArgumentException for a configuration it can't run with. It calls
         discovery after {@code askMillis} at the earliest, or once it is told to. */
-    static Started prepare(Config config, TimedLoop loop, long askMillis, boolean tally, PrintStream out) {
+    static Started prepare(Config config, TimedEventLoop loop, long askMillis, boolean tally, PrintStream out) {
         // Of the clients' half, an eighth is for answering those that come beyond the requests held.
         int sockets = Math.min(Math.min(config.sockets(), Descriptors.limit()), 1 << 16);
         int most = Math.max(8, (sockets - RESERVED) / 2);
@@ -153,7 +153,7 @@
     }
 
     /** Likewise, with no call to discovery held back. */
-    static Started prepare(Config config, TimedLoop loop, boolean tally, PrintStream out) {
+    static Started prepare(Config config, TimedEventLoop loop, boolean tally, PrintStream out) {
         return prepare(config, loop, 0, tally, out);
     }
 
@@ -182,7 +182,7 @@
     /** Finishes what was taken, says so, and ends the program by {@code halt}, which doesn't return: the virtual machine would end with the signal's
         status, and what was asked for has been done. The last line and the end come in one turn of the loop, where a gateway that runs writes all its
         lines: none comes behind the last. */
-    static void stop(EventLoop loop, ClientSide clients, PrintStream out, Runnable halt) {
+    static void stop(EventLoop loop, HttpFront clients, PrintStream out, Runnable halt) {
         AtomicBoolean ending = new AtomicBoolean();
         CountDownLatch ended = new CountDownLatch(1);
         loop.execute(() -> clients.stop(STOP_LONGEST, () -> {
--- a/src/main/java/mastdrift/net/BoundedLog.java
+++ b/src/main/java/mastdrift/net/RateLimitedLog.java
@@ -10,7 +10,7 @@
  * counts the others by kind. The counts are logged in one line at the first event of a later second. Call it on the
  * event loop.
  */
-final class BoundedLog {
+final class RateLimitedLog {
 
     private static final long MICROS_PER_SECOND = 1_000_000;
 
@@ -22,7 +22,7 @@
     private int linesThisSecond;
 
     /** The clock is in microseconds and must be monotonic. */
-    BoundedLog(LongSupplier clockMicros, int maxLinesPerSecond, Consumer<String> log) {
+    RateLimitedLog(LongSupplier clockMicros, int maxLinesPerSecond, Consumer<String> log) {
         this.clockMicros = clockMicros;
         this.maxLinesPerSecond = maxLinesPerSecond;
         this.log = log;
--- a/src/main/java/mastdrift/net/Rehearsal.java
+++ b/src/main/java/mastdrift/net/Rehearsal.java
@@ -44,7 +44,7 @@
     public interface Stage {
         /** Its front, not yet listening; on the thread of the loop that it is played on. The hosts are all at {@code at}, which stands in for a discovery
             that is down too. */
-        ClientSide open(List<Member> hosts, InetSocketAddress at);
+        HttpFront open(List<Member> hosts, InetSocketAddress at);
     }
 
     private static final int REQUESTS = 800;
@@ -72,7 +72,7 @@
             InetSocketAddress at = (InetSocketAddress) host.localAddress();
             List<Member> hosts = IntStream.range(0, HOSTS).mapToObj(i -> new Member(
                     new Host("rehearsal-" + i, zone, 0, "", 1, Health.UP, 0), at)).toList();
-            ClientSide clients = CompletableFuture.supplyAsync(() -> stage.open(hosts, at), loop).join();
+            HttpFront clients = CompletableFuture.supplyAsync(() -> stage.open(hosts, at), loop).join();
             clients.listen(any).sync();
             ask(clients.address(), classes, tenants);
         } catch (IOException e) {
--- a/src/main/java/mastdrift/net/Head.java
+++ b/src/main/java/mastdrift/net/RequestHead.java
@@ -10,7 +10,7 @@
  * field separately would hash its name every time. If a field is repeated its first value is used; {@link
  * #hasDuplicates} reports repeats of fields that must not be repeated.
  */
-final class Head {
+final class RequestHead {
 
     private static final AsciiString X_TRACE_ID = AsciiString.cached("X-Trace-Id");
     private static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("Idempotency-Key");
@@ -31,7 +31,7 @@
     private String repeatText;
     private boolean duplicateFound;
 
-    Head(HttpHeaders headers) {
+    RequestHead(HttpHeaders headers) {
         for (Iterator<Map.Entry<CharSequence, CharSequence>> all = headers.iteratorCharSequence(); all.hasNext(); ) {
             Map.Entry<CharSequence, CharSequence> field = all.next();
             readField(field.getKey(), field.getValue());
--- a/src/main/java/mastdrift/net/RequestLog.java
+++ b/src/main/java/mastdrift/net/RequestLog.java
@@ -21,34 +21,34 @@
     static final int MAX_LINES_PER_SECOND = 20;
 
     /** An open request and its attempts that have ended. */
-    private static final class Open {
+    private static final class OpenRequest {
         private final long takenAtMicros;
         private final StringJoiner attempts = new StringJoiner(", ");
         private int attemptCount;
 
-        Open(long takenAtMicros) {
+        OpenRequest(long takenAtMicros) {
             this.takenAtMicros = takenAtMicros;
         }
     }
 
     private final LongSupplier clockMicros;
-    private final BoundedLog log;
-    private final Map<Call, Open> openRequests = new IdentityHashMap<>();
+    private final RateLimitedLog log;
+    private final Map<Call, OpenRequest> openRequests = new IdentityHashMap<>();
 
     /** The clock is in microseconds. */
     RequestLog(LongSupplier clockMicros, Consumer<String> log) {
         this.clockMicros = clockMicros;
-        this.log = new BoundedLog(clockMicros, MAX_LINES_PER_SECOND, log);
+        this.log = new RateLimitedLog(clockMicros, MAX_LINES_PER_SECOND, log);
     }
 
     @Override
     public void taken(Call call, Ask ask) {
-        openRequests.put(call, new Open(clockMicros.getAsLong()));
+        openRequests.put(call, new OpenRequest(clockMicros.getAsLong()));
     }
 
     @Override
     public void attemptEnded(Call call, String uid, Outcome outcome) {
-        Open request = openRequests.get(call);
+        OpenRequest request = openRequests.get(call);
         if (request != null) {
             request.attemptCount++;
             request.attempts.add(uid + " " + outcome);
@@ -57,7 +57,7 @@
 
     @Override
     public void ended(Call call, End end, Why why) {
-        Open request = openRequests.remove(call);
+        OpenRequest request = openRequests.remove(call);
         if (request == null || end == End.SERVED && request.attemptCount <= 1) {
             return;
         }
--- a/src/main/java/mastdrift/net/Tracing.java
+++ b/src/main/java/mastdrift/net/RequestTracer.java
@@ -29,7 +29,7 @@
  * to {@value #MAX_TRACED_PER_SECOND} new requests a second and {@value #MAX_OPEN_TRACED} at a time, each of them
  * completely; the others are counted.
  */
-final class Tracing implements Transport, Witness {
+final class RequestTracer implements Transport, Witness {
 
     static final int MAX_TRACED_PER_SECOND = 200;
     static final int MAX_OPEN_TRACED = 2_000;
@@ -38,11 +38,11 @@
     private static final long DEPARTED_HOST_RETENTION_MICROS = 60_000_000;
 
     /** A request that is being traced. */
-    private static final class Life {
+    private static final class TracedRequest {
         private final long takenAtMicros;
         private int attemptCount;
 
-        Life(long takenAtMicros) {
+        TracedRequest(long takenAtMicros) {
             this.takenAtMicros = takenAtMicros;
         }
     }
@@ -52,7 +52,7 @@
     private final long warmWithinMicros;
     private final Consumer<String> log;
     private final Map<String, String> classLabels;
-    private final Map<String, Life> tracedRequests = new HashMap<>();
+    private final Map<String, TracedRequest> tracedRequests = new HashMap<>();
     private final Map<String, Long> warmAtMicros = new HashMap<>();
     private final Map<String, Long> departedAtMicros = new HashMap<>();
     // Hosts that are up by the lists so far; only these can be recorded as departed.
@@ -61,7 +61,7 @@
     private int tracedThisSecond;
     private long untracedCount;
 
-    Tracing(Transport transport, TimedLoop timedLoop, Settings settings, Consumer<String> log) {
+    RequestTracer(Transport transport, TimedEventLoop timedLoop, Settings settings, Consumer<String> log) {
         this.transport = transport;
         clock = timedLoop.clock();
         warmWithinMicros = settings.rules().warmWithin();
@@ -97,7 +97,7 @@
             return;
         }
         tracedThisSecond++;
-        tracedRequests.put(traceId(call), new Life(now));
+        tracedRequests.put(traceId(call), new TracedRequest(now));
         logStep(traceId(call), Step.Kind.TAKEN, -1, "", taken(ask), ask.left());
     }
 
@@ -108,7 +108,7 @@
 
     @Override
     public void ended(Call call, End end, Why why) {
-        Life request = tracedRequests.remove(traceId(call));
+        TracedRequest request = tracedRequests.remove(traceId(call));
         if (request != null) {
             logStep(traceId(call), Step.Kind.ANSWERED, -1, "", why == null ? end.name() : end + " " + why, clock.now() - request.takenAtMicros);
         }
@@ -131,7 +131,7 @@
     public Attempt send(Endpoint to, Call call, long timeoutMicros, long sendWithinMicros, Ended listener) {
         String uid = to.uid();
         String id = traceId(call);
-        Life request = tracedRequests.get(id);
+        TracedRequest request = tracedRequests.get(id);
         if (request == null) {
             return transport.send(to, call, timeoutMicros, sendWithinMicros, listener);
         }
--- a/src/main/java/mastdrift/net/RunQueue.java
+++ b/src/main/java/mastdrift/net/RunQueueDelay.java
@@ -9,7 +9,7 @@
  * Documentation/scheduler/sched-stats.rst). A read takes about 1.5 microseconds, reads kernel memory and never waits
  * for a disk.
  */
-final class RunQueue {
+final class RunQueueDelay {
 
     private static final String SCHEDSTAT_PATH = "/proc/thread-self/schedstat";
 
--- a/src/main/java/mastdrift/net/StrictDecoder.java
+++ b/src/main/java/mastdrift/net/StrictDecoder.java
@@ -34,11 +34,11 @@
 final class StrictDecoder extends HttpRequestDecoder {
 
     /** A transfer coding that is not decoded here: answered with 501. */
-    static final class Unsupported extends IllegalArgumentException {
+    static final class UnsupportedTransferCodingException extends IllegalArgumentException {
 
         private static final long serialVersionUID = 1;
 
-        Unsupported(String coding) {
+        UnsupportedTransferCodingException(String coding) {
             super("unsupported transfer coding " + coding);
         }
     }
@@ -171,7 +171,7 @@
             require(!chunked || i == each.length - 1, "chunked not as the last transfer coding");
             require(!coding.isEmpty(), "an empty transfer coding");
             if (!chunked) {
-                throw new Unsupported(coding);
+                throw new UnsupportedTransferCodingException(coding);
             }
         }
     }
--- a/src/main/java/mastdrift/net/Tallying.java
+++ b/src/main/java/mastdrift/net/Tallying.java
@@ -31,13 +31,13 @@
     private final Timers timers;
     private final long warmWithin;
     private final Ledger ledger;
-    private final Tracing tracing;
+    private final RequestTracer tracing;
     private final Consumer<String> log;
     private final Set<String> cold = new HashSet<>();
     private final long[] answers = new long[2 + Why.values().length];
     private Second second;
 
-    Tallying(Transport transport, TimedLoop timed, long warmWithin, Ledger ledger, Tracing tracing,
+    Tallying(Transport transport, TimedEventLoop timed, long warmWithin, Ledger ledger, RequestTracer tracing,
             Consumer<String> log) {
         this.transport = transport;
         clock = timed.clock();
--- a/src/main/java/mastdrift/net/TimedLoop.java
+++ b/src/main/java/mastdrift/net/TimedEventLoop.java
@@ -13,7 +13,7 @@
 import mastdrift.lateness.Turns;
 
 /** An event loop that measures its own lateness, with its clock and timers. */
-public record TimedLoop(EventLoop loop, Clock clock, Timers timers, Turns turns) {
+public record TimedEventLoop(EventLoop loop, Clock clock, Timers timers, Turns turns) {
 
     // The run queue delay is not read again within this time: changes over less than that don't matter.
     private static final long RUN_QUEUE_READ_INTERVAL_MICROS = 1_000;
@@ -26,31 +26,31 @@
     private static final long WAKEUP_TOLERANCE_MICROS = 5_000;
 
     /** Starts a loop on a thread of its own. */
-    public static TimedLoop start() {
+    public static TimedEventLoop start() {
         Clock clock = Clock.system();
         Turns turns = new Turns();
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, executor ->
-                new Timed(NioIoHandler.newFactory().newHandler(executor), clock, turns)).next();
-        return new TimedLoop(loop, clock, new Wheel(clock, Timers.of(loop)), turns);
+                new TimedIoHandler(NioIoHandler.newFactory().newHandler(executor), clock, turns)).next();
+        return new TimedEventLoop(loop, clock, new Wheel(clock, Timers.of(loop)), turns);
     }
 
     /**
      * Reports the turns of the loop to {@link Turns}. Netty's handler asks {@link #shouldReportActiveIoTime} after it
      * has returned from the selector and before it handles ready channels; no other hook is called between the two.
      */
-    private static final class Timed implements IoHandler, IoHandlerContext {
+    private static final class TimedIoHandler implements IoHandler, IoHandlerContext {
 
         private final IoHandler handler;
         private final Clock clock;
         private final Turns turns;
-        private final RunQueue runQueueDelay = new RunQueue();
+        private final RunQueueDelay runQueueDelay = new RunQueueDelay();
         private IoHandlerContext context;
         private long waitStartMicros;
         private long waitDueMicros;
         private long runQueueReadAtMicros;
         private long runQueueDelayMicros;
 
-        Timed(IoHandler handler, Clock clock, Turns turns) {
+        TimedIoHandler(IoHandler handler, Clock clock, Turns turns) {
             this.handler = handler;
             this.clock = clock;
             this.turns = turns;
--- a/src/main/java/mastdrift/net/Unchecked.java
+++ b/src/main/java/mastdrift/net/UncheckedHeaders.java
@@ -15,11 +15,11 @@
  * Creates HTTP messages whose header fields are not validated again: the names are constants of this program, and the
  * values are its own or have passed a decoder, which rejects what is not allowed in a field (RFC 9110, section 5.5).
  */
-final class Unchecked {
+final class UncheckedHeaders {
 
     private static final DefaultHttpHeadersFactory HEADERS_FACTORY = DefaultHttpHeadersFactory.headersFactory().withValidation(false);
 
-    private Unchecked() { }
+    private UncheckedHeaders() { }
 
     static FullHttpResponse newResponse(HttpResponseStatus status, ByteBuf body) {
         return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body, HEADERS_FACTORY.newHeaders(), EmptyHttpHeaders.INSTANCE);
--- a/src/main/java/mastdrift/net/Look.java
+++ b/src/main/java/mastdrift/net/UnreadInput.java
@@ -8,9 +8,9 @@
  * and may leave the close of the connection unread behind the data; a decision made in the same turn would not take it
  * into account.
  */
-final class Look {
+final class UnreadInput {
 
-    private Look() { }
+    private UnreadInput() { }
 
     /**
      * Reads once. Call it on the event loop, and not from within an event of the same channel. The channel's handlers
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -48,10 +48,10 @@
 import mastdrift.files.Watcher;
 import mastdrift.membership.PoolList;
 import mastdrift.net.Addresses;
-import mastdrift.net.ClientSide;
+import mastdrift.net.HttpFront;
 import mastdrift.net.HttpTransport;
 import mastdrift.net.Rehearsal;
-import mastdrift.net.TimedLoop;
+import mastdrift.net.TimedEventLoop;
 import mastdrift.radius.Authenticators;
 import mastdrift.radius.Resends;
 import mastdrift.radius.edge.Drops;
@@ -100,7 +100,7 @@
 
     private final Path file;
     private final Events events;
-    private final TimedLoop timed = TimedLoop.start();
+    private final TimedEventLoop timed = TimedEventLoop.start();
     private final EventLoop loop = timed.loop();
     private final Clock clock = timed.clock();
     private final SplittableRandom seeds = new SplittableRandom();
@@ -119,7 +119,7 @@
     private GatewaySettings gateway;
     private List<RadiusSettings> listeners = List.of();
     private volatile StatusFile status;
-    private ClientSide clients;
+    private HttpFront clients;
     private final List<RadiusFront> radius = new ArrayList<>();
     private final Drops drops = new Drops(clock::now, this::dropped);
 
@@ -185,14 +185,14 @@
             return;
         }
         Settings module = settings(started, first);
-        TimedLoop on = TimedLoop.start();
+        TimedEventLoop on = TimedEventLoop.start();
         EventLoop own = on.loop();
         Rehearsal.play((hosts, at) -> {
             Ledger rehearsed = new Ledger(on.timers(), on.clock(), on.turns(), OPEN_MOST, this::log);
             Pool pool = new Pool("rehearsal", rehearsed, new Balance(), module,
                     new HttpTransport(on, module, first.connections(), line -> { }));
             pool.start(Source.TELLS, hosts);
-            return new ClientSide(own, rehearsed, (type, tenant, message, key) -> pool, started.classes(), started.tenants(),
+            return new HttpFront(own, rehearsed, (type, tenant, message, key) -> pool, started.classes(), started.tenants(),
                     gateway.connections(), line -> { });
         }, started.classes(), started.tenants(), gateway.zone(), Addresses.parse(gateway.listen()).getAddress(),
                 own, this::log);
@@ -326,7 +326,7 @@
             started = next;
             gateway = next.gateway();
             status = gateway.statusFile() == null ? null : new StatusFile(file, gateway.statusFile());
-            clients = new ClientSide(loop, ledger, this::route, next.classes(), next.tenants(), gateway.connections(),
+            clients = new HttpFront(loop, ledger, this::route, next.classes(), next.tenants(), gateway.connections(),
                     gateway.bounds(), this::log);
             listeners = next.radius();
             listeners.forEach(each -> radius.add(radiusFront(next, each)));
--- a/src/test/java/mastdrift/net/ClientGoneTest.java
+++ b/src/test/java/mastdrift/net/ClientDisconnectTest.java
@@ -51,7 +51,7 @@
  * that event is triggered only once the 0.1 s have passed, even if the gateway's loop was stalled meanwhile. The
  * requests that the hosts received are counted up to marker requests that are sent last.
  */
-class ClientGoneTest {
+class ClientDisconnectTest {
 
     private static final long ATTEMPT_CUTOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
     private static final int BACKLOG_CAPACITY = 2;  // the kernel's backlog holds one more than requested
@@ -230,7 +230,7 @@
             writer.start();
             await(host.received);
             // The first answer is released once all requests have been read, or as many as are counted at most.
-            eventually(() -> node.loop.submit(() -> node.clients.overflowRequestCount()).get() >= Math.min(requests - 9, ClientSide.MAX_OVERFLOW_REQUESTS));
+            eventually(() -> node.loop.submit(() -> node.clients.overflowRequestCount()).get() >= Math.min(requests - 9, HttpFront.MAX_OVERFLOW_REQUESTS));
             answers.countDown();
             int served = 0;
             for (int i = 0; i < requests; i++) {
@@ -252,7 +252,7 @@
      */
     @Test
     void firstRequestOfAnOverflowingReadIsForwarded() throws Exception {
-        int requests = ClientSide.MAX_OVERFLOW_REQUESTS + 200;
+        int requests = HttpFront.MAX_OVERFLOW_REQUESTS + 200;
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < requests; i++) {
             all.append(withTraceId(read(60_000), "id" + i));
@@ -290,7 +290,7 @@
             await(host.received);
             Loopback.tell(await(discovery.received).socket(), list(2, true, inServiceEntry("s1", host.address()), inServiceEntry("s2", other.address())));
             flood(client, requests);
-            eventually(() -> node.loop.submit(() -> node.clients.overflowRequestCount()).get() >= ClientSide.MAX_OVERFLOW_REQUESTS);
+            eventually(() -> node.loop.submit(() -> node.clients.overflowRequestCount()).get() >= HttpFront.MAX_OVERFLOW_REQUESTS);
             disconnectBeyondCutoff(client, closeMode);
             left.countDown();
             awaitNoConnections(node);
@@ -302,12 +302,12 @@
     @ParameterizedTest
     @CsvSource({"close,false", "half,false", "reset,false", "close,true", "half,true", "reset,true"})
     void noAttemptIsSentWhenClientLeavesDuringDialWhileReadingIsPaused(String closeMode, boolean cancel) throws Exception {
-        try (Server discovery = discovery(); Full full = new Full(); Node node = node(discovery, cancel, true, inServiceEntry("s1", full.address()))) {
+        try (Server discovery = discovery(); FullBacklogHost full = new FullBacklogHost(); Node node = node(discovery, cancel, true, inServiceEntry("s1", full.address()))) {
             Socket client = node.connect();
             write(client, withTraceId(read(60_000), "gone"));
             eventually(() -> isDialling(full.port()));
             flood(client, 3_000);
-            eventually(() -> node.loop.submit(() -> node.clients.overflowRequestCount()).get() >= ClientSide.MAX_OVERFLOW_REQUESTS);
+            eventually(() -> node.loop.submit(() -> node.clients.overflowRequestCount()).get() >= HttpFront.MAX_OVERFLOW_REQUESTS);
             disconnectBeyondCutoff(client, closeMode);
             assertEquals(Set.of(), receivedIds(node, full, true));
         }
@@ -347,13 +347,13 @@
     /**
      * A host whose listen backlog is full: connections wait until it starts accepting, and are answered from then on.
      */
-    private static final class Full implements AutoCloseable {
+    private static final class FullBacklogHost implements AutoCloseable {
 
         private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         private final List<Socket> sockets = new CopyOnWriteArrayList<>();
         private final List<String> receivedIds = new CopyOnWriteArrayList<>();
 
-        Full() throws IOException {
+        FullBacklogHost() throws IOException {
             for (int i = 0; i < BACKLOG_CAPACITY; i++) {
                 sockets.add(new Socket(listener.getInetAddress(), port()));
             }
@@ -396,11 +396,11 @@
         }
     }
 
-    private interface Body {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void runInBackground(Body task) {
+    private static void runInBackground(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
@@ -416,7 +416,7 @@
      * The ids that a host with a full backlog receives once it accepts connections, other than those of the markers
      * sent then.
      */
-    private static Set<String> receivedIds(Node node, Full full, boolean dialCompletes) throws Exception {
+    private static Set<String> receivedIds(Node node, FullBacklogHost full, boolean dialCompletes) throws Exception {
         full.startAccepting();
         eventually(() -> full.acceptedCount() > 0 || !dialCompletes);
         awaitNoConnections(node);
@@ -441,7 +441,7 @@
         "reset,true,true,first", "reset,false,true,first", "reset,true,true,further", "reset,false,true,further"})
     void noAttemptIsSentWhenClientLeavesDuringDial(String closeMode, boolean cancel, boolean parallelTries, String attempt) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        try (Server discovery = discovery(); Full full = new Full(); Server refusingHost = hostEnding("shed", release)) {
+        try (Server discovery = discovery(); FullBacklogHost full = new FullBacklogHost(); Server refusingHost = hostEnding("shed", release)) {
             String entry = inServiceEntry("s2", full.address());
             String other = inServiceEntry("s1", refusingHost.address());
             boolean further = attempt.equals("further");
--- a/src/test/java/mastdrift/net/ConnectionBoundsTest.java
+++ b/src/test/java/mastdrift/net/ConnectionLimitsTest.java
@@ -35,7 +35,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Clients that hold connections open in various ways, with shortened time bounds per phase. */
-class ConnectionBoundsTest {
+class ConnectionLimitsTest {
 
     private static final long SILENT_BOUND_MICROS = 5_000_000;
     private static final PhaseBounds BOUNDS = new PhaseBounds(SILENT_BOUND_MICROS, 400_000, 400_000, 1_400_000);
@@ -43,18 +43,18 @@
     private static final String LARGE_BODY = "x".repeat(60_000);
 
     /** What a client does with its connection, for which the gateway closes it. */
-    private enum Manner {
+    private enum ClientBehavior {
         SENDS_NOTHING, PARTIAL_HEAD, TRICKLED_HEAD, PARTIAL_BODY, IDLE_AFTER_REQUEST, PARTIAL_SECOND_REQUEST, NEVER_READS
     }
 
     @TempDir
     private Path folder;
 
-    private final TimedLoop timed = TimedLoop.start();
+    private final TimedEventLoop timed = TimedEventLoop.start();
     private final List<Socket> sockets = new ArrayList<>();
     private Server discovery;
     private Server host;
-    private ClientSide clients;
+    private HttpFront clients;
 
     @BeforeEach
     void start() throws Exception {
@@ -65,7 +65,7 @@
         clients = timed.loop().submit(() -> {
             Gateway gateway = new Gateway(config, timed, new Balance(), 100, 100, false,
                     new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8));
-            return new ClientSide(timed.loop(), gateway.ledger(), gateway, config.settings().classes(),
+            return new HttpFront(timed.loop(), gateway.ledger(), gateway, config.settings().classes(),
                     config.settings().tenants(), MAX_CONNECTIONS, BOUNDS, line -> { });
         }).get();
         clients.listen(new InetSocketAddress("127.0.0.1", 0)).sync();
@@ -96,7 +96,7 @@
         assertEquals(LARGE_BODY, Loopback.read(socket).text());
     }
 
-    private void startBehavior(Socket socket, Manner behavior) throws IOException {
+    private void startBehavior(Socket socket, ClientBehavior behavior) throws IOException {
         switch (behavior) {
             case SENDS_NOTHING -> { }
             case PARTIAL_HEAD, TRICKLED_HEAD -> write(socket, "GET /api HTTP/1.1\r\nHost: s\r\nX-");
@@ -116,8 +116,8 @@
      * the time.
      */
     @ParameterizedTest
-    @EnumSource(Manner.class)
-    void stallingClientIsClosedAtItsBoundWhileOthersAreServed(Manner behavior) throws Exception {
+    @EnumSource(ClientBehavior.class)
+    void stallingClientIsClosedAtItsBoundWhileOthersAreServed(ClientBehavior behavior) throws Exception {
         Socket servedClient = connect("127.0.0.1");
         Socket stallingClient = connect("127.0.0.2");
         long startNanos = System.nanoTime();
@@ -126,9 +126,9 @@
         for (int i = 0; open; i++) {
             assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(Loopback.WAIT_SECONDS), "still open");
             requestOnce(servedClient, "good" + i);
-            if (behavior == Manner.TRICKLED_HEAD) {
+            if (behavior == ClientBehavior.TRICKLED_HEAD) {
                 open = canSend(stallingClient);
-            } else if (behavior == Manner.NEVER_READS) {
+            } else if (behavior == ClientBehavior.NEVER_READS) {
                 open = isConnected(stallingClient);
             } else {
                 stallingClient.setSoTimeout(20);
@@ -138,8 +138,8 @@
         }
         long tookMicros = (System.nanoTime() - startNanos) / 1000;
         assertTrue(tookMicros >= 390_000, "closed after " + tookMicros + " us");
-        assertTrue(behavior == Manner.SENDS_NOTHING == tookMicros >= SILENT_BOUND_MICROS, "only a client that sent nothing has the longer bound: closed after " + tookMicros + " us");
-        assertTrue(behavior != Manner.IDLE_AFTER_REQUEST || tookMicros >= 1_390_000, "closed after " + tookMicros + " us");
+        assertTrue(behavior == ClientBehavior.SENDS_NOTHING == tookMicros >= SILENT_BOUND_MICROS, "only a client that sent nothing has the longer bound: closed after " + tookMicros + " us");
+        assertTrue(behavior != ClientBehavior.IDLE_AFTER_REQUEST || tookMicros >= 1_390_000, "closed after " + tookMicros + " us");
     }
 
     private static boolean canSend(Socket socket) {
--- a/src/test/java/mastdrift/net/ConnectionPoolTest.java
+++ b/src/test/java/mastdrift/net/ConnectionPoolTest.java
@@ -45,7 +45,7 @@
     private static final long LONG = 60_000_000;
     private static final long LEAVE = 40_000_000;
 
-    private final EventLoop loop = TimedLoop.start().loop();
+    private final EventLoop loop = TimedEventLoop.start().loop();
     private final AtomicLong clock = new AtomicLong(1_000_000);
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     private final EndpointGate gate = new EndpointGate();
--- a/src/test/java/mastdrift/net/DescriptorsTest.java
+++ b/src/test/java/mastdrift/net/DescriptorsTest.java
@@ -198,7 +198,7 @@
     static final class Full {
 
         public static void main(String[] addresses) throws Exception {
-            EventLoop loop = TimedLoop.start().loop();
+            EventLoop loop = TimedEventLoop.start().loop();
             BlockingQueue<String> results = new LinkedBlockingQueue<>();
             EndpointGate gate = new EndpointGate();
             ConnectionPool pool = loop.submit(() -> {
--- a/src/test/java/mastdrift/net/GatewayTest.java
+++ b/src/test/java/mastdrift/net/GatewayTest.java
@@ -40,7 +40,7 @@
     @TempDir
     private Path folder;
 
-    private final TimedLoop timed = TimedLoop.start();
+    private final TimedEventLoop timed = TimedEventLoop.start();
     private final EventLoop loop = timed.loop();
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
--- a/src/test/java/mastdrift/net/HostCrossingTest.java
+++ b/src/test/java/mastdrift/net/HostCrossingTest.java
@@ -39,7 +39,7 @@
 
     private static final long LONG = 60_000_000;
 
-    private final EventLoop loop = TimedLoop.start().loop();
+    private final EventLoop loop = TimedEventLoop.start().loop();
     private final AtomicLong clock = new AtomicLong(1_000_000);
     private final EndpointGate gate = new EndpointGate();
     private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
--- a/src/test/java/mastdrift/net/LatenessTest.java
+++ b/src/test/java/mastdrift/net/LatenessTest.java
@@ -64,27 +64,27 @@
      * An attempt as reported to the module: its host, its outcome, how long it took by the clock, and which part of
      * that is attributed to the host.
      */
-    private record Told(String uid, Outcome outcome, long totalMicros, long hostMicros) { }
+    private record ResolvedAttempt(String uid, Outcome outcome, long totalMicros, long hostMicros) { }
 
     /** A gateway with the real module, whose calls the test observes. */
-    private final class Held implements AutoCloseable {
+    private final class ObservedGateway implements AutoCloseable {
 
-        private final TimedLoop timed = TimedLoop.start();
-        private final BlockingQueue<Told> resolvedAttempts = new LinkedBlockingQueue<>();
+        private final TimedEventLoop timed = TimedEventLoop.start();
+        private final BlockingQueue<ResolvedAttempt> resolvedAttempts = new LinkedBlockingQueue<>();
         private final Map<Object, Long> requestedAtMicros = new ConcurrentHashMap<>();
         private final List<Socket> sockets = new ArrayList<>();
-        private final ClientSide clients;
+        private final HttpFront clients;
         private final AtomicInteger requestCount = new AtomicInteger();
         // called with the request's number, from 1 up, once the module has handled it
         private volatile IntConsumer afterRequest = number -> { };
 
-        Held(Server discovery, String... entries) throws Exception {
+        ObservedGateway(Server discovery, String... entries) throws Exception {
             Config config = Config.read(environment(folder, discovery, list(1, true, entries), SETTINGS));
             Balancer module = observed(new Balance());
             clients = timed.loop().submit(() -> {
                 Gateway gateway = new Gateway(config, timed, module, 100, 100, false,
                         new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8));
-                return new ClientSide(timed.loop(), gateway.ledger(), gateway, config.settings().classes(),
+                return new HttpFront(timed.loop(), gateway.ledger(), gateway, config.settings().classes(),
                         config.settings().tenants(), 100, line -> { });
             }).get();
             clients.listen(new InetSocketAddress("127.0.0.1", 0)).sync();
@@ -96,7 +96,7 @@
                         if (method.getName().equals("request")) {
                             requestedAtMicros.put(((Balancer.Request) arguments[1]).id(), (Long) arguments[0]);
                         } else if (method.getName().equals("resolved")) {
-                            resolvedAttempts.add(new Told((String) arguments[3], (Outcome) arguments[4],
+                            resolvedAttempts.add(new ResolvedAttempt((String) arguments[3], (Outcome) arguments[4],
                                     (Long) arguments[0] - requestedAtMicros.get(arguments[1]), (Long) arguments[5]));
                         }
                         try {
@@ -188,7 +188,7 @@
             pause(message.header("X-Trace-Id").equals("slow") ? 3 * STALL_MICROS : STALL_MICROS / 10);
             write(message.socket(), answer("200 OK", "x"));
         };
-        try (Server discovery = discovery(); Server host = new Server(script); Held gateway = new Held(discovery, inServiceEntry("s1", host))) {
+        try (Server discovery = discovery(); Server host = new Server(script); ObservedGateway gateway = new ObservedGateway(discovery, inServiceEntry("s1", host))) {
             Socket quick = gateway.connect();
             Socket slow = gateway.connect();
             write(quick, read(20_000).replace("9b1f", "quick"));
@@ -199,8 +199,8 @@
             stalled.countDown();
             assertEquals(200, Loopback.read(quick).status());
             assertEquals(200, Loopback.read(slow).status());
-            Told first = await(gateway.resolvedAttempts);
-            Told second = await(gateway.resolvedAttempts);
+            ResolvedAttempt first = await(gateway.resolvedAttempts);
+            ResolvedAttempt second = await(gateway.resolvedAttempts);
             assertTrue(first.totalMicros() - first.hostMicros() >= STALL_MICROS * 9 / 10, "the stall is deducted: " + first);
             assertTrue(second.hostMicros() >= STALL_MICROS * 2, "the time after the stall is attributed to the host: " + second);
         }
@@ -211,18 +211,18 @@
     void slowHostIsIdentifiedOnABusyLoop() throws Exception {
         long slownessMicros = 60_000;
         try (Server discovery = discovery(); Server one = serverTaking(3_000); Server two = serverTaking(slownessMicros);
-                Held gateway = new Held(discovery, inServiceEntry("quick", one), inServiceEntry("slow", two))) {
+                ObservedGateway gateway = new ObservedGateway(discovery, inServiceEntry("quick", one), inServiceEntry("slow", two))) {
             gateway.timed.loop().scheduleWithFixedDelay(() -> pause(20_000), 0, 1_000, TimeUnit.MICROSECONDS);
             Socket client = gateway.connect();
             for (int i = 0; i < 60; i++) {
                 write(client, read(20_000).replace("7f3a", "key" + i));
                 assertEquals(200, Loopback.read(client).status());
             }
-            List<Told> attempts = new ArrayList<>();
+            List<ResolvedAttempt> attempts = new ArrayList<>();
             gateway.resolvedAttempts.drainTo(attempts);
-            long[] quick = attempts.stream().filter(t -> t.uid().equals("quick")).mapToLong(Told::hostMicros).sorted().toArray();
-            long[] late = attempts.stream().filter(t -> t.uid().equals("slow")).mapToLong(Told::hostMicros).sorted().toArray();
-            long quickByClock = median(attempts.stream().filter(t -> t.uid().equals("quick")).mapToLong(Told::totalMicros).sorted().toArray());
+            long[] quick = attempts.stream().filter(t -> t.uid().equals("quick")).mapToLong(ResolvedAttempt::hostMicros).sorted().toArray();
+            long[] late = attempts.stream().filter(t -> t.uid().equals("slow")).mapToLong(ResolvedAttempt::hostMicros).sorted().toArray();
+            long quickByClock = median(attempts.stream().filter(t -> t.uid().equals("quick")).mapToLong(ResolvedAttempt::totalMicros).sorted().toArray());
             assertTrue(quickByClock >= 10_000, "by the clock the quick host takes long: " + quickByClock);
             assertTrue(median(quick) <= 8_000, "but that is not attributed to it: " + Arrays.toString(quick));
             assertTrue(median(late) >= slownessMicros / 2, "the slow host's time is: " + Arrays.toString(late));
@@ -250,7 +250,7 @@
     @ValueSource(booleans = {false, true})
     void afterAHoldNobodyWaitsInVain(boolean longTurn) throws Exception {
         try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Held gateway = new Held(discovery, inServiceEntry("s1", host))) {
+                ObservedGateway gateway = new ObservedGateway(discovery, inServiceEntry("s1", host))) {
             // loads classes, which takes longer than the whole time of the other request
             Socket first = gateway.connect();
             write(first, read(60_000));
@@ -293,7 +293,7 @@
             awaitLatch(allArrived);
             write(message.socket(), answer("200 OK", "one"));
         };
-        try (Server discovery = discovery(); Server one = new Server(together); Server two = host("two"); Held gateway = new Held(discovery, inServiceEntry("s1", one))) {
+        try (Server discovery = discovery(); Server one = new Server(together); Server two = host("two"); ObservedGateway gateway = new ObservedGateway(discovery, inServiceEntry("s1", one))) {
             Message watch = await(discovery.received);
             List<Socket> clients = List.of(gateway.connect(), gateway.connect(), gateway.connect());
             gateway.sendInOneTurn(clients);
@@ -322,7 +322,7 @@
     /** As before, with a connection that has been established and on which a task of the same turn sends. */
     @Test
     void drainReadBetweenADialAndItsFirstByteIsObeyed() throws Exception {
-        try (Server discovery = discovery(); Server one = host("one"); Server two = host("two"); Held gateway = new Held(discovery, inServiceEntry("s1", one))) {
+        try (Server discovery = discovery(); Server one = host("one"); Server two = host("two"); ObservedGateway gateway = new ObservedGateway(discovery, inServiceEntry("s1", one))) {
             Message watch = await(discovery.received);
             Socket first = gateway.connect();
             Socket second = gateway.connect();
@@ -369,7 +369,7 @@
         int expiresMillis = 1_500;
         long turnMicros = 150_000;
         try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Held gateway = new Held(discovery, inServiceEntry("s1", host))) {
+                ObservedGateway gateway = new ObservedGateway(discovery, inServiceEntry("s1", host))) {
             Socket first = gateway.connect();  // loads classes
             write(first, read(1));
             assertNotNull(Loopback.read(first));
@@ -404,7 +404,7 @@
      */
     @Test
     void clientWaitingForAcceptAtShutdownIsAnswered() throws Exception {
-        try (Server discovery = discovery(); Server host = Loopback.host("x"); Held gateway = new Held(discovery, inServiceEntry("s1", host))) {
+        try (Server discovery = discovery(); Server host = Loopback.host("x"); ObservedGateway gateway = new ObservedGateway(discovery, inServiceEntry("s1", host))) {
             Socket first = gateway.connect();
             write(first, read(20_000));
             assertEquals(200, Loopback.read(first).status());
@@ -432,7 +432,7 @@
      */
     @Test
     void drainArrivingDuringAStallIsObeyedBeforeAnySend() throws Exception {
-        try (Server discovery = discovery(); Server host = Loopback.host("x"); Held gateway = new Held(discovery, inServiceEntry("s1", host))) {
+        try (Server discovery = discovery(); Server host = Loopback.host("x"); ObservedGateway gateway = new ObservedGateway(discovery, inServiceEntry("s1", host))) {
             Socket client = gateway.connect();
             Socket watch = await(discovery.received).socket();
             write(client, read(20_000));
@@ -454,8 +454,8 @@
      */
     @Test
     void immediateDialFailureIsAttributedToTheHost() throws Exception {
-        try (Server discovery = discovery(); Held gateway = new Held(discovery, entry("s1", Loopback.nobody(), "a", "in_service"))) {
-            Told last = null;
+        try (Server discovery = discovery(); ObservedGateway gateway = new ObservedGateway(discovery, entry("s1", Loopback.nobody(), "a", "in_service"))) {
+            ResolvedAttempt last = null;
             for (int i = 0; i < 5; i++) {  // the first ones load classes
                 Socket client = gateway.connect();
                 write(client, read(20_000));
--- a/src/test/java/mastdrift/net/LifeTest.java
+++ b/src/test/java/mastdrift/net/LifeTest.java
@@ -93,7 +93,7 @@
     @Test
     void aStartWaitsToBeTold() throws Exception {
         PrintStream out = new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8);
-        TimedLoop timed = TimedLoop.start();
+        TimedEventLoop timed = TimedEventLoop.start();
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two")) {
             Config config = Config.read(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
             Main.Started started = Main.prepare(config, timed, false, out);
@@ -252,7 +252,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (Server discovery = discovery(); Server one = host("one")) {
             Config config = Config.read(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
-            Main.rehearse(config, TimedLoop.start(), new PrintStream(out, true, StandardCharsets.UTF_8)::println);
+            Main.rehearse(config, TimedEventLoop.start(), new PrintStream(out, true, StandardCharsets.UTF_8)::println);
             assertEquals("", out.toString(StandardCharsets.UTF_8));
             assertTrue(one.accepted.isEmpty() && discovery.accepted.isEmpty());
         }
--- a/src/test/java/mastdrift/net/Loopback.java
+++ b/src/test/java/mastdrift/net/Loopback.java
@@ -222,11 +222,11 @@
     /** A gateway in this process. */
     static final class Node implements AutoCloseable {
 
-        private final TimedLoop timed = TimedLoop.start();
+        private final TimedEventLoop timed = TimedEventLoop.start();
         final EventLoop loop = timed.loop();
         final ByteArrayOutputStream log = new ByteArrayOutputStream();
         final Gateway gateway;
-        final ClientSide clients;
+        final HttpFront clients;
         private final List<Socket> sockets = new ArrayList<>();
 
         Node(Map<String, String> environment) {
--- a/src/test/java/mastdrift/net/RehearsalTest.java
+++ b/src/test/java/mastdrift/net/RehearsalTest.java
@@ -26,7 +26,7 @@
     void aRehearsalEndsInTimeHoweverSlowTheCore() throws IOException {
         try (Server discovery = Loopback.discovery()) {
             Config config = Config.read(Loopback.environment(folder, discovery, Loopback.list(1, true), SETTINGS));
-            TimedLoop slow = TimedLoop.start();
+            TimedEventLoop slow = TimedEventLoop.start();
             // Each turn of the loop takes so long, and a request several turns: 800 would take more than 16 s.
             slow.loop().scheduleWithFixedDelay(() -> LockSupport.parkNanos(SLOW_NANOS), 0, 1, TimeUnit.MILLISECONDS);
             List<String> log = new ArrayList<>();
--- a/src/test/java/mastdrift/net/ServingTest.java
+++ b/src/test/java/mastdrift/net/RequestForwardingTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Requests through a complete gateway: what is forwarded, how attempts end, and whether a retry follows. */
-class ServingTest {
+class RequestForwardingTest {
 
     @TempDir
     private Path folder;
--- a/src/test/java/mastdrift/net/RequestLogTest.java
+++ b/src/test/java/mastdrift/net/RequestLogTest.java
@@ -24,7 +24,7 @@
     private final RequestLog log = new RequestLog(() -> now, lines::add);
 
     private static Call call(String id) {
-        FullHttpRequest message = Unchecked.newRequest(HttpMethod.GET, "/api", Unpooled.EMPTY_BUFFER);
+        FullHttpRequest message = UncheckedHeaders.newRequest(HttpMethod.GET, "/api", Unpooled.EMPTY_BUFFER);
         message.headers().add("X-Trace-Id", id);
         return new HttpCall(message);
     }
--- a/src/test/java/mastdrift/net/StrictFrontTest.java
+++ b/src/test/java/mastdrift/net/RequestSmugglingTest.java
@@ -31,7 +31,7 @@
  * line, {@code ~} for a tab, {@code ^} for a space.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
-class StrictFrontTest {
+class RequestSmugglingTest {
 
     private static final String READ_FIELDS = "X-Trace-Id: 9b1f|X-Qos: read|X-Customer: acme|X-Expires-In-Ms: 5000|";
     private static final String ONCE_FIELDS = "X-Trace-Id: 9b1f|X-Qos: once|X-Customer: acme|X-Expires-In-Ms: 5000|";
--- a/src/test/java/mastdrift/net/SettingsBleedTest.java
+++ b/src/test/java/mastdrift/net/SettingsBleedTest.java
@@ -68,7 +68,7 @@
                 Path own = Files.createDirectory(folder.resolve(deployment.name));
                 Config config = Config.read(environment(own, discovery, list(1, true, entries), deployment.settings));
                 if (nodes.isEmpty()) {  // what a rehearsal leaves behind would be the next one's to find
-                    Main.rehearse(config, TimedLoop.start(), line -> { });
+                    Main.rehearse(config, TimedEventLoop.start(), line -> { });
                 }
                 nodes.add(new Node(environment(own, discovery, list(1, true, entries), deployment.settings)));
             }
--- a/src/test/java/mastdrift/net/StopCrossingTest.java
+++ b/src/test/java/mastdrift/net/ShutdownRaceTest.java
@@ -42,7 +42,7 @@
  * Races with a shutdown: requests that arrive just then, in parts or behind others, connections that wait, short
  * deadlines, and a stop before the first client.
  */
-class StopCrossingTest {
+class ShutdownRaceTest {
 
     private static final String SHORT_DEADLINE_SETTINGS = SETTINGS.replace("\"deadline\":60000000", "\"deadline\":300000").replace("\"target\":10000000", "\"target\":100000");
 
@@ -195,7 +195,7 @@
     @Test
     void stopBeforeListeningCompletesAtOnce() throws Exception {
         PrintStream out = new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8);
-        TimedLoop timed = TimedLoop.start();
+        TimedEventLoop timed = TimedEventLoop.start();
         try (Server discovery = discovery(); Server host = host("ok")) {
             Config config = Config.read(environment(folder, discovery, list(1, true, entry("s1", host.address(), "a", "in_service")), SETTINGS));
             Main.Started started = Main.prepare(config, timed, false, out);
--- a/src/test/java/mastdrift/net/HoldUpTest.java
+++ b/src/test/java/mastdrift/net/StallBeforeSendTest.java
@@ -43,7 +43,7 @@
  * The process stalls for 0.15 s between the decision to send an attempt and its first byte, or a turn of the event loop
  * takes long.
  */
-class HoldUpTest {
+class StallBeforeSendTest {
 
     private static final long STALL_MILLIS = 150;
     private static final int EXPIRES_MILLIS = 5_000;
@@ -53,12 +53,12 @@
     @TempDir
     private Path folder;
 
-    private final TimedLoop timed = TimedLoop.start();
+    private final TimedEventLoop timed = TimedEventLoop.start();
     private final List<Socket> sockets = new ArrayList<>();
     private volatile Runnable beforeSend = () -> { };
     private Server discovery;
     private Server host;
-    private ClientSide clients;
+    private HttpFront clients;
 
     @BeforeEach
     void open() throws Exception {
@@ -68,7 +68,7 @@
         clients = timed.loop().submit(() -> {
             Gateway gateway = new Gateway(config, timed, withSendHook(new Balance()), 100, 100, false,
                     new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8));
-            return new ClientSide(timed.loop(), gateway.ledger(), gateway, config.settings().classes(), config.settings().tenants(), 100, line -> { });
+            return new HttpFront(timed.loop(), gateway.ledger(), gateway, config.settings().classes(), config.settings().tenants(), 100, line -> { });
         }).get();
         clients.listen(new InetSocketAddress("127.0.0.1", 0)).sync();
     }
--- a/src/test/java/mastdrift/net/StartTest.java
+++ b/src/test/java/mastdrift/net/StartTest.java
@@ -83,8 +83,8 @@
     private String start(String how) throws Exception {
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         PrintStream out = new PrintStream(log, true, StandardCharsets.UTF_8);
-        TimedLoop timed = TimedLoop.start();
-        TimedLoop slow = TimedLoop.start();
+        TimedEventLoop timed = TimedEventLoop.start();
+        TimedEventLoop slow = TimedEventLoop.start();
         slow.loop().scheduleWithFixedDelay(() -> LockSupport.parkNanos(SLOW_NANOS), 0, 1, TimeUnit.MILLISECONDS);
         Path own = Files.createDirectory(folder.resolve(how));
         try (Server discovery = discovery(how); Server one = host("one")) {
@@ -200,7 +200,7 @@
     /** Nothing is waited for once the rehearsal is over: where it is short, so is the start. */
     @Test
     void aCallThatIsHeldBackGoesOutWhenItIsTold() throws Exception {
-        TimedLoop timed = TimedLoop.start();
+        TimedEventLoop timed = TimedEventLoop.start();
         try (Server discovery = Loopback.discovery(); Server one = host("one")) {
             Config config = Config.read(environment(folder, discovery, known(one), SETTINGS));
             Main.Started started = Main.prepare(config, timed, TimeUnit.SECONDS.toMillis(Loopback.WAIT_SECONDS) * 2, false,
--- a/src/test/java/mastdrift/net/SystemCallTest.java
+++ b/src/test/java/mastdrift/net/SystemCallFailureTest.java
@@ -51,7 +51,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** System calls that fail as Linux documents it, simulated by channel implementations of the test. */
-class SystemCallTest {
+class SystemCallFailureTest {
 
     private static final long DIAL_TIMEOUT_MICROS = 20_000_000;
     private static final long IDLE_TIMEOUT_MICROS = 5_000_000;
@@ -63,7 +63,7 @@
     @TempDir
     private Path folder;
 
-    private final TimedLoop timed = TimedLoop.start();
+    private final TimedEventLoop timed = TimedEventLoop.start();
     private final EventLoop loop = timed.loop();
 
     @AfterEach
@@ -189,7 +189,7 @@
     }
 
     /** Reads and writes one byte at a time, like a socket whose buffer is full or whose calls are interrupted. */
-    private static final class ShortWrites extends NioSocketChannel {
+    private static final class ShortReadWriteSocket extends NioSocketChannel {
 
         @Override
         protected int doWriteBytes(io.netty.buffer.ByteBuf bytes) throws Exception {
@@ -216,6 +216,6 @@
 
     @Test
     void requestIsDeliveredDespiteShortReadsAndWrites() throws Exception {
-        assertEquals(Outcome.DELIVERED, outcomeOfSend(ShortWrites::new));
+        assertEquals(Outcome.DELIVERED, outcomeOfSend(ShortReadWriteSocket::new));
     }
 }
--- a/src/test/java/mastdrift/net/TallyingTest.java
+++ b/src/test/java/mastdrift/net/TallyingTest.java
@@ -115,7 +115,7 @@
     void requestsThatAreFollowedAreBounded() throws Exception {
         try (Server discovery = discovery(); Server one = Loopback.host("one");
                 Node node = new Node(environment(folder, discovery, list(1, true, entry("s1", one.address(), "a", "in_service")), SETTINGS), true)) {
-            int asked = 3 * Tracing.MAX_TRACED_PER_SECOND;
+            int asked = 3 * RequestTracer.MAX_TRACED_PER_SECOND;
             for (int i = 0; i < asked; i++) {
                 node.ask(read(20_000));
             }
@@ -128,7 +128,7 @@
             String log = node.log.toString(StandardCharsets.UTF_8);
             Map<Long, Long> taken = log.lines().filter(line -> line.contains(Step.MARK)).map(Step::parse).filter(step -> step.kind() == Step.Kind.TAKEN)
                     .collect(Collectors.groupingBy(step -> step.at() / 1_000_000, Collectors.counting()));
-            assertTrue(taken.values().stream().allMatch(count -> count <= Tracing.MAX_TRACED_PER_SECOND), "followed by second: " + taken);
+            assertTrue(taken.values().stream().allMatch(count -> count <= RequestTracer.MAX_TRACED_PER_SECOND), "followed by second: " + taken);
             assertEquals(asked, taken.values().stream().mapToLong(Long::longValue).sum() + fleet.all().of(Count.UNFOLLOWED));
             assertEquals(taken.values().stream().mapToLong(Long::longValue).sum(), log.lines().filter(line -> line.contains(" kind=answered ")).count());
         }
