--- a/src/main/java/mastdrift/net/ConnectionPool.java
+++ b/src/main/java/mastdrift/net/ConnectionPool.java
@@ -198,7 +198,7 @@
                 continue;
             }
             candidates.remove();
-            Look.at(candidate.channel());  // a close, or data beyond the answer, may be waiting there unread
+            UnreadInput.read(candidate.channel());  // a close, or data beyond the answer, may be waiting there unread
             if (candidate.channel().isActive() && now - candidate.idleSince() < maxIdleMicros) {
                 return candidate;
             }
--- a/src/main/java/mastdrift/net/Discovery.java
+++ b/src/main/java/mastdrift/net/Discovery.java
@@ -151,7 +151,7 @@
         for (CallGroup group : List.of(watch, fetch)) {
             for (Channel channel : group.scheduler.openCalls()) {
                 if (callOf(channel) != null) {
-                    allRead &= Look.through(channel, MAX_READS_PER_CALL);
+                    allRead &= UnreadInput.readAll(channel, MAX_READS_PER_CALL);
                 }
             }
         }
@@ -266,7 +266,7 @@
         private void closeOverdue() {
             for (Channel overdue : scheduler.overdueCalls(nowMicros())) {
                 if (callOf(overdue) != null) {
-                    Look.through(overdue, MAX_READS_PER_CALL);
+                    UnreadInput.readAll(overdue, MAX_READS_PER_CALL);
                 }
             }
             for (Channel overdue : scheduler.overdueCalls(nowMicros())) {
@@ -318,7 +318,7 @@
                 DiscoveryCall call = callOf(channel);
                 if (call != null) {
                     call.markClosing("replaced by another call, or no longer needed");
-                    Look.through(channel, MAX_READS_PER_CALL);
+                    UnreadInput.readAll(channel, MAX_READS_PER_CALL);
                 }
                 channel.close();
             }
@@ -371,7 +371,7 @@
         @Override
         public void listRejected(DiscoveryCall call) {
             loop.execute(() -> {  // after the read that brought the rejected list
-                Look.through(call.channel(), MAX_READS_PER_CALL);
+                UnreadInput.readAll(call.channel(), MAX_READS_PER_CALL);
                 call.channel().close();
             });
         }
--- a/src/main/java/mastdrift/net/DryStart.java
+++ b/src/main/java/mastdrift/net/DryStart.java
@@ -17,8 +17,8 @@
     public static void main(String[] args) throws InterruptedException {
         Main.disableNettyLog();
         GatewayConfig config = GatewayConfig.read(System.getenv());
-        Main.StartedGateway started = Main.prepare(config, TimedLoop.start(), false, System.out);
-        Main.warmUp(config, TimedLoop.start(), System.out::println);
+        Main.StartedGateway started = Main.prepare(config, TimedEventLoop.start(), false, System.out);
+        Main.warmUp(config, TimedEventLoop.start(), System.out::println);
         Main.listen(started, config, System.out);
         Thread.sleep(DISCOVERY_CALL_MILLIS);
         System.exit(0);
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -15,7 +15,7 @@
 import mastdrift.engine.Transport;
 
 /** The platform's gateway: a single pool, to which every request goes, with hosts from discovery. */
-final class Gateway implements ClientSide.Router {
+final class Gateway implements HttpFront.Router {
 
     private final PrintStream out;
     private final Pool pool;
@@ -26,7 +26,7 @@
     private boolean watchRequested;  // whether the module has asked for a watch
 
     /** Starts the module; called on the event loop's thread. */
-    Gateway(GatewayConfig config, TimedLoop timedLoop, Balancer module, int maxHostConnections, int maxOpenRequests,
+    Gateway(GatewayConfig config, TimedEventLoop timedLoop, Balancer module, int maxHostConnections, int maxOpenRequests,
             boolean tally, PrintStream out) {
         this.out = out;
         EventLoop loop = timedLoop.loop();
@@ -54,7 +54,7 @@
         Discovery.Listener listener = new DiscoveryListener();
         ledger.witness(new RequestLog(timedLoop.clock()::now, this::log));
         if (tally) {
-            Tracing tracing = new Tracing(transport, timedLoop, config.settings(), this::log);
+            RequestTracer tracing = new RequestTracer(transport, timedLoop, config.settings(), this::log);
             ledger.witness(tracing);
             TallyRecorder tallyRecorder = new TallyRecorder(tracing, timedLoop, config.settings().rules().warmWithin(),
                     ledger, tracing, this::log);
--- a/src/main/java/mastdrift/net/HttpTransport.java
+++ b/src/main/java/mastdrift/net/HttpTransport.java
@@ -34,7 +34,7 @@
     private final Reports reports;
 
     /** Opens {@code maxConnections} connections at most, to all hosts together. */
-    public HttpTransport(TimedLoop timedLoop, Settings settings, int maxConnections, Consumer<String> faultLog) {
+    public HttpTransport(TimedEventLoop timedLoop, Settings settings, int maxConnections, Consumer<String> faultLog) {
         reports = settings.habits().reports();
         connections = new ConnectionPool(timedLoop.loop(), timedLoop.clock()::now, timedLoop.timers(),
                 settings.links().dialTimeout(), settings.links().idle(), maxConnections, faultLog);
@@ -71,7 +71,7 @@
 
     private static FullHttpRequest forwardedRequest(FullHttpRequest request) {
         ByteBuf body = request.content().retainedDuplicate();
-        FullHttpRequest message = Unchecked.request(request.method(), request.uri(), body);
+        FullHttpRequest message = UncheckedHeaders.newRequest(request.method(), request.uri(), body);
         for (AsciiString name : FORWARDED_HEADERS) {
             String value = request.headers().get(name);
             if (value != null) {
@@ -87,7 +87,7 @@
     @Override
     public void probe(Endpoint endpoint, Probed listener) {
         boolean reportsEnabled = reports != Reports.OFF;
-        FullHttpRequest message = Unchecked.request(HttpMethod.GET, reportsEnabled ? "/status/load" : "/health",
+        FullHttpRequest message = UncheckedHeaders.newRequest(HttpMethod.GET, reportsEnabled ? "/status/load" : "/health",
                 Unpooled.EMPTY_BUFFER);
         connections.send(endpoint, message, PROBE_TIMEOUT_MICROS, PROBE_TIMEOUT_MICROS, new HttpAttempt.Listener() {
             @Override
--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -57,7 +57,7 @@
             System.exit(2);
         }
         disableNettyLog();
-        TimedLoop timedLoop = TimedLoop.start();
+        TimedEventLoop timedLoop = TimedEventLoop.start();
         EventLoop loop = timedLoop.loop();
         CompletableFuture<Gateway> gatewayFuture = new CompletableFuture<>();
         // Installed first, since SIGHUP would otherwise end the process. A signal that comes before the gateway has
@@ -70,11 +70,11 @@
                     System.out);
             // Installed before the first client connects: a SIGTERM between the two would end the process and lose the
             // requests accepted.
-            ClientSide clients = started.clients();
+            HttpFront clients = started.clients();
             Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(loop, clients, System.out, () -> Runtime.getRuntime().halt(0))));
             // Discovery may change its address while its first list is awaited.
             gatewayFuture.complete(started.gateway());
-            completeStart(started, loop, config, TimedLoop.start(), beganNanos, System.out);
+            completeStart(started, loop, config, TimedEventLoop.start(), beganNanos, System.out);
             listen(started, config, System.out);
         } catch (IllegalArgumentException | CompletionException e) {
             Throwable cause = e instanceof CompletionException ? e.getCause() : e;
@@ -98,7 +98,7 @@
      * shut down afterwards, and waits until discovery has delivered a list, or until the time for that is over, counted
      * from {@code beganNanos} by {@link System#nanoTime}.
      */
-    static void completeStart(StartedGateway started, EventLoop loop, GatewayConfig config, TimedLoop warmUpLoop,
+    static void completeStart(StartedGateway started, EventLoop loop, GatewayConfig config, TimedEventLoop warmUpLoop,
             long beganNanos, PrintStream out) {
         warmUp(config, warmUpLoop, out::println);
         loop.execute(started.gateway()::allowDiscovery);
@@ -117,7 +117,7 @@
     }
 
     /** Warms up the request path on the given loop, which is shut down afterwards. */
-    static void warmUp(GatewayConfig config, TimedLoop timedLoop, Consumer<String> log) {
+    static void warmUp(GatewayConfig config, TimedEventLoop timedLoop, Consumer<String> log) {
         PrintStream silent = new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8);
         WarmUp.run((hosts, standInAddress) -> StartedGateway.create(new GatewayConfig(standInAddress, standInAddress,
                 config.maxSockets(), new HostList(0, true, hosts), config.settings()),
@@ -148,15 +148,15 @@
     }
 
     /** A gateway and its front. */
-    record StartedGateway(Gateway gateway, ClientSide clients) {
+    record StartedGateway(Gateway gateway, HttpFront clients) {
 
         /** Starts the module; called on the event loop's thread. */
-        static StartedGateway create(GatewayConfig config, TimedLoop timedLoop, int maxHostConnections,
+        static StartedGateway create(GatewayConfig config, TimedEventLoop timedLoop, int maxHostConnections,
                 int maxOpenRequests, int maxClientConnections, boolean tally,
                 PrintStream out) {
             Gateway gateway = new Gateway(config, timedLoop, new Balance(), maxHostConnections, maxOpenRequests, tally,
                     out);
-            return new StartedGateway(gateway, new ClientSide(timedLoop.loop(), gateway.ledger(), gateway,
+            return new StartedGateway(gateway, new HttpFront(timedLoop.loop(), gateway.ledger(), gateway,
                     config.settings().classes(), config.settings().tenants(), maxClientConnections, gateway::log));
         }
     }
@@ -166,7 +166,7 @@
      * calls discovery after {@code firstCallDelayMillis} at the earliest, or once {@link Gateway#allowDiscovery} is
      * called.
      */
-    static StartedGateway prepare(GatewayConfig config, TimedLoop timedLoop, long firstCallDelayMillis, boolean tally,
+    static StartedGateway prepare(GatewayConfig config, TimedEventLoop timedLoop, long firstCallDelayMillis, boolean tally,
             PrintStream out) {
         // Half of the connections are for clients. An eighth of these is for answering requests beyond the open ones.
         int descriptors = Math.min(Math.min(config.maxSockets(), FileDescriptorLimit.softLimit()), 1 << 16);
@@ -184,7 +184,7 @@
     }
 
     /** As above, with no call to discovery held back. */
-    static StartedGateway prepare(GatewayConfig config, TimedLoop timedLoop, boolean tally, PrintStream out) {
+    static StartedGateway prepare(GatewayConfig config, TimedEventLoop timedLoop, boolean tally, PrintStream out) {
         return prepare(config, timedLoop, 0, tally, out);
     }
 
@@ -221,7 +221,7 @@
      * logged and the process ended in one turn of the event loop, where a running gateway logs all its lines, so that
      * none follows the last.
      */
-    static void stop(EventLoop loop, ClientSide clients, PrintStream out, Runnable halt) {
+    static void stop(EventLoop loop, HttpFront clients, PrintStream out, Runnable halt) {
         AtomicBoolean haltStarted = new AtomicBoolean();
         CountDownLatch ended = new CountDownLatch(1);
         loop.execute(() -> clients.stop(FINISH_TIMEOUT_MICROS, () -> {
--- a/src/main/java/mastdrift/net/StrictDecoder.java
+++ b/src/main/java/mastdrift/net/StrictDecoder.java
@@ -13,151 +13,156 @@
 import java.util.List;
 
 /**
- * Reads requests and takes none that another reader might read differently: what is ambiguous here may hide a second
- * request there. Whatever it refuses is handed on as a message that failed, to be answered with 400, or with 501 for
- * {@link Unsupported}, and a close. By sections of RFC 9112, beyond what Netty's decoder refuses by itself:
- *
+ * Decodes requests and rejects any that another HTTP implementation might parse differently, since such a request could
+ * smuggle a second one past one of the two. A rejected request is passed on as a failed message, to be answered with
+ * 400, or with 501 for {@link UnsupportedTransferCodingException}, and the connection is closed. Checked in addition to
+ * what Netty's decoder rejects, by sections of RFC 9112:
  * <ul>
  * <li>2.3: the version is HTTP/1.1 or HTTP/1.0.
- * <li>3: method, target and version are parted by one space each, with none before or behind; a server may be lenient here
- * and another one is not.
- * <li>3.2, 3.2.1: the target is in origin-form; others name a host that may differ from Host.
- * <li>3.2: one Host, with no more than a host and a port in it; HTTP/1.0 may have none.
+ * <li>3: method, target and version are separated by exactly one space each, with no white space before or after them;
+ * a server may be lenient here, and another may not be.
+ * <li>3.2, 3.2.1: the target is in origin-form; the other forms name a host that may differ from Host.
+ * <li>3.2: there is exactly one Host field, which contains only a host and a port; HTTP/1.0 may have none.
  * <li>5.2: no line folding.
- * <li>6.1: the transfer coding is chunked alone, once, in one field; 501 for codings that are not undone here, 400 where
- * chunked is not the last or comes twice. None with HTTP/1.0, none beside Content-Length (6.3).
+ * <li>6.1: the only transfer coding is chunked, given once, in one field. 501 for codings that are not decoded here;
+ * 400 if chunked is not the last coding or is given twice. No transfer coding with HTTP/1.0, and none together with
+ * Content-Length (6.3).
  * </ul>
- *
- * <p>Refused by Netty: a bare LF or CR (2.2), white space before a colon (5.1), control characters in a field (5.5), a length
- * that is no number or comes twice (6.3), chunk sizes that are none (7.1).
+ * <p>Rejected by Netty: a bare LF or CR (2.2), white space before a colon (5.1), control characters in a field (5.5), a
+ * Content-Length that is not a number or is given twice (6.3), invalid chunk sizes (7.1).
  */
 final class StrictDecoder extends HttpRequestDecoder {
 
-    /** A transfer coding that this program doesn't undo: 501. */
-    static final class Unsupported extends IllegalArgumentException {
+    /** A transfer coding that is not decoded here: answered with 501. */
+    static final class UnsupportedTransferCodingException extends IllegalArgumentException {
 
         private static final long serialVersionUID = 1;
 
-        Unsupported(String coding) {
-            super("transfer coding " + coding);
+        UnsupportedTransferCodingException(String coding) {
+            super("unsupported transfer coding " + coding);
         }
     }
 
-    private static final boolean[] HOST = new boolean['~' + 1];
+    // By ASCII code, whether a character is allowed in a Host field.
+    private static final boolean[] HOST_CHARACTERS = new boolean['~' + 1];
 
     static {
         for (char c = '!'; c <= '~'; c++) {
-            HOST[c] = "/?#@,\\\"<>".indexOf(c) < 0;
+            HOST_CHARACTERS[c] = "/?#@,\\\"<>".indexOf(c) < 0;
         }
     }
 
     private boolean inHead = true;
-    private boolean begun;  // the request line has been read
-    private boolean folded;
-    private int wordEnd;
+    private boolean requestLineRead;
+    private boolean lineFolded;
+    private int previousWordEnd;
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf buffer, List<Object> out) throws Exception {
-        if (inHead && !folded) {
-            folded = folds(buffer);
+        if (inHead && !lineFolded) {
+            lineFolded = hasFoldedLine(buffer);
         }
         super.decode(context, buffer, out);
         if (!out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent) {
             inHead = true;
-            begun = false;
-            folded = false;
+            requestLineRead = false;
+            lineFolded = false;
         }
     }
 
-    /** Whether a line of the head, but for the first, begins with white space. Whole lines are taken off the buffer as they
-        are read, so that it begins with a line. */
-    private boolean folds(ByteBuf buffer) {
-        boolean first = !begun;
+    /**
+     * Whether a line of the head other than the request line begins with white space. The decoder consumes whole lines,
+     * so the buffer always begins at the start of a line.
+     */
+    private boolean hasFoldedLine(ByteBuf buffer) {
+        boolean beforeRequestLine = !requestLineRead;
         int end = buffer.writerIndex();
-        for (int at = buffer.readerIndex(); at < end; ) {
-            byte begin = buffer.getByte(at);
-            if (!first && (begin == ' ' || begin == '\t')) {
+        for (int lineStart = buffer.readerIndex(); lineStart < end; ) {
+            byte firstByte = buffer.getByte(lineStart);
+            if (!beforeRequestLine && (firstByte == ' ' || firstByte == '\t')) {
                 return true;
             }
-            int feed = buffer.indexOf(at, end, HttpConstants.LF);
-            boolean empty = feed == at || feed == at + 1 && begin == HttpConstants.CR;
-            if (feed < 0 || empty && !first) {
+            int lineFeed = buffer.indexOf(lineStart, end, HttpConstants.LF);
+            boolean emptyLine = lineFeed == lineStart || lineFeed == lineStart + 1 && firstByte == HttpConstants.CR;
+            if (lineFeed < 0 || emptyLine && !beforeRequestLine) {
                 return false;
             }
-            first &= empty;  // empty lines may come ahead of a request
-            at = feed + 1;
+            beforeRequestLine &= emptyLine;  // empty lines may precede a request
+            lineStart = lineFeed + 1;
         }
         return false;
     }
 
-    /** Whether nothing of a request is waiting for its rest. */
-    boolean isEmpty() {
-        return inHead && !begun && actualReadableBytes() == 0;
+    /** Whether no part of a request has been received that is still incomplete. */
+    boolean isBetweenRequests() {
+        return inHead && !requestLineRead && actualReadableBytes() == 0;
     }
 
-    // ---- the request line: the words' places tell what stands between them
+    // ---- request line: the positions of the words tell what separates them
 
     @Override
     protected String splitFirstWordInitialLine(byte[] line, int start, int length) {
-        require(start == 0, "white space ahead of the method");
-        wordEnd = start + length;
+        require(start == 0, "white space before the method");
+        previousWordEnd = start + length;
         return super.splitFirstWordInitialLine(line, start, length);
     }
 
     @Override
     protected String splitSecondWordInitialLine(byte[] line, int start, int length) {
-        afterOneSpace(line, start);
-        wordEnd = start + length;
+        requireSingleSpace(line, start);
+        previousWordEnd = start + length;
         return super.splitSecondWordInitialLine(line, start, length);
     }
 
     @Override
     protected String splitThirdWordInitialLine(byte[] line, int start, int length) {
-        afterOneSpace(line, start);
+        requireSingleSpace(line, start);
         String version = super.splitThirdWordInitialLine(line, start, length);
-        require(version.equals("HTTP/1.1") || version.equals("HTTP/1.0"), "another version than HTTP/1.1 or HTTP/1.0");
+        require(version.equals("HTTP/1.1") || version.equals("HTTP/1.0"), "a version other than HTTP/1.1 and HTTP/1.0");
         return version;
     }
 
-    private void afterOneSpace(byte[] line, int start) {
-        require(start == wordEnd + 1 && line[wordEnd] == ' ', "other than one space in the request line");
+    private void requireSingleSpace(byte[] line, int start) {
+        require(start == previousWordEnd + 1 && line[previousWordEnd] == ' ',
+                "other than one space between words of the request line");
     }
 
     @Override
     protected HttpMessage createMessage(String[] line) throws Exception {
-        begun = true;
+        requestLineRead = true;
         return super.createMessage(line);
     }
 
-    // ---- the head as a whole
+    // ---- the complete head
 
-    /** Asked once a head is whole, before anything is done about a body. */
+    /** Called once a head is complete, before its body is handled. */
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
         inHead = false;
-        require(!folded, "a folded line");
-        boolean current = message.protocolVersion().equals(HttpVersion.HTTP_1_1);
-        require(((HttpRequest) message).uri().startsWith("/"), "a target that is no path");
-        host(message.headers().getAll(HttpHeaderNames.HOST), current);
+        require(!lineFolded, "a folded header line");
+        boolean isHttp11 = message.protocolVersion().equals(HttpVersion.HTTP_1_1);
+        require(((HttpRequest) message).uri().startsWith("/"), "a target that is not in origin-form");
+        validateHost(message.headers().getAll(HttpHeaderNames.HOST), isHttp11);
         List<String> codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (!codings.isEmpty()) {
-            require(current, "a transfer coding with HTTP/1.0");
-            require(!message.headers().contains(HttpHeaderNames.CONTENT_LENGTH), "a length beside a transfer coding");
-            coding(String.join(",", codings));
+            require(isHttp11, "Transfer-Encoding with HTTP/1.0");
+            require(!message.headers().contains(HttpHeaderNames.CONTENT_LENGTH),
+                    "both Content-Length and Transfer-Encoding");
+            validateTransferCoding(String.join(",", codings));
         }
         return super.isContentAlwaysEmpty(message);
     }
 
-    private static void host(List<String> hosts, boolean current) {
-        require(hosts.size() == 1 || !current && hosts.isEmpty(), "other than one Host");
+    private static void validateHost(List<String> hosts, boolean isHttp11) {
+        require(hosts.size() == 1 || !isHttp11 && hosts.isEmpty(), "other than one Host field");
         String host = hosts.isEmpty() ? "" : hosts.get(0);
         for (int i = 0; i < host.length(); i++) {
             char c = host.charAt(i);
-            require(c < HOST.length && HOST[c], "a Host that is none");
+            require(c < HOST_CHARACTERS.length && HOST_CHARACTERS[c], "an invalid character in Host");
         }
     }
 
-    private static void coding(String codings) {
+    private static void validateTransferCoding(String codings) {
         if (HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings)) {
             return;
         }
@@ -165,17 +170,17 @@
         for (int i = 0; i < each.length; i++) {
             String coding = each[i].strip();
             boolean chunked = HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(coding);
-            require(!chunked || i == each.length - 1, "chunked that is not the last coding");
-            require(!coding.isEmpty(), "a transfer coding that is none");
+            require(!chunked || i == each.length - 1, "chunked not as the last transfer coding");
+            require(!coding.isEmpty(), "an empty transfer coding");
             if (!chunked) {
-                throw new Unsupported(coding);
+                throw new UnsupportedTransferCodingException(coding);
             }
         }
     }
 
-    private static void require(boolean kept, String found) {
-        if (!kept) {
-            throw new IllegalArgumentException("found " + found);
+    private static void require(boolean valid, String problem) {
+        if (!valid) {
+            throw new IllegalArgumentException("invalid request: found " + problem);
         }
     }
 }
--- a/src/main/java/mastdrift/net/TallyRecorder.java
+++ b/src/main/java/mastdrift/net/TallyRecorder.java
@@ -33,13 +33,13 @@
     private final Timers timers;
     private final long warmWithinMicros;
     private final Ledger ledger;
-    private final Tracing tracing;
+    private final RequestTracer tracing;
     private final Consumer<String> log;
     private final Set<String> coldHosts = new HashSet<>();
     private final long[] countedAnswers = new long[2 + Why.values().length];
     private Second currentSecond;
 
-    TallyRecorder(Transport transport, TimedLoop timedLoop, long warmWithinMicros, Ledger ledger, Tracing tracing,
+    TallyRecorder(Transport transport, TimedEventLoop timedLoop, long warmWithinMicros, Ledger ledger, RequestTracer tracing,
             Consumer<String> log) {
         this.transport = transport;
         clock = timedLoop.clock();
@@ -59,7 +59,7 @@
 
     private void logSecond() {
         countFinalAnswers();
-        currentSecond.add(Count.UNFOLLOWED, tracing.unfollowed());
+        currentSecond.add(Count.UNFOLLOWED, tracing.takeUntracedCount());
         String line = currentSecond.line();
         if (line.indexOf('=') != line.lastIndexOf('=')) {
             log.accept(line);
--- a/src/main/java/mastdrift/net/WarmUp.java
+++ b/src/main/java/mastdrift/net/WarmUp.java
@@ -49,7 +49,7 @@
          * Returns its front, not yet listening; called on the thread of the event loop that the warm-up runs on. All
          * hosts are at {@code standInAddress}, which also stands in for a discovery that fails.
          */
-        ClientSide create(List<Member> hosts, InetSocketAddress standInAddress);
+        HttpFront create(List<Member> hosts, InetSocketAddress standInAddress);
     }
 
     private static final int REQUEST_COUNT = 800;
@@ -79,7 +79,7 @@
             InetSocketAddress standInAddress = (InetSocketAddress) hostServer.localAddress();
             List<Member> hosts = IntStream.range(0, HOST_COUNT).mapToObj(i -> new Member(
                     new Host("rehearsal-" + i, zone, 0, "", 1, Health.UP, 0), standInAddress)).toList();
-            ClientSide clients = CompletableFuture.supplyAsync(() -> gatewayFactory.create(hosts, standInAddress), loop)
+            HttpFront clients = CompletableFuture.supplyAsync(() -> gatewayFactory.create(hosts, standInAddress), loop)
                     .join();
             clients.listen(anyPort).sync();
             sendRequests(clients.address(), classes, tenants);
--- a/src/test/java/mastdrift/net/ConnectionReuseTest.java
+++ b/src/test/java/mastdrift/net/ConnectionReuseTest.java
@@ -42,7 +42,7 @@
 
     private static final long TIMEOUT_MICROS = 60_000_000;
 
-    private final EventLoop loop = TimedLoop.start().loop();
+    private final EventLoop loop = TimedEventLoop.start().loop();
     private final AtomicLong clock = new AtomicLong(1_000_000);
     private final EndpointGate gate = new EndpointGate();
     private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
--- a/src/test/java/mastdrift/net/DescriptorsTest.java
+++ b/src/test/java/mastdrift/net/DescriptorsTest.java
@@ -49,19 +49,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Idle clients take all the descriptors that they are given, while discovery is down: its calls, hosts and timers still get theirs. And where a process has
-    none left, its dials fail on the loop as others do. */
+/**
+ * Idle clients use up all the descriptors that they are allowed while discovery is down: calls to discovery, hosts and
+ * timers must still get theirs. In a process that has no descriptor left, dials fail on the event loop like other
+ * failures.
+ */
 class DescriptorsTest {
 
-    private static final int LIMIT = 160;
-    private static final int IDLE = 400;
-    // Half of what the limit leaves beside the program's own: the hosts' part, and as much is the clients'.
-    private static final int HOSTS = 32;
+    private static final int DESCRIPTOR_LIMIT = 160;
+    private static final int IDLE_CONNECTIONS = 400;
+    // Half of what the limit leaves after the program's own descriptors is for hosts, the other half for clients.
+    private static final int HOST_DESCRIPTORS = 32;
 
     @TempDir
     private Path folder;
 
-    /** What the program needs: each file of the class path takes a descriptor. */
+    /** Only what the program needs, since each file of the class path takes a descriptor. */
     private static String classPath() {
         return Arrays.stream(Loopback.classPath().split(File.pathSeparator)).filter(entry -> entry.matches(".*(target/(test-)?classes|netty-|jackson-).*"))
                 .collect(Collectors.joining(File.pathSeparator));
@@ -77,17 +80,20 @@
         }
     }
 
-    /** Connections that say nothing, or rest after one request, each opened anew as soon as the gateway closes it. */
-    private static void idle(InetSocketAddress at, boolean used, AtomicBoolean over, AtomicInteger opened) {
-        SocketChannel[] idle = new SocketChannel[IDLE];
+    /**
+     * Keeps connections open that send nothing, or one request each, and reopens each as soon as the gateway closes it.
+     */
+    private static void keepIdleConnections(InetSocketAddress address, boolean sendsRequest, AtomicBoolean stop,
+            AtomicInteger opened) {
+        SocketChannel[] idle = new SocketChannel[IDLE_CONNECTIONS];
         try {
-            while (!over.get()) {
-                for (int i = 0; i < IDLE && !over.get(); i++) {
+            while (!stop.get()) {
+                for (int i = 0; i < IDLE_CONNECTIONS && !stop.get(); i++) {
                     try {
                         if (idle[i] == null) {
                             idle[i] = SocketChannel.open();
-                            idle[i].socket().connect(at, 100);
-                            if (used) {
+                            idle[i].socket().connect(address, 100);
+                            if (sendsRequest) {
                                 idle[i].write(ByteBuffer.wrap("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n".getBytes()));
                             }
                             idle[i].configureBlocking(false);
@@ -117,17 +123,17 @@
         }
     }
 
-    /** The configuration may give more than the system does: the smaller of both is what there is. */
+    /** The configured limit may exceed the system's: the lower of the two applies. */
     @ParameterizedTest
-    @CsvSource({LIMIT + ",true", "100000,false", "100000,true"})
-    void idleClientsLeaveDiscoveryAndHostsTheirs(int configured, boolean used) throws Exception {
-        AtomicBoolean away = new AtomicBoolean();
-        AtomicBoolean over = new AtomicBoolean();
+    @CsvSource({DESCRIPTOR_LIMIT + ",true", "100000,false", "100000,true"})
+    void idleClientsLeaveDescriptorsForDiscoveryAndHosts(int configured, boolean sendsRequest) throws Exception {
+        AtomicBoolean discoveryDown = new AtomicBoolean();
+        AtomicBoolean stop = new AtomicBoolean();
         AtomicInteger opened = new AtomicInteger();
         AtomicInteger calls = new AtomicInteger();
         try (Server one = host("one"); Server two = host("two"); Server discovery = new Server(message -> {
             calls.incrementAndGet();
-            if (away.get()) {
+            if (discoveryDown.get()) {
                 message.socket().close();
                 return;
             }
@@ -135,7 +141,8 @@
             sendLine(message.socket(), calls.get() == 1 ? list(2, true, entry("s1", one.address(), "a", "in_service"))
                     : list(5, true, entry("s2", two.address(), "a", "in_service")));
         })) {
-            ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n " + LIMIT + "; exec \"$0\" -Xmx64m -cp \"$1\" mastdrift.net.Main",
+            ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n " + DESCRIPTOR_LIMIT
+                    + "; exec \"$0\" -Xmx64m -cp \"$1\" mastdrift.net.Main",
                     System.getProperty("java.home") + "/bin/java", classPath());
             builder.environment().keySet().removeIf(name -> name.startsWith("NODE_"));
             builder.environment().putAll(environment(folder, discovery, list(1, true, entry("s1", one.address(), "a", "in_service")), SETTINGS));
@@ -146,26 +153,27 @@
             try {
                 eventually(() -> log().contains("listening on /"));
                 int port = Integer.parseInt(log().replaceFirst("(?s).*listening on /127.0.0.1:(\\d+).*", "$1"));
-                InetSocketAddress at = new InetSocketAddress("127.0.0.1", port);
+                InetSocketAddress address = new InetSocketAddress("127.0.0.1", port);
                 Socket watch = await(discovery.received).socket();
                 int before = descriptors(process);
-                clients = new Thread(() -> idle(at, used, over, opened));
+                clients = new Thread(() -> keepIdleConnections(address, sendsRequest, stop, opened));
                 clients.start();
-                eventually(() -> opened.get() >= IDLE && descriptors(process) >= before + HOSTS);
-                away.set(true);
+                eventually(() -> opened.get() >= IDLE_CONNECTIONS && descriptors(process) >= before + HOST_DESCRIPTORS);
+                discoveryDown.set(true);
                 watch.close();
-                int asked = calls.get();
-                int most = 0;
+                int callsBefore = calls.get();
+                int maxDescriptors = 0;
                 for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(2); System.nanoTime() < until; Thread.sleep(10)) {
-                    most = Math.max(most, descriptors(process));
+                    maxDescriptors = Math.max(maxDescriptors, descriptors(process));
                 }
-                assertTrue(calls.get() > asked, "discovery was asked while it was away");
-                assertTrue(most <= LIMIT - HOSTS, "descriptors: " + most + " of " + LIMIT + ", " + before + " with no client");
-                away.set(false);
+                assertTrue(calls.get() > callsBefore, "discovery was called while it was down");
+                assertTrue(maxDescriptors <= DESCRIPTOR_LIMIT - HOST_DESCRIPTORS, "descriptors: " + maxDescriptors
+                        + " of " + DESCRIPTOR_LIMIT + ", " + before + " with no client");
+                discoveryDown.set(false);
                 eventually(() -> log().contains("list 5"));
                 eventually(() -> {
                     try (Socket socket = new Socket()) {
-                        socket.connect(at, 1_000);
+                        socket.connect(address, 1_000);
                         socket.setSoTimeout(2_000);
                         write(socket, read(2_000));
                         Message answer = Loopback.read(socket);
@@ -176,7 +184,7 @@
                 });
                 assertTrue(process.isAlive() && !log().contains("fault"), log());
             } finally {
-                over.set(true);
+                stop.set(true);
                 if (clients != null) {
                     clients.join(TimeUnit.SECONDS.toMillis(Loopback.WAIT_SECONDS));
                 }
@@ -185,24 +193,28 @@
         }
     }
 
-    /** A process of its own, which takes every descriptor that it may have, dials a host and discovery, and gives them back: prints what it hears, and whether
-        that is on the loop's thread. Its arguments are where discovery is, a host, and nobody. */
+    /**
+     * Runs in a process of its own: takes every descriptor that the process may have, dials a host and discovery, and
+     * then releases the descriptors. Prints the results, and whether they were reported on the event loop's thread.
+     * Arguments: the addresses of discovery, of a host, and one that nobody listens on.
+     */
     static final class Full {
 
         public static void main(String[] addresses) throws Exception {
-            EventLoop loop = TimedLoop.start().loop();
-            BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+            EventLoop loop = TimedEventLoop.start().loop();
+            BlockingQueue<String> results = new LinkedBlockingQueue<>();
             EndpointGate gate = new EndpointGate();
             ConnectionPool pool = loop.submit(() -> {
-                ConnectionPool made = new ConnectionPool(loop, Clock.system()::now, Timers.of(loop), 20_000_000, 5_000_000, 10, heard::add);
+                ConnectionPool created = new ConnectionPool(loop, Clock.system()::now, Timers.of(loop), 20_000_000,
+                        5_000_000, 10, results::add);
                 gate.take(1, true, members(entry("s1", addresses[1], "a", "in_service"), entry("s2", addresses[1], "a", "in_service"),
                         entry("s3", addresses[2], "a", "in_service")).entries());
-                return made;
+                return created;
             }).get();
-            // What is loaded from the class path from here on would need a descriptor.
-            send(loop, pool, gate.find("s1"), heard);
-            send(loop, pool, gate.find("s3"), heard);
-            watch(loop, addresses[2], heard).watch(false);
+            // Any class loaded after this point would need a descriptor.
+            send(loop, pool, gate.find("s1"), results);
+            send(loop, pool, gate.find("s3"), results);
+            watch(loop, addresses[2], results).watch(false);
             List<FileInputStream> taken = new ArrayList<>();
             boolean full = false;
             while (!full) {
@@ -213,14 +225,14 @@
                 }
             }
             System.out.println("full");
-            send(loop, pool, gate.find("s2"), heard);
-            watch(loop, addresses[0], heard);
+            send(loop, pool, gate.find("s2"), results);
+            watch(loop, addresses[0], results);
             for (FileInputStream one : taken) {
                 one.close();
             }
             System.out.println("room");
-            System.out.println(await(heard));
-            send(loop, pool, gate.find("s2"), heard);
+            System.out.println(await(results));
+            send(loop, pool, gate.find("s2"), results);
             System.exit(0);
         }
 
@@ -228,45 +240,49 @@
             return HostList.parse(JSON.std.anyFrom(list(1, true, entries)));
         }
 
-        private static void send(EventLoop loop, ConnectionPool pool, Endpoint to, BlockingQueue<String> heard) throws Exception {
+        private static void send(EventLoop loop, ConnectionPool pool, Endpoint to, BlockingQueue<String> results)
+                throws Exception {
             loop.execute(() -> pool.send(to, new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api"), 60_000_000, 40_000_000,
-                    (outcome, answer) -> heard.add(to.uid() + " " + outcome + " " + loop.inEventLoop())));
-            System.out.println(await(heard));
+                    (outcome, answer) -> results.add(to.uid() + " " + outcome + " " + loop.inEventLoop())));
+            System.out.println(await(results));
         }
 
-        private static Discovery watch(EventLoop loop, String at, BlockingQueue<String> heard) throws Exception {
+        private static Discovery watch(EventLoop loop, String at, BlockingQueue<String> results) throws Exception {
             HostList known = members(entry("s1", at, "a", "in_service"));
             Discovery discovery = loop.submit(() -> new Discovery(loop, GatewayConfig.parseAddress(at), known, new Discovery.Listener() {
                 @Override
-                public void listAccepted(HostList told) {
-                    heard.add("list " + told.version() + " " + loop.inEventLoop());
+                public void listAccepted(HostList list) {
+                    results.add("list " + list.version() + " " + loop.inEventLoop());
                 }
 
                 @Override
                 public boolean hostsWithdrawn(Discovery.Withdrawal withdrawal) {
-                    return heard.add("withdrawn by " + withdrawal.version());
+                    return results.add("withdrawn by " + withdrawal.version());
                 }
 
                 @Override
                 public void callFailed(String cause) {
-                    heard.add(cause + " " + loop.inEventLoop());
+                    results.add(cause + " " + loop.inEventLoop());
                 }
             })).get();
             loop.execute(() -> discovery.watch(true));
-            System.out.println(await(heard));
+            System.out.println(await(results));
             return discovery;
         }
     }
 
-    /** A dial for which there is no descriptor fails on a thread of the library's own: it is heard on the loop, by the pool and by discovery, and both go on
-        once there is room. */
+    /**
+     * A dial for which there is no descriptor fails on a thread of Netty's own. The pool and discovery must get the
+     * failure on the event loop, and both must recover once descriptors are available.
+     */
     @Test
-    void aDialWithoutADescriptorIsHeardOnTheLoop() throws Exception {
+    void dialWithoutADescriptorFailsOnTheEventLoop() throws Exception {
         try (Server one = host("one"); Server discovery = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             sendLine(message.socket(), list(5, true, entry("s1", "127.0.0.1:7", "a", "in_service")));
         })) {
-            Process process = new ProcessBuilder("sh", "-c", "ulimit -n " + LIMIT + "; exec \"$0\" -Xmx64m -cp \"$1\" 'mastdrift.net.DescriptorsTest$Full' $2 $3 $4",
+            Process process = new ProcessBuilder("sh", "-c", "ulimit -n " + DESCRIPTOR_LIMIT
+                    + "; exec \"$0\" -Xmx64m -cp \"$1\" 'mastdrift.net.DescriptorsTest$Full' $2 $3 $4",
                     System.getProperty("java.home") + "/bin/java", classPath(), discovery.address(), one.address(), Loopback.unusedAddress())
                     .redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
             try {
@@ -280,7 +296,7 @@
     }
 
     @Test
-    void theLimitIsRead() throws Exception {
+    void descriptorLimitIsRead() throws Exception {
         Path file = folder.resolve("limits");
         assertEquals(Integer.MAX_VALUE, FileDescriptorLimit.softLimit(file));
         for (String[] line : new String[][] {{"Max open files            160                  1048576              files     ", "160"},
--- a/src/test/java/mastdrift/net/GatewayLifecycleTest.java
+++ b/src/test/java/mastdrift/net/GatewayLifecycleTest.java
@@ -99,7 +99,7 @@
     @Test
     void startWaitsForTheFirstList() throws Exception {
         PrintStream out = new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8);
-        TimedLoop timedLoop = TimedLoop.start();
+        TimedEventLoop timedLoop = TimedEventLoop.start();
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two")) {
             GatewayConfig config = GatewayConfig.read(environment(folder, discovery,
                     list(1, true, inServiceEntry("s1", one)), SETTINGS));
@@ -274,7 +274,7 @@
         try (Server discovery = discovery(); Server one = host("one")) {
             GatewayConfig config = GatewayConfig.read(environment(folder, discovery,
                     list(1, true, inServiceEntry("s1", one)), SETTINGS));
-            Main.warmUp(config, TimedLoop.start(), new PrintStream(out, true, StandardCharsets.UTF_8)::println);
+            Main.warmUp(config, TimedEventLoop.start(), new PrintStream(out, true, StandardCharsets.UTF_8)::println);
             assertEquals("", out.toString(StandardCharsets.UTF_8));
             assertTrue(one.accepted.isEmpty() && discovery.accepted.isEmpty());
         }
--- a/src/test/java/mastdrift/net/GatewayStartTest.java
+++ b/src/test/java/mastdrift/net/GatewayStartTest.java
@@ -86,8 +86,8 @@
     private String checkStart(String behavior) throws Exception {
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         PrintStream out = new PrintStream(log, true, StandardCharsets.UTF_8);
-        TimedLoop timedLoop = TimedLoop.start();
-        TimedLoop slowLoop = TimedLoop.start();
+        TimedEventLoop timedLoop = TimedEventLoop.start();
+        TimedEventLoop slowLoop = TimedEventLoop.start();
         slowLoop.loop().scheduleWithFixedDelay(() -> LockSupport.parkNanos(SLOW_TURN_NANOS), 0, 1,
                 TimeUnit.MILLISECONDS);
         Path directory = Files.createDirectory(folder.resolve(behavior));
@@ -218,7 +218,7 @@
     /** Nothing is waited for once the warm-up is over: where it is short, so is the start. */
     @Test
     void heldBackCallGoesOutOnceAllowed() throws Exception {
-        TimedLoop timedLoop = TimedLoop.start();
+        TimedEventLoop timedLoop = TimedEventLoop.start();
         try (Server discovery = Loopback.discovery(); Server one = host("one")) {
             GatewayConfig config = GatewayConfig.read(environment(folder, discovery, knownList(one), SETTINGS));
             Main.StartedGateway started = Main.prepare(config, timedLoop,
--- a/src/test/java/mastdrift/net/LatenessTest.java
+++ b/src/test/java/mastdrift/net/LatenessTest.java
@@ -49,55 +49,62 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A gateway whose loop is held up, by tasks that do nothing: what is its own, what is the hosts', and the rules meanwhile. */
+/**
+ * A gateway whose event loop is stalled by tasks that do nothing: which delay is attributed to the gateway and which to
+ * the hosts, and that the rules hold meanwhile.
+ */
 class LatenessTest {
 
-    private static final long HOLD = 300_000;
+    private static final long STALL_MICROS = 300_000;
 
     @TempDir
     private Path folder;
 
-    /** What the module was told of an attempt: its host, for how long it was out by the clock, and of that the host's part. */
-    private record Told(String uid, Outcome outcome, long all, long elapsed) { }
+    /**
+     * An attempt as reported to the module: its host, its outcome, how long it took by the clock, and which part of
+     * that is attributed to the host.
+     */
+    private record ResolvedAttempt(String uid, Outcome outcome, long totalMicros, long hostMicros) { }
 
-    /** A gateway around the real module, which a test listens in on. */
-    private final class Held implements AutoCloseable {
+    /** A gateway with the real module, whose calls the test observes. */
+    private final class ObservedGateway implements AutoCloseable {
 
-        private final TimedLoop timed = TimedLoop.start();
-        private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
-        private final Map<Object, Long> asked = new ConcurrentHashMap<>();
+        private final TimedEventLoop timed = TimedEventLoop.start();
+        private final BlockingQueue<ResolvedAttempt> resolvedAttempts = new LinkedBlockingQueue<>();
+        private final Map<Object, Long> requestedAtMicros = new ConcurrentHashMap<>();
         private final List<Socket> sockets = new ArrayList<>();
-        private final ClientSide clients;
-        private final AtomicInteger requests = new AtomicInteger();
-        private volatile IntConsumer requested = number -> { };  // once the module has had the request of that number, from 1 up
+        private final HttpFront clients;
+        private final AtomicInteger requestCount = new AtomicInteger();
+        // called with the request's number, from 1 up, once the module has handled it
+        private volatile IntConsumer afterRequest = number -> { };
 
-        Held(Server discovery, String... entries) throws Exception {
+        ObservedGateway(Server discovery, String... entries) throws Exception {
             GatewayConfig config = GatewayConfig.read(environment(folder, discovery, list(1, true, entries), SETTINGS));
-            Balancer module = listenedTo(new Balance());
+            Balancer module = observed(new Balance());
             clients = timed.loop().submit(() -> {
                 Gateway gateway = new Gateway(config, timed, module, 100, 100, false,
                         new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8));
-                return new ClientSide(timed.loop(), gateway.ledger(), gateway, config.settings().classes(),
+                return new HttpFront(timed.loop(), gateway.ledger(), gateway, config.settings().classes(),
                         config.settings().tenants(), 100, line -> { });
             }).get();
             clients.listen(new InetSocketAddress("127.0.0.1", 0)).sync();
         }
 
-        private Balancer listenedTo(Balancer module) {
+        private Balancer observed(Balancer module) {
             return (Balancer) Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[] {Balancer.class},
                     (proxy, method, arguments) -> {
                         if (method.getName().equals("request")) {
-                            asked.put(((Balancer.Request) arguments[1]).id(), (Long) arguments[0]);
+                            requestedAtMicros.put(((Balancer.Request) arguments[1]).id(), (Long) arguments[0]);
                         } else if (method.getName().equals("resolved")) {
-                            told.add(new Told((String) arguments[3], (Outcome) arguments[4],
-                                    (Long) arguments[0] - asked.get(arguments[1]), (Long) arguments[5]));
+                            resolvedAttempts.add(new ResolvedAttempt((String) arguments[3], (Outcome) arguments[4],
+                                    (Long) arguments[0] - requestedAtMicros.get(arguments[1]), (Long) arguments[5]));
                         }
                         try {
-                            Object none = method.invoke(module, arguments);
+                            Object result = method.invoke(module, arguments);
                             if (method.getName().equals("request")) {
-                                requested.accept(requests.incrementAndGet());
+                                afterRequest.accept(requestCount.incrementAndGet());
                             }
-                            return none;
+                            return result;
                         } catch (InvocationTargetException e) {
                             throw e.getCause();
                         }
@@ -112,10 +119,10 @@
             return socket;
         }
 
-        /** A request of each is there before one is read: one turn takes them. */
-        void inOneTurn(List<Socket> clients) throws Exception {
+        /** Sends a request on each connection before any is read, so that one turn takes them all. */
+        void sendInOneTurn(List<Socket> clients) throws Exception {
             CountDownLatch written = new CountDownLatch(1);
-            hold(0, written);
+            stall(0, written);
             for (Socket client : clients) {
                 int number = clients.indexOf(client);
                 write(client, read(20_000).replace("9b1f", "id-" + number).replace("7f3a", "key-" + number));
@@ -123,22 +130,22 @@
             written.countDown();
         }
 
-        /** The loop does nothing else for a while from the moment at which this returns. */
-        CountDownLatch hold(long micros) throws InterruptedException {
-            return hold(micros, new CountDownLatch(0));
+        /** Stalls the loop for a time from when this returns. */
+        CountDownLatch stall(long micros) throws InterruptedException {
+            return stall(micros, new CountDownLatch(0));
         }
 
-        /** Likewise, and until something else has happened too. */
-        CountDownLatch hold(long micros, CountDownLatch until) throws InterruptedException {
-            CountDownLatch begun = new CountDownLatch(1);
+        /** Stalls the loop for a time, and until the latch is released. */
+        CountDownLatch stall(long micros, CountDownLatch release) throws InterruptedException {
+            CountDownLatch stalled = new CountDownLatch(1);
             CountDownLatch over = new CountDownLatch(1);
             timed.loop().execute(() -> {
-                begun.countDown();
+                stalled.countDown();
                 pause(micros);
-                held(until);
+                awaitLatch(release);
                 over.countDown();
             });
-            assertTrue(begun.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+            assertTrue(stalled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
             return over;
         }
 
@@ -151,11 +158,11 @@
         }
     }
 
-    private static void held(CountDownLatch latch) {
+    private static void awaitLatch(CountDownLatch latch) {
         try {
             assertTrue(latch.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
         } catch (InterruptedException e) {
-            throw new IllegalStateException(e);  // nobody does
+            throw new IllegalStateException(e);  // no thread interrupts it
         }
     }
 
@@ -165,61 +172,74 @@
         }
     }
 
-    private static String up(String uid, Server host) {
+    private static String inServiceEntry(String uid, Server host) {
         return entry(uid, host.address(), "a", "in_service");
     }
 
-    /** The host answers one request while the loop is held, and the other well after: the first is not blamed, the second is. */
+    /**
+     * The host answers one request while the loop is stalled, and the other well after: the stall must not be
+     * attributed to the host, its own delay must be.
+     */
     @Test
-    void aHoldIsNotTheHostsButItsOwnSlownessIs() throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
+    void hostIsChargedForItsOwnDelayButNotForAStall() throws Exception {
+        CountDownLatch stalled = new CountDownLatch(1);
         Script script = message -> {
-            assertTrue(held.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            pause(message.header("X-Trace-Id").equals("slow") ? 3 * HOLD : HOLD / 10);
+            assertTrue(stalled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
+            pause(message.header("X-Trace-Id").equals("slow") ? 3 * STALL_MICROS : STALL_MICROS / 10);
             write(message.socket(), answer("200 OK", "x"));
         };
-        try (Server discovery = discovery(); Server host = new Server(script); Held gateway = new Held(discovery, up("s1", host))) {
+        try (Server discovery = discovery(); Server host = new Server(script);
+                ObservedGateway gateway = new ObservedGateway(discovery, inServiceEntry("s1", host))) {
             Socket quick = gateway.connect();
             Socket slow = gateway.connect();
             write(quick, read(20_000).replace("9b1f", "quick"));
             write(slow, read(20_000).replace("9b1f", "slow"));
             await(host.received);
             await(host.received);
-            gateway.hold(HOLD);
-            held.countDown();
+            gateway.stall(STALL_MICROS);
+            stalled.countDown();
             assertEquals(200, Loopback.read(quick).status());
             assertEquals(200, Loopback.read(slow).status());
-            Told first = await(gateway.told);
-            Told second = await(gateway.told);
-            assertTrue(first.all() - first.elapsed() >= HOLD * 9 / 10, "the hold is taken off: " + first);
-            assertTrue(second.elapsed() >= HOLD * 2, "what comes after the hold is the host's: " + second);
+            ResolvedAttempt first = await(gateway.resolvedAttempts);
+            ResolvedAttempt second = await(gateway.resolvedAttempts);
+            assertTrue(first.totalMicros() - first.hostMicros() >= STALL_MICROS * 9 / 10,
+                    "the stall is deducted: " + first);
+            assertTrue(second.hostMicros() >= STALL_MICROS * 2,
+                    "the time after the stall is attributed to the host: " + second);
         }
     }
 
-    /** Four fifths of the loop's time are gone, in pieces; the host that takes its time is told from the one that doesn't. */
+    /**
+     * Four fifths of the loop's time are lost, in short pieces; a slow host must still be distinguished from a fast one.
+     */
     @Test
-    void ofALoopThatHasLittleTimeTheSlowHostIsStillFound() throws Exception {
-        long slowness = 60_000;
-        try (Server discovery = discovery(); Server one = taking(3_000); Server two = taking(slowness);
-                Held gateway = new Held(discovery, up("quick", one), up("slow", two))) {
+    void slowHostIsIdentifiedOnABusyLoop() throws Exception {
+        long slownessMicros = 60_000;
+        try (Server discovery = discovery(); Server one = serverTaking(3_000);
+                Server two = serverTaking(slownessMicros);
+                ObservedGateway gateway = new ObservedGateway(discovery, inServiceEntry("quick", one),
+                        inServiceEntry("slow", two))) {
             gateway.timed.loop().scheduleWithFixedDelay(() -> pause(20_000), 0, 1_000, TimeUnit.MICROSECONDS);
             Socket client = gateway.connect();
             for (int i = 0; i < 60; i++) {
                 write(client, read(20_000).replace("7f3a", "key" + i));
                 assertEquals(200, Loopback.read(client).status());
             }
-            List<Told> told = new ArrayList<>();
-            gateway.told.drainTo(told);
-            long[] quick = told.stream().filter(t -> t.uid().equals("quick")).mapToLong(Told::elapsed).sorted().toArray();
-            long[] late = told.stream().filter(t -> t.uid().equals("slow")).mapToLong(Told::elapsed).sorted().toArray();
-            long byClock = median(told.stream().filter(t -> t.uid().equals("quick")).mapToLong(Told::all).sorted().toArray());
-            assertTrue(byClock >= 10_000, "by the clock the quick one takes long: " + byClock);
-            assertTrue(median(quick) <= 8_000, "but it isn't told so: " + Arrays.toString(quick));
-            assertTrue(median(late) >= slowness / 2, "the slow one is: " + Arrays.toString(late));
+            List<ResolvedAttempt> attempts = new ArrayList<>();
+            gateway.resolvedAttempts.drainTo(attempts);
+            long[] quick = attempts.stream().filter(t -> t.uid().equals("quick")).mapToLong(ResolvedAttempt::hostMicros)
+                    .sorted().toArray();
+            long[] slow = attempts.stream().filter(t -> t.uid().equals("slow")).mapToLong(ResolvedAttempt::hostMicros)
+                    .sorted().toArray();
+            long quickByClock = median(attempts.stream().filter(t -> t.uid().equals("quick"))
+                    .mapToLong(ResolvedAttempt::totalMicros).sorted().toArray());
+            assertTrue(quickByClock >= 10_000, "by the clock the quick host takes long: " + quickByClock);
+            assertTrue(median(quick) <= 8_000, "but that is not attributed to it: " + Arrays.toString(quick));
+            assertTrue(median(slow) >= slownessMicros / 2, "the slow host's time is: " + Arrays.toString(slow));
         }
     }
 
-    private static Server taking(long micros) throws IOException {
+    private static Server serverTaking(long micros) throws IOException {
         return new Server(message -> {
             pause(micros);
             write(message.socket(), answer("200 OK", "x"));
@@ -231,143 +251,160 @@
         return sorted[sorted.length / 2];
     }
 
-    /** Whoever's time is up by the end of a hold hears at once; what came during it, with less time than the hold took, is
-        turned away and not sent. So it is where the turn behind the hold is long itself, and its events are held back. */
+    /**
+     * A client whose time is up by the end of a stall is answered at once; a request that arrived during the stall,
+     * with less time than the stall took, is refused and not sent. This also holds if the turn after the stall takes
+     * long itself, so that its events are deferred.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void afterAHoldNobodyWaitsInVain(boolean longTurn) throws Exception {
         try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Held gateway = new Held(discovery, up("s1", host))) {
-            Socket first = gateway.connect();  // loads classes, which takes longer than the other's whole time
+                ObservedGateway gateway = new ObservedGateway(discovery, inServiceEntry("s1", host))) {
+            // loads classes, which takes longer than the whole time of the other request
+            Socket first = gateway.connect();
             write(first, read(60_000));
             await(host.received);
-            Socket out = gateway.connect();
-            Socket coming = gateway.connect();
-            Socket behind = gateway.connect();
-            long hold = 5 * HOLD;  // the time until the first send may not be a part of it that counts
-            write(out, read((int) hold / 3_000).replace("9b1f", "out"));
+            Socket waiting = gateway.connect();
+            Socket arriving = gateway.connect();
+            Socket queued = gateway.connect();
+            long stallMicros = 5 * STALL_MICROS;  // so that the time until the first send does not matter
+            write(waiting, read((int) stallMicros / 3_000).replace("9b1f", "out"));
             await(host.received);
-            CountDownLatch over = gateway.hold(hold);
-            write(coming, read((int) hold / 3_000).replace("9b1f", "coming"));
+            CountDownLatch over = gateway.stall(stallMicros);
+            write(arriving, read((int) stallMicros / 3_000).replace("9b1f", "coming"));
             if (longTurn) {
-                gateway.requested = number -> pause(HOLD);
-                write(behind, read(60_000).replace("9b1f", "long"));
+                gateway.afterRequest = number -> pause(STALL_MICROS);
+                write(queued, read(60_000).replace("9b1f", "long"));
             }
             assertTrue(over.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            assertEquals(503, Loopback.read(out).status());
-            assertEquals(503, Loopback.read(coming).status());
+            assertEquals(503, Loopback.read(waiting).status());
+            assertEquals(503, Loopback.read(arriving).status());
             if (longTurn) {
                 assertTrue(await(host.received).head().contains("long"));
             }
-            assertEquals(0, host.received.size(), "nothing more was sent");
-            assertEquals(Outcome.EXPIRED, await(gateway.told).outcome(), "the host had most of that time for itself, or all");
+            assertEquals(0, host.received.size(), "no further request was sent");
+            assertEquals(Outcome.EXPIRED, await(gateway.resolvedAttempts).outcome(),
+                    "the host had all or most of that time");
         }
     }
 
-    /** Three requests are there as a turn begins. The first takes longer than the loop may be late, as code does that runs for the first time, so the others are
-        held back until all that is there has been read. Then the second takes half a second, in which the only host is drained for another one: the third,
-        for which an idle connection stands there, goes to the other. */
+    /**
+     * Three requests are ready when a turn begins. The first takes longer than the loop may be late (as code does that
+     * runs for the first time), so the others are deferred until all input has been read. The second then takes half a
+     * second, during which the only host is drained in favour of another: the third, for which an idle connection to
+     * the first host is open, must go to the other host.
+     */
     @Test
-    void aDrainToldWhileEventsThatWereHeldBackArePlayedIsKept() throws Exception {
-        CountDownLatch met = new CountDownLatch(3);
-        Script together = message -> {  // the first three meet, so that three connections stand
-            met.countDown();
-            held(met);
+    void drainReadWhileDeferredEventsAreHandledIsObeyed() throws Exception {
+        CountDownLatch allArrived = new CountDownLatch(3);
+        // the first three requests wait for each other, so that three connections are opened
+        Script together = message -> {
+            allArrived.countDown();
+            awaitLatch(allArrived);
             write(message.socket(), answer("200 OK", "one"));
         };
-        try (Server discovery = discovery(); Server one = new Server(together); Server two = host("two"); Held gateway = new Held(discovery, up("s1", one))) {
+        try (Server discovery = discovery(); Server one = new Server(together); Server two = host("two");
+                ObservedGateway gateway = new ObservedGateway(discovery, inServiceEntry("s1", one))) {
             Message watch = await(discovery.received);
             List<Socket> clients = List.of(gateway.connect(), gateway.connect(), gateway.connect());
-            gateway.inOneTurn(clients);
+            gateway.sendInOneTurn(clients);
             for (Socket client : clients) {
                 assertEquals("one", Loopback.read(client).text());
             }
             one.received.clear();
-            pause(100_000);  // connections rest for 25 ms behind an answer
-            gateway.requested = number -> {
+            pause(100_000);  // a connection is not used again within 25 ms after an answer
+            gateway.afterRequest = number -> {
                 if (number == clients.size() + 1) {
-                    pause(HOLD);
+                    pause(STALL_MICROS);
                 } else if (number == clients.size() + 2) {
                     drain(watch, two);
-                    pause(2 * HOLD);
+                    pause(2 * STALL_MICROS);
                 }
             };
-            gateway.inOneTurn(clients);
+            gateway.sendInOneTurn(clients);
             List<String> answers = new ArrayList<>();
             for (Socket client : clients) {
                 answers.add(Loopback.read(client).text());
             }
-            assertEquals(List.of("one", "one", "two"), answers.stream().sorted().toList(), "sent to a host half a second after its drain was told");
+            assertEquals(List.of("one", "one", "two"), answers.stream().sorted().toList(),
+                    "sent to a host half a second after its drain was announced");
         }
     }
 
-    /** Likewise, while a connection has come up that a task of the same turn sends on. */
+    /** As before, with a connection that has been established and on which a task of the same turn sends. */
     @Test
-    void aDrainToldBetweenADialAndItsFirstByteIsKept() throws Exception {
-        try (Server discovery = discovery(); Server one = host("one"); Server two = host("two"); Held gateway = new Held(discovery, up("s1", one))) {
+    void drainReadBetweenADialAndItsFirstByteIsObeyed() throws Exception {
+        try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
+                ObservedGateway gateway = new ObservedGateway(discovery, inServiceEntry("s1", one))) {
             Message watch = await(discovery.received);
             Socket first = gateway.connect();
             Socket second = gateway.connect();
             for (int i = 0; i < 3; i++) {
-                gateway.timed.loop().submit(() -> { }).get();  // both are accepted by then
+                gateway.timed.loop().submit(() -> { }).get();  // both connections are accepted by then
             }
             CountDownLatch dialled = new CountDownLatch(1);
             CountDownLatch written = new CountDownLatch(1);
-            gateway.requested = number -> {
+            gateway.afterRequest = number -> {
                 if (number == 1) {
-                    gateway.timed.loop().execute(() -> held(written));  // the next wait finds the dial up and the second's request there
+                    // the next wait finds the dial complete and the second request ready
+                    gateway.timed.loop().execute(() -> awaitLatch(written));
                     dialled.countDown();
                 } else if (number == 2) {
                     drain(watch, two);
-                    pause(2 * HOLD);
+                    pause(2 * STALL_MICROS);
                 }
             };
             write(first, read(20_000));
-            held(dialled);
+            awaitLatch(dialled);
             write(second, read(20_000).replace("9b1f", "second").replace("7f3a", "other"));
             written.countDown();
             assertEquals("two", Loopback.read(first).text());
             assertEquals("two", Loopback.read(second).text());
-            assertTrue(one.received.isEmpty(), "sent to a host half a second after its drain was told");
+            assertTrue(one.received.isEmpty(), "sent to a host half a second after its drain was announced");
         }
     }
 
     private static void drain(Message watch, Server other) {
         try {
-            sendLine(watch.socket(), list(7, true, up("s2", other)));
+            sendLine(watch.socket(), list(7, true, inServiceEntry("s2", other)));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    /** Every turn of the loop is long, and more connections have come than one turn takes: the last of them is accepted some turns
-        after its request was there. However often it was passed over, its time counts from the client's send, but for one turn more. */
+    /**
+     * Every turn of the loop is long, and more connections have arrived than one turn accepts: the last of them is
+     * accepted some turns after its request arrived. However many turns it waited, its time counts from the client's
+     * send, to within one turn.
+     */
     @Test
-    void whatWaitedToBeAcceptedHasItsAnswerInTime() throws Exception {
-        int expires = 1_500;
-        long turn = 150_000;
+    void requestWaitingForAcceptIsAnsweredInTime() throws Exception {
+        int expiresMillis = 1_500;
+        long turnMicros = 150_000;
         try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Held gateway = new Held(discovery, up("s1", host))) {
+                ObservedGateway gateway = new ObservedGateway(discovery, inServiceEntry("s1", host))) {
             Socket first = gateway.connect();  // loads classes
             write(first, read(1));
             assertNotNull(Loopback.read(first));
             ConcurrentSkipListSet<Long> turns = new ConcurrentSkipListSet<>();
             gateway.timed.loop().scheduleWithFixedDelay(() -> {
                 turns.add(System.nanoTime());
-                pause(turn);
+                pause(turnMicros);
             }, 0, 1_000, TimeUnit.MICROSECONDS);
             List<Socket> sockets = new ArrayList<>();
             long[] sent = new long[80];
             for (int i = 0; i < sent.length; i++) {
                 sockets.add(gateway.connect());
-                write(sockets.get(i), read(expires).replace("9b1f", "id" + i));
+                write(sockets.get(i), read(expiresMillis).replace("9b1f", "id" + i));
                 sent[i] = System.nanoTime();
             }
             for (int i = 0; i < sent.length; i++) {
                 assertNotNull(Loopback.read(sockets.get(i)));
                 long answered = System.nanoTime();
-                long due = sent[i] + TimeUnit.MILLISECONDS.toNanos(expires);
-                // As long as two turns last, the one in which its time ends and the next, however long the machine makes them.
+                long due = sent[i] + TimeUnit.MILLISECONDS.toNanos(expiresMillis);
+                // The tolerance is the length of two turns, the one in which the time ends and the next, however long
+                // they take on this machine.
                 List<Long> after = turns.tailSet(due).stream().limit(2).toList();
                 assertTrue(after.size() < 2 || answered - due <= after.get(1) - turns.floor(due),
                         "answered " + (answered - due) / 1_000 + " us after its time, number " + i);
@@ -375,16 +412,21 @@
         }
     }
 
-    /** The listener is to be closed while the loop is held, and somebody has come meanwhile: taken by the machine, they have their answer. */
+    /**
+     * The listener is to be closed while the loop is stalled, and clients connect meanwhile: the kernel has
+     * accepted their connections, so they must be answered.
+     */
     @Test
-    void whoWaitsToBeAcceptedAtAStopIsAnswered() throws Exception {
-        try (Server discovery = discovery(); Server host = Loopback.host("x"); Held gateway = new Held(discovery, up("s1", host))) {
+    void clientWaitingForAcceptAtShutdownIsAnswered() throws Exception {
+        try (Server discovery = discovery(); Server host = Loopback.host("x");
+                ObservedGateway gateway = new ObservedGateway(discovery, inServiceEntry("s1", host))) {
             Socket first = gateway.connect();
             write(first, read(20_000));
             assertEquals(200, Loopback.read(first).status());
             gateway.timed.loop().execute(() -> gateway.clients.stop(3_000_000, () -> { }));
             CountDownLatch sent = new CountDownLatch(1);
-            gateway.hold(3 * HOLD, sent);  // the close of the listener falls due in it, and all come during it
+            // the close of the listener falls due during the stall, and all clients connect during it
+            gateway.stall(3 * STALL_MICROS, sent);
             List<Socket> sockets = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 sockets.add(gateway.connect());
@@ -393,23 +435,26 @@
             sent.countDown();
             for (Socket each : sockets) {
                 Message answer = Loopback.read(each);
-                assertNotNull(answer, "an answer, and no reset");
+                assertNotNull(answer, "answered, not reset");
                 assertEquals(200, answer.status());
             }
         }
     }
 
-    /** The drain came in behind the request, while the loop was held for longer than a drain may take: read in the same turn, the
-        request must not go to the host that drains. */
+    /**
+     * The drain arrives behind the request, while the loop is stalled for longer than a drain may take: both are read
+     * in the same turn, and the request must not go to the draining host.
+     */
     @Test
-    void aDrainToldDuringAHoldIsHeardBeforeAnythingIsSent() throws Exception {
-        try (Server discovery = discovery(); Server host = Loopback.host("x"); Held gateway = new Held(discovery, up("s1", host))) {
+    void drainArrivingDuringAStallIsObeyedBeforeAnySend() throws Exception {
+        try (Server discovery = discovery(); Server host = Loopback.host("x");
+                ObservedGateway gateway = new ObservedGateway(discovery, inServiceEntry("s1", host))) {
             Socket client = gateway.connect();
             Socket watch = await(discovery.received).socket();
             write(client, read(20_000));
             assertEquals(200, Loopback.read(client).status());
             await(host.received);
-            gateway.hold(HOLD);
+            gateway.stall(STALL_MICROS);
             write(client, read(20_000));
             pause(1_000);
             sendLine(watch, list(2, false, entry("s1", host.address(), "a", "terminating")));
@@ -419,16 +464,21 @@
         }
     }
 
-    /** Nobody listens there, which is known at once: that the loop had other things to do for part of that moment excuses nothing. */
+    /**
+     * Nobody listens on the host's address, which is known at once: the failure is attributed to the host even though
+     * the loop was busy for part of that time.
+     */
     @Test
-    void whatFailsAtOnceIsTheHosts() throws Exception {
-        try (Server discovery = discovery(); Held gateway = new Held(discovery, entry("s1", Loopback.unusedAddress(), "a", "in_service"))) {
-            Told last = null;
+    void immediateDialFailureIsAttributedToTheHost() throws Exception {
+        try (Server discovery = discovery();
+                ObservedGateway gateway = new ObservedGateway(discovery,
+                        entry("s1", Loopback.unusedAddress(), "a", "in_service"))) {
+            ResolvedAttempt last = null;
             for (int i = 0; i < 5; i++) {  // the first ones load classes
                 Socket client = gateway.connect();
                 write(client, read(20_000));
                 assertEquals(503, Loopback.read(client).status());
-                last = gateway.told.isEmpty() ? last : gateway.told.poll();
+                last = gateway.resolvedAttempts.isEmpty() ? last : gateway.resolvedAttempts.poll();
             }
             assertEquals(Outcome.DIAL_FAILED, last.outcome());
         }
--- a/src/test/java/mastdrift/net/Loopback.java
+++ b/src/test/java/mastdrift/net/Loopback.java
@@ -225,11 +225,11 @@
     /** A gateway in this process. */
     static final class Node implements AutoCloseable {
 
-        private final TimedLoop timedLoop = TimedLoop.start();
+        private final TimedEventLoop timedLoop = TimedEventLoop.start();
         final EventLoop loop = timedLoop.loop();
         final ByteArrayOutputStream log = new ByteArrayOutputStream();
         final Gateway gateway;
-        final ClientSide clients;
+        final HttpFront clients;
         private final List<Socket> sockets = new ArrayList<>();
 
         Node(Map<String, String> environment) {
--- a/src/test/java/mastdrift/net/RequestLogTest.java
+++ b/src/test/java/mastdrift/net/RequestLogTest.java
@@ -14,6 +14,7 @@
 import mastdrift.engine.Witness;
 import org.junit.jupiter.api.Test;
 
+/** Which requests are logged, in what form, and how the number of lines is limited. */
 class RequestLogTest {
 
     private static final Ask ASK = new Ask("read", "acme", 7L, 300_000, false, false, 0);
@@ -23,7 +24,7 @@
     private final RequestLog log = new RequestLog(() -> now, lines::add);
 
     private static Call call(String id) {
-        FullHttpRequest message = Unchecked.request(HttpMethod.GET, "/api", Unpooled.EMPTY_BUFFER);
+        FullHttpRequest message = UncheckedHeaders.newRequest(HttpMethod.GET, "/api", Unpooled.EMPTY_BUFFER);
         message.headers().add("X-Trace-Id", id);
         return new HttpCall(message);
     }
@@ -35,7 +36,7 @@
     }
 
     @Test
-    void whatIsServedAtOnceIsNotTold() {
+    void requestServedAtFirstAttemptIsNotLogged() {
         Call call = taken("a");
         log.attemptEnded(call, "s1", Outcome.DELIVERED);
         log.ended(call, Witness.End.SERVED, null);
@@ -43,7 +44,7 @@
     }
 
     @Test
-    void repeatsRefusalsAndFailuresAreToldWithTheirAttempts() {
+    void retriesRefusalsAndFailuresAreLoggedWithTheirAttempts() {
         Call repeated = taken("a");
         log.attemptEnded(repeated, "s1", Outcome.SHED);
         log.attemptEnded(repeated, "s2", Outcome.DELIVERED);
@@ -60,15 +61,16 @@
     }
 
     @Test
-    void manyInASecondAreCountedAndToldInTheNext() {
-        for (int i = 0; i < RequestLog.LINES_A_SECOND + 5; i++) {
+    void suppressedLinesAreCountedAndLoggedInTheNextSecond() {
+        for (int i = 0; i < RequestLog.MAX_LINES_PER_SECOND + 5; i++) {
             log.ended(taken("r" + i), Witness.End.REFUSED, Why.HOSTS);
         }
         log.ended(taken("l"), Witness.End.LEFT, null);
-        assertEquals(RequestLog.LINES_A_SECOND, lines.size());
+        assertEquals(RequestLog.MAX_LINES_PER_SECOND, lines.size());
         now += 1_000_000;
         log.ended(taken("next"), Witness.End.FAILED, null);
-        assertEquals(List.of("not told one by one: {LEFT=1, REFUSED=5}", "request next FAILED after 0 ms, no attempt ended"),
-                lines.subList(RequestLog.LINES_A_SECOND, lines.size()));
+        assertEquals(List.of("log lines suppressed: {LEFT=1, REFUSED=5}",
+                "request next FAILED after 0 ms, no attempt ended"),
+                lines.subList(RequestLog.MAX_LINES_PER_SECOND, lines.size()));
     }
 }
--- a/src/test/java/mastdrift/net/SettingsIsolationTest.java
+++ b/src/test/java/mastdrift/net/SettingsIsolationTest.java
@@ -76,7 +76,7 @@
                 GatewayConfig config = GatewayConfig.read(environment(own, discovery, list(1, true, entries),
                         deployment.settings));
                 if (nodes.isEmpty()) {  // state left behind by a warm-up would affect the next gateway
-                    Main.warmUp(config, TimedLoop.start(), line -> { });
+                    Main.warmUp(config, TimedEventLoop.start(), line -> { });
                 }
                 nodes.add(new Node(environment(own, discovery, list(1, true, entries), deployment.settings)));
             }
--- a/src/test/java/mastdrift/net/WarmUpTest.java
+++ b/src/test/java/mastdrift/net/WarmUpTest.java
@@ -30,7 +30,7 @@
         try (Server discovery = Loopback.discovery()) {
             GatewayConfig config = GatewayConfig.read(Loopback.environment(folder, discovery, Loopback.list(1, true),
                     SETTINGS));
-            TimedLoop slow = TimedLoop.start();
+            TimedEventLoop slow = TimedEventLoop.start();
             // Each turn of the loop takes this long, and a request takes several turns: 800 requests would take more
             // than 16 s.
             slow.loop().scheduleWithFixedDelay(() -> LockSupport.parkNanos(SLOW_TURN_NANOS), 0, 1,
