--- a/src/main/java/mastdrift/engine/Exchange.java
+++ b/src/main/java/mastdrift/engine/Exchange.java
@@ -9,8 +9,8 @@
 
     final long id;
     final Pool pool;
-    final Client client;
-    final Call call;
+    final Responder client;
+    final RequestMessage call;
     final String className;
     final List<Transport.Attempt> attempts = new ArrayList<>(2);
     PoolZones.Pass pass;  // null where nobody counts what crosses zones
@@ -20,7 +20,7 @@
     boolean late;
     boolean ended;
 
-    Exchange(long id, Pool pool, Client client, Call call, String className) {
+    Exchange(long id, Pool pool, Responder client, RequestMessage call, String className) {
         this.id = id;
         this.pool = pool;
         this.client = client;
--- a/src/main/java/mastdrift/engine/Source.java
+++ b/src/main/java/mastdrift/engine/HostListSource.java
@@ -1,10 +1,10 @@
 package mastdrift.engine;
 
 /** Who tells a pool its hosts, as far as the module may ask; it answers by {@link Pool#learn} or {@link Pool#unheard}. */
-public interface Source {
+public interface HostListSource {
 
     /** A source that tells by itself and can't be asked. */
-    Source TELLS = new Source() {
+    HostListSource TELLS = new HostListSource() {
         @Override
         public void watch(boolean active) { }
 
--- a/src/main/java/mastdrift/engine/Pool.java
+++ b/src/main/java/mastdrift/engine/Pool.java
@@ -25,19 +25,19 @@
     private static final long UNSURE = 100_000;
 
     private final String name;
-    private final Ledger ledger;
+    private final RequestTracker ledger;
     private final Balancer module;
     private final Settings settings;
     private final Transport transport;
     private final EndpointGate gate = new EndpointGate(this::listHolds);
     private PoolZones zones;
     private OwnWork work;
-    private Source source = Source.TELLS;
+    private HostListSource source = HostListSource.TELLS;
     private int living;
     private boolean closed;
 
     /** {@link #start} comes first of all events. */
-    public Pool(String name, Ledger ledger, Balancer module, Settings settings, Transport transport) {
+    public Pool(String name, RequestTracker ledger, Balancer module, Settings settings, Transport transport) {
         this.name = name;
         this.ledger = ledger;
         this.module = module;
@@ -57,7 +57,7 @@
         module.elsewhere(others);
     }
 
-    PoolZones.Pass pass(Ask ask) {
+    PoolZones.Pass pass(RequestAttributes ask) {
         if (zones == null) {
             return null;
         }
@@ -70,12 +70,12 @@
     }
 
     /** Starts the module with the hosts known so far; throws IllegalArgumentException for settings it can't run with. */
-    public void start(Source from, List<Member> known) {
+    public void start(HostListSource from, List<Member> known) {
         start(from, gate.nextVersion(), known);
     }
 
     /** Likewise, where the list of those has a version. */
-    public void start(Source from, long version, List<Member> known) {
+    public void start(HostListSource from, long version, List<Member> known) {
         source = from;
         module.start(ledger.now(), settings, this);
         learn(ListForm.CACHED, version, known);
@@ -100,7 +100,7 @@
         return module;
     }
 
-    Ledger ledger() {
+    RequestTracker ledger() {
         return ledger;
     }
 
@@ -219,7 +219,7 @@
         }
 
         @Override
-        public void ended(Outcome outcome, Answer answer, LoadReport report) {
+        public void ended(Outcome outcome, ResponseMessage answer, LoadReport report) {
             if (work != null) {
                 work.ended(uid);
             }
--- a/src/main/java/mastdrift/engine/Witness.java
+++ b/src/main/java/mastdrift/engine/RequestListener.java
@@ -4,17 +4,17 @@
 import mastdrift.Balancer.Why;
 
 /** Hears of each request that a ledger takes, and of its final answer, on the loop's thread. It sees and changes nothing. */
-public interface Witness {
+public interface RequestListener {
 
     /** How a request ended; LEFT where its client went first and nothing more was owed. */
     enum End { SERVED, REFUSED, FAILED, LATE, LEFT }
 
     /** A request was taken; the call is whole until its end has been told. */
-    void taken(Call call, Ask ask);
+    void taken(RequestMessage call, RequestAttributes ask);
 
     /** An attempt of a request that has not ended yet ended at a host. */
-    default void attemptEnded(Call call, String uid, Outcome outcome) { }
+    default void attemptEnded(RequestMessage call, String uid, Outcome outcome) { }
 
     /** Its end, exactly once; {@code why} is of a refusal, else null. */
-    void ended(Call call, End end, Why why);
+    void ended(RequestMessage call, End end, Why why);
 }
--- a/src/main/java/mastdrift/engine/Ledger.java
+++ b/src/main/java/mastdrift/engine/RequestTracker.java
@@ -11,11 +11,11 @@
 import mastdrift.Balancer;
 import mastdrift.Balancer.Outcome;
 import mastdrift.Balancer.Why;
-import mastdrift.lateness.Turns;
+import mastdrift.lateness.EventLoopLateness;
 
 /** The ledger of requests and attempts, whatever their protocol and pool: one life and one final answer a request, and
     events one after the other. Everything happens on the loop's thread. */
-public final class Ledger {
+public final class RequestTracker {
 
     // The time left counts from the client's send and the answer has to travel: so much of it is kept back.
     private static final long MARGIN = 5_000;
@@ -34,13 +34,13 @@
 
     private final Timers timers;
     private final Clock clock;
-    private final Turns turns;
+    private final EventLoopLateness turns;
     private final int openMost;
     private final Consumer<String> log;
     private final Map<Long, Exchange> exchanges = new HashMap<>();
     private final ServiceCount count = new ServiceCount();
     private final Queue<Runnable> events = new ArrayDeque<>();
-    private Witness witness;  // null where nobody asks
+    private RequestListener witness;  // null where nobody asks
     private BooleanSupplier unreadNotifications = () -> true;
     private long notificationsReadAt;
     private boolean inEvent;
@@ -50,12 +50,12 @@
     private int open;
 
     /** Holds {@code openMost} requests that are not answered; its timers come on the thread that drives it, which is never late. */
-    public Ledger(Timers timers, Clock clock, int openMost, Consumer<String> log) {
-        this(timers, clock, new Turns(), openMost, log);
+    public RequestTracker(Timers timers, Clock clock, int openMost, Consumer<String> log) {
+        this(timers, clock, new EventLoopLateness(), openMost, log);
     }
 
     /** Likewise, on a loop that is as late as its turns say. */
-    public Ledger(Timers timers, Clock clock, Turns turns, int openMost, Consumer<String> log) {
+    public RequestTracker(Timers timers, Clock clock, EventLoopLateness turns, int openMost, Consumer<String> log) {
         this.timers = timers;
         this.clock = clock;
         this.turns = turns;
@@ -85,7 +85,7 @@
     }
 
     /** Every request from now on is told to it. */
-    public void witness(Witness by) {
+    public void witness(RequestListener by) {
         witness = by;
     }
 
@@ -106,7 +106,7 @@
         return open;
     }
 
-    Turns turns() {
+    EventLoopLateness turns() {
         return turns;
     }
 
@@ -123,12 +123,12 @@
     }
 
     /** Takes a request for a pool, and with it the call, which it releases; null where it was answered at once. */
-    public Exchange take(Pool pool, Client client, Call call, Ask ask) {
+    public Exchange take(Pool pool, Responder client, RequestMessage call, RequestAttributes ask) {
         return take(pool, client, call, ask, turns.own(now()));
     }
 
     /** Likewise, one that has waited here for up to {@code waited} microseconds. */
-    public Exchange take(Pool pool, Client client, Call call, Ask ask, long waited) {
+    public Exchange take(Pool pool, Responder client, RequestMessage call, RequestAttributes ask, long waited) {
         long now = now();
         long kept = ask.left() - MARGIN;
         if (witness != null) {
@@ -142,7 +142,7 @@
             if (waited > MARGIN) {  // its time may be up: it waited here, and a new try does no harm
                 turnedAway(pool, client, call, ask);
             } else {
-                over(call, Witness.End.LATE, null);
+                over(call, RequestListener.End.LATE, null);
                 count.failed(ask.className());
                 client.failed(true);
             }
@@ -172,8 +172,8 @@
         return exchange.ended ? null : exchange;
     }
 
-    private void turnedAway(Pool pool, Client client, Call call, Ask ask) {
-        over(call, Witness.End.REFUSED, Why.GATEWAY);
+    private void turnedAway(Pool pool, Responder client, RequestMessage call, RequestAttributes ask) {
+        over(call, RequestListener.End.REFUSED, Why.GATEWAY);
         count.refused(ask.className(), Why.GATEWAY);
         client.refused(retryAfter(pool));
     }
@@ -183,7 +183,7 @@
         return limits.retryAfter() ? limits.maxRetryAfter() : 0;
     }
 
-    private void over(Call call, Witness.End end, Why why) {
+    private void over(RequestMessage call, RequestListener.End end, Why why) {
         if (witness != null) {
             witness.ended(call, end, why);
         }
@@ -270,14 +270,14 @@
 
     // ---- ends
 
-    void served(Exchange exchange, Answer answer) {
-        finish(exchange, Witness.End.SERVED, null);
+    void served(Exchange exchange, ResponseMessage answer) {
+        finish(exchange, RequestListener.End.SERVED, null);
         count.served(exchange.className);
         exchange.client.served(answer);
     }
 
     void refuse(Exchange exchange, long retryAfter, Why why) {
-        finish(exchange, Witness.End.REFUSED, why);
+        finish(exchange, RequestListener.End.REFUSED, why);
         count.refused(exchange.className, why);
         if (exchange.pass != null) {
             exchange.pass.refused(now(), why);
@@ -286,14 +286,14 @@
     }
 
     void fail(Exchange exchange, boolean late) {
-        finish(exchange, late ? Witness.End.LATE : Witness.End.FAILED, null);
+        finish(exchange, late ? RequestListener.End.LATE : RequestListener.End.FAILED, null);
         count.failed(exchange.className);
         exchange.client.failed(late);
     }
 
     void departed(Exchange exchange) {
         if (!exchange.ended) {
-            finish(exchange, Witness.End.LEFT, null);
+            finish(exchange, RequestListener.End.LEFT, null);
             departedFrom(exchange);
         }
     }
@@ -317,7 +317,7 @@
         });
     }
 
-    private void finish(Exchange exchange, Witness.End end, Why why) {
+    private void finish(Exchange exchange, RequestListener.End end, Why why) {
         exchange.ended = true;
         exchange.backstop.cancel();
         over(exchange.call, end, why);
--- a/src/main/java/mastdrift/engine/Client.java
+++ b/src/main/java/mastdrift/engine/Responder.java
@@ -1,7 +1,7 @@
 package mastdrift.engine;
 
 /** Where the one final answer of a request goes. Exactly one of these is called, once, unless the client left first. */
-public interface Client {
+public interface Responder {
 
     /** Whether it is still there to be answered, as far as this can be known by now. Asked where a first byte is about to leave for it, which may
         be ahead of the event that tells of its end. */
@@ -15,7 +15,7 @@
     }
 
     /** With a host's answer, which the caller releases. */
-    void served(Answer answer);
+    void served(ResponseMessage answer);
 
     /** Trying again does no harm; {@code retryAfter} in microseconds, 0 where nothing is known. */
     void refused(long retryAfter);
--- a/src/main/java/mastdrift/engine/Answer.java
+++ b/src/main/java/mastdrift/engine/ResponseMessage.java
@@ -1,5 +1,5 @@
 package mastdrift.engine;
 
 /** What a host answered, in the form that the fronts of its protocol pass on. Valid until the call that brings it ends. */
-public interface Answer {
+public interface ResponseMessage {
 }
--- a/src/main/java/mastdrift/engine/Wheel.java
+++ b/src/main/java/mastdrift/engine/TimerWheel.java
@@ -8,7 +8,7 @@
  * <p>Times are rounded up to the next {@link #TICK}. One timer of the loop below is armed at a time, for the first slot that has
  * an entry; where that was cancelled in the meantime it finds nothing and arms the next. On the thread of that loop alone.
  */
-public final class Wheel implements Timers {
+public final class TimerWheel implements Timers {
 
     /** Microseconds. */
     public static final long TICK = 1_000;
@@ -25,7 +25,7 @@
     private int count;
 
     /** By timers of {@code loop}, whose time is {@code clock}. */
-    public Wheel(Clock clock, Timers loop) {
+    public TimerWheel(Clock clock, Timers loop) {
         this.clock = clock;
         this.loop = loop;
         done = clock.now() / TICK;
--- a/src/main/java/mastdrift/engine/Transport.java
+++ b/src/main/java/mastdrift/engine/Transport.java
@@ -11,7 +11,7 @@
     /** Hears how a send ended, exactly once, possibly before {@link Transport#send} returns. */
     interface Ended {
         /** The answer is null where the host gave none. */
-        void ended(Outcome outcome, Answer answer, LoadReport report);
+        void ended(Outcome outcome, ResponseMessage answer, LoadReport report);
 
         /** Whether anybody waits for what comes of it. Asked right before its first byte leaves, behind all else but {@link Endpoint#maySend}. */
         default boolean wanted() {
@@ -50,7 +50,7 @@
     /** Sends the call to an endpoint and waits for {@code timeout} microseconds. A timeout of 0 or less gives UNUSED; so does, where its first
         byte could leave, an endpoint that {@link Endpoint#maySend} rules out, what has waited for {@code leaveWithin} microseconds, and what is not
         {@link Ended#wanted} any more. */
-    Attempt send(Endpoint to, Call call, long timeout, long leaveWithin, Ended ended);
+    Attempt send(Endpoint to, RequestMessage call, long timeout, long leaveWithin, Ended ended);
 
     /** Checks an endpoint. */
     void probe(Endpoint at, Probed probed);
--- a/src/main/java/mastdrift/lab/model/ModelAnswer.java
+++ b/src/main/java/mastdrift/lab/model/ModelAnswer.java
@@ -1,6 +1,6 @@
 package mastdrift.lab.model;
 
-import mastdrift.engine.Answer;
+import mastdrift.engine.ResponseMessage;
 
 /** The answer of a node. */
-record ModelAnswer(ModelNode node) implements Answer { }
+record ModelAnswer(ModelNode node) implements ResponseMessage { }
--- a/src/main/java/mastdrift/lab/model/ModelClients.java
+++ b/src/main/java/mastdrift/lab/model/ModelClients.java
@@ -9,7 +9,7 @@
 import java.util.function.DoubleSupplier;
 import mastdrift.Balancer.Repeat;
 import mastdrift.Balancer.RequestClass;
-import mastdrift.engine.Ask;
+import mastdrift.engine.RequestAttributes;
 import mastdrift.lab.draw.Arrivals;
 import mastdrift.lab.draw.Mix;
 import mastdrift.lab.draw.Streams;
@@ -84,7 +84,7 @@
                 return;
             }
             long endsAt = time.now() + asked.deadline();
-            Ask ask = new Ask(asked.className(), asked.tenant(), hash(key), asked.deadline() - DELAY,
+            RequestAttributes ask = new RequestAttributes(asked.className(), asked.tenant(), hash(key), asked.deadline() - DELAY,
                     tries > 1 && scenario.site().marksRetry(), false, 0, "", type.repeat() == Repeat.KEYED ? effect() : null);
             Try one = new Try(this, gateway, ask, endsAt, watch, time, DELAY, trace, world.twice(), this::ended);
             if (trace != Trace.NONE) {
--- a/src/main/java/mastdrift/lab/model/ModelGateway.java
+++ b/src/main/java/mastdrift/lab/model/ModelGateway.java
@@ -10,12 +10,12 @@
 import mastdrift.Balancer.ListForm;
 import mastdrift.Balancer.Repeat;
 import mastdrift.Balancer.Settings;
-import mastdrift.engine.Ask;
+import mastdrift.engine.RequestAttributes;
 import mastdrift.engine.Exchange;
-import mastdrift.engine.Ledger;
+import mastdrift.engine.RequestTracker;
 import mastdrift.engine.Member;
 import mastdrift.engine.Pool;
-import mastdrift.engine.Source;
+import mastdrift.engine.HostListSource;
 import mastdrift.engine.Timers;
 import mastdrift.lab.draw.Streams;
 import mastdrift.membership.Membership;
@@ -57,7 +57,7 @@
 
     /** One life of it. */
     private final class Life {
-        private final Ledger ledger;
+        private final RequestTracker ledger;
         private final Router router = new Router(Router.PINS_MOST);
         private final Map<String, Pool> pools = new LinkedHashMap<>();
         private final Membership membership;
@@ -74,7 +74,7 @@
                     what.run();
                 }
             });
-            ledger = new Ledger(timers, time, OPEN_MOST, line -> { });
+            ledger = new RequestTracker(timers, time, OPEN_MOST, line -> { });
             router.swap(new RouteTable(scenario.routes()));
             membership = scenario.site().membership() ? new Membership() : null;
             zoning = scenario.zones() == null ? null : new Zoning("gateway-" + ModelGateway.this.number, zone, scenario.site().gateways(),
@@ -96,7 +96,7 @@
                 if (peers != null) {
                     pool.peers(work, peers);
                 }
-                pool.start(Source.TELLS, List.of());
+                pool.start(HostListSource.TELLS, List.of());
             }
             if (zoning != null) {
                 tick(timers);
@@ -150,7 +150,7 @@
         }
 
         private Exchange take(Try given) {
-            Ask ask = given.ask();
+            RequestAttributes ask = given.ask();
             Traits traits = new Traits(ask.className(), ask.tenant(), "/api", zone, ask.key(), name -> List.of());
             String name = poolNames.size() == 1 && scenario.routes().isEmpty() ? poolNames.get(0)
                     : given.type().repeat() == Repeat.KEYED
--- a/src/main/java/mastdrift/lab/model/ModelTransport.java
+++ b/src/main/java/mastdrift/lab/model/ModelTransport.java
@@ -6,7 +6,7 @@
 import mastdrift.Balancer.Links;
 import mastdrift.Balancer.LoadReport;
 import mastdrift.Balancer.Outcome;
-import mastdrift.engine.Call;
+import mastdrift.engine.RequestMessage;
 import mastdrift.engine.Endpoint;
 import mastdrift.engine.Member;
 import mastdrift.engine.Timers;
@@ -62,7 +62,7 @@
     public void update(boolean all, List<Member> members) { }
 
     @Override
-    public Attempt send(Endpoint to, Call call, long timeout, long leaveWithin, Ended ended) {
+    public Attempt send(Endpoint to, RequestMessage call, long timeout, long leaveWithin, Ended ended) {
         if (!to.maySend() || timeout <= 0) {
             ended.ended(Outcome.UNUSED, null, LoadReport.NONE);
             return () -> { };
--- a/src/main/java/mastdrift/lab/model/Try.java
+++ b/src/main/java/mastdrift/lab/model/Try.java
@@ -1,14 +1,14 @@
 package mastdrift.lab.model;
 
 import mastdrift.Balancer.RequestClass;
-import mastdrift.engine.Answer;
-import mastdrift.engine.Ask;
-import mastdrift.engine.Call;
-import mastdrift.engine.Client;
+import mastdrift.engine.ResponseMessage;
+import mastdrift.engine.RequestAttributes;
+import mastdrift.engine.RequestMessage;
+import mastdrift.engine.Responder;
 import mastdrift.engine.Exchange;
 
 /** One try of a request, as a gateway has it: who asks, what, and where the answer goes. */
-final class Try implements Client, Call {
+final class Try implements Responder, RequestMessage {
 
     /** How a try ended for its client. */
     enum Ended { SERVED, REFUSED, FAILED, UNANSWERED }
@@ -22,7 +22,7 @@
     private final ModelGateway gateway;
     private final int life;
     private final long effect;
-    private final Ask ask;
+    private final RequestAttributes ask;
     private final long endsAt;
     private final Watch watch;
     private final VirtualTime time;
@@ -35,7 +35,7 @@
     private int answers;
     private boolean over;
 
-    Try(ModelClients.Chain chain, ModelGateway gateway, Ask ask, long endsAt, Watch watch, VirtualTime time, long delay, Trace trace,
+    Try(ModelClients.Chain chain, ModelGateway gateway, RequestAttributes ask, long endsAt, Watch watch, VirtualTime time, long delay, Trace trace,
             boolean twice, Ear ear) {
         this.chain = chain;
         this.gateway = gateway;
@@ -51,7 +51,7 @@
         effect = chain.effect();
     }
 
-    Ask ask() {
+    RequestAttributes ask() {
         return ask;
     }
 
@@ -138,7 +138,7 @@
     }
 
     @Override
-    public void served(Answer answer) {
+    public void served(ResponseMessage answer) {
         answer(Ended.SERVED, 0);
     }
 
--- a/src/main/java/mastdrift/lateness/Turns.java
+++ b/src/main/java/mastdrift/lateness/EventLoopLateness.java
@@ -12,7 +12,7 @@
  * <p>All times are in microseconds of one clock that doesn't run back. For a loop that tells of no turns nothing is late. Not
  * safe for use by several threads.
  */
-public final class Turns {
+public final class EventLoopLateness {
 
     /** A wait of so long was one, whatever else went on meanwhile. */
     public static final long SURELY_WAITED = 2_000;
--- a/src/main/java/mastdrift/limits/Connections.java
+++ b/src/main/java/mastdrift/limits/ClientConnectionTable.java
@@ -20,14 +20,14 @@
  *
  * @param <C> a connection
  */
-public final class Connections<C> {
+public final class ClientConnectionTable<C> {
 
     /** One connection. */
     public static final class Entry<C> {
 
         private final C connection;
         private final Holder<C> holder;
-        private Phase phase;
+        private ConnectionPhase phase;
         private long since;
         private Entry<C> before;  // in its phase
         private Entry<C> next;
@@ -40,7 +40,7 @@
         }
 
         /** Where it is. */
-        public Phase phase() {
+        public ConnectionPhase phase() {
             return phase;
         }
     }
@@ -62,7 +62,7 @@
         }
     }
 
-    private static final Phase[] PHASES = Phase.values();
+    private static final ConnectionPhase[] PHASES = ConnectionPhase.values();
 
     private final PhaseBounds bounds;
     private final List<Entry<C>> heads = new ArrayList<>();
@@ -74,7 +74,7 @@
     private int size;
 
     /** For connections that may be in each phase for so long. */
-    public Connections(PhaseBounds bounds) {
+    public ClientConnectionTable(PhaseBounds bounds) {
         this.bounds = bounds;
         for (int i = 0; i < PHASES.length; i++) {
             heads.add(null);
@@ -89,7 +89,7 @@
     }
 
     /** How many of them are in a phase. */
-    public int size(Phase phase) {
+    public int size(ConnectionPhase phase) {
         return sizes[phase.ordinal()];
     }
 
@@ -104,12 +104,12 @@
         Entry<C> entry = new Entry<>(connection, holder);
         holder.connections++;
         size++;
-        enter(now, entry, Phase.SILENT);
+        enter(now, entry, ConnectionPhase.SILENT);
         return entry;
     }
 
     /** It goes over to a phase; to the one that it is in, nothing changes, and its time there goes on. */
-    public void moved(long now, Entry<C> entry, Phase phase) {
+    public void moved(long now, Entry<C> entry, ConnectionPhase phase) {
         if (entry.phase != phase && entry.phase != null) {
             leave(entry);
             enter(now, entry, phase);
@@ -131,8 +131,8 @@
 
     /** Names those that have been in their phase for longer than its bound, with that phase. Whoever is named has to be moved or
         closed before the next look, or is named again; at most {@code most} of each phase are. */
-    public void overdue(long now, int most, BiConsumer<C, Phase> due) {
-        for (Phase phase : PHASES) {
+    public void overdue(long now, int most, BiConsumer<C, ConnectionPhase> due) {
+        for (ConnectionPhase phase : PHASES) {
             long bound = bounds.of(phase);
             Entry<C> entry = heads.get(phase.ordinal());
             for (int named = 0; entry != null && named < most && now - entry.since > bound; named++) {
@@ -144,7 +144,7 @@
     }
 
     /** Those that are in a phase, the one that entered it first ahead; each may be moved or closed as it is named. */
-    public void each(Phase phase, Consumer<C> named) {
+    public void each(ConnectionPhase phase, Consumer<C> named) {
         for (Entry<C> entry = heads.get(phase.ordinal()); entry != null; ) {
             Entry<C> next = entry.next;
             named.accept(entry.connection);
@@ -172,7 +172,7 @@
 
     // ---- phases
 
-    private void enter(long now, Entry<C> entry, Phase phase) {
+    private void enter(long now, Entry<C> entry, ConnectionPhase phase) {
         int at = phase.ordinal();
         entry.phase = phase;
         entry.since = now;
@@ -212,7 +212,7 @@
 
     private void joins(Entry<C> entry) {
         Holder<C> holder = entry.holder;
-        boolean silent = entry.phase == Phase.SILENT;
+        boolean silent = entry.phase == ConnectionPhase.SILENT;
         entry.elder = silent ? holder.silentYoungest : holder.usedYoungest;
         entry.younger = null;
         if (entry.elder != null) {
@@ -232,7 +232,7 @@
 
     private void parts(Entry<C> entry) {
         Holder<C> holder = entry.holder;
-        boolean silent = entry.phase == Phase.SILENT;
+        boolean silent = entry.phase == ConnectionPhase.SILENT;
         if (entry.elder != null) {
             entry.elder.younger = entry.younger;
         } else if (silent) {
--- a/src/main/java/mastdrift/limits/Phase.java
+++ b/src/main/java/mastdrift/limits/ConnectionPhase.java
@@ -1,7 +1,7 @@
 package mastdrift.limits;
 
 /** Where a client's connection is; each phase but {@link #BUSY} has a bound of its own in time. */
-public enum Phase {
+public enum ConnectionPhase {
 
     /** Opened, and nothing came yet. */
     SILENT,
--- a/src/main/java/mastdrift/limits/IdleKeep.java
+++ b/src/main/java/mastdrift/limits/IdleRetention.java
@@ -6,7 +6,7 @@
     that it is full, of connections unless it turns away as many on those that stand: then its queue is. So the time falls with the
     part by which more new connections are turned away, from all of it where no more are to {@value #LEAST} microseconds from a
     fifth on, in equal ratios between: every gateway sees the same and gives back alike. */
-public final class IdleKeep {
+public final class IdleRetention {
 
     // Of new connections turned away: from here on the least.
     private static final double FULL = 0.2;
@@ -24,7 +24,7 @@
     private long at;
 
     /** {@code most} microseconds, where hosts have room. */
-    public IdleKeep(long most) {
+    public IdleRetention(long most) {
         this.most = most;
     }
 
--- a/src/main/java/mastdrift/limits/PhaseBounds.java
+++ b/src/main/java/mastdrift/limits/PhaseBounds.java
@@ -23,7 +23,7 @@
         }
     }
 
-    long of(Phase phase) {
+    long of(ConnectionPhase phase) {
         return switch (phase) {
             case SILENT -> silent;
             case PART -> whole;
--- a/src/main/java/mastdrift/net/ClientSide.java
+++ b/src/main/java/mastdrift/net/ClientSide.java
@@ -47,14 +47,14 @@
 import mastdrift.Balancer.Repeat;
 import mastdrift.Balancer.RequestClass;
 import mastdrift.Balancer.Tenant;
-import mastdrift.engine.Answer;
-import mastdrift.engine.Ask;
-import mastdrift.engine.Client;
+import mastdrift.engine.ResponseMessage;
+import mastdrift.engine.RequestAttributes;
+import mastdrift.engine.Responder;
 import mastdrift.engine.Exchange;
-import mastdrift.engine.Ledger;
+import mastdrift.engine.RequestTracker;
 import mastdrift.engine.Pool;
-import mastdrift.limits.Connections;
-import mastdrift.limits.Phase;
+import mastdrift.limits.ClientConnectionTable;
+import mastdrift.limits.ConnectionPhase;
 import mastdrift.limits.PhaseBounds;
 
 /** The server that clients connect to: reads requests, refuses what is none, writes the final answers. */
@@ -100,7 +100,7 @@
     private static final long ACCEPT_SAID = 10_000_000;
 
     private final EventLoop loop;
-    private final Ledger ledger;
+    private final RequestTracker ledger;
     private final Router router;
     private final Consumer<String> log;
     private final int most;
@@ -109,7 +109,7 @@
     private ChannelFactory<? extends ServerChannel> listener = NioServerSocketChannel::new;
     private Function<InetAddress, String> zones;  // of clients; null where nobody asks
     private final PhaseBounds bounds;
-    private final Connections<Connection> connections;
+    private final ClientConnectionTable<Connection> connections;
     private final Set<String> open = new HashSet<>();  // the ids of requests that are not answered yet
     private volatile Channel server;  // from before it accepts anybody
     private boolean queueSeen = true;  // to its end, by the last look at the system's queue of new connections
@@ -122,16 +122,16 @@
     private Runnable stopped;
 
     /** Holds about {@code most} connections, by the usual bounds in time. */
-    public ClientSide(EventLoop loop, Ledger ledger, Router router, List<RequestClass> classes, List<Tenant> tenants,
+    public ClientSide(EventLoop loop, RequestTracker ledger, Router router, List<RequestClass> classes, List<Tenant> tenants,
             int most, Consumer<String> log) {
         this(loop, ledger, router, classes, tenants, most, PhaseBounds.USUAL, log);
     }
 
     /** Likewise, by others. */
-    public ClientSide(EventLoop loop, Ledger ledger, Router router, List<RequestClass> classes, List<Tenant> tenants,
+    public ClientSide(EventLoop loop, RequestTracker ledger, Router router, List<RequestClass> classes, List<Tenant> tenants,
             int most, PhaseBounds bounds, Consumer<String> log) {
         this.bounds = bounds;
-        connections = new Connections<>(bounds);
+        connections = new ClientConnectionTable<>(bounds);
         this.loop = loop;
         this.ledger = ledger;
         this.router = router;
@@ -163,7 +163,7 @@
 
     /** Those of them that hold what reading a request needs, or those that don't; on the loop's thread. */
     int connections(boolean awake) {
-        int bare = connections.size(Phase.DORMANT) + connections.size(Phase.SILENT);
+        int bare = connections.size(ConnectionPhase.DORMANT) + connections.size(ConnectionPhase.SILENT);
         return awake ? connections.size() - bare : bare;
     }
 
@@ -175,7 +175,7 @@
     /** Requests that are only counted, on all connections; on the loop's thread. */
     int counted() {
         int[] all = new int[1];
-        connections.each(Phase.BUSY, connection -> all[0] += connection.counted);
+        connections.each(ConnectionPhase.BUSY, connection -> all[0] += connection.counted);
         return all[0];
     }
 
@@ -214,8 +214,8 @@
         long answered = answerBy - ledger.now();
         loop.schedule(this::endServing, Math.min(STOP_SERVING_MILLIS * 1_000, answered), TimeUnit.MICROSECONDS);
         loop.schedule(() -> {
-            connections.each(Phase.BUSY, Connection::end);
-            List.of(Phase.SILENT, Phase.PART).forEach(phase -> closeUnasked(phase, true));  // what lacks its rest has had its time
+            connections.each(ConnectionPhase.BUSY, Connection::end);
+            List.of(ConnectionPhase.SILENT, ConnectionPhase.PART).forEach(phase -> closeUnasked(phase, true));  // what lacks its rest has had its time
         }, answered, TimeUnit.MICROSECONDS);
         // Whoever is still there then is worth a line: the program may be killed next.
         loop.schedule(this::sayWaiting, answered + STOP_SAID, TimeUnit.MICROSECONDS);
@@ -236,7 +236,7 @@
     private void sayWaiting() {
         if (connections.size() > 0) {
             StringJoiner phases = new StringJoiner(", ");
-            for (Phase phase : Phase.values()) {
+            for (ConnectionPhase phase : ConnectionPhase.values()) {
                 if (connections.size(phase) > 0) {
                     phases.add(connections.size(phase) + " " + phase);
                 }
@@ -250,11 +250,11 @@
         it is on its way. */
     void endServing() {
         closing = true;
-        List.of(Phase.SILENT, Phase.IDLE, Phase.DORMANT).forEach(phase -> closeUnasked(phase, false));
+        List.of(ConnectionPhase.SILENT, ConnectionPhase.IDLE, ConnectionPhase.DORMANT).forEach(phase -> closeUnasked(phase, false));
         checkStopped();
     }
 
-    private void closeUnasked(Phase phase, boolean parts) {
+    private void closeUnasked(ConnectionPhase phase, boolean parts) {
         connections.each(phase, connection -> connection.closeUnasked(phase, parts));
     }
 
@@ -327,7 +327,7 @@
     }
 
     /** Closes one that is owed nothing, also once what stands unread on it has been read: a request may be there. */
-    private boolean makeRoom(Connections.Entry<Connection> newcomer) {
+    private boolean makeRoom(ClientConnectionTable.Entry<Connection> newcomer) {
         for (int i = 0; i < GIVING_WAY_LOOKS; i++) {
             Connection gives = connections.givesWay(newcomer);
             if (gives == null) {
@@ -382,10 +382,10 @@
 
     /** One client's connection. While it says nothing it is all that the pipeline has: what reads and writes HTTP is put ahead of it
         by the first byte, and taken out again once the connection has been idle for a while. */
-    private final class Connection extends ChannelInboundHandlerAdapter implements Client {
+    private final class Connection extends ChannelInboundHandlerAdapter implements Responder {
 
         private final Channel channel;
-        private Connections.Entry<Connection> entry;
+        private ClientConnectionTable.Entry<Connection> entry;
         private StrictDecoder decoder;  // null while there is none
         private ArrayDeque<Arrived> waiting;  // requests behind the current one, null until there is one
         private int counted;  // behind those
@@ -415,9 +415,9 @@
         }
 
         /** Without a word: a 408 might cross a request, and be taken for its answer. */
-        private void overdue(Phase phase) {
-            if (phase == Phase.IDLE && decoder.isEmpty()) {
-                connections.moved(ledger.now(), entry, Phase.DORMANT);
+        private void overdue(ConnectionPhase phase) {
+            if (phase == ConnectionPhase.IDLE && decoder.isEmpty()) {
+                connections.moved(ledger.now(), entry, ConnectionPhase.DORMANT);
                 channel.pipeline().remove(StrictDecoder.class);
                 channel.pipeline().remove(HttpResponseEncoder.class);
                 channel.pipeline().remove(Requests.class);
@@ -430,7 +430,7 @@
 
         /** Closes it in a phase in which it is owed no answer, unless what stands unread there changes that: a request that was there before the close
             would be reset by it. Where a part of one has come, if {@code parts} alone. */
-        private void closeUnasked(Phase phase, boolean parts) {
+        private void closeUnasked(ConnectionPhase phase, boolean parts) {
             if (entry.phase() == phase) {
                 Look.at(channel);
             }
@@ -535,8 +535,8 @@
         public void channelReadComplete(ChannelHandlerContext context) {
             if (!read && current == null && !finished) {
                 // Where silence ends as soon, that bound goes on: what trickles in must not gain by its first byte.
-                boolean goesOn = entry.phase() == Phase.SILENT && bounds.silent() <= bounds.whole();
-                connections.moved(ledger.now(), entry, goesOn ? Phase.SILENT : Phase.PART);
+                boolean goesOn = entry.phase() == ConnectionPhase.SILENT && bounds.silent() <= bounds.whole();
+                connections.moved(ledger.now(), entry, goesOn ? ConnectionPhase.SILENT : ConnectionPhase.PART);
             }
             read = false;
         }
@@ -544,15 +544,15 @@
         private void next(Arrived arrived) {
             if (arrived == null) {
                 channel.config().setAutoRead(true);
-                connections.moved(ledger.now(), entry, decoder.isEmpty() ? Phase.IDLE : Phase.PART);
-                if (closing && entry.phase() == Phase.IDLE) {
+                connections.moved(ledger.now(), entry, decoder.isEmpty() ? ConnectionPhase.IDLE : ConnectionPhase.PART);
+                if (closing && entry.phase() == ConnectionPhase.IDLE) {
                     close();  // its answer was on the way when the others were closed
                 } else if (connections.size() > most) {  // or accepting, once paused, would never go on
                     makeRoom(null);
                 }
                 return;
             }
-            connections.moved(ledger.now(), entry, Phase.BUSY);
+            connections.moved(ledger.now(), entry, ConnectionPhase.BUSY);
             current = arrived.message;
             // Since it was read, an end has been heard in the turn in which it came.
             long unheard = arrived.turn == ledger.turn() ? Math.max(ledger.now() - arrived.at, ledger.unseen()) : ledger.unseen();
@@ -562,7 +562,7 @@
                     beginNow(arrived, flooded);
                 });
             } else {
-                boolean late = unheard > Ledger.LOOK_AFTER;
+                boolean late = unheard > RequestTracker.LOOK_AFTER;
                 loop.execute(() -> {  // not within the read that brought it: a look at the connection would find nothing there
                     if (late) {
                         Look.at(channel);
@@ -640,7 +640,7 @@
                     plain(HttpResponseStatus.NOT_FOUND, false);
                     return;
                 }
-                exchange = ledger.take(pool, this, new HttpCall(message.retain()), new Ask(type.name(), tenant, key, left,
+                exchange = ledger.take(pool, this, new HttpCall(message.retain()), new RequestAttributes(type.name(), tenant, key, left,
                         head.again(), message.method().equals(HttpMethod.POST), work, zone(), effect), waited);
             }
         }
@@ -687,7 +687,7 @@
         }
 
         @Override
-        public void served(Answer given) {
+        public void served(ResponseMessage given) {
             FullHttpResponse answer = ((HttpAnswer) given).message();
             ByteBuf body = answer.content().retain();
             FullHttpResponse response = Unchecked.response(HttpResponseStatus.OK, body);
@@ -730,7 +730,7 @@
             boolean keep = !close && !unreadable && (more || !closing) && HttpUtil.isKeepAlive(current);
             HttpUtil.setContentLength(response, response.content().readableBytes());
             HttpUtil.setKeepAlive(response, keep);
-            connections.moved(ledger.now(), entry, Phase.UNREAD);
+            connections.moved(ledger.now(), entry, ConnectionPhase.UNREAD);
             channel.writeAndFlush(response).addListener((ChannelFutureListener) done -> {
                 current = null;
                 if (keep && done.isSuccess()) {
--- a/src/main/java/mastdrift/net/ConnectionPool.java
+++ b/src/main/java/mastdrift/net/ConnectionPool.java
@@ -27,7 +27,7 @@
 import mastdrift.engine.Endpoint;
 import mastdrift.engine.Timers;
 import mastdrift.engine.Transport;
-import mastdrift.limits.IdleKeep;
+import mastdrift.limits.IdleRetention;
 
 /** Connections to endpoints: dials, keeps what is idle for a while, bounds how many there are. Carries out each send on the endpoint that it is
     told, once, and says how that ended. On the loop's thread. */
@@ -51,7 +51,7 @@
     private final Timers timers;
     private final Bootstrap bootstrap;
     private final Future<?> sweeps;
-    private final IdleKeep keep;
+    private final IdleRetention keep;
     private final int most;
     private final Map<String, Idle> idle = new HashMap<>();
     private final Consumer<String> faults;
@@ -73,7 +73,7 @@
         this.most = most;
         this.faults = faults;
         long idleMost = (long) (idleTimeout * IDLE_PART);
-        keep = new IdleKeep(idleMost);
+        keep = new IdleRetention(idleMost);
         bootstrap = new Bootstrap().group(loop).channelFactory(() -> strays == null ? sockets.get() : CountedChannel.create())
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, dialTimeout / 1000))
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -9,9 +9,9 @@
 import mastdrift.Balancer;
 import mastdrift.Balancer.ListForm;
 import mastdrift.Balancer.RequestClass;
-import mastdrift.engine.Ledger;
+import mastdrift.engine.RequestTracker;
 import mastdrift.engine.Pool;
-import mastdrift.engine.Source;
+import mastdrift.engine.HostListSource;
 import mastdrift.engine.Transport;
 
 /** The platform's gateway: one pool, to which every request goes, with its hosts from discovery. */
@@ -19,7 +19,7 @@
 
     private final PrintStream out;
     private final Pool pool;
-    private final Ledger ledger;
+    private final RequestTracker ledger;
     private final Discovery discovery;
     private final CompletableFuture<Void> told = new CompletableFuture<>();
     private boolean held;  // whether calls to discovery wait for the first one's moment
@@ -29,9 +29,9 @@
     Gateway(Config config, TimedLoop timed, Balancer module, int hostConnections, int openMost, boolean tally, PrintStream out) {
         this.out = out;
         EventLoop loop = timed.loop();
-        ledger = new Ledger(timed.timers(), timed.clock(), timed.turns(), openMost, this::log);
+        ledger = new RequestTracker(timed.timers(), timed.clock(), timed.turns(), openMost, this::log);
         Transport hosts = new HttpTransport(timed, config.settings(), hostConnections, this::log);
-        Source source = new Source() {
+        HostListSource source = new HostListSource() {
             @Override
             public void watch(boolean active) {
                 asked = active;
@@ -71,7 +71,7 @@
         }
     }
 
-    Ledger ledger() {
+    RequestTracker ledger() {
         return ledger;
     }
 
--- a/src/main/java/mastdrift/net/HttpAnswer.java
+++ b/src/main/java/mastdrift/net/HttpAnswer.java
@@ -1,7 +1,7 @@
 package mastdrift.net;
 
 import io.netty.handler.codec.http.FullHttpResponse;
-import mastdrift.engine.Answer;
+import mastdrift.engine.ResponseMessage;
 
 /** A host's answer as it came; the connection that read it releases it. */
-record HttpAnswer(FullHttpResponse message) implements Answer { }
+record HttpAnswer(FullHttpResponse message) implements ResponseMessage { }
--- a/src/main/java/mastdrift/net/HttpCall.java
+++ b/src/main/java/mastdrift/net/HttpCall.java
@@ -1,10 +1,10 @@
 package mastdrift.net;
 
 import io.netty.handler.codec.http.FullHttpRequest;
-import mastdrift.engine.Call;
+import mastdrift.engine.RequestMessage;
 
 /** A client's request as it came; holds one reference to it. */
-record HttpCall(FullHttpRequest message) implements Call {
+record HttpCall(FullHttpRequest message) implements RequestMessage {
 
     @Override
     public void release() {
--- a/src/main/java/mastdrift/net/HttpTransport.java
+++ b/src/main/java/mastdrift/net/HttpTransport.java
@@ -14,7 +14,7 @@
 import mastdrift.Balancer.Outcome;
 import mastdrift.Balancer.Reports;
 import mastdrift.Balancer.Settings;
-import mastdrift.engine.Call;
+import mastdrift.engine.RequestMessage;
 import mastdrift.engine.Endpoint;
 import mastdrift.engine.Member;
 import mastdrift.engine.Transport;
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public Attempt send(Endpoint to, Call call, long timeout, long leaveWithin, Ended ended) {
+    public Attempt send(Endpoint to, RequestMessage call, long timeout, long leaveWithin, Ended ended) {
         return connections.send(to, onward(((HttpCall) call).message()), timeout, leaveWithin, new HttpAttempt.Listener() {
             @Override
             public void ended(Outcome outcome, FullHttpResponse answer) {
--- a/src/main/java/mastdrift/net/RequestLog.java
+++ b/src/main/java/mastdrift/net/RequestLog.java
@@ -7,15 +7,15 @@
 import java.util.function.LongSupplier;
 import mastdrift.Balancer.Outcome;
 import mastdrift.Balancer.Why;
-import mastdrift.engine.Ask;
-import mastdrift.engine.Call;
-import mastdrift.engine.Witness;
+import mastdrift.engine.RequestAttributes;
+import mastdrift.engine.RequestMessage;
+import mastdrift.engine.RequestListener;
 
 /**
  * Writes a line for each request that was not served at its first attempt: how it ended and why, and its attempts with their outcomes.
  * Bounded by {@link BoundedLog}; keeps the attempts of requests that are open, of which there is a bound.
  */
-final class RequestLog implements Witness {
+final class RequestLog implements RequestListener {
 
     static final int LINES_A_SECOND = 20;
 
@@ -32,7 +32,7 @@
 
     private final LongSupplier clock;
     private final BoundedLog log;
-    private final Map<Call, Open> open = new IdentityHashMap<>();
+    private final Map<RequestMessage, Open> open = new IdentityHashMap<>();
 
     /** The clock is in microseconds. */
     RequestLog(LongSupplier clock, Consumer<String> log) {
@@ -41,12 +41,12 @@
     }
 
     @Override
-    public void taken(Call call, Ask ask) {
+    public void taken(RequestMessage call, RequestAttributes ask) {
         open.put(call, new Open(clock.getAsLong()));
     }
 
     @Override
-    public void attemptEnded(Call call, String uid, Outcome outcome) {
+    public void attemptEnded(RequestMessage call, String uid, Outcome outcome) {
         Open request = open.get(call);
         if (request != null) {
             request.count++;
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public void ended(Call call, End end, Why why) {
+    public void ended(RequestMessage call, End end, Why why) {
         Open request = open.remove(call);
         if (request == null || end == End.SERVED && request.count <= 1) {
             return;
--- a/src/main/java/mastdrift/net/Tallying.java
+++ b/src/main/java/mastdrift/net/Tallying.java
@@ -8,11 +8,11 @@
 import mastdrift.Balancer.LoadReport;
 import mastdrift.Balancer.Outcome;
 import mastdrift.Balancer.Why;
-import mastdrift.engine.Answer;
-import mastdrift.engine.Call;
+import mastdrift.engine.ResponseMessage;
+import mastdrift.engine.RequestMessage;
 import mastdrift.engine.Clock;
 import mastdrift.engine.Endpoint;
-import mastdrift.engine.Ledger;
+import mastdrift.engine.RequestTracker;
 import mastdrift.engine.Member;
 import mastdrift.engine.ServiceCount;
 import mastdrift.engine.Timers;
@@ -30,14 +30,14 @@
     private final Clock clock;
     private final Timers timers;
     private final long warmWithin;
-    private final Ledger ledger;
+    private final RequestTracker ledger;
     private final Tracing tracing;
     private final Consumer<String> log;
     private final Set<String> cold = new HashSet<>();
     private final long[] answers = new long[2 + Why.values().length];
     private Second second;
 
-    Tallying(Transport transport, TimedLoop timed, long warmWithin, Ledger ledger, Tracing tracing,
+    Tallying(Transport transport, TimedLoop timed, long warmWithin, RequestTracker ledger, Tracing tracing,
             Consumer<String> log) {
         this.transport = transport;
         clock = timed.clock();
@@ -116,7 +116,7 @@
     }
 
     @Override
-    public Attempt send(Endpoint to, Call call, long timeout, long leaveWithin, Ended ended) {
+    public Attempt send(Endpoint to, RequestMessage call, long timeout, long leaveWithin, Ended ended) {
         String uid = to.uid();
         second.add(Count.SENDS);
         second.sent(uid);
@@ -125,7 +125,7 @@
         }
         return transport.send(to, call, timeout, leaveWithin, new Ended() {
             @Override
-            public void ended(Outcome outcome, Answer answer, LoadReport report) {
+            public void ended(Outcome outcome, ResponseMessage answer, LoadReport report) {
                 second.add(Count.valueOf(outcome.name()));
                 if (outcome != Outcome.DELIVERED && outcome != Outcome.REVOKED && outcome != Outcome.UNUSED) {
                     second.lost(uid);
--- a/src/main/java/mastdrift/net/TimedLoop.java
+++ b/src/main/java/mastdrift/net/TimedLoop.java
@@ -9,11 +9,11 @@
 import io.netty.channel.nio.NioIoHandler;
 import mastdrift.engine.Clock;
 import mastdrift.engine.Timers;
-import mastdrift.engine.Wheel;
-import mastdrift.lateness.Turns;
+import mastdrift.engine.TimerWheel;
+import mastdrift.lateness.EventLoopLateness;
 
 /** An event loop that knows its own lateness, and the clock and timers that go with it. */
-public record TimedLoop(EventLoop loop, Clock clock, Timers timers, Turns turns) {
+public record TimedLoop(EventLoop loop, Clock clock, Timers timers, EventLoopLateness turns) {
 
     // What changes in less than that is not worth a look at the run queue.
     private static final long LOOK = 1_000;
@@ -27,10 +27,10 @@
     /** Starts one. */
     public static TimedLoop start() {
         Clock clock = Clock.system();
-        Turns turns = new Turns();
+        EventLoopLateness turns = new EventLoopLateness();
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, executor ->
                 new Timed(NioIoHandler.newFactory().newHandler(executor), clock, turns)).next();
-        return new TimedLoop(loop, clock, new Wheel(clock, Timers.of(loop)), turns);
+        return new TimedLoop(loop, clock, new TimerWheel(clock, Timers.of(loop)), turns);
     }
 
     /** Tells of turns. The library's handler asks whether its time is measured once it is back from the selector and before it
@@ -39,7 +39,7 @@
 
         private final IoHandler handler;
         private final Clock clock;
-        private final Turns turns;
+        private final EventLoopLateness turns;
         private final RunQueue runQueue = new RunQueue();
         private IoHandlerContext context;
         private long waitsSince;
@@ -47,7 +47,7 @@
         private long lookedAt;
         private long looked;
 
-        Timed(IoHandler handler, Clock clock, Turns turns) {
+        Timed(IoHandler handler, Clock clock, EventLoopLateness turns) {
             this.handler = handler;
             this.clock = clock;
             this.turns = turns;
--- a/src/main/java/mastdrift/net/Tracing.java
+++ b/src/main/java/mastdrift/net/Tracing.java
@@ -13,20 +13,20 @@
 import mastdrift.Balancer.RequestClass;
 import mastdrift.Balancer.Settings;
 import mastdrift.Balancer.Why;
-import mastdrift.engine.Answer;
-import mastdrift.engine.Ask;
-import mastdrift.engine.Call;
+import mastdrift.engine.ResponseMessage;
+import mastdrift.engine.RequestAttributes;
+import mastdrift.engine.RequestMessage;
 import mastdrift.engine.Clock;
 import mastdrift.engine.Endpoint;
 import mastdrift.engine.Member;
 import mastdrift.engine.Transport;
-import mastdrift.engine.Witness;
+import mastdrift.engine.RequestListener;
 import mastdrift.tally.Step;
 
 /** Writes a line for each step of a request: taken, each attempt with its host, start and outcome, the final answer with its reason. It
     stands before the transport, as {@link Tallying} does, and nothing of it is loaded where that is off. Follows up to
     {@value #NEW_MOST} new requests a second and {@value #OPEN_MOST} at once, each of them whole; those beyond are counted. */
-final class Tracing implements Transport, Witness {
+final class Tracing implements Transport, RequestListener {
 
     static final int NEW_MOST = 200;
     static final int OPEN_MOST = 2_000;
@@ -73,7 +73,7 @@
         return since;
     }
 
-    private static String id(Call call) {
+    private static String id(RequestMessage call) {
         return ((HttpCall) call).message().headers().get("X-Trace-Id");
     }
 
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void taken(Call call, Ask ask) {
+    public void taken(RequestMessage call, RequestAttributes ask) {
         long now = clock.now();
         if (now / SECOND != second) {
             second = now / SECOND;
@@ -97,12 +97,12 @@
         tell(id(call), Step.Kind.TAKEN, -1, "", taken(ask), ask.left());
     }
 
-    private String taken(Ask ask) {
+    private String taken(RequestAttributes ask) {
         return (ask.tenant() == null ? "" : ask.tenant() + ":") + classes.getOrDefault(ask.className(), ask.className());
     }
 
     @Override
-    public void ended(Call call, End end, Why why) {
+    public void ended(RequestMessage call, End end, Why why) {
         Life life = lives.remove(id(call));
         if (life != null) {
             tell(id(call), Step.Kind.ANSWERED, -1, "", why == null ? end.name() : end + " " + why, clock.now() - life.takenAt);
@@ -123,7 +123,7 @@
     }
 
     @Override
-    public Attempt send(Endpoint to, Call call, long timeout, long leaveWithin, Ended ended) {
+    public Attempt send(Endpoint to, RequestMessage call, long timeout, long leaveWithin, Ended ended) {
         String uid = to.uid();
         String id = id(call);
         Life life = lives.get(id);
@@ -134,7 +134,7 @@
         tellState(id, Step.Kind.SENT, number, uid);
         return transport.send(to, call, timeout, leaveWithin, new Ended() {
             @Override
-            public void ended(Outcome outcome, Answer answer, LoadReport report) {
+            public void ended(Outcome outcome, ResponseMessage answer, LoadReport report) {
                 tell(id, Step.Kind.ENDED, number, uid, outcome.name(), 0);
                 ended.ended(outcome, answer, report);
             }
--- a/src/main/java/mastdrift/radius/edge/RadiusFront.java
+++ b/src/main/java/mastdrift/radius/edge/RadiusFront.java
@@ -19,10 +19,10 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.Function;
-import mastdrift.engine.Answer;
-import mastdrift.engine.Ask;
-import mastdrift.engine.Client;
-import mastdrift.engine.Ledger;
+import mastdrift.engine.ResponseMessage;
+import mastdrift.engine.RequestAttributes;
+import mastdrift.engine.Responder;
+import mastdrift.engine.RequestTracker;
 import mastdrift.engine.Pool;
 import mastdrift.radius.Attribute;
 import mastdrift.radius.Authenticators;
@@ -57,7 +57,7 @@
     public record Classes(String access, String conversation, String accounting, long accessTime, long accountingTime) { }
 
     private final EventLoop loop;
-    private final Ledger ledger;
+    private final RequestTracker ledger;
     private final Router router;
     private final RadiusClients clients;
     private final Classes classes;
@@ -68,7 +68,7 @@
     private Channel channel;
 
     /** All on the loop's thread. */
-    public RadiusFront(EventLoop loop, Ledger ledger, Router router, RadiusClients clients, Classes classes, Resends resends,
+    public RadiusFront(EventLoop loop, RequestTracker ledger, Router router, RadiusClients clients, Classes classes, Resends resends,
             Drops drops) {
         this.loop = loop;
         this.ledger = ledger;
@@ -175,7 +175,7 @@
             return;
         }
         ledger.take(pool, reply, new RadiusCall(request, client.secret(),
-                held == null ? null : held.uid()), new Ask(className, client.tenant(), key,
+                held == null ? null : held.uid()), new RequestAttributes(className, client.tenant(), key,
                 (accounting ? classes.accountingTime : classes.accessTime) - (ledger.now() - ledger.arrived()), false, accounting, 0,
                 zones.apply(from.getAddress()), accounting ? key : null));
     }
@@ -200,7 +200,7 @@
     }
 
     /** Where the final answer of a request goes: to every packet that waits for it. */
-    private final class Reply implements Client {
+    private final class Reply implements Responder {
 
         private final Resends.Entry entry;
         private final RadiusClients.Client client;
@@ -213,7 +213,7 @@
         }
 
         @Override
-        public void served(Answer answer) {
+        public void served(ResponseMessage answer) {
             RadiusAnswer given = (RadiusAnswer) answer;
             if (given.code() == Code.ACCESS_CHALLENGE) {
                 given.attributes().stream().filter(a -> a.type() == Attribute.STATE).forEach(state -> conversations.challenged(
--- a/src/main/java/mastdrift/radius/edge/RadiusTransport.java
+++ b/src/main/java/mastdrift/radius/edge/RadiusTransport.java
@@ -28,8 +28,8 @@
 import mastdrift.Balancer.Health;
 import mastdrift.Balancer.LoadReport;
 import mastdrift.Balancer.Outcome;
-import mastdrift.engine.Answer;
-import mastdrift.engine.Call;
+import mastdrift.engine.ResponseMessage;
+import mastdrift.engine.RequestMessage;
 import mastdrift.engine.Endpoint;
 import mastdrift.engine.Member;
 import mastdrift.engine.Transport;
@@ -150,7 +150,7 @@
     }
 
     @Override
-    public Attempt send(Endpoint to, Call call, long timeout, long leaveWithin, Ended ended) {  // leaves at once
+    public Attempt send(Endpoint to, RequestMessage call, long timeout, long leaveWithin, Ended ended) {  // leaves at once
         RadiusCall given = (RadiusCall) call;
         Packet request = given.request();
         if (given.onlyAt() != null && !given.onlyAt().equals(to.uid())) {
@@ -219,7 +219,7 @@
             return new Packet(Code.STATUS_SERVER, slot.identifier(), authenticator, List.of());
         }, new Ended() {
             @Override
-            public void ended(Outcome outcome, Answer answer, LoadReport report) {
+            public void ended(Outcome outcome, ResponseMessage answer, LoadReport report) {
                 probed.probed(outcome, report);
             }
 
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -36,11 +36,11 @@
 import mastdrift.config.PoolSettings;
 import mastdrift.config.RadiusSettings;
 import mastdrift.engine.Clock;
-import mastdrift.engine.Ledger;
+import mastdrift.engine.RequestTracker;
 import mastdrift.engine.Member;
 import mastdrift.engine.Pool;
 import mastdrift.engine.ServiceCount;
-import mastdrift.engine.Source;
+import mastdrift.engine.HostListSource;
 import mastdrift.engine.Transport;
 import mastdrift.events.Events;
 import mastdrift.events.Events.Level;
@@ -104,7 +104,7 @@
     private final EventLoop loop = timed.loop();
     private final Clock clock = timed.clock();
     private final SplittableRandom seeds = new SplittableRandom();
-    private final Ledger ledger = new Ledger(timed.timers(), clock, timed.turns(), OPEN_MOST, this::log);
+    private final RequestTracker ledger = new RequestTracker(timed.timers(), clock, timed.turns(), OPEN_MOST, this::log);
     private final Router router = new Router(Router.PINS_MOST);
     private final Map<String, Served> pools = new HashMap<>();
     private final Control control = new Control(new Loop(), clock::now);
@@ -188,10 +188,10 @@
         TimedLoop on = TimedLoop.start();
         EventLoop own = on.loop();
         Rehearsal.play((hosts, at) -> {
-            Ledger rehearsed = new Ledger(on.timers(), on.clock(), on.turns(), OPEN_MOST, this::log);
+            RequestTracker rehearsed = new RequestTracker(on.timers(), on.clock(), on.turns(), OPEN_MOST, this::log);
             Pool pool = new Pool("rehearsal", rehearsed, new Balance(), module,
                     new HttpTransport(on, module, first.connections(), line -> { }));
-            pool.start(Source.TELLS, hosts);
+            pool.start(HostListSource.TELLS, hosts);
             return new ClientSide(own, rehearsed, (type, tenant, message, key) -> pool, started.classes(), started.tenants(),
                     gateway.connections(), line -> { });
         }, started.classes(), started.tenants(), gateway.zone(), Addresses.parse(gateway.listen()).getAddress(),
@@ -374,8 +374,8 @@
     }
 
     /** Of a pool that has its hosts from discovery alone: what files tell holds without it. */
-    private static Source onlySource(DiscoverySource discovery) {
-        return new Source() {
+    private static HostListSource onlySource(DiscoverySource discovery) {
+        return new HostListSource() {
             @Override
             public void watch(boolean active) { }  // it is watched for as long as the pool is there
 
@@ -402,7 +402,7 @@
         if (peerWork != null) {
             peerWork.of(pool);
         }
-        pool.start(discovery == null || !settings.files().isEmpty() ? Source.TELLS : onlySource(discovery), List.of());
+        pool.start(discovery == null || !settings.files().isEmpty() ? HostListSource.TELLS : onlySource(discovery), List.of());
         if (discovery != null) {
             discovery.watch(true);
         }
--- a/src/test/java/mastdrift/engine/WheelTest.java
+++ b/src/test/java/mastdrift/engine/TimerWheelTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-class WheelTest {
+class TimerWheelTest {
 
     /** The loop below: a virtual clock, and timers in their order. */
     private static final class Loop implements Timers, Clock {
@@ -56,7 +56,7 @@
     void eachComesOnceInItsTime(@ForAll long seed) {
         Random random = new Random(seed);
         Loop loop = new Loop();
-        Wheel wheel = new Wheel(loop, loop);
+        TimerWheel wheel = new TimerWheel(loop, loop);
         int late = random.nextBoolean() ? 0 : 30_000;
         int most = 1 << 1 + random.nextInt(24);
         List<Timers.Timer> timers = new ArrayList<>();
@@ -69,7 +69,7 @@
             timers.add(wheel.after(micros, () -> {
                 assertEquals(0, own[1], "once, and not if cancelled");
                 assertTrue(loop.now >= own[0], "not before its time");
-                assertTrue(loop.now <= own[0] + Wheel.TICK + late, "soon after it: " + (loop.now - own[0]));
+                assertTrue(loop.now <= own[0] + TimerWheel.TICK + late, "soon after it: " + (loop.now - own[0]));
                 own[1] = loop.now;
                 if (random.nextInt(3) == 0) {
                     cancelOne(random, timers, state);
@@ -86,7 +86,7 @@
             }
             loop.until(loop.now + random.nextInt(Math.max(1, most / 8)), random, late);
         }
-        loop.until(loop.now + most + 10 * (Wheel.TICK + late) + 1_000_000_000L, random, late);
+        loop.until(loop.now + most + 10 * (TimerWheel.TICK + late) + 1_000_000_000L, random, late);
         assertTrue(state.stream().allMatch(own -> own[1] != 0), "all came or were cancelled");
         assertEquals(0, wheel.count());
     }
@@ -103,7 +103,7 @@
     @Test
     void whatIsCancelledCostsTheLoopNothing() {
         Loop loop = new Loop();
-        Wheel wheel = new Wheel(loop, loop);
+        TimerWheel wheel = new TimerWheel(loop, loop);
         for (int i = 0; i < 10_000; i++) {
             Timers.Timer timer = wheel.after(1_400_000, () -> { });
             loop.until(loop.now + 100, null, 0);
@@ -118,11 +118,11 @@
     @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
     void whatCancelsTheLastOfItsSlotEndsItsTurn() {
         Loop loop = new Loop();
-        Wheel wheel = new Wheel(loop, loop);
+        TimerWheel wheel = new TimerWheel(loop, loop);
         List<String> came = new ArrayList<>();
         Timers.Timer[] last = new Timers.Timer[1];
         wheel.after(5_000, () -> last[0].cancel());
-        wheel.after(5_000 + 4_096 * Wheel.TICK, () -> came.add("next round"));
+        wheel.after(5_000 + 4_096 * TimerWheel.TICK, () -> came.add("next round"));
         last[0] = wheel.after(5_000, () -> came.add("cancelled"));
         loop.until(loop.now + 10_000, null, 0);
         assertEquals(List.of(), came);
@@ -135,7 +135,7 @@
     @Test
     void aFaultDoesNotStopTheWheel() {
         Loop loop = new Loop();
-        Wheel wheel = new Wheel(loop, loop);
+        TimerWheel wheel = new TimerWheel(loop, loop);
         List<String> came = new ArrayList<>();
         wheel.after(5_000, () -> {
             throw new IllegalStateException("on purpose");
--- a/src/test/java/mastdrift/lateness/TurnsTest.java
+++ b/src/test/java/mastdrift/lateness/EventLoopLatenessTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class TurnsTest {
+class EventLoopLatenessTest {
 
     private static final int STEPS = 300;
 
@@ -21,7 +21,7 @@
     void whatWaitedIsBoundedForAnyLoad(@ForAll long seed, @ForAll @DoubleRange(min = 0.01, max = 3) double load,
             @ForAll @IntRange(min = 1, max = 40_000) int cost) {
         Random random = new Random(seed);
-        Turns turns = new Turns();
+        EventLoopLateness turns = new EventLoopLateness();
         PriorityQueue<Long> coming = new PriorityQueue<>();
         long now = 0;
         for (int i = 0, at = 0; i < STEPS; i++) {
@@ -39,7 +39,7 @@
                 long came = coming.poll();
                 assertTrue(turns.own(now) >= now - came, "an event's wait is never called shorter than it was");
                 assertTrue(back == Long.MIN_VALUE || turns.own(now) <= now - back, "nor longer than since the turn before");
-                if (seen - began >= Turns.SURELY_WAITED) {
+                if (seen - began >= EventLoopLateness.SURELY_WAITED) {
                     assertEquals(now - seen, turns.own(now), "after a wait it is exact");
                 }
                 assertEquals(now - seen, turns.behind(now));
@@ -54,7 +54,7 @@
     /** For part of the wait the thread was ready without a core: what came then has waited. */
     @Test
     void theRunQueueCountsAsOwnUpToTheWait() {
-        Turns turns = new Turns();
+        EventLoopLateness turns = new EventLoopLateness();
         turns.waits(0);
         turns.back(50_000, 30_000);
         assertEquals(30_000, turns.own(50_000));
@@ -69,14 +69,14 @@
 
     @Test
     void aLoopThatTellsNothingIsNeverLate() {
-        Turns turns = new Turns();
+        EventLoopLateness turns = new EventLoopLateness();
         assertEquals(0, turns.own(1_000_000) + turns.behind(1_000_000) + turns.standing());
     }
 
     /** One long turn among short ones is no standing queue; turns that are all long are one, which goes once they are short. */
     @Test
     void aStandingQueueIsWhatTheBestTurnStillHad() {
-        Turns turns = new Turns();
+        EventLoopLateness turns = new EventLoopLateness();
         long now = turns(turns, 0, 1, 300_000, 0);
         now = turns(turns, now, 1_000_000, 1_000, 5_000);
         assertTrue(turns.standing() <= 1_000, "after one pause: " + turns.standing());
@@ -86,7 +86,7 @@
         assertEquals(2_000, turns.standing());
     }
 
-    private static long turns(Turns turns, long from, long span, long busy, long idle) {
+    private static long turns(EventLoopLateness turns, long from, long span, long busy, long idle) {
         long now = from;
         while (now < from + span) {
             turns.waits(now);
--- a/src/test/java/mastdrift/limits/ConnectionsTest.java
+++ b/src/test/java/mastdrift/limits/ClientConnectionTableTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class ConnectionsTest {
+class ClientConnectionTableTest {
 
     private static final PhaseBounds BOUNDS = new PhaseBounds(2_000, 3_000, 4_000, PhaseBounds.AWAKE + 5_000);
 
@@ -29,7 +29,7 @@
     private static final class Plain {
         private final int id;
         private final long address;
-        private Phase phase = Phase.SILENT;
+        private ConnectionPhase phase = ConnectionPhase.SILENT;
         private long since;
         private int order;  // of entering the phase
 
@@ -44,9 +44,9 @@
     @Property(tries = 150)
     void actsAsPlainListsWould(@ForAll long seed, @ForAll @IntRange(min = 1, max = 12) int addresses) {
         Random random = new Random(seed);
-        Connections<Integer> connections = new Connections<>(BOUNDS);
+        ClientConnectionTable<Integer> connections = new ClientConnectionTable<>(BOUNDS);
         Map<Integer, Plain> plain = new LinkedHashMap<>();
-        Map<Integer, Connections.Entry<Integer>> entries = new HashMap<>();
+        Map<Integer, ClientConnectionTable.Entry<Integer>> entries = new HashMap<>();
         long now = 0;
         int order = 0;
         for (int i = 0; i < 400; i++) {
@@ -64,7 +64,7 @@
                     connections.closed(entries.get(one.id));
                     plain.remove(one.id);
                 } else {
-                    Phase phase = Phase.values()[random.nextInt(Phase.values().length)];
+                    ConnectionPhase phase = ConnectionPhase.values()[random.nextInt(ConnectionPhase.values().length)];
                     connections.moved(now, entries.get(one.id), phase);
                     if (phase != one.phase) {
                         one.phase = phase;
@@ -73,16 +73,16 @@
                     }
                 }
             }
-            List<Plain> silent = plain.values().stream().filter(p -> p.phase == Phase.SILENT).toList();
+            List<Plain> silent = plain.values().stream().filter(p -> p.phase == ConnectionPhase.SILENT).toList();
             check(now, connections, plain, random.nextBoolean() || silent.isEmpty() ? null
                     : entries.get(silent.get(random.nextInt(silent.size())).id), entries);
         }
     }
 
-    private static void check(long now, Connections<Integer> connections, Map<Integer, Plain> plain,
-            Connections.Entry<Integer> newcomer, Map<Integer, Connections.Entry<Integer>> entries) {
+    private static void check(long now, ClientConnectionTable<Integer> connections, Map<Integer, Plain> plain,
+            ClientConnectionTable.Entry<Integer> newcomer, Map<Integer, ClientConnectionTable.Entry<Integer>> entries) {
         assertEquals(plain.size(), connections.size());
-        for (Phase phase : Phase.values()) {
+        for (ConnectionPhase phase : ConnectionPhase.values()) {
             List<Integer> in = new ArrayList<>();
             connections.each(phase, in::add);
             assertEquals(plain.values().stream().filter(p -> p.phase == phase).sorted(Comparator.comparing(p -> p.order))
@@ -113,31 +113,31 @@
         List<Plain> own = giving.get(one.address);
         assertEquals(most, own.size());
         Plain eldest = own.stream().filter(p -> entries.get(p.id) != newcomer).min(Comparator
-                .comparing((Plain p) -> p.phase != Phase.SILENT).thenComparing(p -> p.order)).orElseThrow();
+                .comparing((Plain p) -> p.phase != ConnectionPhase.SILENT).thenComparing(p -> p.order)).orElseThrow();
         assertEquals(eldest.id, one.id);
     }
 
     /** One address opens ten thousand; another has one, idle for longer than all of them: the flood makes room for itself. */
     @Test
     void aFloodMakesRoomForItself() {
-        Connections<String> connections = new Connections<>(PhaseBounds.USUAL);
-        Connections.Entry<String> quiet = connections.opened(0, "quiet", 1);
-        connections.moved(1, quiet, Phase.IDLE);
+        ClientConnectionTable<String> connections = new ClientConnectionTable<>(PhaseBounds.USUAL);
+        ClientConnectionTable.Entry<String> quiet = connections.opened(0, "quiet", 1);
+        connections.moved(1, quiet, ConnectionPhase.IDLE);
         for (int i = 0; i < 10_000; i++) {
-            Connections.Entry<String> newcomer = connections.opened(1_000 + i, "flood", 2);
+            ClientConnectionTable.Entry<String> newcomer = connections.opened(1_000 + i, "flood", 2);
             if (connections.size() > 100) {
                 assertEquals("flood", connections.givesWay(newcomer));
                 connections.closed(newcomer);
             }
         }
-        assertEquals(Phase.IDLE, quiet.phase());
+        assertEquals(ConnectionPhase.IDLE, quiet.phase());
     }
 
     /** Whoever waits for an answer, sends one or is to take one stays, whatever comes. */
     @ParameterizedTest
     @CsvSource({"PART", "BUSY", "UNREAD"})
-    void whatIsInUseNeverGivesWay(Phase phase) {
-        Connections<String> connections = new Connections<>(PhaseBounds.USUAL);
+    void whatIsInUseNeverGivesWay(ConnectionPhase phase) {
+        ClientConnectionTable<String> connections = new ClientConnectionTable<>(PhaseBounds.USUAL);
         for (int i = 0; i < 10; i++) {
             connections.moved(i, connections.opened(i, "used", 1), phase);
         }
@@ -147,7 +147,7 @@
     /** A look at many that are overdue stops at its bound, so that it holds nobody up. */
     @Test
     void aLookIsBounded() {
-        Connections<Integer> connections = new Connections<>(PhaseBounds.USUAL);
+        ClientConnectionTable<Integer> connections = new ClientConnectionTable<>(PhaseBounds.USUAL);
         for (int i = 0; i < 1_000; i++) {
             connections.opened(0, i, 1);
         }
--- a/src/test/java/mastdrift/limits/IdleKeepTest.java
+++ b/src/test/java/mastdrift/limits/IdleRetentionTest.java
@@ -9,12 +9,12 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class IdleKeepTest {
+class IdleRetentionTest {
 
     private static final long MOST = 4_000_000;
 
-    private static IdleKeep after(int opened, int refused) {
-        IdleKeep keep = new IdleKeep(MOST);
+    private static IdleRetention after(int opened, int refused) {
+        IdleRetention keep = new IdleRetention(MOST);
         for (int i = 0; i < opened; i++) {
             keep.opened(1000 + i, i < refused);
         }
@@ -24,7 +24,7 @@
     @Property
     void theMoreAreTurnedAwayTheShorterAndNeverOutOfBounds(@ForAll @IntRange(max = 200) int opened, @ForAll @IntRange(max = 200) int refused) {
         long kept = after(opened, Math.min(opened, refused)).most(2000);
-        assertTrue(kept >= IdleKeep.LEAST && kept <= MOST, "" + kept);
+        assertTrue(kept >= IdleRetention.LEAST && kept <= MOST, "" + kept);
         if (refused < opened) {
             assertTrue(after(opened, refused + 1).most(2000) <= kept);
         }
@@ -32,16 +32,16 @@
 
     @Test
     void aSingleOneIsNoFullTableAndAFifthIs() {
-        assertTrue(after(1, 1).most(2000) < MOST && after(1, 1).most(2000) >= IdleKeep.LEAST);
+        assertTrue(after(1, 1).most(2000) < MOST && after(1, 1).most(2000) >= IdleRetention.LEAST);
         assertEquals(MOST, after(100, 0).most(2000));
         assertTrue(after(100, 1).most(2000) > 0.8 * MOST);
-        assertEquals(IdleKeep.LEAST, after(100, 25).most(2000));
+        assertEquals(IdleRetention.LEAST, after(100, 25).most(2000));
     }
 
     /** A host with a full queue turns away on every connection alike: giving connections back would cost handshakes and help nobody. */
     @Test
     void aFullQueueIsNoFullTable() {
-        IdleKeep keep = after(100, 40);
+        IdleRetention keep = after(100, 40);
         for (int i = 0; i < 100; i++) {
             keep.again(2000, i < 40);
         }
@@ -50,10 +50,10 @@
 
     @Test
     void itComesBackOnceNobodyIsTurnedAway() {
-        IdleKeep keep = after(100, 50);
-        assertEquals(IdleKeep.LEAST, keep.most(2000));
+        IdleRetention keep = after(100, 50);
+        assertEquals(IdleRetention.LEAST, keep.most(2000));
         assertTrue(keep.most(40_000_000) > 0.95 * MOST);
-        assertEquals(100_000, new IdleKeep(100_000).most(5));
+        assertEquals(100_000, new IdleRetention(100_000).most(5));
     }
 
     /**
@@ -72,10 +72,10 @@
         int gateways = 14;
         int hosts = 20;
         SplittableRandom random = new SplittableRandom(7);
-        IdleKeep[] keeps = new IdleKeep[gateways];
+        IdleRetention[] keeps = new IdleRetention[gateways];
         long[][][] until = new long[gateways][hosts][10];  // busy until, 0 for no connection
         for (int g = 0; g < gateways; g++) {
-            keeps[g] = new IdleKeep(MOST);
+            keeps[g] = new IdleRetention(MOST);
             for (int h = 0; g < 4 && h < hosts; h++) {
                 until[g][h][0] = until[g][h][1] = 1;
             }
--- a/src/test/java/mastdrift/net/ClientGoneTest.java
+++ b/src/test/java/mastdrift/net/ClientGoneTest.java
@@ -33,9 +33,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 import mastdrift.Balancer;
-import mastdrift.engine.Ask;
-import mastdrift.engine.Call;
-import mastdrift.engine.Witness;
+import mastdrift.engine.RequestAttributes;
+import mastdrift.engine.RequestMessage;
+import mastdrift.engine.RequestListener;
 import mastdrift.net.Loopback.Message;
 import mastdrift.net.Loopback.Node;
 import mastdrift.net.Loopback.Server;
@@ -104,15 +104,15 @@
         that, and what comes meanwhile is unread by then. */
     private static CountDownLatch holdAtNextRequest(Node node, CountDownLatch go) {
         CountDownLatch held = new CountDownLatch(1);
-        node.gateway.ledger().witness(new Witness() {
+        node.gateway.ledger().witness(new RequestListener() {
             @Override
-            public void taken(Call call, Ask ask) {
+            public void taken(RequestMessage call, RequestAttributes ask) {
                 held.countDown();
                 awaitGo(go);
             }
 
             @Override
-            public void ended(Call call, End end, Balancer.Why why) { }
+            public void ended(RequestMessage call, End end, Balancer.Why why) { }
         });
         return held;
     }
@@ -443,9 +443,9 @@
             Socket client = met(node);
             CountDownLatch dialled = new CountDownLatch(1);
             CountDownLatch left = new CountDownLatch(1);
-            node.gateway.ledger().witness(new Witness() {
+            node.gateway.ledger().witness(new RequestListener() {
                 @Override
-                public void taken(Call call, Ask ask) {
+                public void taken(RequestMessage call, RequestAttributes ask) {
                     // Behind the event that dials, and what that leaves to the loop, in the same turn.
                     node.loop.execute(() -> node.loop.execute(() -> node.loop.execute(() -> {
                         dialled.countDown();
@@ -454,7 +454,7 @@
                 }
 
                 @Override
-                public void ended(Call call, End end, Balancer.Why why) { }
+                public void ended(RequestMessage call, End end, Balancer.Why why) { }
             });
             write(client, id(read(60_000), "gone"));
             assertTrue(dialled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
@@ -479,9 +479,9 @@
             Socket holder = met(node);
             CountDownLatch dialled = new CountDownLatch(1);
             CountDownLatch ready = new CountDownLatch(1);
-            node.gateway.ledger().witness(new Witness() {
+            node.gateway.ledger().witness(new RequestListener() {
                 @Override
-                public void taken(Call call, Ask ask) {
+                public void taken(RequestMessage call, RequestAttributes ask) {
                     // Behind the event that dials, and what that leaves to the loop, in the same turn.
                     node.loop.execute(() -> node.loop.execute(() -> node.loop.execute(() -> {
                         dialled.countDown();
@@ -490,7 +490,7 @@
                 }
 
                 @Override
-                public void ended(Call call, End end, Balancer.Why why) { }
+                public void ended(RequestMessage call, End end, Balancer.Why why) { }
             });
             write(client, id(read(60_000), "gone"));
             assertTrue(dialled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
--- a/src/test/java/mastdrift/net/GatewayTest.java
+++ b/src/test/java/mastdrift/net/GatewayTest.java
@@ -24,9 +24,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import mastdrift.Balancer;
-import mastdrift.engine.Answer;
-import mastdrift.engine.Ask;
-import mastdrift.engine.Client;
+import mastdrift.engine.ResponseMessage;
+import mastdrift.engine.RequestAttributes;
+import mastdrift.engine.Responder;
 import mastdrift.net.Loopback.Server;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -47,9 +47,9 @@
     private final List<String> events = new CopyOnWriteArrayList<>();
     private Balancer.Actions actions;
 
-    private final Client client = new Client() {
+    private final Responder client = new Responder() {
         @Override
-        public void served(Answer answer) {
+        public void served(ResponseMessage answer) {
             answers.add("served");
         }
 
@@ -92,7 +92,7 @@
                         new PrintStream(log, true, StandardCharsets.UTF_8));
                 gateway.ledger().take(gateway.pool(null, null, null, null), client, new HttpCall(
                         new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api")),
-                        new Ask("read", "acme", null, left, false, false, 0));
+                        new RequestAttributes("read", "acme", null, left, false, false, 0));
             }).sync();
         }
     }
--- a/src/test/java/mastdrift/net/RequestLogTest.java
+++ b/src/test/java/mastdrift/net/RequestLogTest.java
@@ -9,52 +9,52 @@
 import java.util.List;
 import mastdrift.Balancer.Outcome;
 import mastdrift.Balancer.Why;
-import mastdrift.engine.Ask;
-import mastdrift.engine.Call;
-import mastdrift.engine.Witness;
+import mastdrift.engine.RequestAttributes;
+import mastdrift.engine.RequestMessage;
+import mastdrift.engine.RequestListener;
 import org.junit.jupiter.api.Test;
 
 class RequestLogTest {
 
-    private static final Ask ASK = new Ask("read", "acme", 7L, 300_000, false, false, 0);
+    private static final RequestAttributes ASK = new RequestAttributes("read", "acme", 7L, 300_000, false, false, 0);
 
     private final List<String> lines = new ArrayList<>();
     private long now = 5_000_000;
     private final RequestLog log = new RequestLog(() -> now, lines::add);
 
-    private static Call call(String id) {
+    private static RequestMessage call(String id) {
         FullHttpRequest message = Unchecked.request(HttpMethod.GET, "/api", Unpooled.EMPTY_BUFFER);
         message.headers().add("X-Trace-Id", id);
         return new HttpCall(message);
     }
 
-    private Call taken(String id) {
-        Call call = call(id);
+    private RequestMessage taken(String id) {
+        RequestMessage call = call(id);
         log.taken(call, ASK);
         return call;
     }
 
     @Test
     void whatIsServedAtOnceIsNotTold() {
-        Call call = taken("a");
+        RequestMessage call = taken("a");
         log.attemptEnded(call, "s1", Outcome.DELIVERED);
-        log.ended(call, Witness.End.SERVED, null);
+        log.ended(call, RequestListener.End.SERVED, null);
         assertEquals(List.of(), lines);
     }
 
     @Test
     void repeatsRefusalsAndFailuresAreToldWithTheirAttempts() {
-        Call repeated = taken("a");
+        RequestMessage repeated = taken("a");
         log.attemptEnded(repeated, "s1", Outcome.SHED);
         log.attemptEnded(repeated, "s2", Outcome.DELIVERED);
         now += 12_000;
-        log.ended(repeated, Witness.End.SERVED, null);
-        Call refused = taken("b");
-        log.ended(refused, Witness.End.REFUSED, Why.HOSTS);
-        Call late = taken("c");
+        log.ended(repeated, RequestListener.End.SERVED, null);
+        RequestMessage refused = taken("b");
+        log.ended(refused, RequestListener.End.REFUSED, Why.HOSTS);
+        RequestMessage late = taken("c");
         log.attemptEnded(late, "s1", Outcome.EXPIRED);
         now += 300_000;
-        log.ended(late, Witness.End.LATE, null);
+        log.ended(late, RequestListener.End.LATE, null);
         assertEquals(List.of("request a SERVED after 12 ms, attempts: s1 SHED, s2 DELIVERED", "request b REFUSED HOSTS after 0 ms, no attempt ended",
                 "request c LATE after 300 ms, attempts: s1 EXPIRED"), lines);
     }
@@ -62,12 +62,12 @@
     @Test
     void manyInASecondAreCountedAndToldInTheNext() {
         for (int i = 0; i < RequestLog.LINES_A_SECOND + 5; i++) {
-            log.ended(taken("r" + i), Witness.End.REFUSED, Why.HOSTS);
+            log.ended(taken("r" + i), RequestListener.End.REFUSED, Why.HOSTS);
         }
-        log.ended(taken("l"), Witness.End.LEFT, null);
+        log.ended(taken("l"), RequestListener.End.LEFT, null);
         assertEquals(RequestLog.LINES_A_SECOND, lines.size());
         now += 1_000_000;
-        log.ended(taken("next"), Witness.End.FAILED, null);
+        log.ended(taken("next"), RequestListener.End.FAILED, null);
         assertEquals(List.of("not told one by one: {LEFT=1, REFUSED=5}", "request next FAILED after 0 ms, no attempt ended"),
                 lines.subList(RequestLog.LINES_A_SECOND, lines.size()));
     }
--- a/src/test/java/mastdrift/radius/edge/RadiusEdgeTest.java
+++ b/src/test/java/mastdrift/radius/edge/RadiusEdgeTest.java
@@ -45,10 +45,10 @@
 import mastdrift.Balancer.Value;
 import mastdrift.Balancer.Weights;
 import mastdrift.engine.Clock;
-import mastdrift.engine.Ledger;
+import mastdrift.engine.RequestTracker;
 import mastdrift.engine.Member;
 import mastdrift.engine.Pool;
-import mastdrift.engine.Source;
+import mastdrift.engine.HostListSource;
 import mastdrift.engine.Timers;
 import mastdrift.radius.Attribute;
 import mastdrift.radius.Authenticators;
@@ -95,7 +95,7 @@
     private final List<StandInRadiusServer> servers = new ArrayList<>();
     private final List<DatagramSocket> sockets = new ArrayList<>();
     private final Authenticators charger = new Authenticators(CHARGER);
-    private Ledger ledger;
+    private RequestTracker ledger;
     private Pool pool;
     private Drops drops;
     private RadiusFront front;
@@ -104,10 +104,10 @@
     void start() throws Exception {
         onLoop(() -> {
             drops = new Drops(clock::now, line -> { });
-            ledger = new Ledger(Timers.of(loop), clock, 1000, line -> { });
+            ledger = new RequestTracker(Timers.of(loop), clock, 1000, line -> { });
             pool = new Pool("radius", ledger, new Balance(), settings(), new RadiusTransport(loop, clock::now,
                     uid -> SERVER, drops));
-            pool.start(Source.TELLS, List.of());
+            pool.start(HostListSource.TELLS, List.of());
             RadiusClients clients = new RadiusClients(List.of(new RadiusClients.Client("chargers",
                     AddressRange.parse("127.0.0.0/30"), new Authenticators(CHARGER), null, true)));
             front = new RadiusFront(loop, ledger, (name, tenant, key) -> pool, clients,
--- a/src/test/java/mastdrift/wire/PassingOnTest.java
+++ b/src/test/java/mastdrift/wire/AdapterMappingTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Every setting, message and action of the wire reaches the module, and what is absent gets its default. */
-class PassingOnTest {
+class AdapterMappingTest {
 
     private static final String LEAST = "allowed.cancel=true allowed.probes=false allowed.parallel_tries=true"
             + " allowed.max_attempts=3 allowed.retry_after=true allowed.max_retry_after=9 allowed.dial_timeout=8"
