--- a/src/main/java/mastdrift/wire/Adapter.java
+++ b/src/main/java/mastdrift/wire/Adapter.java
@@ -17,7 +17,10 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** Speaks the wire: reads batches of events, hosts one module an instance, prints their actions. */
+/**
+ * Runs the simulator's line protocol: reads batches of events, passes them to one decision module for each instance,
+ * and prints the modules' actions.
+ */
 final class Adapter {
 
     private static final List<String> REPORT_NAMES =
@@ -26,18 +29,19 @@
     private final BufferedReader in;
     private final Writer out;
     private final PrintStream err;
-    private final Supplier<Balancer> modules;
-    private final Map<String, Balancer> instances = new HashMap<>();
+    private final Supplier<Balancer> moduleFactory;
+    private final Map<String, Balancer> modulesByInstance = new HashMap<>();
     private final StringBuilder reply = new StringBuilder();
     private long now;
 
-    Adapter(BufferedReader in, Writer out, PrintStream err, Supplier<Balancer> modules) {
+    Adapter(BufferedReader in, Writer out, PrintStream err, Supplier<Balancer> moduleFactory) {
         this.in = in;
         this.out = out;
         this.err = err;
-        this.modules = modules;
+        this.moduleFactory = moduleFactory;
     }
 
+    /** Handles batches until the end of the input; throws MalformedLineException for a line that can't be read. */
     void run() throws IOException {
         String batch = null;
         for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -56,7 +60,7 @@
                 reply.setLength(0);
                 batch = null;
             } else {
-                event(tag, fields);
+                handleEvent(tag, fields);
             }
         }
         if (batch != null) {
@@ -64,7 +68,7 @@
         }
     }
 
-    private void event(String tag, Fields f) throws IOException {
+    private void handleEvent(String tag, Fields fields) throws IOException {
         switch (tag) {
             case "init", "detach", "discovery", "call", "under_way", "resolved", "gone", "timer", "echo",
                     "from_peer" -> { }
@@ -72,130 +76,131 @@
                 return;
             }
         }
-        String name = f.text("an instance");
-        Runnable event = tag.equals("init") ? init(name, f) : read(tag, name, f);
+        String instance = fields.text("an instance");
+        Runnable event = tag.equals("init") ? readInit(instance, fields) : readEvent(tag, instance, fields);
         try {
             event.run();
         } catch (IllegalArgumentException e) {
             if (tag.equals("init")) {
-                throw f.expected("settings the module can run with: " + e.getMessage());
+                throw fields.expected("settings the module can run with: " + e.getMessage());
             }
-            panic(name, e);
+            reportPanic(instance, e);
         } catch (RuntimeException e) {
-            panic(name, e);
+            reportPanic(instance, e);
         }
     }
 
-    private void panic(String name, RuntimeException e) {
+    private void reportPanic(String instance, RuntimeException e) {
         String text = String.valueOf(e).replace('\n', ' ');
-        err.println("fault in " + name + ": " + text);
-        reply.append("panic ").append(name).append(' ').append(text).append('\n');
+        err.println("fault in " + instance + ": " + text);
+        reply.append("panic ").append(instance).append(' ').append(text).append('\n');
     }
 
-    private Runnable init(String name, Fields f) {
-        long seed = f.number("the salt");
-        Balancer.Settings settings = settings(f, seed);
-        Balancer module = modules.get();
-        instances.put(name, module);
-        return () -> module.start(now, settings, new Printer(name));
+    private Runnable readInit(String instance, Fields fields) {
+        long seed = fields.number("the salt");
+        Balancer.Settings settings = readSettings(fields, seed);
+        Balancer module = moduleFactory.get();
+        modulesByInstance.put(instance, module);
+        return () -> module.start(now, settings, new ActionPrinter(instance));
     }
 
-    private static Balancer.Settings settings(Fields f, long seed) {
-        Facts facts = facts(f);
+    private static Balancer.Settings readSettings(Fields fields, long seed) {
+        Facts facts = readFacts(fields);
         try {
             return facts.settings(seed);
         } catch (IllegalArgumentException e) {
-            throw f.expected(e.getMessage());
+            throw fields.expected(e.getMessage());
         }
     }
 
-    /** The rest of the line: paths and their values. */
-    static Facts facts(Fields f) {
+    /** Reads the rest of the line as settings, {@code path=value}. */
+    static Facts readFacts(Fields fields) {
         Map<String, String> values = new HashMap<>();
-        for (String pair : f.rest()) {
-            int eq = pair.indexOf('=');
-            if (eq < 0) {
-                throw f.expected("settings as path=value, not " + pair);
+        for (String pair : fields.remaining()) {
+            int separator = pair.indexOf('=');
+            if (separator < 0) {
+                throw fields.expected("settings as path=value, not " + pair);
             }
-            values.put(pair.substring(0, eq), pair.substring(eq + 1));
+            values.put(pair.substring(0, separator), pair.substring(separator + 1));
         }
         return new Facts(values);
     }
 
-    /** Reads the whole event before the module hears of it. */
-    private Runnable read(String tag, String name, Fields f) throws IOException {
-        Balancer module = instances.get(name);
+    /** Parses the whole event before the module is told of it. */
+    private Runnable readEvent(String tag, String instance, Fields fields) throws IOException {
+        Balancer module = modulesByInstance.get(instance);
         if (tag.equals("detach")) {
-            instances.remove(name);
+            modulesByInstance.remove(instance);
             return () -> { };
         }
         if (module == null) {
-            throw f.expected("an instance that was started");
+            throw fields.expected("an instance that was started");
         }
         switch (tag) {
             case "discovery":
-                ListForm form = form(f);
-                List<Host> hosts = entries(f);
+                ListForm form = readListForm(fields);
+                List<Host> hosts = readHosts(fields);
                 return () -> module.hosts(now, form, hosts);
             case "call":
-                Balancer.Request request = call(f);
+                Balancer.Request request = readRequest(fields);
                 return () -> module.request(now, request);
             case "under_way":
-                long started = f.number("a request id");
-                int go = (int) f.number("an attempt number");
-                return () -> module.streaming(now, started, go);
+                long streamingId = fields.number("a request id");
+                int attempt = (int) fields.number("an attempt number");
+                return () -> module.streaming(now, streamingId, attempt);
             case "resolved":
-                return resolved(module, f);
+                return readResolved(module, fields);
             case "gone":
-                long id = f.number("a request id");
+                long id = fields.number("a request id");
                 return () -> module.departed(now, id);
             case "timer":
-                String handle = f.text("a handle");
+                String handle = fields.text("a handle");
                 return () -> module.timer(now, handle);
             case "from_peer":
-                int peer = (int) f.number("a peer's number");
-                byte[] message = f.bytes("a message");
+                int peer = (int) fields.number("a peer's number");
+                byte[] message = fields.bytes("a message");
                 return () -> module.told(now, peer, message);
             default:
-                return echo(module, f);
+                return readProbeResult(module, fields);
         }
     }
 
-    /** The sum of marks: 1, the estimate holds; 2, a client's repeat; 4, a write. */
-    private static Balancer.Request call(Fields f) {
-        long id = f.number("a request id");
-        String type = f.text("a class");
-        String tenant = f.optional();
+    /** Reads a request. The last field is a sum of flags: 1, the estimate is valid; 2, a client's retry; 4, a write. */
+    private static Balancer.Request readRequest(Fields fields) {
+        long id = fields.number("a request id");
+        String className = fields.text("a class");
+        String tenant = fields.optional();
         String tenantName = tenant == null || tenant.equals("0") ? null : tenant;
-        Long key = f.numberOrNull("a key");
-        long left = f.number("the time left");
-        long estimate = f.number("an estimate", 0);
-        long marks = f.number("a sum of marks", 0);
-        return new Balancer.Request(id, type, tenantName, key, left, (marks & 1) != 0 ? estimate : 0,
-                (marks & 2) != 0, (marks & 4) != 0);
+        Long key = fields.numberOrNull("a key");
+        long timeLeftMicros = fields.number("the time left");
+        long estimatedWorkMicros = fields.number("an estimate", 0);
+        long flags = fields.number("a sum of marks", 0);
+        return new Balancer.Request(id, className, tenantName, key, timeLeftMicros, (flags & 1) != 0
+                ? estimatedWorkMicros : 0,
+                (flags & 2) != 0, (flags & 4) != 0);
     }
 
-    private Runnable resolved(Balancer module, Fields f) {
-        long id = f.number("a request id");
-        int go = (int) f.number("an attempt number");
-        String host = f.text("a host");
-        Outcome outcome = outcome(f);
-        long elapsed = f.number("the elapsed time");
-        boolean over = f.flag("over");
-        LoadReport report = metrics(f);
-        return () -> module.resolved(now, id, go, host, outcome, elapsed, over, report);
+    private Runnable readResolved(Balancer module, Fields fields) {
+        long id = fields.number("a request id");
+        int attempt = (int) fields.number("an attempt number");
+        String host = fields.text("a host");
+        Outcome outcome = readOutcome(fields);
+        long elapsedMicros = fields.number("the elapsed time");
+        boolean ended = fields.flag("over");
+        LoadReport report = readLoadReport(fields);
+        return () -> module.resolved(now, id, attempt, host, outcome, elapsedMicros, ended, report);
     }
 
-    private Runnable echo(Balancer module, Fields f) {
-        String host = f.text("a host");
-        Outcome outcome = outcome(f);
-        long elapsed = f.number("the elapsed time");
-        LoadReport report = metrics(f);
-        return () -> module.probed(now, host, outcome, elapsed, report);
+    private Runnable readProbeResult(Balancer module, Fields fields) {
+        String host = fields.text("a host");
+        Outcome outcome = readOutcome(fields);
+        long elapsedMicros = fields.number("the elapsed time");
+        LoadReport report = readLoadReport(fields);
+        return () -> module.probed(now, host, outcome, elapsedMicros, report);
     }
 
-    private static Outcome outcome(Fields f) {
-        String word = f.text("an outcome");
+    private static Outcome readOutcome(Fields fields) {
+        String word = fields.text("an outcome");
         return switch (word) {
             case "delivered" -> Outcome.DELIVERED;
             case "app_error" -> Outcome.ERROR;
@@ -205,56 +210,56 @@
             case "dropped" -> Outcome.DROPPED;
             case "revoked" -> Outcome.REVOKED;
             case "unused" -> Outcome.UNUSED;
-            default -> throw f.expected("a known outcome, not " + word);
+            default -> throw fields.expected("a known outcome, not " + word);
         };
     }
 
-    private static ListForm form(Fields f) {
-        String word = f.text("the form of the list");
+    private static ListForm readListForm(Fields fields) {
+        String word = fields.text("the form of the list");
         return switch (word) {
             case "delta" -> ListForm.DELTA;
             case "full" -> ListForm.FULL;
             case "cached" -> ListForm.CACHED;
             case "failed" -> ListForm.FAILED;
-            default -> throw f.expected("delta, full, cached or failed, not " + word);
+            default -> throw fields.expected("delta, full, cached or failed, not " + word);
         };
     }
 
-    private List<Host> entries(Fields f) throws IOException {
-        f.number("a version", 0);
-        long count = f.number("the number of entries", 0);
+    private List<Host> readHosts(Fields fields) throws IOException {
+        fields.number("a version", 0);
+        long count = fields.number("the number of entries", 0);
         List<Host> hosts = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             String line = in.readLine();
             if (line == null) {
                 throw new MalformedLineException("end of input", "an entry line");
             }
-            hosts.add(entry(new Fields(line)));
+            hosts.add(readHost(new Fields(line)));
         }
         return hosts;
     }
 
-    private static Host entry(Fields f) {
-        if (!f.text("entry").equals("entry")) {
-            throw f.expected("an entry line");
+    private static Host readHost(Fields fields) {
+        if (!fields.text("entry").equals("entry")) {
+            throw fields.expected("an entry line");
         }
-        int pod = (int) f.number("a pod", 0);
-        String address = f.text("a host");
-        String zone = f.text("a campus");
-        double weight = f.real("a capacity", 1);
-        String kind = f.text("a kind");
-        String health = f.text("a health");
+        int cell = (int) fields.number("a pod", 0);
+        String address = fields.text("a host");
+        String zone = fields.text("a campus");
+        double weight = fields.decimal("a capacity", 1);
+        String kind = fields.text("a kind");
+        String health = fields.text("a health");
         Health state = switch (health) {
             case "U" -> Health.UP;
             case "L" -> Health.LEAVING;
             case "D" -> Health.GONE;
-            default -> throw f.expected("a health of U, L or D, not " + health);
+            default -> throw fields.expected("a health of U, L or D, not " + health);
         };
-        return new Host(address, zone, pod, kind, weight, state, f.number("a start time", 0));
+        return new Host(address, zone, cell, kind, weight, state, fields.number("a start time", 0));
     }
 
-    private static LoadReport metrics(Fields f) {
-        String text = f.optional();
+    private static LoadReport readLoadReport(Fields fields) {
+        String text = fields.optional();
         if (text == null) {
             return LoadReport.NONE;
         }
@@ -263,86 +268,86 @@
         for (String pair : text.split(",")) {
             int colon = pair.indexOf(':');
             if (colon < 0) {
-                throw f.expected("a load report of name:value pairs");
+                throw fields.expected("a load report of name:value pairs");
             }
-            int at = REPORT_NAMES.indexOf(pair.substring(0, colon));
-            if (at >= 0) {
-                values[at] = f.parseReal(pair.substring(colon + 1), pair.substring(0, colon));
+            int index = REPORT_NAMES.indexOf(pair.substring(0, colon));
+            if (index >= 0) {
+                values[index] = fields.parseDouble(pair.substring(colon + 1), pair.substring(0, colon));
             }
         }
-        return report(values);
+        return loadReport(values);
     }
 
-    private static LoadReport report(double[] v) {
-        return new LoadReport(v[0], v[1], v[2], v[3], v[4], v[5]);
+    private static LoadReport loadReport(double[] values) {
+        return new LoadReport(values[0], values[1], values[2], values[3], values[4], values[5]);
     }
 
-    /** Prints one instance's actions. */
-    private final class Printer implements Balancer.Actions {
+    /** Prints the actions of one instance. */
+    private final class ActionPrinter implements Balancer.Actions {
 
-        private final String name;
+        private final String instance;
 
-        Printer(String name) {
-            this.name = name;
+        ActionPrinter(String instance) {
+            this.instance = instance;
         }
 
-        private StringBuilder line(String verb) {
-            return reply.append(verb).append(' ').append(name).append(' ');
+        private StringBuilder beginLine(String action) {
+            return reply.append(action).append(' ').append(instance).append(' ');
         }
 
         @Override
-        public void send(long id, String address, long timeout, long leaveWithin) {
-            line("place").append(id).append(' ').append(address).append(' ').append(timeout).append('\n');
+        public void send(long id, String address, long timeoutMicros, long maxSendDelayMicros) {
+            beginLine("place").append(id).append(' ').append(address).append(' ').append(timeoutMicros).append('\n');
         }
 
         @Override
         public void cancel(long id, int attempt) {
-            line("abort_attempt").append(id).append(' ').append(attempt).append('\n');
+            beginLine("abort_attempt").append(id).append(' ').append(attempt).append('\n');
         }
 
         @Override
-        public void refuse(long id, long retryAfter, Balancer.Why why) {
-            line("decline").append(id).append(' ').append(retryAfter).append('\n');
+        public void refuse(long id, long retryAfterMicros, Balancer.Why reason) {
+            beginLine("decline").append(id).append(' ').append(retryAfterMicros).append('\n');
         }
 
         @Override
         public void fail(long id) {
-            line("error").append(id).append('\n');
+            beginLine("error").append(id).append('\n');
         }
 
         @Override
-        public void timer(long at, String handle) {
-            line("after").append(at).append(' ').append(handle).append('\n');
+        public void timer(long dueAt, String handle) {
+            beginLine("after").append(dueAt).append(' ').append(handle).append('\n');
         }
 
         @Override
         public void probe(String address) {
-            line("poll").append(address).append('\n');
+            beginLine("poll").append(address).append('\n');
         }
 
         @Override
         public void watch(boolean active) {
-            line("watch").append(active ? "1\n" : "0\n");
+            beginLine("watch").append(active ? "1\n" : "0\n");
         }
 
         @Override
         public void fetch() {
-            reply.append("pull ").append(name).append('\n');
+            reply.append("pull ").append(instance).append('\n');
         }
 
         @Override
         public void closeIdle(String address) {
-            line("free_links").append(address).append('\n');
+            beginLine("free_links").append(address).append('\n');
         }
 
         @Override
         public void tell(int peer, byte[] message) {
-            line("notify").append(peer < 0 ? "*" : "" + peer).append(' ').append(Fields.hex(message)).append('\n');
+            beginLine("notify").append(peer < 0 ? "*" : "" + peer).append(' ').append(Fields.hex(message)).append('\n');
         }
 
         @Override
         public void log(String text) {
-            line("log").append(text.replace('\n', ' ')).append('\n');
+            beginLine("log").append(text.replace('\n', ' ')).append('\n');
         }
     }
 }
--- a/src/main/java/mastdrift/wire/Fields.java
+++ b/src/main/java/mastdrift/wire/Fields.java
@@ -4,11 +4,14 @@
 import java.util.HexFormat;
 import java.util.List;
 
-/** The space-separated parts of one line, read in order; a trailing part left out counts as absent. */
+/**
+ * The fields of one line, separated by spaces and read in order. An empty field, a {@code -}, or one missing at the end
+ * counts as absent.
+ */
 final class Fields {
 
     private final String line;
-    private int at;
+    private int position;
 
     Fields(String line) {
         this.line = line;
@@ -18,49 +21,49 @@
         return line;
     }
 
-    /** The next part, or null where it is absent. */
+    /** The next field, or null if it is absent. */
     String optional() {
-        if (at > line.length()) {
+        if (position > line.length()) {
             return null;
         }
-        int end = line.indexOf(' ', at);
+        int end = line.indexOf(' ', position);
         if (end < 0) {
             end = line.length();
         }
-        String part = line.substring(at, end);
-        at = end + 1;
+        String part = line.substring(position, end);
+        position = end + 1;
         return part.isEmpty() || part.equals("-") ? null : part;
     }
 
-    String text(String name) {
+    String text(String description) {
         String part = optional();
         if (part == null) {
-            throw expected(name);
+            throw expected(description);
         }
         return part;
     }
 
-    long number(String name) {
-        return parse(text(name), name);
+    long number(String description) {
+        return parseLong(text(description), description);
     }
 
-    long number(String name, long absent) {
+    long number(String description, long defaultValue) {
         String part = optional();
-        return part == null ? absent : parse(part, name);
+        return part == null ? defaultValue : parseLong(part, description);
     }
 
-    Long numberOrNull(String name) {
+    Long numberOrNull(String description) {
         String part = optional();
-        return part == null ? null : Long.valueOf(parse(part, name));
+        return part == null ? null : Long.valueOf(parseLong(part, description));
     }
 
-    /** Hex digits; an absent part holds no bytes. */
-    byte[] bytes(String name) {
+    /** Reads a field of hex digits; an absent one gives no bytes. */
+    byte[] bytes(String description) {
         String part = optional();
         try {
             return part == null ? new byte[0] : HexFormat.of().parseHex(part);
         } catch (IllegalArgumentException e) {
-            throw expected(name + ", pairs of hex digits");
+            throw expected(description + ", pairs of hex digits");
         }
     }
 
@@ -68,21 +71,21 @@
         return bytes.length == 0 ? "-" : HexFormat.of().formatHex(bytes);
     }
 
-    double real(String name, double absent) {
+    double decimal(String description, double defaultValue) {
         String part = optional();
-        return part == null ? absent : parseReal(part, name);
+        return part == null ? defaultValue : parseDouble(part, description);
     }
 
-    boolean flag(String name) {
-        String part = text(name);
+    boolean flag(String description) {
+        String part = text(description);
         if (!part.equals("0") && !part.equals("1")) {
-            throw expected(name + ", 0 or 1");
+            throw expected(description + ", 0 or 1");
         }
         return part.equals("1");
     }
 
-    /** All parts that remain. */
-    List<String> rest() {
+    /** All fields that remain, up to the first absent one. */
+    List<String> remaining() {
         List<String> parts = new ArrayList<>();
         for (String part = optional(); part != null; part = optional()) {
             parts.add(part);
@@ -90,27 +93,27 @@
         return parts;
     }
 
-    MalformedLineException expected(String what) {
-        return new MalformedLineException(line, what);
+    MalformedLineException expected(String description) {
+        return new MalformedLineException(line, description);
     }
 
-    double parseReal(String part, String name) {
+    double parseDouble(String part, String description) {
         try {
             double value = Double.parseDouble(part);
             if (Double.isFinite(value)) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            throw expected(name + ", a number");
+            throw expected(description + ", a number");
         }
-        throw expected(name + ", a finite number");
+        throw expected(description + ", a finite number");
     }
 
-    private long parse(String part, String name) {
+    private long parseLong(String part, String description) {
         try {
             return Long.parseLong(part);
         } catch (NumberFormatException e) {
-            throw expected(name + ", a whole number");
+            throw expected(description + ", a whole number");
         }
     }
 }
--- a/src/main/java/mastdrift/wire/Main.java
+++ b/src/main/java/mastdrift/wire/Main.java
@@ -11,12 +11,12 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 
-/** Command line: {@code adapter} speaks the wire on standard input and output. */
+/** Command line: {@code adapter} runs the simulator's protocol on standard input and output. */
 public final class Main {
 
     private Main() { }
 
-    /** Runs on the given streams; returns the exit status. */
+    /** Runs on the given streams and returns the exit status. */
     public static int run(String[] args, InputStream in, OutputStream out, PrintStream err) throws IOException {
         if (args.length != 1 || !args[0].equals("adapter")) {
             err.println("usage: java -jar mastdrift.jar adapter");
--- a/src/main/java/mastdrift/wire/MalformedLineException.java
+++ b/src/main/java/mastdrift/wire/MalformedLineException.java
@@ -1,6 +1,6 @@
 package mastdrift.wire;
 
-/** A line of the wire, or a setting in it, that can't be read or run with. */
+/** A line of the simulator's protocol, or a setting in it, that can't be parsed or used. */
 final class MalformedLineException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/mastdrift/wire/package-info.java
+++ b/src/main/java/mastdrift/wire/package-info.java
@@ -1,2 +1,5 @@
-/** The simulator's adapter: its wire on standard input and output, one module an instance. */
+/**
+ * The adapter for the simulator: speaks its line protocol on standard input and output, with one decision module for
+ * each instance.
+ */
 package mastdrift.wire;
--- a/src/test/java/mastdrift/wire/AdapterMappingTest.java
+++ b/src/test/java/mastdrift/wire/AdapterMappingTest.java
@@ -17,17 +17,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Every setting, message and action of the wire reaches the module, and what is absent gets its default. */
+/**
+ * Every setting, message and action of the simulator's protocol is passed on to or from the module, and absent settings
+ * get their defaults.
+ */
 class AdapterMappingTest {
 
-    private static final String LEAST = "allowed.cancel=true allowed.probes=false allowed.parallel_tries=true"
+    private static final String REQUIRED_SETTINGS =
+            "allowed.cancel=true allowed.probes=false allowed.parallel_tries=true"
             + " allowed.max_attempts=3 allowed.retry_after=true allowed.max_retry_after=9 allowed.dial_timeout=8"
             + " balancers=4 locality=a registry_mode=pushed weights=off guarantees.cold_from=0.2"
             + " guarantees.warm_within=7 guarantees.tip_multiple=3.5 guarantees.fall=6 classes.count=1"
             + " classes.0.name=r classes.0.target=1 classes.0.deadline=2 classes.0.credit=3.0"
             + " classes.0.late_share=0.25 classes.0.repeat=idempotency_key classes.0.group=cell"
             + " classes.0.dedup_window=5";
-    private static final String MORE = " allowed.may_tell=true allowed.max_open=11 allowed.conn_idle=12"
+    private static final String OPTIONAL_SETTINGS = " allowed.may_tell=true allowed.max_open=11 allowed.conn_idle=12"
             + " allowed.streams_per_conn=13 allowed.cpu_us_per_s=14 allowed.cpu_us_per_request=1.5"
             + " guarantees.answer_slack=16 guarantees.drain_grace=17 guarantees.must_ask_in=18 me=2 dcs=a,b"
             + " skus=k,l layer=1 stages=s,t worth_by=work over_share_worth=0.05 goal.whole=0.4"
@@ -40,17 +44,18 @@
             + " tenants.0.fraction=0.6 tenants.0.quota_per_s=7.5 a.key.of.tomorrow=1";
 
     private static Balancer.Settings settings(String facts) {
-        return Adapter.facts(new Fields(facts)).settings(5);
+        return Adapter.readFacts(new Fields(facts)).settings(5);
     }
 
     @Test
     void everySettingIsRead() {
-        Balancer.Settings s = settings(LEAST + MORE);
+        Balancer.Settings s = settings(REQUIRED_SETTINGS + OPTIONAL_SETTINGS);
         assertEquals(new Balancer.Limits(true, false, true, true, 3, 11, true, 9), s.limits());
         assertEquals(new Balancer.Links(8, 12, 13), s.links());
         assertEquals(new Balancer.Cpu(14, 1.5), s.cpu());
         assertEquals(new Balancer.Rules(16, 17, 0, 0.2, 7, 3.5, 6), s.rules());
-        assertEquals(18, settings((LEAST + MORE).replace("=pushed", "=on_request")).rules().mustAskIn());
+        assertEquals(18, settings((REQUIRED_SETTINGS + OPTIONAL_SETTINGS).replace("=pushed", "=on_request")).rules()
+                .mustAskIn());
         assertEquals(new Balancer.Site(2, 4, "a", List.of("a", "b"), List.of("k", "l"), 1, List.of("s", "t")),
                 s.site());
         assertEquals(new Balancer.Value(new Balancer.Goal(0.4, 0.3, 0.2, 0.1),
@@ -66,8 +71,8 @@
     }
 
     @Test
-    void whatMayBeAbsentGetsADefaultThatChangesNothing() {
-        Balancer.Settings s = settings(LEAST);
+    void absentSettingsGetNeutralDefaults() {
+        Balancer.Settings s = settings(REQUIRED_SETTINGS);
         assertEquals(new Balancer.Goal(1, 0, 0, 0), s.value().goal());
         assertEquals(0, s.value().prices().probe());
         assertEquals(1, s.value().overShareWorth());
@@ -80,12 +85,13 @@
     @ParameterizedTest
     @ValueSource(strings = {"allowed.max_open=many", "prices.probe=cheap", "stats.how=often", "me=4294967296",
         "family_info.warm_keys=perhaps", "classes.0.aim_stretch=NaN", "goal.whole=-"})
-    void aSettingThatCantBeReadIsNamed(String pair) {
-        Exception fault = assertThrows(IllegalArgumentException.class, () -> settings(LEAST + " " + pair));
-        assertTrue(fault.getMessage().startsWith(pair.substring(0, pair.indexOf('='))), fault.getMessage());
+    void errorNamesUnreadableSetting(String pair) {
+        Exception exception = assertThrows(IllegalArgumentException.class,
+                () -> settings(REQUIRED_SETTINGS + " " + pair));
+        assertTrue(exception.getMessage().startsWith(pair.substring(0, pair.indexOf('='))), exception.getMessage());
     }
 
-    /** Answers a request with every action, and keeps what it was told. */
+    /** Answers a request with every action, and records what it was told. */
     private static final class Recorder implements Balancer {
         private Actions actions;
         private final List<Object> told = new ArrayList<>();
@@ -133,23 +139,24 @@
     }
 
     @Test
-    void everyActionIsPrintedAndACallIsWhole() throws IOException {
+    void everyActionIsPrintedAndRequestsAreComplete() throws IOException {
         Recorder module = new Recorder();
         StringWriter out = new StringWriter();
-        String input = "tick 1 1\ninit g/0 5 " + LEAST + "\nfrom_peer g/0 2 0a0b\n"
+        String input = "tick 1 1\ninit g/0 5 " + REQUIRED_SETTINGS + "\nfrom_peer g/0 2 0a0b\n"
                 + "call g/0 7 r x 9 100 50 7\ncall g/0 8 r 0 - 100 50 0\nyour_turn\n";
         new Adapter(new BufferedReader(new StringReader(input)), out, new PrintStream(PrintStream.nullOutputStream()),
                 () -> module).run();
-        String once = "watch g/0 1\nwatch g/0 0\npull g/0\nfree_links g/0 h:1\nnotify g/0 3 01ab\n"
+        String actionLines = "watch g/0 1\nwatch g/0 0\npull g/0\nfree_links g/0 h:1\nnotify g/0 3 01ab\n"
                 + "notify g/0 * -\nlog g/0 two lines\n";
-        assertEquals(once + once + "end 1\n", out.toString());
+        assertEquals(actionLines + actionLines + "end 1\n", out.toString());
         assertEquals(List.of(List.of(2, 10, 2), new Balancer.Request(7, "r", "x", 9L, 100, 50, true, true),
                 new Balancer.Request(8, "r", null, null, 100, 0, false, false)), module.told);
     }
 
     @Test
-    void aReportValueNobodyKnowsIsPassedOver() throws IOException {
-        String input = "tick 1 1\ninit g/0 5 " + LEAST + "\nresolved g/0 7 0 h shed 1 1 cpu:0.5,mood:fine\nyour_turn\n";
+    void unknownLoadReportValueIsIgnored() throws IOException {
+        String input = "tick 1 1\ninit g/0 5 " + REQUIRED_SETTINGS
+                + "\nresolved g/0 7 0 h shed 1 1 cpu:0.5,mood:fine\nyour_turn\n";
         StringWriter out = new StringWriter();
         new Adapter(new BufferedReader(new StringReader(input)), out, new PrintStream(PrintStream.nullOutputStream()),
                 Recorder::new).run();
--- a/src/test/java/mastdrift/wire/WireTest.java
+++ b/src/test/java/mastdrift/wire/WireTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The adapter, through its streams. */
+/** Runs the adapter through its input and output streams. */
 class WireTest {
 
-    private static final String FACTS = "allowed.cancel=true allowed.dial_timeout=60000 allowed.max_attempts=3"
+    private static final String SETTINGS = "allowed.cancel=true allowed.dial_timeout=60000 allowed.max_attempts=3"
             + " allowed.max_retry_after=750000 allowed.parallel_tries=true allowed.probes=true"
             + " allowed.retry_after=true balancers=1 classes.count=1 classes.0.credit=5.0"
             + " classes.0.deadline=400000 classes.0.dedup_window=0 classes.0.group=all classes.0.late_share=0.2"
@@ -26,10 +26,10 @@
             + " guarantees.fall=2000000 guarantees.tip_multiple=3.0 guarantees.warm_within=9000000"
             + " guarantees.must_ask_in=10000000 locality=a registry_mode=pushed tenants= weights=rough"
             + " a.setting.nobody.knows=7";
-    private static final String INIT = "init gateway/1 42 " + FACTS + "\n";
-    private static final String LIST = "discovery gateway/1 cached 1 2\nentry 0 h1:1 a 1 std U -\n"
+    private static final String INIT = "init gateway/1 42 " + SETTINGS + "\n";
+    private static final String HOST_LIST = "discovery gateway/1 cached 1 2\nentry 0 h1:1 a 1 std U -\n"
             + "entry 0 h2:1 a 1.5 std U 6100000\n";
-    private static final String START = "tick 100 1\n" + INIT + LIST + "your_turn\n";
+    private static final String START = "tick 100 1\n" + INIT + HOST_LIST + "your_turn\n";
 
     private record Run(int status, String out, String err) { }
 
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aRequestIsPlacedAndItsOutcomeEndsIt() throws IOException {
+    void requestIsPlacedAndEndsWithItsOutcome() throws IOException {
         Run run = run(START + "tick 200 2\ncall gateway/1 7 read - 4711 240000 12000 1\nyour_turn\n"
                 + "tick 20200 3\nresolved gateway/1 7 0 h1:1 delivered 20000 1 cpu:0.62,waiting:3,other:9\nyour_turn\n");
         assertEquals(0, run.status());
@@ -57,7 +57,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused"})
-    void everyFailureOfASafeRequestIsTriedAgainOrRefused(String outcome) throws IOException {
+    void safeRequestIsRetriedOrRefusedAfterFailure(String outcome) throws IOException {
         Run run = run(START + "tick 200 2\ncall gateway/1 7 read - 4711 240000 - 0\nyour_turn\n"
                 + "tick 300 3\nresolved gateway/1 7 0 h1:1 " + outcome + " 100 0 -\nyour_turn\n");
         String last = run.out().substring(run.out().indexOf("end 2\n") + 6);
@@ -65,8 +65,8 @@
     }
 
     @Test
-    void messagesAndInstancesComeAndGo() throws IOException {
-        Run run = run(START + "tick 200 2\nweather gateway/1 sunny\ndetach gateway/1\n" + INIT + LIST
+    void unknownMessagesAndDetachedInstancesAreAccepted() throws IOException {
+        Run run = run(START + "tick 200 2\nweather gateway/1 sunny\ndetach gateway/1\n" + INIT + HOST_LIST
                 + "gone gateway/1 99\ntimer gateway/1 nothing\necho gateway/1 h1:1 delivered 5 cpu:0.1\n"
                 + "under_way gateway/1 7 0 h1:1 5\ndiscovery gateway/1 failed - -\nyour_turn\n");
         assertEquals(0, run.status());
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aFaultInsideTheModuleIsAPanicOfThatInstance() throws IOException {
+    void exceptionInModuleIsReportedAsPanicOfInstance() throws IOException {
         Run run = run(START + "tick 200 2\ncall gateway/1 7 unheard - 1 240000 - 0\nyour_turn\n");
         assertEquals(0, run.status());
         assertTrue(run.out().contains("panic gateway/1 java.lang.IllegalArgumentException: unknown class"));
@@ -103,7 +103,7 @@
 
     @ParameterizedTest
     @MethodSource("malformed")
-    void aMalformedLineEndsWithStatus2AndOnePlainLine(String input, String expected) throws IOException {
+    void malformedLineExitsWithStatus2AndOneErrorLine(String input, String expected) throws IOException {
         Run run = run(input);
         assertEquals(2, run.status());
         assertEquals(1, run.err().strip().lines().count(), run.err());
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void anyOtherCommandGetsTheUsageLine() throws IOException {
+    void unknownCommandPrintsUsage() throws IOException {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         assertEquals(2, Main.run(new String[0], new ByteArrayInputStream(new byte[0]), new ByteArrayOutputStream(),
                 new PrintStream(err, true)));
