--- a/src/main/java/mastdrift/config/ConfigurationReader.java
+++ b/src/main/java/mastdrift/config/ConfigurationReader.java
@@ -114,11 +114,11 @@
     }
 
     private static PhaseBounds bounds(Section section) {
-        PhaseBounds usual = PhaseBounds.USUAL;
-        return new PhaseBounds(section.span("silent_most", usual.silent(), 100 * MILLI, 3600 * SECOND),
-                section.span("whole_in", usual.whole(), 100 * MILLI, 60 * SECOND),
-                section.span("unread_most", usual.unread(), 100 * MILLI, 600 * SECOND),
-                section.span("idle_most", usual.idle(), PhaseBounds.AWAKE + 100 * MILLI, 24 * 3600 * SECOND));
+        PhaseBounds usual = PhaseBounds.DEFAULT;
+        return new PhaseBounds(section.span("silent_most", usual.silentMicros(), 100 * MILLI, 3600 * SECOND),
+                section.span("whole_in", usual.requestMicros(), 100 * MILLI, 60 * SECOND),
+                section.span("unread_most", usual.unreadMicros(), 100 * MILLI, 600 * SECOND),
+                section.span("idle_most", usual.idleMicros(), PhaseBounds.IDLE_BEFORE_DORMANT_MICROS + 100 * MILLI, 24 * 3600 * SECOND));
     }
 
     // ---- RADIUS
--- a/src/main/java/mastdrift/limits/ClientConnectionTable.java
+++ b/src/main/java/mastdrift/limits/ClientConnectionTable.java
@@ -8,274 +8,289 @@
 import java.util.function.Consumer;
 
 /**
- * The connections that a front holds: which have been in their phase for too long, and which one makes room when there are too many.
+ * The client connections of a front: finds those that have been in their phase for too long, and the one to close when
+ * there are too many.
  *
- * <p>Each phase has one bound, so those in it lie in the order in which they entered it, and what is overdue is found at the
- * head: a look costs what is due, not what is held. Room is made by whoever holds most without using it: of the address with
- * the most connections that wait for nothing, those that never asked first, then the longest unused. A flood from one address makes
- * room for itself, and a connection with a request out, with a part of one, or with an answer to take is never closed for it.
+ * <p>Each phase has one time bound, so the connections in a phase are kept in the order in which they entered it, and
+ * overdue ones are at the head: a check costs what is overdue, not what is open. The connection to close for a new one
+ * is taken from the address with the most evictable connections: first those that never sent a request, then the one
+ * unused for the longest. So a flood from one address evicts its own connections, and a connection with a request in
+ * progress, with a partial request, or with an unread response is never evicted.
  *
- * <p>A connection costs one {@link Entry} (56 bytes with the usual layout of objects) and nothing else here. Not safe for use by
- * several threads; times are in microseconds of one clock that doesn't run back.
+ * <p>A connection costs one {@link Entry} (56 bytes with the usual object layout) and nothing else here. Not
+ * thread-safe; times are in microseconds of one clock that doesn't go backwards.
  *
- * @param <C> a connection
+ * @param <C> type of a connection
  */
 public final class ClientConnectionTable<C> {
 
-    /** One connection. */
+    /** One connection in the table. */
     public static final class Entry<C> {
 
         private final C connection;
-        private final Holder<C> holder;
+        private final ClientAddress<C> address;
         private ConnectionPhase phase;
-        private long since;
-        private Entry<C> before;  // in its phase
-        private Entry<C> next;
-        private Entry<C> elder;  // among those of its holder that give way alike
-        private Entry<C> younger;
+        private long phaseEnteredAt;
+        private Entry<C> previousInPhase;  // in the order of its phase
+        private Entry<C> nextInPhase;
+        // in the order of its address's evictable connections of the same state: silent, or used before
+        private Entry<C> older;
+        private Entry<C> newer;
 
-        private Entry(C connection, Holder<C> holder) {
+        private Entry(C connection, ClientAddress<C> address) {
             this.connection = connection;
-            this.holder = holder;
+            this.address = address;
         }
 
-        /** Where it is. */
+        /** The connection's phase; null once it has been removed. */
         public ConnectionPhase phase() {
             return phase;
         }
     }
 
-    /** An address and those of its connections that may give way. */
-    private static final class Holder<C> {
-        private final long address;
-        private int connections;
-        private int giving;
-        private Entry<C> silentEldest;
-        private Entry<C> silentYoungest;
-        private Entry<C> usedEldest;
-        private Entry<C> usedYoungest;
-        private Holder<C> before;  // among holders of as many
-        private Holder<C> next;
+    /** A client address and its evictable connections. */
+    private static final class ClientAddress<C> {
+        private final long id;
+        private int connectionCount;
+        private int evictableCount;
+        private Entry<C> oldestSilent;
+        private Entry<C> newestSilent;
+        private Entry<C> oldestUsed;
+        private Entry<C> newestUsed;
+        // among addresses with the same number of evictable connections
+        private ClientAddress<C> previousWithSameCount;
+        private ClientAddress<C> nextWithSameCount;
 
-        Holder(long address) {
-            this.address = address;
+        ClientAddress(long id) {
+            this.id = id;
         }
     }
 
     private static final ConnectionPhase[] PHASES = ConnectionPhase.values();
 
     private final PhaseBounds bounds;
-    private final List<Entry<C>> heads = new ArrayList<>();
-    private final List<Entry<C>> tails = new ArrayList<>();
-    private final int[] sizes = new int[PHASES.length];
-    private final Map<Long, Holder<C>> holders = new HashMap<>();
-    private final List<Holder<C>> byGiving = new ArrayList<>();  // holders of so many that give way
-    private int mostGiving;
+    private final List<Entry<C>> phaseHeads = new ArrayList<>();
+    private final List<Entry<C>> phaseTails = new ArrayList<>();
+    private final int[] phaseSizes = new int[PHASES.length];
+    private final Map<Long, ClientAddress<C>> addressesById = new HashMap<>();
+    // indexed by the number of evictable connections
+    private final List<ClientAddress<C>> byEvictableCount = new ArrayList<>();
+    private int maxEvictableCount;
     private int size;
 
-    /** For connections that may be in each phase for so long. */
+    /** A table with the given bounds on the time in each phase. */
     public ClientConnectionTable(PhaseBounds bounds) {
         this.bounds = bounds;
         for (int i = 0; i < PHASES.length; i++) {
-            heads.add(null);
-            tails.add(null);
+            phaseHeads.add(null);
+            phaseTails.add(null);
         }
-        byGiving.add(null);
+        byEvictableCount.add(null);
     }
 
-    /** How many are held. */
+    /** The number of connections. */
     public int size() {
         return size;
     }
 
-    /** How many of them are in a phase. */
+    /** The number of connections in a phase. */
     public int size(ConnectionPhase phase) {
-        return sizes[phase.ordinal()];
+        return phaseSizes[phase.ordinal()];
     }
 
-    /** From how many addresses they are. */
-    public int addresses() {
-        return holders.size();
+    /** The number of distinct client addresses. */
+    public int addressCount() {
+        return addressesById.size();
     }
 
-    /** A connection was opened, by a client at an address (whatever number stands for it). */
-    public Entry<C> opened(long now, C connection, long address) {
-        Holder<C> holder = holders.computeIfAbsent(address, Holder::new);
-        Entry<C> entry = new Entry<>(connection, holder);
-        holder.connections++;
+    /** Adds a connection that was opened by a client at an address, given as any number that identifies it. */
+    public Entry<C> add(long now, C connection, long addressId) {
+        ClientAddress<C> address = addressesById.computeIfAbsent(addressId, ClientAddress::new);
+        Entry<C> entry = new Entry<>(connection, address);
+        address.connectionCount++;
         size++;
-        enter(now, entry, ConnectionPhase.SILENT);
+        enterPhase(now, entry, ConnectionPhase.SILENT);
         return entry;
     }
 
-    /** It goes over to a phase; to the one that it is in, nothing changes, and its time there goes on. */
-    public void moved(long now, Entry<C> entry, ConnectionPhase phase) {
+    /** Moves a connection to a phase. If it is in that phase already, nothing changes, and its time there goes on. */
+    public void moveTo(long now, Entry<C> entry, ConnectionPhase phase) {
         if (entry.phase != phase && entry.phase != null) {
-            leave(entry);
-            enter(now, entry, phase);
+            leavePhase(entry);
+            enterPhase(now, entry, phase);
         }
     }
 
-    /** It is closed. Heard once; a second time nothing happens. */
-    public void closed(Entry<C> entry) {
+    /** Removes a connection that was closed. A second call has no effect. */
+    public void remove(Entry<C> entry) {
         if (entry.phase == null) {
             return;
         }
-        leave(entry);
+        leavePhase(entry);
         entry.phase = null;
         size--;
-        if (--entry.holder.connections == 0) {
-            holders.remove(entry.holder.address);
+        if (--entry.address.connectionCount == 0) {
+            addressesById.remove(entry.address.id);
         }
     }
 
-    /** Names those that have been in their phase for longer than its bound, with that phase. Whoever is named has to be moved or
-        closed before the next look, or is named again; at most {@code most} of each phase are. */
-    public void overdue(long now, int most, BiConsumer<C, ConnectionPhase> due) {
+    /**
+     * Passes each connection that has been in its phase for longer than the bound, with that phase, to the action; at
+     * most {@code limit} in each phase. One that is neither moved nor removed is passed again at the next check.
+     */
+    public void forEachOverdue(long now, int limit, BiConsumer<C, ConnectionPhase> action) {
         for (ConnectionPhase phase : PHASES) {
-            long bound = bounds.of(phase);
-            Entry<C> entry = heads.get(phase.ordinal());
-            for (int named = 0; entry != null && named < most && now - entry.since > bound; named++) {
-                Entry<C> next = entry.next;  // this one may be gone by then; others are not touched by naming it
-                due.accept(entry.connection, phase);
+            long boundMicros = bounds.boundMicros(phase);
+            Entry<C> entry = phaseHeads.get(phase.ordinal());
+            for (int count = 0; entry != null && count < limit && now - entry.phaseEnteredAt > boundMicros; count++) {
+                // read first: the action may remove this entry, but touches no other
+                Entry<C> next = entry.nextInPhase;
+                action.accept(entry.connection, phase);
                 entry = next;
             }
         }
     }
 
-    /** Those that are in a phase, the one that entered it first ahead; each may be moved or closed as it is named. */
-    public void each(ConnectionPhase phase, Consumer<C> named) {
-        for (Entry<C> entry = heads.get(phase.ordinal()); entry != null; ) {
-            Entry<C> next = entry.next;
-            named.accept(entry.connection);
+    /**
+     * Passes the connections in a phase to the action, in the order in which they entered it. The action may move or
+     * remove the connection that it is given.
+     */
+    public void forEach(ConnectionPhase phase, Consumer<C> action) {
+        for (Entry<C> entry = phaseHeads.get(phase.ordinal()); entry != null; ) {
+            Entry<C> next = entry.nextInPhase;
+            action.accept(entry.connection);
             entry = next;
         }
     }
 
-    /** Who makes room, other than a {@code newcomer} that has asked nothing yet (or null for any); null where nobody can. */
-    public C givesWay(Entry<C> newcomer) {
-        Holder<C> most = byGiving.get(mostGiving);
-        if (mostGiving == 0 || most == null) {
+    /**
+     * The connection to close to make room, or null if none can be closed. It is not {@code newcomer}, a connection
+     * that has sent no request yet; null for no exception.
+     */
+    public C evictionCandidate(Entry<C> newcomer) {
+        ClientAddress<C> address = byEvictableCount.get(maxEvictableCount);
+        if (maxEvictableCount == 0 || address == null) {
             return null;
         }
-        Entry<C> entry = first(most, newcomer);
-        if (entry == null) {  // the newcomer is the one connection of every holder that has as many: another holder's, if any
-            entry = most.next == null ? null : first(most.next, newcomer);
+        Entry<C> entry = oldestEvictable(address, newcomer);
+        // every address with as many connections has just one, and the first one's is the newcomer: take another's
+        if (entry == null) {
+            entry = address.nextWithSameCount == null ? null : oldestEvictable(address.nextWithSameCount, newcomer);
         }
         return entry == null ? null : entry.connection;
     }
 
-    private static <C> Entry<C> first(Holder<C> holder, Entry<C> newcomer) {
-        Entry<C> silent = holder.silentEldest == newcomer && newcomer != null ? newcomer.younger : holder.silentEldest;
-        return silent != null ? silent : holder.usedEldest;
+    private static <C> Entry<C> oldestEvictable(ClientAddress<C> address, Entry<C> newcomer) {
+        Entry<C> silent = address.oldestSilent == newcomer && newcomer != null ? newcomer.newer : address.oldestSilent;
+        return silent != null ? silent : address.oldestUsed;
     }
 
-    // ---- phases
+    // ---- phase lists
 
-    private void enter(long now, Entry<C> entry, ConnectionPhase phase) {
-        int at = phase.ordinal();
+    private void enterPhase(long now, Entry<C> entry, ConnectionPhase phase) {
+        int index = phase.ordinal();
         entry.phase = phase;
-        entry.since = now;
-        entry.before = tails.get(at);
-        entry.next = null;
-        if (entry.before == null) {
-            heads.set(at, entry);
+        entry.phaseEnteredAt = now;
+        entry.previousInPhase = phaseTails.get(index);
+        entry.nextInPhase = null;
+        if (entry.previousInPhase == null) {
+            phaseHeads.set(index, entry);
         } else {
-            entry.before.next = entry;
+            entry.previousInPhase.nextInPhase = entry;
         }
-        tails.set(at, entry);
-        sizes[at]++;
-        if (phase.gives()) {
-            joins(entry);
+        phaseTails.set(index, entry);
+        phaseSizes[index]++;
+        if (phase.isEvictable()) {
+            addEvictable(entry);
         }
     }
 
-    private void leave(Entry<C> entry) {
-        int at = entry.phase.ordinal();
-        if (entry.before == null) {
-            heads.set(at, entry.next);
+    private void leavePhase(Entry<C> entry) {
+        int index = entry.phase.ordinal();
+        if (entry.previousInPhase == null) {
+            phaseHeads.set(index, entry.nextInPhase);
         } else {
-            entry.before.next = entry.next;
+            entry.previousInPhase.nextInPhase = entry.nextInPhase;
         }
-        if (entry.next == null) {
-            tails.set(at, entry.before);
+        if (entry.nextInPhase == null) {
+            phaseTails.set(index, entry.previousInPhase);
         } else {
-            entry.next.before = entry.before;
+            entry.nextInPhase.previousInPhase = entry.previousInPhase;
         }
-        sizes[at]--;
-        if (entry.phase.gives()) {
-            parts(entry);
+        phaseSizes[index]--;
+        if (entry.phase.isEvictable()) {
+            removeEvictable(entry);
         }
     }
 
-    // ---- holders
+    // ---- evictable connections by address
 
-    private void joins(Entry<C> entry) {
-        Holder<C> holder = entry.holder;
+    private void addEvictable(Entry<C> entry) {
+        ClientAddress<C> address = entry.address;
         boolean silent = entry.phase == ConnectionPhase.SILENT;
-        entry.elder = silent ? holder.silentYoungest : holder.usedYoungest;
-        entry.younger = null;
-        if (entry.elder != null) {
-            entry.elder.younger = entry;
+        entry.older = silent ? address.newestSilent : address.newestUsed;
+        entry.newer = null;
+        if (entry.older != null) {
+            entry.older.newer = entry;
         } else if (silent) {
-            holder.silentEldest = entry;
+            address.oldestSilent = entry;
         } else {
-            holder.usedEldest = entry;
+            address.oldestUsed = entry;
         }
         if (silent) {
-            holder.silentYoungest = entry;
+            address.newestSilent = entry;
         } else {
-            holder.usedYoungest = entry;
+            address.newestUsed = entry;
         }
-        count(holder, 1);
+        changeEvictableCount(address, 1);
     }
 
-    private void parts(Entry<C> entry) {
-        Holder<C> holder = entry.holder;
+    private void removeEvictable(Entry<C> entry) {
+        ClientAddress<C> address = entry.address;
         boolean silent = entry.phase == ConnectionPhase.SILENT;
-        if (entry.elder != null) {
-            entry.elder.younger = entry.younger;
+        if (entry.older != null) {
+            entry.older.newer = entry.newer;
         } else if (silent) {
-            holder.silentEldest = entry.younger;
+            address.oldestSilent = entry.newer;
         } else {
-            holder.usedEldest = entry.younger;
+            address.oldestUsed = entry.newer;
         }
-        if (entry.younger != null) {
-            entry.younger.elder = entry.elder;
+        if (entry.newer != null) {
+            entry.newer.older = entry.older;
         } else if (silent) {
-            holder.silentYoungest = entry.elder;
+            address.newestSilent = entry.older;
         } else {
-            holder.usedYoungest = entry.elder;
+            address.newestUsed = entry.older;
         }
-        count(holder, -1);
+        changeEvictableCount(address, -1);
     }
 
-    private void count(Holder<C> holder, int change) {
-        if (holder.giving > 0) {
-            if (holder.before == null) {
-                byGiving.set(holder.giving, holder.next);
+    private void changeEvictableCount(ClientAddress<C> address, int change) {
+        if (address.evictableCount > 0) {
+            if (address.previousWithSameCount == null) {
+                byEvictableCount.set(address.evictableCount, address.nextWithSameCount);
             } else {
-                holder.before.next = holder.next;
+                address.previousWithSameCount.nextWithSameCount = address.nextWithSameCount;
             }
-            if (holder.next != null) {
-                holder.next.before = holder.before;
+            if (address.nextWithSameCount != null) {
+                address.nextWithSameCount.previousWithSameCount = address.previousWithSameCount;
             }
         }
-        holder.giving += change;
-        if (holder.giving > 0) {
-            if (holder.giving == byGiving.size()) {
-                byGiving.add(null);
+        address.evictableCount += change;
+        if (address.evictableCount > 0) {
+            if (address.evictableCount == byEvictableCount.size()) {
+                byEvictableCount.add(null);
             }
-            holder.before = null;
-            holder.next = byGiving.get(holder.giving);
-            if (holder.next != null) {
-                holder.next.before = holder;
+            address.previousWithSameCount = null;
+            address.nextWithSameCount = byEvictableCount.get(address.evictableCount);
+            if (address.nextWithSameCount != null) {
+                address.nextWithSameCount.previousWithSameCount = address;
             }
-            byGiving.set(holder.giving, holder);
-            mostGiving = Math.max(mostGiving, holder.giving);
+            byEvictableCount.set(address.evictableCount, address);
+            maxEvictableCount = Math.max(maxEvictableCount, address.evictableCount);
         }
-        while (mostGiving > 0 && byGiving.get(mostGiving) == null) {
-            mostGiving--;
+        while (maxEvictableCount > 0 && byEvictableCount.get(maxEvictableCount) == null) {
+            maxEvictableCount--;
         }
     }
 }
--- a/src/main/java/mastdrift/limits/ConnectionPhase.java
+++ b/src/main/java/mastdrift/limits/ConnectionPhase.java
@@ -1,23 +1,23 @@
 package mastdrift.limits;
 
-/** Where a client's connection is; each phase but {@link #BUSY} has a bound of its own in time. */
+/** The phase of a client's connection; each but {@link #BUSY} has a time bound of its own. */
 public enum ConnectionPhase {
 
-    /** Opened, and nothing came yet. */
+    /** Opened, and nothing has been received yet. */
     SILENT,
-    /** A part of a request came, the rest has not. */
+    /** A part of a request has been received. */
     PART,
-    /** A request is out: its own deadline bounds that. */
+    /** A request is in progress, bounded by its own deadline. */
     BUSY,
-    /** An answer has been written and not been taken yet. */
+    /** A response has been written, and the client has not read it yet. */
     UNREAD,
     /** Between requests, and ready for the next. */
     IDLE,
-    /** Between requests for so long that what reading one needs was given back. */
+    /** Between requests for so long that the buffers and decoder for reading one were released. */
     DORMANT;
 
-    /** Whether a connection may be closed in it to make room: nothing of a request would be lost. */
-    boolean gives() {
+    /** Whether a connection in this phase may be closed to make room: no request would be lost. */
+    boolean isEvictable() {
         return this == SILENT || this == IDLE || this == DORMANT;
     }
 }
--- a/src/main/java/mastdrift/limits/IdleRetention.java
+++ b/src/main/java/mastdrift/limits/IdleRetention.java
@@ -1,61 +1,73 @@
 package mastdrift.limits;
 
-/** For how long connections to hosts are kept when nothing is on them. One that is kept saves a handshake, and takes a place that the
-    host has only so many of: where many gateways each keep one to every host, hosts turn away whoever comes new, who then comes new
-    at the next host. How many places there are is told nowhere, but a host that turns away the first request of a connection says
-    that it is full, of connections unless it turns away as many on those that stand: then its queue is. So the time falls with the
-    part by which more new connections are turned away, from all of it where no more are to {@value #LEAST} microseconds from a
-    fifth on, in equal ratios between: every gateway sees the same and gives back alike. */
+/**
+ * Decides how long idle connections to hosts are kept. A kept connection saves a handshake, but takes up one of the
+ * host's limited connection slots: if many gateways each keep a connection to every host, hosts refuse new connections,
+ * and their requests then need a new connection at the next host.
+ *
+ * <p>The number of slots isn't known, but a host that refuses the first request of a connection signals that it is
+ * full: of connections, unless it refuses as large a fraction on established connections, in which case its request
+ * queue is full. So the retention time falls with the excess of the fraction refused on new connections over that on
+ * established ones: from the maximum at no excess to {@value #MIN_RETENTION_MICROS} microseconds at a fifth and more,
+ * geometrically in between. All gateways see the same refusals and so release connections alike.
+ */
 public final class IdleRetention {
 
-    // Of new connections turned away: from here on the least.
-    private static final double FULL = 0.2;
-    // What was seen fades with this time constant, in microseconds, and so many that went well are taken for granted.
-    private static final double MEMORY = 3e6;
-    private static final double PRIOR = 4;
-    /** Microseconds: a connection that is used several times a second is always kept. */
-    static final long LEAST = 200_000;
-
-    private final long most;
-    private double opened;
-    private double refused;
-    private double again;
-    private double refusedAgain;
-    private long at;
-
-    /** {@code most} microseconds, where hosts have room. */
-    public IdleRetention(long most) {
-        this.most = most;
+    // Excess fraction of new connections refused from which on the retention time is shortest.
+    private static final double FULL_HOST_REFUSED_FRACTION = 0.2;
+    // Time constant with which the counts decay.
+    private static final double DECAY_TIME_MICROS = 3e6;
+    // Assumed number of accepted requests, so that a few refusals aren't taken for a full host.
+    private static final double PRIOR_ACCEPTED_REQUESTS = 4;
+    /** A connection that is used several times a second is always kept. */
+    static final long MIN_RETENTION_MICROS = 200_000;
+
+    private final long maxRetentionMicros;
+    private double requestsOnNew;
+    private double refusedOnNew;
+    private double requestsOnEstablished;
+    private double refusedOnEstablished;
+    private long decayedAt;
+
+    /**
+     * Starts with no request observed.
+     *
+     * @param maxRetentionMicros the retention time while hosts have room
+     */
+    public IdleRetention(long maxRetentionMicros) {
+        this.maxRetentionMicros = maxRetentionMicros;
     }
 
-    /** The first request on a new connection has ended: turned away unseen or not. */
-    public void opened(long now, boolean turnedAway) {
-        fade(now);
-        opened++;
-        refused += turnedAway ? 1 : 0;
+    /** Records the end of the first request on a new connection: whether the host refused it unseen. */
+    public void recordOnNewConnection(long now, boolean refused) {
+        decay(now);
+        requestsOnNew++;
+        refusedOnNew += refused ? 1 : 0;
     }
 
-    /** A request on a connection that had carried one before has ended likewise. */
-    public void again(long now, boolean turnedAway) {
-        fade(now);
-        again++;
-        refusedAgain += turnedAway ? 1 : 0;
+    /** Records the end of a request on a connection that had carried one before: whether the host refused it unseen. */
+    public void recordOnEstablishedConnection(long now, boolean refused) {
+        decay(now);
+        requestsOnEstablished++;
+        refusedOnEstablished += refused ? 1 : 0;
     }
 
-    /** Microseconds for which a connection may be idle as things are. */
-    public long most(long now) {
-        fade(now);
-        double more = refused / (opened + PRIOR) - refusedAgain / (again + PRIOR);
-        double part = Math.max(0, Math.min(1, more / FULL));
-        return most <= LEAST ? most : (long) (most * Math.pow(LEAST / (double) most, part));
+    /** For how long a connection may be idle now, in microseconds. */
+    public long retentionMicros(long now) {
+        decay(now);
+        double excessFraction = refusedOnNew / (requestsOnNew + PRIOR_ACCEPTED_REQUESTS)
+                - refusedOnEstablished / (requestsOnEstablished + PRIOR_ACCEPTED_REQUESTS);
+        double fullness = Math.max(0, Math.min(1, excessFraction / FULL_HOST_REFUSED_FRACTION));
+        return maxRetentionMicros <= MIN_RETENTION_MICROS ? maxRetentionMicros
+                : (long) (maxRetentionMicros * Math.pow(MIN_RETENTION_MICROS / (double) maxRetentionMicros, fullness));
     }
 
-    private void fade(long now) {
-        double left = Math.exp(Math.min(0, at - now) / MEMORY);
-        opened *= left;
-        refused *= left;
-        again *= left;
-        refusedAgain *= left;
-        at = now;
+    private void decay(long now) {
+        double factor = Math.exp(Math.min(0, decayedAt - now) / DECAY_TIME_MICROS);
+        requestsOnNew *= factor;
+        refusedOnNew *= factor;
+        requestsOnEstablished *= factor;
+        refusedOnEstablished *= factor;
+        decayedAt = now;
     }
 }
--- a/src/main/java/mastdrift/limits/PhaseBounds.java
+++ b/src/main/java/mastdrift/limits/PhaseBounds.java
@@ -1,36 +1,41 @@
 package mastdrift.limits;
 
 /**
- * For how long a connection may be in a phase, in microseconds.
+ * The time that a connection may spend in each phase, in microseconds.
  *
- * @param silent until the first request is whole; a connection that asks nothing
- * @param whole from the first byte of a request to its last; not moved by what trickles in
- * @param unread for an answer that the client doesn't take
- * @param idle between requests, {@link #AWAKE} and what comes after it together
+ * @param silentMicros until the first request is complete; for a connection that sends nothing
+ * @param requestMicros from the first byte of a request to its last; bytes that trickle in don't extend it
+ * @param unreadMicros for a response that the client doesn't read
+ * @param idleMicros between requests, as the sum of {@link #IDLE_BEFORE_DORMANT_MICROS} and the time in phase DORMANT
  */
-public record PhaseBounds(long silent, long whole, long unread, long idle) {
+public record PhaseBounds(long silentMicros, long requestMicros, long unreadMicros, long idleMicros) {
 
-    /** Between requests, what reading the next one needs is kept for so long: clients that ask often don't pay for it anew. */
-    public static final long AWAKE = 1_000_000;
-    /** Those of the platform's gateway, and where a file says nothing. */
-    public static final PhaseBounds USUAL = new PhaseBounds(2_000_000, 2_000_000, 10_000_000, 10_000_000);
+    /**
+     * How long what is needed to read the next request is kept between requests, so that clients that send often don't
+     * pay for setting it up again.
+     */
+    public static final long IDLE_BEFORE_DORMANT_MICROS = 1_000_000;
+    /** The bounds of the platform's gateway, and the default where a configuration file gives none. */
+    public static final PhaseBounds DEFAULT = new PhaseBounds(2_000_000, 2_000_000, 10_000_000, 10_000_000);
 
-    /** Throws IllegalArgumentException for what can't be kept. */
+    /** Throws IllegalArgumentException for bounds that can't be kept. */
     public PhaseBounds {
-        if (silent <= 0 || whole <= 0 || unread <= 0 || idle <= AWAKE) {
-            throw new IllegalArgumentException("expected bounds above 0, and above " + AWAKE + " for idle, found " + silent + ", "
-                    + whole + ", " + unread + ", " + idle);
+        if (silentMicros <= 0 || requestMicros <= 0 || unreadMicros <= 0 || idleMicros <= IDLE_BEFORE_DORMANT_MICROS) {
+            throw new IllegalArgumentException("expected bounds above 0, and above " + IDLE_BEFORE_DORMANT_MICROS
+                    + " for idle, found " + silentMicros + ", " + requestMicros + ", " + unreadMicros + ", "
+                    + idleMicros);
         }
     }
 
-    long of(ConnectionPhase phase) {
+    /** The bound of a phase in microseconds. */
+    long boundMicros(ConnectionPhase phase) {
         return switch (phase) {
-            case SILENT -> silent;
-            case PART -> whole;
+            case SILENT -> silentMicros;
+            case PART -> requestMicros;
             case BUSY -> Long.MAX_VALUE;
-            case UNREAD -> unread;
-            case IDLE -> AWAKE;
-            case DORMANT -> idle - AWAKE;
+            case UNREAD -> unreadMicros;
+            case IDLE -> IDLE_BEFORE_DORMANT_MICROS;
+            case DORMANT -> idleMicros - IDLE_BEFORE_DORMANT_MICROS;
         };
     }
 }
--- a/src/main/java/mastdrift/limits/package-info.java
+++ b/src/main/java/mastdrift/limits/package-info.java
@@ -1,3 +1,6 @@
-/** What is scarce at a gateway and who gives it up: how long a connection may be in which phase, and which one makes room. Pure: told
-    what happens and the time, asked what to close; no I/O, no thread and no clock of its own. */
+/**
+ * Limits on client connections: how long one may be in which phase, which one is closed to make room, and how long idle
+ * connections to hosts are kept. The classes are told of events and the time and asked what to close; they have no I/O,
+ * thread or clock of their own.
+ */
 package mastdrift.limits;
--- a/src/main/java/mastdrift/net/ClientSide.java
+++ b/src/main/java/mastdrift/net/ClientSide.java
@@ -124,7 +124,7 @@
     /** Holds about {@code most} connections, by the usual bounds in time. */
     public ClientSide(EventLoop loop, RequestTracker ledger, Router router, List<RequestClass> classes, List<Tenant> tenants,
             int most, Consumer<String> log) {
-        this(loop, ledger, router, classes, tenants, most, PhaseBounds.USUAL, log);
+        this(loop, ledger, router, classes, tenants, most, PhaseBounds.DEFAULT, log);
     }
 
     /** Likewise, by others. */
@@ -175,7 +175,7 @@
     /** Requests that are only counted, on all connections; on the loop's thread. */
     int counted() {
         int[] all = new int[1];
-        connections.each(ConnectionPhase.BUSY, connection -> all[0] += connection.counted);
+        connections.forEach(ConnectionPhase.BUSY, connection -> all[0] += connection.counted);
         return all[0];
     }
 
@@ -214,7 +214,7 @@
         long answered = answerBy - ledger.now();
         loop.schedule(this::endServing, Math.min(STOP_SERVING_MILLIS * 1_000, answered), TimeUnit.MICROSECONDS);
         loop.schedule(() -> {
-            connections.each(ConnectionPhase.BUSY, Connection::end);
+            connections.forEach(ConnectionPhase.BUSY, Connection::end);
             List.of(ConnectionPhase.SILENT, ConnectionPhase.PART).forEach(phase -> closeUnasked(phase, true));  // what lacks its rest has had its time
         }, answered, TimeUnit.MICROSECONDS);
         // Whoever is still there then is worth a line: the program may be killed next.
@@ -255,11 +255,11 @@
     }
 
     private void closeUnasked(ConnectionPhase phase, boolean parts) {
-        connections.each(phase, connection -> connection.closeUnasked(phase, parts));
+        connections.forEach(phase, connection -> connection.closeUnasked(phase, parts));
     }
 
     private void closeOverdue() {
-        connections.overdue(ledger.now(), SWEEP_MOST, Connection::overdue);
+        connections.forEachOverdue(ledger.now(), SWEEP_MOST, Connection::overdue);
     }
 
     /** Looks at the system's queue of new connections. What waits there has been taken, by the platform's rules, and its time runs: while
@@ -329,7 +329,7 @@
     /** Closes one that is owed nothing, also once what stands unread on it has been read: a request may be there. */
     private boolean makeRoom(ClientConnectionTable.Entry<Connection> newcomer) {
         for (int i = 0; i < GIVING_WAY_LOOKS; i++) {
-            Connection gives = connections.givesWay(newcomer);
+            Connection gives = connections.evictionCandidate(newcomer);
             if (gives == null) {
                 return false;
             }
@@ -408,7 +408,7 @@
         public void channelActive(ChannelHandlerContext context) {
             openedIn = ledger.turn();
             openedSince = queuedSince;
-            entry = connections.opened(ledger.now(), this, holder(channel.remoteAddress()));
+            entry = connections.add(ledger.now(), this, holder(channel.remoteAddress()));
             if (connections.size() > most && !makeRoom(entry)) {
                 server.config().setAutoRead(false);
             }
@@ -417,7 +417,7 @@
         /** Without a word: a 408 might cross a request, and be taken for its answer. */
         private void overdue(ConnectionPhase phase) {
             if (phase == ConnectionPhase.IDLE && decoder.isEmpty()) {
-                connections.moved(ledger.now(), entry, ConnectionPhase.DORMANT);
+                connections.moveTo(ledger.now(), entry, ConnectionPhase.DORMANT);
                 channel.pipeline().remove(StrictDecoder.class);
                 channel.pipeline().remove(HttpResponseEncoder.class);
                 channel.pipeline().remove(Requests.class);
@@ -452,14 +452,14 @@
         }
 
         private void close() {
-            connections.closed(entry);
+            connections.remove(entry);
             channel.close();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             if (entry != null) {
-                connections.closed(entry);
+                connections.remove(entry);
             }
             open.remove(id);
             if (connections.size() <= most) {
@@ -535,8 +535,8 @@
         public void channelReadComplete(ChannelHandlerContext context) {
             if (!read && current == null && !finished) {
                 // Where silence ends as soon, that bound goes on: what trickles in must not gain by its first byte.
-                boolean goesOn = entry.phase() == ConnectionPhase.SILENT && bounds.silent() <= bounds.whole();
-                connections.moved(ledger.now(), entry, goesOn ? ConnectionPhase.SILENT : ConnectionPhase.PART);
+                boolean goesOn = entry.phase() == ConnectionPhase.SILENT && bounds.silentMicros() <= bounds.requestMicros();
+                connections.moveTo(ledger.now(), entry, goesOn ? ConnectionPhase.SILENT : ConnectionPhase.PART);
             }
             read = false;
         }
@@ -544,7 +544,7 @@
         private void next(Arrived arrived) {
             if (arrived == null) {
                 channel.config().setAutoRead(true);
-                connections.moved(ledger.now(), entry, decoder.isEmpty() ? ConnectionPhase.IDLE : ConnectionPhase.PART);
+                connections.moveTo(ledger.now(), entry, decoder.isEmpty() ? ConnectionPhase.IDLE : ConnectionPhase.PART);
                 if (closing && entry.phase() == ConnectionPhase.IDLE) {
                     close();  // its answer was on the way when the others were closed
                 } else if (connections.size() > most) {  // or accepting, once paused, would never go on
@@ -552,7 +552,7 @@
                 }
                 return;
             }
-            connections.moved(ledger.now(), entry, ConnectionPhase.BUSY);
+            connections.moveTo(ledger.now(), entry, ConnectionPhase.BUSY);
             current = arrived.message;
             // Since it was read, an end has been heard in the turn in which it came.
             long unheard = arrived.turn == ledger.turn() ? Math.max(ledger.now() - arrived.at, ledger.unseen()) : ledger.unseen();
@@ -730,7 +730,7 @@
             boolean keep = !close && !unreadable && (more || !closing) && HttpUtil.isKeepAlive(current);
             HttpUtil.setContentLength(response, response.content().readableBytes());
             HttpUtil.setKeepAlive(response, keep);
-            connections.moved(ledger.now(), entry, ConnectionPhase.UNREAD);
+            connections.moveTo(ledger.now(), entry, ConnectionPhase.UNREAD);
             channel.writeAndFlush(response).addListener((ChannelFutureListener) done -> {
                 current = null;
                 if (keep && done.isSuccess()) {
--- a/src/main/java/mastdrift/net/ConnectionPool.java
+++ b/src/main/java/mastdrift/net/ConnectionPool.java
@@ -176,7 +176,7 @@
             return null;
         }
         long now = clock.getAsLong();
-        long longest = keep.most(now);
+        long longest = keep.retentionMicros(now);
         for (Iterator<EndpointConnection> kept = held.connections.iterator(); kept.hasNext(); ) {
             EndpointConnection next = kept.next();
             if (next.isUsed() && now - next.idleSince() < REST) {
@@ -217,9 +217,9 @@
     /** An attempt was answered, on a new connection or not, and possibly turned away. */
     void answered(long now, boolean fresh, boolean turnedAway) {
         if (fresh) {
-            keep.opened(now, turnedAway);
+            keep.recordOnNewConnection(now, turnedAway);
         } else {
-            keep.again(now, turnedAway);
+            keep.recordOnEstablishedConnection(now, turnedAway);
         }
     }
 
@@ -235,7 +235,7 @@
 
     private void closeAged() {
         long now = clock.getAsLong();
-        long before = now - keep.most(now);
+        long before = now - keep.retentionMicros(now);
         for (Idle held : idle.values()) {
             while (!held.connections.isEmpty() && held.connections.peekLast().idleSince() <= before) {
                 held.connections.pollLast().channel().close();
--- a/src/test/java/mastdrift/config/ConfigurationReaderTest.java
+++ b/src/test/java/mastdrift/config/ConfigurationReaderTest.java
@@ -46,7 +46,7 @@
     void aGoodSetIsReadAsItIs() {
         Configuration read = good();
         assertEquals(new GatewaySettings("g", "127.0.0.1:0", "bilbao", List.of("bilbao", "oviedo"), 0, 1, 1024,
-                PhaseBounds.USUAL, null, 50_000),
+                PhaseBounds.DEFAULT, null, 50_000),
                 read.gateway());
         assertEquals(new RequestClass("session-start", 600_000, 0, 1_500_000, 1, 0.5, Repeat.KEYED, Group.ZONE, 1_500_000,
                 false), read.classes().get(1));
