--- a/src/main/java/mastdrift/engine/Pool.java
+++ b/src/main/java/mastdrift/engine/Pool.java
@@ -175,7 +175,7 @@
 
     /** Tells the module how late the loop is, ahead of what may be judged by it. */
     void own(long now) {
-        module.own(now, ledger.turns().standing(), ledger.turns().own(now));
+        module.own(now, ledger.turns().standingQueueMicros(), ledger.turns().queuedMicros(now));
     }
 
     /** An attempt: what of its time was this program's own, and its end. */
@@ -215,7 +215,7 @@
         @Override
         public void step() {
             long now = ledger.now();
-            own += Math.min(ledger.turns().own(now), now - sentAt);
+            own += Math.min(ledger.turns().queuedMicros(now), now - sentAt);
         }
 
         @Override
@@ -225,7 +225,7 @@
             }
             long now = ledger.now();
             long all = now - sentAt;
-            own += outcome == Outcome.EXPIRED ? ledger.turns().behind(now) : ledger.turns().own(now);
+            own += outcome == Outcome.EXPIRED ? ledger.turns().microsSinceWait(now) : ledger.turns().queuedMicros(now);
             long elapsed = Math.max(all - own, Math.min(all, LEAST));
             exchange.late = outcome == Outcome.EXPIRED;
             ledger.attemptEnded(exchange, uid, outcome);
@@ -332,7 +332,7 @@
                     zones.probed(ledger.now(), uid, outcome, sent, received);
                 }
                 long all = ledger.now() - sentAt;
-                long elapsed = Math.max(all - ledger.turns().own(ledger.now()), Math.min(all, LEAST));
+                long elapsed = Math.max(all - ledger.turns().queuedMicros(ledger.now()), Math.min(all, LEAST));
                 ledger.event(null, now -> module.probed(now, uid, outcome, elapsed, report));
             }
         });
--- a/src/main/java/mastdrift/engine/RequestTracker.java
+++ b/src/main/java/mastdrift/engine/RequestTracker.java
@@ -71,17 +71,17 @@
     /** Since when at the earliest what is being handled now may have waited for the loop, in microseconds. */
     public long arrived() {
         long now = now();
-        return now - turns.own(now);
+        return now - turns.queuedMicros(now);
     }
 
     /** For how long at the most what is being handled now may have been there, in microseconds, whatever the loop waited for meanwhile. */
     public long unseen() {
-        return turns.most(now());
+        return turns.maxQueuedMicros(now());
     }
 
     /** Which of its turns the loop is in, from 1 up; 0 where nobody tells of turns. */
     public long turn() {
-        return turns.turn();
+        return turns.turnNumber();
     }
 
     /** Every request from now on is told to it. */
@@ -124,7 +124,7 @@
 
     /** Takes a request for a pool, and with it the call, which it releases; null where it was answered at once. */
     public Exchange take(Pool pool, Responder client, RequestMessage call, RequestAttributes ask) {
-        return take(pool, client, call, ask, turns.own(now()));
+        return take(pool, client, call, ask, turns.queuedMicros(now()));
     }
 
     /** Likewise, one that has waited here for up to {@code waited} microseconds. */
@@ -198,9 +198,9 @@
     }
 
     private void sayLate() {
-        if (turns.standing() >= LATE_SAID && now() - saidAt >= SAID_EVERY) {
+        if (turns.standingQueueMicros() >= LATE_SAID && now() - saidAt >= SAID_EVERY) {
             saidAt = now();
-            log("the gateway itself is late: whatever comes waits " + turns.standing() / 1000 + " ms at least");
+            log("the gateway itself is late: whatever comes waits " + turns.standingQueueMicros() / 1000 + " ms at least");
         }
     }
 
@@ -221,7 +221,7 @@
         if (inEvent || deferred) {
             return;
         }
-        if (turns.own(now()) > LATE) {
+        if (turns.queuedMicros(now()) > LATE) {
             deferred = true;
             timers.after(1, () -> {  // timers come once all that is there has been read
                 deferred = false;
@@ -247,7 +247,7 @@
     /** Hears what may have been told too long ago to be unread; what comes of it is played ahead of what waits. */
     void readNotifications() {
         long now = now();
-        if (turns.most(now) <= LOOK_AFTER || now - notificationsReadAt <= LOOK_AFTER) {
+        if (turns.maxQueuedMicros(now) <= LOOK_AFTER || now - notificationsReadAt <= LOOK_AFTER) {
             return;
         }
         boolean within = inEvent;
--- a/src/main/java/mastdrift/lateness/EventLoopLateness.java
+++ b/src/main/java/mastdrift/lateness/EventLoopLateness.java
@@ -1,102 +1,119 @@
 package mastdrift.lateness;
 
 /**
- * The turns of one event loop: it waits for events, handles those that are there, then waits again. What comes while it handles
- * others is not seen until the next wait ends, and that time is the gateway's own, not the sender's.
+ * Measures the lateness of an event loop by its turns: it waits for events, handles those that are ready, then waits
+ * again. What arrives while it handles events is seen only when the next wait ends, and that time is the gateway's own,
+ * not the sender's.
  *
- * <p>What is ready when a wait ends had not come when the wait before it ended, or it would have been handled then; and if the
- * loop really waited, it had not come when this wait began. That bounds the moment from below, for all events of a turn at once
- * and at the cost of two stamps a turn. Where the operating system tells for how long the thread was ready without being given a
- * core, that part of a wait is the gateway's own too.
+ * <p>An event that is ready when a wait ends had not arrived when the previous wait ended, or it would have been
+ * handled then. If the loop really blocked in this wait, it had not arrived when the wait began either. That gives a
+ * lower bound of the arrival time for all events of a turn at once, for two clock readings a turn. If the operating
+ * system reports for how long the thread was runnable without a core, that part of the wait is the gateway's own time
+ * too.
  *
- * <p>All times are in microseconds of one clock that doesn't run back. For a loop that tells of no turns nothing is late. Not
- * safe for use by several threads.
+ * <p>All times are in microseconds of one clock that doesn't go backwards. A loop that reports no turns is never late.
+ * Not thread-safe.
  */
 public final class EventLoopLateness {
 
-    /** A wait of so long was one, whatever else went on meanwhile. */
-    public static final long SURELY_WAITED = 2_000;
-    // A wait that ends sooner found events that were there before it began: to ask takes about as long, and longer where the
-    // thread is interrupted. What a mistake costs grows with the turn before, so the bound does as well.
-    private static final long WAITED = 100;
-    private static final long PART = 8;
-    /** The standing queue is the least that a whole interval saw, as in CoDel (RFC 8289, section 3.2). */
-    public static final long INTERVAL = 100_000;
+    /** A wait of at least this length blocked, whatever else happened meanwhile. */
+    public static final long DEFINITE_WAIT_MICROS = 2_000;
+    // A shorter wait found events that were ready before it began: the poll itself takes about as long, and longer if
+    // the thread is interrupted.
+    private static final long MIN_WAIT_MICROS = 100;
+    // A wrong decision costs more after a long turn, so the bound grows with the turn: its length divided by this, up
+    // to DEFINITE_WAIT_MICROS.
+    private static final long TURN_LENGTH_DIVISOR = 8;
+    /** The standing queue is the minimum over a whole interval of this length, as in CoDel (RFC 8289, section 3.2). */
+    public static final long INTERVAL_MICROS = 100_000;
 
-    private boolean told;
-    private long turn;
-    private long waitsSince;
-    private long back;
-    private long backBefore;
-    private long arrivedAfter;
-    private long keptFrom;
-    private long intervalSince;
-    private long least = Long.MAX_VALUE;
-    private long standing;
+    private boolean started;
+    private long turnNumber;
+    private long waitStartedAt;
+    private long waitEndedAt;
+    private long previousWaitEndedAt;
+    private long earliestArrivalAt;
+    private long runnableInWaitMicros;
+    private long intervalStartedAt;
+    private long minQueuedMicros = Long.MAX_VALUE;
+    private long standingQueueMicros;
 
     /** The loop is about to wait. */
-    public void waits(long now) {
-        if (told) {
-            queued(now, now - back + keptFrom);
+    public void waitStarted(long now) {
+        if (started) {
+            recordTurn(now, now - waitEndedAt + runnableInWaitMicros);
         }
-        waitsSince = now;
+        waitStartedAt = now;
     }
 
-    /** The wait is over, and what is there is about to be handled. For {@code kept} of the microseconds of the wait the thread
-        was ready and had no core; 0 where that isn't known. */
-    public void back(long now, long kept) {
-        long ready = Math.max(0, Math.min(kept, now - waitsSince));
-        long bound = Math.max(WAITED, Math.min(SURELY_WAITED, (waitsSince - back) / PART));
-        boolean waited = !told || now - waitsSince - ready >= bound;
-        keptFrom = waited ? ready : 0;
-        arrivedAfter = waited ? now - ready : back;
-        if (!told) {
-            intervalSince = now;
+    /**
+     * The wait is over, and the events that are ready are about to be handled.
+     *
+     * @param runnableMicros the part of the wait in which the thread was runnable without a core; 0 if unknown
+     */
+    public void waitEnded(long now, long runnableMicros) {
+        long boundedRunnableMicros = Math.max(0, Math.min(runnableMicros, now - waitStartedAt));
+        long minWaitMicros = Math.max(MIN_WAIT_MICROS,
+                Math.min(DEFINITE_WAIT_MICROS, (waitStartedAt - waitEndedAt) / TURN_LENGTH_DIVISOR));
+        boolean blocked = !started || now - waitStartedAt - boundedRunnableMicros >= minWaitMicros;
+        runnableInWaitMicros = blocked ? boundedRunnableMicros : 0;
+        earliestArrivalAt = blocked ? now - boundedRunnableMicros : waitEndedAt;
+        if (!started) {
+            intervalStartedAt = now;
         }
-        backBefore = told ? back : now;
-        told = true;
-        back = now;
-        turn++;
+        previousWaitEndedAt = started ? waitEndedAt : now;
+        started = true;
+        waitEndedAt = now;
+        turnNumber++;
     }
 
-    /** Which turn this is, from 1 up; 0 for a loop that tells of none. */
-    public long turn() {
-        return turn;
+    /** The number of the current turn, from 1; 0 if the loop doesn't report its turns. */
+    public long turnNumber() {
+        return turnNumber;
     }
 
-    /** All that was there when the wait ended has been handled; timers and tasks come next. */
-    public void handled() {
-        arrivedAfter = Math.max(arrivedAfter, back);
+    /** The events that were ready when the wait ended have been handled; timers and tasks come next. */
+    public void readyEventsHandled() {
+        earliestArrivalAt = Math.max(earliestArrivalAt, waitEndedAt);
     }
 
-    /** So much of the time up to now what is being handled may have waited here, at most. */
-    public long own(long now) {
-        return told ? Math.max(0, now - arrivedAfter) : 0;
+    /** The longest time up to now for which the event being handled can have waited for the loop, in microseconds. */
+    public long queuedMicros(long now) {
+        return started ? Math.max(0, now - earliestArrivalAt) : 0;
     }
 
-    /** How long ago the wait before this turn's ended: what is being handled came later than that, however the time since was spent. The bound that
-        needs no judgement; {@link #own} is nearer. */
-    public long most(long now) {
-        return told ? Math.max(0, now - backBefore) : 0;
+    /**
+     * The time since the wait before this turn's wait ended, in microseconds: the event being handled arrived later
+     * than that, however the time since was spent. This bound doesn't depend on whether the last wait blocked; {@link
+     * #queuedMicros} is tighter.
+     */
+    public long maxQueuedMicros(long now) {
+        return started ? Math.max(0, now - previousWaitEndedAt) : 0;
     }
 
-    /** How long ago the wait ended: what came before then has been read by the time that timers run, what came later has not. */
-    public long behind(long now) {
-        return told ? Math.max(0, now - back) : 0;
+    /**
+     * The time since the last wait ended, in microseconds: by the time that timers run, what arrived before that moment
+     * has been read, and what arrived after it has not.
+     */
+    public long microsSinceWait(long now) {
+        return started ? Math.max(0, now - waitEndedAt) : 0;
     }
 
-    /** How long whatever came had to wait at the most, in the best turn of the last whole {@link #INTERVAL}: a burst or one pause
-        leaves none, a loop that doesn't keep up does. A turn longer than the interval counts at its end. */
-    public long standing() {
-        return standing;
+    /**
+     * The longest time for which an event can have waited, in the best turn of the last complete interval of {@link
+     * #INTERVAL_MICROS}. A burst or a single pause leaves none; a loop that doesn't keep up does. A turn longer than
+     * the interval counts when it ends.
+     */
+    public long standingQueueMicros() {
+        return standingQueueMicros;
     }
 
-    private void queued(long now, long most) {
-        least = Math.min(least, most);
-        if (now - intervalSince >= INTERVAL) {
-            standing = least;
-            least = Long.MAX_VALUE;
-            intervalSince = now;
+    private void recordTurn(long now, long longestQueuedMicros) {
+        minQueuedMicros = Math.min(minQueuedMicros, longestQueuedMicros);
+        if (now - intervalStartedAt >= INTERVAL_MICROS) {
+            standingQueueMicros = minQueuedMicros;
+            minQueuedMicros = Long.MAX_VALUE;
+            intervalStartedAt = now;
         }
     }
 }
--- a/src/main/java/mastdrift/lateness/package-info.java
+++ b/src/main/java/mastdrift/lateness/package-info.java
@@ -1,3 +1,5 @@
-/** Tells the lateness of the gateway itself from that of the hosts, by the turns of its loop. Pure: told of each turn, asked in
-    between; no clock, no thread and no I/O of its own. */
+/**
+ * Separates the gateway's own lateness from that of the hosts, by the turns of its event loop. It is told of each turn
+ * and queried in between, and has no clock, thread or I/O of its own.
+ */
 package mastdrift.lateness;
--- a/src/main/java/mastdrift/net/TimedLoop.java
+++ b/src/main/java/mastdrift/net/TimedLoop.java
@@ -69,9 +69,9 @@
             }
             waitsSince = now;
             waitsUntil = Long.MAX_VALUE;
-            turns.waits(now);
+            turns.waitStarted(now);
             int handled = handler.run(this);
-            turns.handled();
+            turns.readyEventsHandled();
             return handled;
         }
 
@@ -81,7 +81,7 @@
             long before = looked;
             long kept = now - waitsSince >= LOOK ? look(now) - before : 0;
             // What came while the thread could not run came at a moment that nobody knows.
-            turns.back(now, now - OVERSLEPT > waitsUntil ? now - waitsSince : kept);
+            turns.waitEnded(now, now - OVERSLEPT > waitsUntil ? now - waitsSince : kept);
             return context.shouldReportActiveIoTime();
         }
 
