--- a/src/main/java/mastdrift/engine/Clock.java
+++ b/src/main/java/mastdrift/engine/Clock.java
@@ -2,22 +2,27 @@
 
 import java.util.function.LongSupplier;
 
-/** The gateway's clock, in microseconds; it never runs back. */
+/** The gateway's clock, in microseconds; it never goes backwards. */
 @FunctionalInterface
 public interface Clock {
 
-    /** Microseconds. */
+    /** The current time in microseconds. */
     long now();
 
-    /** The Unix time of this call, run on evenly by the monotonic clock, since hosts' starts are told in Unix time and a
-        module's time must not run back. */
+    /**
+     * A clock that starts at the Unix time of this call and is advanced by the monotonic clock: hosts report their
+     * start in Unix time, and the time given to a decision module must not go backwards.
+     */
     static Clock system() {
         return of(System::currentTimeMillis, System::nanoTime);
     }
 
-    /** Likewise, by other clocks. The wall clock is read once: that it is set, or was wrong, moves no span. */
+    /**
+     * As {@link #system}, with the given clocks. The wall clock is read once, so a later step of it, or an error in it,
+     * changes no measured interval.
+     */
     static Clock of(LongSupplier wallMillis, LongSupplier monotonicNanos) {
-        long startedAt = wallMillis.getAsLong() * 1_000 - monotonicNanos.getAsLong() / 1_000;
-        return () -> startedAt + monotonicNanos.getAsLong() / 1_000;
+        long offsetMicros = wallMillis.getAsLong() * 1_000 - monotonicNanos.getAsLong() / 1_000;
+        return () -> offsetMicros + monotonicNanos.getAsLong() / 1_000;
     }
 }
--- a/src/main/java/mastdrift/engine/Endpoint.java
+++ b/src/main/java/mastdrift/engine/Endpoint.java
@@ -5,62 +5,65 @@
 import mastdrift.Balancer.Host;
 
 /**
- * One start of one server at one address, in service since a version of the list. {@link EndpointGate} makes these and ends their
- * service; who holds one asks {@link #maySend} right before a first byte leaves. Once its service has ended it never begins again:
- * a server that comes back is another endpoint.
+ * One run of one server at one address, in service since a version of the host list. {@link EndpointGate} creates
+ * endpoints and ends their service; whoever holds one checks {@link #maySend} right before a first byte leaves. Once
+ * its service has ended it never resumes: a server that comes back is another endpoint.
  */
 public final class Endpoint {
 
     private final InetSocketAddress address;
-    private final long openedBy;
-    private final BooleanSupplier listHolds;
+    private final long openedByVersion;
+    private final BooleanSupplier listIsValid;
     private Host host;
     private boolean inService = true;
 
-    Endpoint(Member member, long openedBy, BooleanSupplier listHolds) {
+    Endpoint(Member member, long openedByVersion, BooleanSupplier listIsValid) {
         host = member.host();
-        address = member.at();
-        this.openedBy = openedBy;
-        this.listHolds = listHolds;
+        address = member.socketAddress();
+        this.openedByVersion = openedByVersion;
+        this.listIsValid = listIsValid;
     }
 
-    /** The server's name, the same over its starts. */
+    /** The server's identifier, which stays the same over restarts. */
     public String uid() {
         return host.address();
     }
 
-    /** Where it listens. */
+    /** The socket address that the server listens on. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** When the server started, in microseconds of Unix time as it was told; 0 for long ago. */
+    /** When the server started, in microseconds of Unix time as reported by the host list; 0 if it started long ago. */
     public long startedAt() {
         return host.born();
     }
 
-    /** Whether anything new may be sent there by now. */
+    /** Whether anything new may be sent there now. */
     public boolean maySend() {
-        return inService && listHolds.getAsBoolean();
+        return inService && listIsValid.getAsBoolean();
     }
 
-    /** Whether its service goes on, by the list in force; for a while nothing may be sent there all the same. */
+    /**
+     * Whether the host list in force has it in service. While that list is not valid, nothing may be sent there all the
+     * same.
+     */
     public boolean isInService() {
         return inService;
     }
 
-    /** The version of the list that put it in service. */
-    long openedBy() {
-        return openedBy;
+    /** The version of the host list that put it in service. */
+    long openedByVersion() {
+        return openedByVersion;
     }
 
-    /** As it was listed last. */
+    /** Its most recent entry in the host list. */
     Host host() {
         return host;
     }
 
-    void describe(Host listed) {
-        host = listed;
+    void updateHost(Host entry) {
+        host = entry;
     }
 
     void endService() {
--- a/src/main/java/mastdrift/engine/EndpointGate.java
+++ b/src/main/java/mastdrift/engine/EndpointGate.java
@@ -13,178 +13,191 @@
 import mastdrift.Balancer.Host;
 
 /**
- * Which instances of a pool's servers may be sent to: the one owner of that question.
+ * Decides which instances of a pool's servers may be sent to; nothing else decides that.
  *
- * <p>From the moment in which a drain or a removal is heard nothing new begins there, whatever is left of the grace that the rule
- * gives: the grace pays for the time in which the notification was on its way, stood unread, or the process was held up. So there
- * is no comparison with a clock that could be late.
+ * <p>From the moment in which a drain or a removal is received nothing new begins there, whatever is left of the drain
+ * grace: the grace covers the time in which the notification was in transit or unread, or the process was paused. So
+ * there is no comparison with a clock that could be late.
  *
- * <p>An instance is a server's uid and start. Each has the version of the list that ended its service, and comes back only by a
- * newer one: an older list on a second call, or a registry that was set back, reopens nobody. Instances whose service has ended
- * are remembered up to a bound, the oldest forgotten first.
+ * <p>An instance is a server's uid and start time. For each ended instance the gate keeps the version of the host list
+ * that ended its service, and only a newer version puts it back in service: neither an older list from a second
+ * discovery call nor a registry that was restored to an earlier state reopens it. The number of ended instances kept is
+ * bounded; the oldest are forgotten first.
  *
- * <p>Pure: no clock, no I/O. Not safe for use by several threads.
+ * <p>Does no I/O and reads no clock. Not thread-safe.
  */
 public final class EndpointGate {
 
-    /** Ended instances that are remembered at the least; twice as many as are in service where that is more. */
-    static final int ENDED_KEPT = 8_192;
+    /** The least limit on remembered ended instances; the limit is twice the number in service if that is more. */
+    static final int MIN_REMEMBERED_LIMIT = 8_192;
 
     private record Instance(String uid, long startedAt) { }
 
-    private final Map<String, Endpoint> inService = new HashMap<>();
+    private final Map<String, Endpoint> inServiceByUid = new HashMap<>();
     private final Transitions transitions = new Transitions();
-    private final Map<Instance, Long> endedBy = new LinkedHashMap<>();
-    private final BooleanSupplier listHolds;
-    private long newest;
+    private final Map<Instance, Long> endedByVersion = new LinkedHashMap<>();
+    private final BooleanSupplier listIsValid;
+    private long newestVersion;
 
-    /** A gate whose lists hold until the next one. */
+    /** A gate whose host list stays valid until it is replaced. */
     public EndpointGate() {
         this(() -> true);
     }
 
-    /** {@code listHolds}: whether the list in force may be relied on by now. While it may not, nothing new begins anywhere: whose drain
-        was told and not heard can't be known. */
-    public EndpointGate(BooleanSupplier listHolds) {
-        this.listHolds = listHolds;
+    /**
+     * A gate whose host list can become invalid.
+     *
+     * @param listIsValid whether the list in force is valid now. While it isn't, nothing may be sent anywhere: drains
+     * may have been announced and not received.
+     */
+    public EndpointGate(BooleanSupplier listIsValid) {
+        this.listIsValid = listIsValid;
     }
 
-    /** The server's instance in service; null where there is none. */
+    /** The server's instance in service, or null if there is none. */
     public Endpoint find(String uid) {
-        return inService.get(uid);
+        return inServiceByUid.get(uid);
     }
 
     /** The uids of all servers that have an instance in service. */
     public Set<String> uids() {
-        return Set.copyOf(inService.keySet());
+        return Set.copyOf(inServiceByUid.keySet());
     }
 
-    /** What has begun and ended its service since this was asked last, in words; empty for nothing. */
+    /** The changes of service since the last call, as text for a log; empty if there were none. */
     public String takeTransitions() {
         return transitions.take();
     }
 
-    /** A version newer than any so far, for sources that have none of their own. */
+    /** A version newer than any so far, for sources whose lists carry no version. */
     public long nextVersion() {
-        return newest + 1;
+        return newestVersion + 1;
     }
 
     /**
      * Puts a list in force.
      *
      * @param version the list's version
-     * @param whole whether it is the whole list, so that whom it doesn't name is gone; or those that changed
-     * @param entries each server once
-     * @return the entries as they are in force: an instance that may not come back is draining, and what is said of an older
-     *     start than the one in service is left out
+     * @param isFullList whether the list is complete, so that servers it doesn't name are gone; otherwise it holds
+     * changes
+     * @param entries one entry for each server
+     * @return the entries as they are in force: an instance that must not come back is draining, and an outdated entry,
+     * about an earlier start than the one in service, is left out
      */
-    public List<Member> take(long version, boolean whole, List<Member> entries) {
-        newest = Math.max(newest, version);
+    public List<Member> apply(long version, boolean isFullList, List<Member> entries) {
+        newestVersion = Math.max(newestVersion, version);
         List<Member> inForce = new ArrayList<>(entries.size());
-        Set<String> named = new HashSet<>();
+        Set<String> listedUids = new HashSet<>();
         for (Member entry : entries) {
-            named.add(entry.host().address());
+            listedUids.add(entry.host().address());
             if (entry.host().health() != Health.UP) {
-                end(entry.host(), version, entry.host().health() == Health.GONE ? Transitions.Cause.REMOVED : Transitions.Cause.DRAINING);
+                endService(entry.host(), version,
+                        entry.host().health() == Health.GONE ? Transitions.Cause.REMOVED : Transitions.Cause.DRAINING);
                 inForce.add(entry);
             } else if (isOutdated(version, entry.host())) {
                 continue;
-            } else if (open(version, entry)) {
+            } else if (openEndpoint(version, entry)) {
                 inForce.add(entry);
             } else {
-                inForce.add(with(Health.LEAVING, entry.host(), entry.at()));
+                inForce.add(withHealth(Health.LEAVING, entry.host(), entry.socketAddress()));
             }
         }
-        if (whole) {
-            List.copyOf(inService.values()).stream().filter(endpoint -> !named.contains(endpoint.uid()))
-                    .forEach(endpoint -> end(endpoint, version, Transitions.Cause.LEFT_OUT));
+        if (isFullList) {
+            List.copyOf(inServiceByUid.values()).stream().filter(endpoint -> !listedUids.contains(endpoint.uid()))
+                    .forEach(endpoint -> endService(endpoint, version, Transitions.Cause.LEFT_OUT));
         }
         return inForce;
     }
 
     /**
-     * Takes from a list that is not put in force what is certain in it: who drains, and who is gone. One too many costs capacity
-     * until the next list, and a list of the same version that is put in force brings it back.
+     * Applies the certain part of a list that is not put in force: which servers drain or are gone. An error in it
+     * costs capacity until the next list, and a list of the same version that is put in force reverses it.
      *
      * @param version the list's version, possibly older than the one in force
-     * @param named every server that the list names, in whatever state, where it is whole; null where it is not
+     * @param listedUids the uids of all servers on the list, in whatever state, if the list is complete; null otherwise
      * @param leaving the entries that are draining or removed
-     * @return whom this takes out of service, as changes
+     * @return the instances that this takes out of service, as changes
      */
-    public List<Member> withdraw(long version, Set<String> named, List<Member> leaving) {
+    public List<Member> withdraw(long version, Set<String> listedUids, List<Member> leaving) {
         List<Member> changes = new ArrayList<>();
         for (Member entry : leaving) {
-            Endpoint known = inService.get(entry.host().address());
-            if (known != null && entry.host().born() >= known.startedAt()) {
-                end(known, version - 1, Transitions.Cause.DRAINING);
-                changes.add(with(entry.host().health(), known.host(), known.address()));
+            Endpoint current = inServiceByUid.get(entry.host().address());
+            if (current != null && entry.host().born() >= current.startedAt()) {
+                endService(current, version - 1, Transitions.Cause.DRAINING);
+                changes.add(withHealth(entry.host().health(), current.host(), current.address()));
             }
-            remember(new Instance(entry.host().address(), entry.host().born()), version - 1);
+            rememberEnded(new Instance(entry.host().address(), entry.host().born()), version - 1);
         }
-        if (named != null) {
-            for (Endpoint endpoint : List.copyOf(inService.values())) {
-                if (!named.contains(endpoint.uid()) && endpoint.openedBy() <= version) {
-                    end(endpoint, version - 1, Transitions.Cause.LEFT_OUT);
-                    changes.add(with(Health.LEAVING, endpoint.host(), endpoint.address()));
+        if (listedUids != null) {
+            for (Endpoint endpoint : List.copyOf(inServiceByUid.values())) {
+                if (!listedUids.contains(endpoint.uid()) && endpoint.openedByVersion() <= version) {
+                    endService(endpoint, version - 1, Transitions.Cause.LEFT_OUT);
+                    changes.add(withHealth(Health.LEAVING, endpoint.host(), endpoint.address()));
                 }
             }
         }
         return changes;
     }
 
-    private static Member with(Health health, Host host, InetSocketAddress at) {
-        return new Member(new Host(host.address(), host.zone(), host.cell(), host.kind(), host.weight(), health, host.born()), at);
+    private static Member withHealth(Health health, Host host, InetSocketAddress socketAddress) {
+        return new Member(
+                new Host(host.address(), host.zone(), host.cell(), host.kind(), host.weight(), health, host.born()),
+                socketAddress);
     }
 
-    /** Whether it tells of an earlier start than the one in service, in a list no newer than the one that told of that. */
+    /**
+     * Whether the entry is about an earlier start than the one in service, and its list is no newer than the one that
+     * announced that start.
+     */
     private boolean isOutdated(long version, Host host) {
-        Endpoint known = inService.get(host.address());
-        return known != null && host.born() < known.startedAt() && version <= known.openedBy();
+        Endpoint current = inServiceByUid.get(host.address());
+        return current != null && host.born() < current.startedAt() && version <= current.openedByVersion();
     }
 
-    private boolean open(long version, Member entry) {
+    private boolean openEndpoint(long version, Member entry) {
         Host host = entry.host();
         Instance instance = new Instance(host.address(), host.born());
-        if (endedBy.getOrDefault(instance, Long.MIN_VALUE) >= version) {
+        if (endedByVersion.getOrDefault(instance, Long.MIN_VALUE) >= version) {
             return false;
         }
-        Endpoint known = inService.get(host.address());
-        boolean same = known != null && known.startedAt() == host.born() && (entry.at() == null || entry.at().equals(known.address()));
-        if (!same) {
-            if (known != null) {
-                known.endService();
-                transitions.ended(known.uid(), Transitions.Cause.REPLACED);
+        Endpoint current = inServiceByUid.get(host.address());
+        boolean unchanged = current != null && current.startedAt() == host.born()
+                && (entry.socketAddress() == null || entry.socketAddress().equals(current.address()));
+        if (!unchanged) {
+            if (current != null) {
+                current.endService();
+                transitions.addEnded(current.uid(), Transitions.Cause.REPLACED);
             }
-            endedBy.remove(instance);
-            inService.put(host.address(), new Endpoint(entry, version, listHolds));
-            transitions.began(host.address());
+            endedByVersion.remove(instance);
+            inServiceByUid.put(host.address(), new Endpoint(entry, version, listIsValid));
+            transitions.addInService(host.address());
         } else {
-            known.describe(host);
+            current.updateHost(host);
         }
         return true;
     }
 
-    private void end(Host host, long version, Transitions.Cause cause) {
-        Endpoint known = inService.get(host.address());
-        if (known != null) {
-            end(known, version, cause);
+    private void endService(Host host, long version, Transitions.Cause cause) {
+        Endpoint current = inServiceByUid.get(host.address());
+        if (current != null) {
+            endService(current, version, cause);
         }
-        remember(new Instance(host.address(), host.born()), version);
+        rememberEnded(new Instance(host.address(), host.born()), version);
     }
 
-    private void end(Endpoint endpoint, long version, Transitions.Cause cause) {
-        transitions.ended(endpoint.uid(), cause);
+    private void endService(Endpoint endpoint, long version, Transitions.Cause cause) {
+        transitions.addEnded(endpoint.uid(), cause);
         endpoint.endService();
-        inService.remove(endpoint.uid());
-        remember(new Instance(endpoint.uid(), endpoint.startedAt()), version);
+        inServiceByUid.remove(endpoint.uid());
+        rememberEnded(new Instance(endpoint.uid(), endpoint.startedAt()), version);
     }
 
-    private void remember(Instance instance, long version) {
-        Long before = endedBy.remove(instance);
-        endedBy.put(instance, before == null ? version : Math.max(before, version));
-        int most = Math.max(ENDED_KEPT, 2 * inService.size());
-        while (endedBy.size() > most) {
-            endedBy.remove(endedBy.keySet().iterator().next());
+    private void rememberEnded(Instance instance, long version) {
+        Long previousVersion = endedByVersion.remove(instance);
+        endedByVersion.put(instance, previousVersion == null ? version : Math.max(previousVersion, version));
+        int maxRemembered = Math.max(MIN_REMEMBERED_LIMIT, 2 * inServiceByUid.size());
+        while (endedByVersion.size() > maxRemembered) {
+            endedByVersion.remove(endedByVersion.keySet().iterator().next());
         }
     }
 }
--- a/src/main/java/mastdrift/engine/Exchange.java
+++ b/src/main/java/mastdrift/engine/Exchange.java
@@ -4,37 +4,37 @@
 import java.util.List;
 import mastdrift.zones.PoolZones;
 
-/** A request that was taken, until it has ended and all its attempts have. It lives in one pool. */
+/** A request from its acceptance until it and all its attempts have ended. It belongs to one pool. */
 public final class Exchange {
 
     final long id;
     final Pool pool;
-    final Responder client;
-    final RequestMessage call;
+    final Responder responder;
+    final RequestMessage message;
     final String className;
     final List<Transport.Attempt> attempts = new ArrayList<>(2);
-    PoolZones.Pass pass;  // null where nobody counts what crosses zones
-    Timers.Timer backstop;
-    long endsAt;  // for hosts: an answer from there later than that would not reach its client in time
-    int out;
-    boolean late;
+    PoolZones.Pass crossing;  // null if zone crossings aren't counted
+    Timers.Timer deadlineTimer;
+    long hostDeadlineMicros;  // a host's response after that would reach the client too late
+    int attemptsInFlight;
+    boolean lastAttemptExpired;
     boolean ended;
 
-    Exchange(long id, Pool pool, Responder client, RequestMessage call, String className) {
+    Exchange(long id, Pool pool, Responder responder, RequestMessage message, String className) {
         this.id = id;
         this.pool = pool;
-        this.client = client;
-        this.call = call;
+        this.responder = responder;
+        this.message = message;
         this.className = className;
     }
 
-    /** Its time is up, whatever is left of it: it fails now. */
-    public void overdue() {
-        pool.ledger().overdue(this);
+    /** Fails the request because its time is up, even if the module would still answer it. */
+    public void timeOut() {
+        pool.requestTracker().timeOut(this);
     }
 
-    /** The client went away: nothing more is owed. */
-    public void departed() {
-        pool.ledger().departed(this);
+    /** Ends the request because its client disconnected: no answer is owed any more. */
+    public void clientDisconnected() {
+        pool.requestTracker().clientDisconnected(this);
     }
 }
--- a/src/main/java/mastdrift/engine/HostListSource.java
+++ b/src/main/java/mastdrift/engine/HostListSource.java
@@ -1,10 +1,13 @@
 package mastdrift.engine;
 
-/** Who tells a pool its hosts, as far as the module may ask; it answers by {@link Pool#learn} or {@link Pool#unheard}. */
+/**
+ * Where a pool gets its host lists, as far as the decision module can control that. Results arrive by {@link
+ * Pool#updateHosts} or {@link Pool#hostListFailed}.
+ */
 public interface HostListSource {
 
-    /** A source that tells by itself and can't be asked. */
-    HostListSource TELLS = new HostListSource() {
+    /** A source that pushes its lists and can't be queried. */
+    HostListSource PUSH_ONLY = new HostListSource() {
         @Override
         public void watch(boolean active) { }
 
@@ -12,14 +15,14 @@
         public void fetch() { }
     };
 
-    /** Subscribes to changes, or ends that. */
+    /** Subscribes to changes, or ends the subscription. */
     void watch(boolean active);
 
-    /** Asks for the whole list, once. */
+    /** Requests the full list, once. */
     void fetch();
 
-    /** Whether the list that it told last may be relied on by now. */
-    default boolean listHolds() {
+    /** Whether the latest list may still be relied on. */
+    default boolean isListValid() {
         return true;
     }
 }
--- a/src/main/java/mastdrift/engine/Pool.java
+++ b/src/main/java/mastdrift/engine/Pool.java
@@ -13,242 +13,265 @@
 import mastdrift.peers.OwnWork;
 import mastdrift.zones.PoolZones;
 
-/** A list of hosts, the one module that decides on them, and the transport to them. Drives the module: hands it events and
-    carries out what it asks. Everything happens on the loop's thread. */
+/**
+ * A host list, the decision module that chooses among the hosts, and the transport to them. Drives the module: passes
+ * events to it and carries out its actions. Everything runs on the event loop's thread.
+ */
 public final class Pool implements Balancer.Actions {
 
     private static final Transport.Attempt NOT_SENT = () -> { };
-    // What is left of a host's time where all of it may have passed here: as exact as need be, and not nothing, since
-    // hosts are compared by parts of what is usual.
-    private static final long LEAST = 1_000;
-    // Less lateness than that has nobody's time run out: what failed then failed by itself, however soon.
-    private static final long UNSURE = 100_000;
+    // The least time attributed to a host when all of an attempt's time may have been the gateway's own lateness.
+    // Precise enough, and not zero, since hosts are compared by ratios of their usual times.
+    private static final long MIN_HOST_TIME_MICROS = 1_000;
+    // Lateness of the gateway up to this uses up no request's time: an attempt that failed then failed by itself,
+    // however early.
+    private static final long MAX_HARMLESS_LATENESS_MICROS = 100_000;
 
     private final String name;
-    private final RequestTracker ledger;
+    private final RequestTracker requestTracker;
     private final Balancer module;
     private final Settings settings;
     private final Transport transport;
-    private final EndpointGate gate = new EndpointGate(this::listHolds);
+    private final EndpointGate gate = new EndpointGate(this::isHostListValid);
     private PoolZones zones;
-    private OwnWork work;
-    private HostListSource source = HostListSource.TELLS;
-    private int living;
+    private OwnWork ownWork;
+    private HostListSource hostListSource = HostListSource.PUSH_ONLY;
+    private int liveExchanges;
     private boolean closed;
 
-    /** {@link #start} comes first of all events. */
-    public Pool(String name, RequestTracker ledger, Balancer module, Settings settings, Transport transport) {
+    /** Creates a pool; {@link #start} comes before all other events. */
+    public Pool(String name, RequestTracker requestTracker, Balancer module, Settings settings, Transport transport) {
         this.name = name;
-        this.ledger = ledger;
+        this.requestTracker = requestTracker;
         this.module = module;
         this.settings = settings;
         this.transport = transport;
     }
 
-    /** What crosses zones is counted and bounded from now on; before {@link #start}. */
-    public void zones(PoolZones counted) {
-        zones = counted;
-        transport.count((uid, sent, received) -> counted.stray(ledger.now(), uid, sent, received));
+    /** Counts and bounds the traffic that crosses zones from now on. Called before {@link #start}. */
+    public void setZones(PoolZones poolZones) {
+        zones = poolZones;
+        transport.countBytes((uid, sentBytes, receivedBytes) ->
+                poolZones.stray(requestTracker.now(), uid, sentBytes, receivedBytes));
     }
 
-    /** What is out is counted for peers, and the module sees what they have out; before {@link #start}. */
-    public void peers(OwnWork counted, Balancer.Elsewhere others) {
-        work = counted;
-        module.elsewhere(others);
+    /**
+     * Counts requests in flight for the digests to peers, and gives the module what peers have in flight. Called before
+     * {@link #start}.
+     */
+    public void setPeers(OwnWork work, Balancer.Elsewhere peerWork) {
+        ownWork = work;
+        module.elsewhere(peerWork);
     }
 
-    PoolZones.Pass pass(RequestAttributes ask) {
+    PoolZones.Pass newCrossing(RequestAttributes attributes) {
         if (zones == null) {
             return null;
         }
-        for (RequestClass type : settings.classes()) {
-            if (type.name().equals(ask.className())) {
-                return zones.pass(ledger.now(), type, ask.tenant(), ask.clientZone(), ask.effect());
+        for (RequestClass requestClass : settings.classes()) {
+            if (requestClass.name().equals(attributes.className())) {
+                return zones.pass(requestTracker.now(), requestClass, attributes.tenant(), attributes.clientZone(),
+                        attributes.idempotencyKey());
             }
         }
         return null;
     }
 
-    /** Starts the module with the hosts known so far; throws IllegalArgumentException for settings it can't run with. */
-    public void start(HostListSource from, List<Member> known) {
-        start(from, gate.nextVersion(), known);
+    /**
+     * Starts the module with the hosts known so far. Throws IllegalArgumentException for settings that it can't run
+     * with.
+     */
+    public void start(HostListSource listSource, List<Member> members) {
+        start(listSource, gate.nextVersion(), members);
     }
 
-    /** Likewise, where the list of those has a version. */
-    public void start(HostListSource from, long version, List<Member> known) {
-        source = from;
-        module.start(ledger.now(), settings, this);
-        learn(ListForm.CACHED, version, known);
+    /** As above, for a host list that has a version. */
+    public void start(HostListSource listSource, long version, List<Member> members) {
+        hostListSource = listSource;
+        module.start(requestTracker.now(), settings, this);
+        updateHosts(ListForm.CACHED, version, members);
     }
 
-    /** What operators call it. */
+    /** The pool's name for operators. */
     public String name() {
         return name;
     }
 
-    /** The settings of its module. */
+    /** The settings of the pool's module. */
     public Settings settings() {
         return settings;
     }
 
-    /** Whether anybody may be sent to by the list in force. */
-    boolean listHolds() {
-        return source.listHolds();
+    /** Whether the host list in force is valid, so that hosts may be sent to. */
+    boolean isHostListValid() {
+        return hostListSource.isListValid();
     }
 
     Balancer module() {
         return module;
     }
 
-    RequestTracker ledger() {
-        return ledger;
+    RequestTracker requestTracker() {
+        return requestTracker;
     }
 
-    void began() {
-        living++;
+    void exchangeBegan() {
+        liveExchanges++;
     }
 
-    void ended() {
-        living--;
-        if (closed && living == 0) {
+    void exchangeEnded() {
+        liveExchanges--;
+        if (closed && liveExchanges == 0) {
             transport.close();
         }
     }
 
-    /** Hosts, or changes of them, newer than any before: in force once this returns. */
-    public void learn(ListForm form, List<Member> members) {
-        learn(form, gate.nextVersion(), members);
+    /** Puts a host list, or changes to it, in force as the newest version; done when this returns. */
+    public void updateHosts(ListForm form, List<Member> members) {
+        updateHosts(form, gate.nextVersion(), members);
     }
 
-    /** Likewise, of a version, which may be older than the one in force: then no instance that a newer one took out of service comes back. */
-    public void learn(ListForm form, long version, List<Member> members) {
-        List<Member> inForce = gate.take(version, form != ListForm.DELTA, members);
+    /**
+     * As above, for a list with a version. If that is older than the one in force, instances that a newer list took out
+     * of service don't come back.
+     */
+    public void updateHosts(ListForm form, long version, List<Member> members) {
+        List<Member> inForce = gate.apply(version, form != ListForm.DELTA, members);
         logTransitions("version " + version);
-        putInForce(form, inForce);
+        applyHosts(form, inForce);
     }
 
-    /** Takes out of service whom a list that is not taken says is draining or gone; see {@link EndpointGate#withdraw}. Returns how many. */
-    public int withdraw(long version, Set<String> named, List<Member> leaving) {
-        List<Member> changes = gate.withdraw(version, named, leaving);
-        logTransitions("version " + version + ", which is not put in force,");
+    /**
+     * Takes out of service the hosts that a list which isn't put in force says are draining or gone; see {@link
+     * EndpointGate#withdraw}. Returns how many.
+     */
+    public int withdraw(long version, Set<String> listedUids, List<Member> leaving) {
+        List<Member> changes = gate.withdraw(version, listedUids, leaving);
+        logTransitions("version " + version + " (withdrawals only)");
         if (!changes.isEmpty()) {
-            putInForce(ListForm.DELTA, changes);
+            applyHosts(ListForm.DELTA, changes);
         }
         return changes.size();
     }
 
-    /** Likewise, of a list that will be in force once it has been put together with others. */
+    /** As above, for a list that will be in force once it has been merged with others. */
     public void withdraw(List<Member> leaving) {
         withdraw(gate.nextVersion(), null, leaving);
     }
 
-    private void logTransitions(String by) {
+    private void logTransitions(String cause) {
         String transitions = gate.takeTransitions();
         if (!transitions.isEmpty()) {
-            ledger.log("by " + by + " " + transitions);
+            requestTracker.log("host list " + cause + ": " + transitions);
         }
     }
 
-    private void putInForce(ListForm form, List<Member> members) {
+    private void applyHosts(ListForm form, List<Member> members) {
         transport.update(form != ListForm.DELTA, members);
         List<Host> hosts = members.stream().map(Member::host).toList();
         if (zones != null) {
-            zones.hosts(ledger.now(), form != ListForm.DELTA, hosts);
+            zones.hosts(requestTracker.now(), form != ListForm.DELTA, hosts);
         }
-        ledger.event(null, now -> module.hosts(now, form, hosts));
+        requestTracker.submitEvent(null, now -> module.hosts(now, form, hosts));
     }
 
-    /** The source was asked and failed. */
-    public void unheard() {
-        ledger.event(null, now -> module.hosts(now, ListForm.FAILED, List.of()));
+    /** Reports to the module that a query of the host list source failed. */
+    public void hostListFailed() {
+        requestTracker.submitEvent(null, now -> module.hosts(now, ListForm.FAILED, List.of()));
     }
 
-    /** Nobody is sent anything new any more; what is out ends, then its connections close. */
+    /** Sends nothing new to any host; the connections close once the requests in flight have ended. */
     public void close() {
         closed = true;
-        source.watch(false);
-        learn(ListForm.FULL, List.of());
-        if (living == 0) {
+        hostListSource.watch(false);
+        updateHosts(ListForm.FULL, List.of());
+        if (liveExchanges == 0) {
             transport.close();
         }
     }
 
-    /** Tells the module how late the loop is, ahead of what may be judged by it. */
-    void own(long now) {
-        module.own(now, ledger.turns().standingQueueMicros(), ledger.turns().queuedMicros(now));
+    /** Reports the event loop's lateness to the module, before events whose interpretation depends on it. */
+    void reportLateness(long now) {
+        module.own(now, requestTracker.lateness().standingQueueMicros(), requestTracker.lateness().queuedMicros(now));
     }
 
-    /** An attempt: what of its time was this program's own, and its end. */
-    private final class Sending implements Transport.Ended {
+    /** One attempt of a request: the part of its time that was the gateway's own lateness, and its end. */
+    private final class AttemptListener implements Transport.CompletionListener {
 
         private final Exchange exchange;
-        private final int number;
+        private final int attemptNumber;
         private final String uid;
-        private final long sentAt = ledger.now();
-        private final PoolZones.Leg leg;
-        private long own;
-        private long sent;
-        private long received;
+        private final long sentAt = requestTracker.now();
+        private final PoolZones.Leg attemptTraffic;
+        private long ownLatenessMicros;
+        private long sentBytes;
+        private long receivedBytes;
 
-        Sending(Exchange exchange, String uid) {
+        AttemptListener(Exchange exchange, String uid) {
             this.exchange = exchange;
             this.uid = uid;
-            number = exchange.attempts.size();
-            leg = exchange.pass == null ? null : exchange.pass.sent(sentAt, uid, number);
-            if (work != null) {
-                work.sent(uid);
+            attemptNumber = exchange.attempts.size();
+            attemptTraffic = exchange.crossing == null ? null : exchange.crossing.sent(sentAt, uid, attemptNumber);
+            if (ownWork != null) {
+                ownWork.sent(uid);
             }
         }
 
         @Override
-        public void passed(long out, long in) {
-            sent = out;
-            received = in;
+        public void transferred(long totalSentBytes, long totalReceivedBytes) {
+            sentBytes = totalSentBytes;
+            receivedBytes = totalReceivedBytes;
         }
 
         @Override
-        public boolean wanted() {
-            ledger.readNotifications();  // a drain told meanwhile is one for what has not left yet
-            return !exchange.ended && exchange.client.there();
+        public boolean isWanted() {
+            requestTracker.readNotifications();  // a drain received meanwhile applies to what has not been sent yet
+            return !exchange.ended && exchange.responder.isClientConnected();
         }
 
         @Override
-        public void step() {
-            long now = ledger.now();
-            own += Math.min(ledger.turns().queuedMicros(now), now - sentAt);
+        public void progressed() {
+            long now = requestTracker.now();
+            ownLatenessMicros += Math.min(requestTracker.lateness().queuedMicros(now), now - sentAt);
         }
 
         @Override
-        public void ended(Outcome outcome, ResponseMessage answer, LoadReport report) {
-            if (work != null) {
-                work.ended(uid);
+        public void completed(Outcome outcome, ResponseMessage response, LoadReport report) {
+            if (ownWork != null) {
+                ownWork.ended(uid);
             }
-            long now = ledger.now();
-            long all = now - sentAt;
-            own += outcome == Outcome.EXPIRED ? ledger.turns().microsSinceWait(now) : ledger.turns().queuedMicros(now);
-            long elapsed = Math.max(all - own, Math.min(all, LEAST));
-            exchange.late = outcome == Outcome.EXPIRED;
-            ledger.attemptEnded(exchange, uid, outcome);
+            long now = requestTracker.now();
+            long totalMicros = now - sentAt;
+            ownLatenessMicros += outcome == Outcome.EXPIRED ? requestTracker.lateness().microsSinceWait(now)
+                    : requestTracker.lateness().queuedMicros(now);
+            long hostMicros = Math.max(totalMicros - ownLatenessMicros, Math.min(totalMicros, MIN_HOST_TIME_MICROS));
+            exchange.lastAttemptExpired = outcome == Outcome.EXPIRED;
+            requestTracker.attemptEnded(exchange, uid, outcome);
             if (outcome == Outcome.DELIVERED && !exchange.ended) {
-                ledger.served(exchange, answer);
-            } else if (exchange.client.left()) {
-                ledger.departed(exchange);  // ahead of what would have the module try again
+                requestTracker.serve(exchange, response);
+            } else if (exchange.responder.isClientGone()) {
+                requestTracker.clientDisconnected(exchange);  // before the event below, on which the module would retry
             }
-            Outcome told = own > UNSURE && 2 * own > all ? unblamed(outcome) : outcome;
-            if (leg != null) {
-                leg.ended(now, told, sent, received);
+            Outcome reportedOutcome = ownLatenessMicros > MAX_HARMLESS_LATENESS_MICROS
+                    && 2 * ownLatenessMicros > totalMicros ? inconclusive(outcome) : outcome;
+            if (attemptTraffic != null) {
+                attemptTraffic.ended(now, reportedOutcome, sentBytes, receivedBytes);
             }
-            ledger.event(exchange, at -> {
-                exchange.out--;
-                ledger.forget(exchange);
-                own(at);
-                module.resolved(at, exchange.id, number, uid, told, elapsed, exchange.ended, report);
+            requestTracker.submitEvent(exchange, eventTime -> {
+                exchange.attemptsInFlight--;
+                requestTracker.forgetIfDone(exchange);
+                reportLateness(eventTime);
+                module.resolved(eventTime, exchange.id, attemptNumber, uid, reportedOutcome, hostMicros, exchange.ended,
+                        report);
             });
         }
     }
 
-    /** Most of the time the loop wasn't looking: that it was the host isn't known. What may have run may have run all the same. */
-    private static Outcome unblamed(Outcome outcome) {
+    /**
+     * The outcome of an attempt for most of whose time the event loop was late, so that the host isn't known to be at
+     * fault. What may have run may still have run.
+     */
+    private static Outcome inconclusive(Outcome outcome) {
         return switch (outcome) {
             case EXPIRED, DROPPED -> Outcome.REVOKED;
             case DIAL_FAILED -> Outcome.UNUSED;
@@ -256,52 +279,54 @@
         };
     }
 
-    // ---- actions
+    // ---- actions of the module
 
     @Override
-    public void send(long id, String uid, long timeout, long leaveWithin) {
-        Exchange exchange = ledger.find(id);
-        Sending ended = new Sending(exchange, uid);
+    public void send(long id, String uid, long timeoutMicros, long maxSendDelayMicros) {
+        Exchange exchange = requestTracker.find(id);
+        AttemptListener listener = new AttemptListener(exchange, uid);
         Endpoint endpoint = gate.find(uid);
-        if (endpoint == null || exchange.ended || ended.number >= settings.limits().maxAttempts()) {
+        if (endpoint == null || exchange.ended || listener.attemptNumber >= settings.limits().maxAttempts()) {
             exchange.attempts.add(NOT_SENT);
-            ended.ended(Outcome.UNUSED, null, LoadReport.NONE);
+            listener.completed(Outcome.UNUSED, null, LoadReport.NONE);
         } else {
-            exchange.attempts.add(transport.send(endpoint, exchange.call, Math.min(timeout, exchange.endsAt - ledger.now()), leaveWithin, ended));
+            exchange.attempts.add(transport.send(endpoint, exchange.message,
+                    Math.min(timeoutMicros, exchange.hostDeadlineMicros - requestTracker.now()),
+                    maxSendDelayMicros, listener));
         }
-        exchange.out++;  // only now: of what could not be sent there is no outcome
+        exchange.attemptsInFlight++;  // only now: an attempt that could not be sent has reported its end above
     }
 
     @Override
     public void cancel(long id, int attempt) {
-        Exchange exchange = ledger.find(id);
+        Exchange exchange = requestTracker.find(id);
         if (exchange != null && attempt < exchange.attempts.size()) {
             exchange.attempts.get(attempt).cancel();
         }
     }
 
     @Override
-    public void refuse(long id, long retryAfter, Why why) {
-        Exchange exchange = ledger.find(id);
+    public void refuse(long id, long retryAfterMicros, Why reason) {
+        Exchange exchange = requestTracker.find(id);
         if (exchange != null && !exchange.ended) {
-            ledger.refuse(exchange, retryAfter, why);
+            requestTracker.refuse(exchange, retryAfterMicros, reason);
         }
     }
 
     @Override
     public void fail(long id) {
-        Exchange exchange = ledger.find(id);
+        Exchange exchange = requestTracker.find(id);
         if (exchange != null && !exchange.ended) {
-            ledger.fail(exchange, exchange.late);
+            requestTracker.fail(exchange, exchange.lastAttemptExpired);
         }
     }
 
     @Override
-    public void timer(long at, String handle) {
-        ledger.timers().after(Math.max(1, at - ledger.now()), () -> {
-            if (!closed || living > 0) {  // or the module of a pool that is gone would go on for good
-                ledger.event(null, now -> {
-                    own(now);
+    public void timer(long dueAt, String handle) {
+        requestTracker.timers().after(Math.max(1, dueAt - requestTracker.now()), () -> {
+            if (!closed || liveExchanges > 0) {  // otherwise the module of a closed pool would go on for good
+                requestTracker.submitEvent(null, now -> {
+                    reportLateness(now);
                     module.timer(now, handle);
                 });
             }
@@ -312,40 +337,41 @@
     public void probe(String uid) {
         Endpoint endpoint = gate.find(uid);
         if (endpoint == null) {
-            ledger.event(null, now -> module.probed(now, uid, Outcome.UNUSED, 0, LoadReport.NONE));
+            requestTracker.submitEvent(null, now -> module.probed(now, uid, Outcome.UNUSED, 0, LoadReport.NONE));
             return;
         }
-        long sentAt = ledger.now();
-        transport.probe(endpoint, new Transport.Probed() {
-            private long sent;
-            private long received;
+        long sentAt = requestTracker.now();
+        transport.probe(endpoint, new Transport.ProbeListener() {
+            private long sentBytes;
+            private long receivedBytes;
 
             @Override
-            public void passed(long out, long in) {
-                sent = out;
-                received = in;
+            public void transferred(long totalSentBytes, long totalReceivedBytes) {
+                sentBytes = totalSentBytes;
+                receivedBytes = totalReceivedBytes;
             }
 
             @Override
             public void probed(Outcome outcome, LoadReport report) {
                 if (zones != null) {
-                    zones.probed(ledger.now(), uid, outcome, sent, received);
+                    zones.probed(requestTracker.now(), uid, outcome, sentBytes, receivedBytes);
                 }
-                long all = ledger.now() - sentAt;
-                long elapsed = Math.max(all - ledger.turns().queuedMicros(ledger.now()), Math.min(all, LEAST));
-                ledger.event(null, now -> module.probed(now, uid, outcome, elapsed, report));
+                long totalMicros = requestTracker.now() - sentAt;
+                long hostMicros = Math.max(totalMicros - requestTracker.lateness().queuedMicros(requestTracker.now()),
+                        Math.min(totalMicros, MIN_HOST_TIME_MICROS));
+                requestTracker.submitEvent(null, now -> module.probed(now, uid, outcome, hostMicros, report));
             }
         });
     }
 
     @Override
     public void watch(boolean active) {
-        source.watch(active);
+        hostListSource.watch(active);
     }
 
     @Override
     public void fetch() {
-        source.fetch();
+        hostListSource.fetch();
     }
 
     @Override
@@ -353,14 +379,14 @@
         transport.closeIdle(uid);
     }
 
-    /** The settings allow no messages between gateways; the module sends none. */
+    /** Not supported: the settings allow no messages between gateways, and the module sends none. */
     @Override
     public void tell(int peer, byte[] message) {
-        throw new UnsupportedOperationException("gateways share nothing");
+        throw new UnsupportedOperationException("messages between gateways are not supported");
     }
 
     @Override
     public void log(String line) {
-        ledger.log(line);
+        requestTracker.log(line);
     }
 }
--- a/src/main/java/mastdrift/engine/RequestAttributes.java
+++ b/src/main/java/mastdrift/engine/RequestAttributes.java
@@ -1,13 +1,24 @@
 package mastdrift.engine;
 
-/** What a front knows of a request: its class, tenant (or null), key (or null), the microseconds that its client still
-    waits, whether it is a client's repeat, whether it writes, a guess at its work in microseconds (0 for none), the zone of its client
-    (empty where it isn't told), and what all repeats of its effect share (or null). */
-public record RequestAttributes(String className, String tenant, Long key, long left, boolean repeated, boolean write, long work, String clientZone,
-        Long effect) {
+/**
+ * What a front knows about a request.
+ *
+ * @param className name of the request's class
+ * @param tenant name of its tenant, or null
+ * @param key its affinity key, or null
+ * @param timeLeftMicros how long its client still waits
+ * @param repeated whether the client marked it as a retry
+ * @param write whether it writes
+ * @param estimatedWorkMicros an estimate of its work; 0 for none
+ * @param clientZone the zone of its client; empty if unknown
+ * @param idempotencyKey a number shared by all retries that must take effect only once, or null
+ */
+public record RequestAttributes(String className, String tenant, Long key, long timeLeftMicros, boolean repeated,
+        boolean write, long estimatedWorkMicros, String clientZone, Long idempotencyKey) {
 
-    /** Without a client's zone or an effect. */
-    public RequestAttributes(String className, String tenant, Long key, long left, boolean repeated, boolean write, long work) {
-        this(className, tenant, key, left, repeated, write, work, "", null);
+    /** A request without a client zone or an idempotency key. */
+    public RequestAttributes(String className, String tenant, Long key, long timeLeftMicros, boolean repeated,
+            boolean write, long estimatedWorkMicros) {
+        this(className, tenant, key, timeLeftMicros, repeated, write, estimatedWorkMicros, "", null);
     }
 }
--- a/src/main/java/mastdrift/engine/RequestListener.java
+++ b/src/main/java/mastdrift/engine/RequestListener.java
@@ -3,18 +3,21 @@
 import mastdrift.Balancer.Outcome;
 import mastdrift.Balancer.Why;
 
-/** Hears of each request that a ledger takes, and of its final answer, on the loop's thread. It sees and changes nothing. */
+/**
+ * Is told of each request that a {@link RequestTracker} receives and of its final answer, on the event loop's thread.
+ * It changes nothing.
+ */
 public interface RequestListener {
 
-    /** How a request ended; LEFT where its client went first and nothing more was owed. */
-    enum End { SERVED, REFUSED, FAILED, LATE, LEFT }
+    /** How a request ended; LEFT if its client disconnected before an answer. */
+    enum Result { SERVED, REFUSED, FAILED, LATE, LEFT }
 
-    /** A request was taken; the call is whole until its end has been told. */
-    void taken(RequestMessage call, RequestAttributes ask);
+    /** A request has arrived. The message stays readable until the end of the request has been reported. */
+    void requestReceived(RequestMessage message, RequestAttributes attributes);
 
-    /** An attempt of a request that has not ended yet ended at a host. */
-    default void attemptEnded(RequestMessage call, String uid, Outcome outcome) { }
+    /** An attempt ended at a host while its request was still open. */
+    default void attemptEnded(RequestMessage message, String uid, Outcome outcome) { }
 
-    /** Its end, exactly once; {@code why} is of a refusal, else null. */
-    void ended(RequestMessage call, End end, Why why);
+    /** A request ended; called exactly once. {@code reason} is the reason for a refusal, null otherwise. */
+    void requestEnded(RequestMessage message, Result result, Why reason);
 }
--- a/src/main/java/mastdrift/engine/RequestMessage.java
+++ b/src/main/java/mastdrift/engine/RequestMessage.java
@@ -1,8 +1,8 @@
 package mastdrift.engine;
 
-/** What a front took from a client, in the form that the transports of its protocol send on. */
+/** A client's request, in the form that the transports of its protocol send on to hosts. */
 public interface RequestMessage {
 
-    /** The request has ended: nothing of it will be sent any more. Called once. */
+    /** Releases its buffers: the request has ended, and nothing of it will be sent any more. Called once. */
     void release();
 }
--- a/src/main/java/mastdrift/engine/RequestTracker.java
+++ b/src/main/java/mastdrift/engine/RequestTracker.java
@@ -13,101 +13,117 @@
 import mastdrift.Balancer.Why;
 import mastdrift.lateness.EventLoopLateness;
 
-/** The ledger of requests and attempts, whatever their protocol and pool: one life and one final answer a request, and
-    events one after the other. Everything happens on the loop's thread. */
+/**
+ * Tracks requests and their attempts, independent of protocol and pool: each request gets one final answer, and events
+ * are handled one after the other. Everything runs on the event loop's thread.
+ */
 public final class RequestTracker {
 
-    // The time left counts from the client's send and the answer has to travel: so much of it is kept back.
-    private static final long MARGIN = 5_000;
-    // A request still open so long after the module's time for it is failed, whatever the module thinks.
-    private static final long BACKSTOP = 2_000;
-    // Of the 250 ms in which a drain has to be heard. What may have waited for longer waits until all that came is read: a
-    // list may be behind it.
-    private static final long LATE = 100_000;
-    /** What may have stood unread for longer, in microseconds, is looked at before something is decided that it would change: a client's end, news of hosts.
-        Longer than the loop ever waits, so that it costs nothing while the loop keeps up, and short enough to leave 40 ms for the ways from a client and to
-        a host where no attempt may begin more than 0.1 s after its client has left; less than any grace seen. */
-    public static final long LOOK_AFTER = 60_000;
-    // A standing queue of the gateway's own is said from here on, once in a while.
-    private static final long LATE_SAID = 50_000;
-    private static final long SAID_EVERY = 10_000_000;
+    // Subtracted from the time that the client still waits: that time counts from the client's send, and the response
+    // has to travel back.
+    private static final long RESPONSE_MARGIN_MICROS = 5_000;
+    // A request still open this long after the time given to the module is failed, whatever the module decides.
+    private static final long FORCED_FAILURE_DELAY_MICROS = 2_000;
+    // If what is being handled may have waited for longer than this, events are deferred until all that has arrived is
+    // read, since a host list may be behind it. A part of the 250 ms within which a drain has to take effect.
+    private static final long DEFER_EVENTS_AFTER_MICROS = 100_000;
+    /**
+     * If input may have been unread for longer than this, it is read before a decision that it could change: a client's
+     * disconnect, or news about hosts. Longer than the event loop ever blocks, so this costs nothing while the loop
+     * keeps up. Short enough to leave 40 ms for the network paths from the client and to the host under the rule that
+     * no attempt begins more than 0.1 s after its client has left; shorter than any drain grace in use.
+     */
+    public static final long CHECK_INPUT_AFTER_MICROS = 60_000;
+    // The event loop's own standing queue is logged from this length on, at most once in each interval.
+    private static final long MIN_LOGGED_LATENESS_MICROS = 50_000;
+    private static final long LATENESS_LOG_INTERVAL_MICROS = 10_000_000;
 
     private final Timers timers;
     private final Clock clock;
-    private final EventLoopLateness turns;
-    private final int openMost;
+    private final EventLoopLateness lateness;
+    private final int maxOpenRequests;
     private final Consumer<String> log;
     private final Map<Long, Exchange> exchanges = new HashMap<>();
-    private final ServiceCount count = new ServiceCount();
-    private final Queue<Runnable> events = new ArrayDeque<>();
-    private RequestListener witness;  // null where nobody asks
-    private BooleanSupplier unreadNotifications = () -> true;
+    private final ServiceCount serviceCount = new ServiceCount();
+    private final Queue<Runnable> pendingEvents = new ArrayDeque<>();
+    private RequestListener requestListener;  // null if there is none
+    private BooleanSupplier notificationReader = () -> true;
     private long notificationsReadAt;
-    private boolean inEvent;
-    private boolean deferred;
-    private long saidAt = -SAID_EVERY;
+    private boolean handlingEvent;
+    private boolean eventsDeferred;
+    private long latenessLoggedAt = -LATENESS_LOG_INTERVAL_MICROS;
     private long nextId = 1;
-    private int open;
+    private int openRequests;
 
-    /** Holds {@code openMost} requests that are not answered; its timers come on the thread that drives it, which is never late. */
-    public RequestTracker(Timers timers, Clock clock, int openMost, Consumer<String> log) {
-        this(timers, clock, new EventLoopLateness(), openMost, log);
+    /**
+     * Tracks up to {@code maxOpenRequests} unanswered requests. For a thread that is never late, on which the timers
+     * fire too.
+     */
+    public RequestTracker(Timers timers, Clock clock, int maxOpenRequests, Consumer<String> log) {
+        this(timers, clock, new EventLoopLateness(), maxOpenRequests, log);
     }
 
-    /** Likewise, on a loop that is as late as its turns say. */
-    public RequestTracker(Timers timers, Clock clock, EventLoopLateness turns, int openMost, Consumer<String> log) {
+    /** As above, for an event loop with the given lateness. */
+    public RequestTracker(Timers timers, Clock clock, EventLoopLateness lateness, int maxOpenRequests,
+            Consumer<String> log) {
         this.timers = timers;
         this.clock = clock;
-        this.turns = turns;
-        this.openMost = openMost;
+        this.lateness = lateness;
+        this.maxOpenRequests = maxOpenRequests;
         this.log = log;
     }
 
-    /** Microseconds. */
+    /** The current time in microseconds. */
     public long now() {
         return clock.now();
     }
 
-    /** Since when at the earliest what is being handled now may have waited for the loop, in microseconds. */
-    public long arrived() {
+    /** The earliest time at which the input being handled now can have arrived, in microseconds of the clock. */
+    public long earliestArrivalAt() {
         long now = now();
-        return now - turns.queuedMicros(now);
+        return now - lateness.queuedMicros(now);
     }
 
-    /** For how long at the most what is being handled now may have been there, in microseconds, whatever the loop waited for meanwhile. */
-    public long unseen() {
-        return turns.maxQueuedMicros(now());
+    /**
+     * The longest time for which the input being handled now can have been unread, in microseconds, counting whatever
+     * the loop did meanwhile.
+     */
+    public long maxUnreadMicros() {
+        return lateness.maxQueuedMicros(now());
     }
 
-    /** Which of its turns the loop is in, from 1 up; 0 where nobody tells of turns. */
-    public long turn() {
-        return turns.turnNumber();
+    /** The number of the event loop's current turn, from 1; 0 if the loop doesn't report its turns. */
+    public long turnNumber() {
+        return lateness.turnNumber();
     }
 
-    /** Every request from now on is told to it. */
-    public void witness(RequestListener by) {
-        witness = by;
+    /** Sets the listener that is told of every request from now on. */
+    public void setRequestListener(RequestListener listener) {
+        requestListener = listener;
     }
 
-    /** {@code read} reads what has been told of hosts and stands unread, and returns whether nothing more can stand there. It is called on the loop's
-        thread, ahead of events and of first bytes, where a turn has taken long: what was told since the turn began would otherwise be heard only in the
-        next one. */
-    public void notifications(BooleanSupplier read) {
-        unreadNotifications = read;
+    /**
+     * Sets the reader of pending notifications about hosts: it reads what has been received and not yet read, and
+     * returns whether nothing more can be pending. It is called on the event loop's thread before events and before an
+     * attempt's first byte when a turn has taken long: what arrived since the turn began would otherwise be read only
+     * in the next turn.
+     */
+    public void setNotificationReader(BooleanSupplier reader) {
+        notificationReader = reader;
     }
 
-    /** Final answers so far. */
-    public ServiceCount count() {
-        return count;
+    /** The final answers so far. */
+    public ServiceCount serviceCount() {
+        return serviceCount;
     }
 
-    /** Requests that are not answered yet. */
-    public int open() {
-        return open;
+    /** The number of requests not answered yet. */
+    public int openRequests() {
+        return openRequests;
     }
 
-    EventLoopLateness turns() {
-        return turns;
+    EventLoopLateness lateness() {
+        return lateness;
     }
 
     Timers timers() {
@@ -122,213 +138,232 @@
         return exchanges.get(id);
     }
 
-    /** Takes a request for a pool, and with it the call, which it releases; null where it was answered at once. */
-    public Exchange take(Pool pool, Responder client, RequestMessage call, RequestAttributes ask) {
-        return take(pool, client, call, ask, turns.queuedMicros(now()));
+    /**
+     * Accepts a request for a pool and takes over the message, which it releases. Returns null if the request was
+     * answered at once.
+     */
+    public Exchange accept(Pool pool, Responder responder, RequestMessage message, RequestAttributes attributes) {
+        return accept(pool, responder, message, attributes, lateness.queuedMicros(now()));
     }
 
-    /** Likewise, one that has waited here for up to {@code waited} microseconds. */
-    public Exchange take(Pool pool, Responder client, RequestMessage call, RequestAttributes ask, long waited) {
+    /** As above, for a request that has waited in this process for up to {@code queuedMicros}. */
+    public Exchange accept(Pool pool, Responder responder, RequestMessage message, RequestAttributes attributes,
+            long queuedMicros) {
         long now = now();
-        long kept = ask.left() - MARGIN;
-        if (witness != null) {
-            witness.taken(call, ask);
+        long usableMicros = attributes.timeLeftMicros() - RESPONSE_MARGIN_MICROS;
+        if (requestListener != null) {
+            requestListener.requestReceived(message, attributes);
         }
-        if (open >= Math.min(openMost, pool.settings().limits().maxOpen())) {
-            turnedAway(pool, client, call, ask);
+        if (openRequests >= Math.min(maxOpenRequests, pool.settings().limits().maxOpen())) {
+            refuseUnaccepted(pool, responder, message, attributes);
             return null;
         }
-        if (kept <= 0) {
-            if (waited > MARGIN) {  // its time may be up: it waited here, and a new try does no harm
-                turnedAway(pool, client, call, ask);
+        if (usableMicros <= 0) {
+            // its time ran out while it waited here, and a retry is harmless
+            if (queuedMicros > RESPONSE_MARGIN_MICROS) {
+                refuseUnaccepted(pool, responder, message, attributes);
             } else {
-                over(call, RequestListener.End.LATE, null);
-                count.failed(ask.className());
-                client.failed(true);
+                reportEndAndRelease(message, RequestListener.Result.LATE, null);
+                serviceCount.countFailed(attributes.className());
+                responder.sendFailure(true);
             }
             return null;
         }
-        sayLate();
-        Exchange exchange = new Exchange(nextId++, pool, client, call, ask.className());
-        open++;
-        pool.began();
+        logLateness();
+        Exchange exchange = new Exchange(nextId++, pool, responder, message, attributes.className());
+        openRequests++;
+        pool.exchangeBegan();
         exchanges.put(exchange.id, exchange);
-        exchange.pass = pool.pass(ask);
-        exchange.endsAt = now + kept;
-        exchange.backstop = timers.after(kept + BACKSTOP, () -> overdue(exchange));
-        event(exchange, at -> {
+        exchange.crossing = pool.newCrossing(attributes);
+        exchange.hostDeadlineMicros = now + usableMicros;
+        exchange.deadlineTimer = timers.after(usableMicros + FORCED_FAILURE_DELAY_MICROS, () -> timeOut(exchange));
+        submitEvent(exchange, eventTime -> {
             if (exchange.ended) {
-                return;  // it was held back, and its client left meanwhile: nobody is to be asked, and no host found for it
+                return;  // deferred, and its client left meanwhile: the module isn't asked
             }
-            if (!pool.listHolds()) {  // nobody could be sent to: a new try, maybe at another gateway, does no harm
-                refuse(exchange, retryAfter(pool), Why.LIST);
+            // no host may be sent to: a retry, perhaps through another gateway, is harmless
+            if (!pool.isHostListValid()) {
+                refuse(exchange, retryAfterMicros(pool), Why.LIST);
                 return;
             }
-            pool.own(at);
-            long left = Math.max(0, exchange.endsAt - at);  // of which it may have spent some held back
-            pool.module().request(at, new Balancer.Request(exchange.id, ask.className(), ask.tenant(), ask.key(), left,
-                    ask.work(), ask.repeated(), ask.write(), exchange.pass == null ? null : exchange.pass.bounds()));
+            pool.reportLateness(eventTime);
+            // less what it spent while deferred
+            long remainingMicros = Math.max(0, exchange.hostDeadlineMicros - eventTime);
+            pool.module().request(eventTime, new Balancer.Request(exchange.id, attributes.className(),
+                    attributes.tenant(), attributes.key(), remainingMicros, attributes.estimatedWorkMicros(),
+                    attributes.repeated(), attributes.write(), exchange.crossing == null ? null
+                    : exchange.crossing.bounds()));
         });
         return exchange.ended ? null : exchange;
     }
 
-    private void turnedAway(Pool pool, Responder client, RequestMessage call, RequestAttributes ask) {
-        over(call, RequestListener.End.REFUSED, Why.GATEWAY);
-        count.refused(ask.className(), Why.GATEWAY);
-        client.refused(retryAfter(pool));
+    private void refuseUnaccepted(Pool pool, Responder responder, RequestMessage message,
+            RequestAttributes attributes) {
+        reportEndAndRelease(message, RequestListener.Result.REFUSED, Why.GATEWAY);
+        serviceCount.countRefused(attributes.className(), Why.GATEWAY);
+        responder.sendRefusal(retryAfterMicros(pool));
     }
 
-    private static long retryAfter(Pool pool) {
+    private static long retryAfterMicros(Pool pool) {
         Balancer.Limits limits = pool.settings().limits();
         return limits.retryAfter() ? limits.maxRetryAfter() : 0;
     }
 
-    private void over(RequestMessage call, RequestListener.End end, Why why) {
-        if (witness != null) {
-            witness.ended(call, end, why);
+    private void reportEndAndRelease(RequestMessage message, RequestListener.Result result, Why reason) {
+        if (requestListener != null) {
+            requestListener.requestEnded(message, result, reason);
         }
-        call.release();
+        message.release();
     }
 
-    /** An attempt has ended, which may end its request next. */
+    /** Reports the end of an attempt, which may end its request next. */
     void attemptEnded(Exchange exchange, String uid, Outcome outcome) {
-        if (witness != null && !exchange.ended) {
-            witness.attemptEnded(exchange.call, uid, outcome);
+        if (requestListener != null && !exchange.ended) {
+            requestListener.attemptEnded(exchange.message, uid, outcome);
         }
     }
 
-    private void sayLate() {
-        if (turns.standingQueueMicros() >= LATE_SAID && now() - saidAt >= SAID_EVERY) {
-            saidAt = now();
-            log("the gateway itself is late: whatever comes waits " + turns.standingQueueMicros() / 1000 + " ms at least");
+    private void logLateness() {
+        if (lateness.standingQueueMicros() >= MIN_LOGGED_LATENESS_MICROS
+                && now() - latenessLoggedAt >= LATENESS_LOG_INTERVAL_MICROS) {
+            latenessLoggedAt = now();
+            log("the gateway itself is late: whatever comes waits " + lateness.standingQueueMicros() / 1000
+                    + " ms at least");
         }
     }
 
-    // ---- events: one after the other, never one inside another, and none on what may be out of date
+    // ---- events: handled one after the other, never nested, and not on input that may be out of date
 
-    void event(Exchange exchange, LongConsumer event) {
-        events.add(() -> {
+    void submitEvent(Exchange exchange, LongConsumer event) {
+        pendingEvents.add(() -> {
             try {
                 event.accept(now());
-            } catch (RuntimeException | Error fault) {  // memory may run out for one request and be there for the next
-                log("fault in an event: " + fault + Arrays.stream(fault.getStackTrace()).limit(1).toList());
+            } catch (RuntimeException | Error exception) {  // an OutOfMemoryError may concern one request alone
+                log("exception in an event handler: " + exception
+                + Arrays.stream(exception.getStackTrace()).limit(1).toList());
                 if (exchange != null && !exchange.ended) {
                     fail(exchange, false);
-                    departedFrom(exchange);
+                    notifyModuleOfDeparture(exchange);
                 }
             }
         });
-        if (inEvent || deferred) {
+        if (handlingEvent || eventsDeferred) {
             return;
         }
-        if (turns.queuedMicros(now()) > LATE) {
-            deferred = true;
-            timers.after(1, () -> {  // timers come once all that is there has been read
-                deferred = false;
-                play();
+        if (lateness.queuedMicros(now()) > DEFER_EVENTS_AFTER_MICROS) {
+            eventsDeferred = true;
+            timers.after(1, () -> {  // timers run once all that has arrived has been read
+                eventsDeferred = false;
+                runPendingEvents();
             });
         } else {
-            play();
+            runPendingEvents();
         }
     }
 
-    private void play() {
-        inEvent = true;
+    private void runPendingEvents() {
+        handlingEvent = true;
         try {
-            while (!events.isEmpty()) {
+            while (!pendingEvents.isEmpty()) {
                 readNotifications();
-                events.poll().run();
+                pendingEvents.poll().run();
             }
         } finally {
-            inEvent = false;  // or no event would ever be heard again
+            handlingEvent = false;  // otherwise no event would ever be handled again
         }
     }
 
-    /** Hears what may have been told too long ago to be unread; what comes of it is played ahead of what waits. */
+    /**
+     * Reads notifications that may have been pending for too long. The events that they cause are handled ahead of
+     * those already queued.
+     */
     void readNotifications() {
         long now = now();
-        if (turns.maxQueuedMicros(now) <= LOOK_AFTER || now - notificationsReadAt <= LOOK_AFTER) {
+        if (lateness.maxQueuedMicros(now) <= CHECK_INPUT_AFTER_MICROS
+                || now - notificationsReadAt <= CHECK_INPUT_AFTER_MICROS) {
             return;
         }
-        boolean within = inEvent;
-        int waiting = events.size();
-        inEvent = true;
+        boolean wasHandlingEvent = handlingEvent;
+        int alreadyPending = pendingEvents.size();
+        handlingEvent = true;
         try {
-            if (unreadNotifications.getAsBoolean()) {
+            if (notificationReader.getAsBoolean()) {
                 notificationsReadAt = now;
             }
         } finally {
-            inEvent = within;
+            handlingEvent = wasHandlingEvent;
         }
-        for (int i = 0; i < waiting; i++) {
-            events.add(events.poll());
+        for (int i = 0; i < alreadyPending; i++) {
+            pendingEvents.add(pendingEvents.poll());
         }
-        if (!within && !deferred) {
-            play();
+        if (!wasHandlingEvent && !eventsDeferred) {
+            runPendingEvents();
         }
     }
 
-    // ---- ends
+    // ---- ends of requests
 
-    void served(Exchange exchange, ResponseMessage answer) {
-        finish(exchange, RequestListener.End.SERVED, null);
-        count.served(exchange.className);
-        exchange.client.served(answer);
+    void serve(Exchange exchange, ResponseMessage response) {
+        finish(exchange, RequestListener.Result.SERVED, null);
+        serviceCount.countServed(exchange.className);
+        exchange.responder.sendResponse(response);
     }
 
-    void refuse(Exchange exchange, long retryAfter, Why why) {
-        finish(exchange, RequestListener.End.REFUSED, why);
-        count.refused(exchange.className, why);
-        if (exchange.pass != null) {
-            exchange.pass.refused(now(), why);
+    void refuse(Exchange exchange, long retryAfterMicros, Why reason) {
+        finish(exchange, RequestListener.Result.REFUSED, reason);
+        serviceCount.countRefused(exchange.className, reason);
+        if (exchange.crossing != null) {
+            exchange.crossing.refused(now(), reason);
         }
-        exchange.client.refused(retryAfter);
+        exchange.responder.sendRefusal(retryAfterMicros);
     }
 
-    void fail(Exchange exchange, boolean late) {
-        finish(exchange, late ? RequestListener.End.LATE : RequestListener.End.FAILED, null);
-        count.failed(exchange.className);
-        exchange.client.failed(late);
+    void fail(Exchange exchange, boolean timedOut) {
+        finish(exchange, timedOut ? RequestListener.Result.LATE : RequestListener.Result.FAILED, null);
+        serviceCount.countFailed(exchange.className);
+        exchange.responder.sendFailure(timedOut);
     }
 
-    void departed(Exchange exchange) {
+    void clientDisconnected(Exchange exchange) {
         if (!exchange.ended) {
-            finish(exchange, RequestListener.End.LEFT, null);
-            departedFrom(exchange);
+            finish(exchange, RequestListener.Result.LEFT, null);
+            notifyModuleOfDeparture(exchange);
         }
     }
 
-    /** The module owes an answer in time, and this keeps the promise where it doesn't. What it would answer by may have been held back: timers come once all
-        that is there has been read, so that is played first. */
-    void overdue(Exchange exchange) {
-        if (deferred && !inEvent) {
-            play();
+    /**
+     * Fails a request that the module has not answered in time. Its answer may depend on events that were deferred:
+     * timers run once all that has arrived has been read, so those events are handled first.
+     */
+    void timeOut(Exchange exchange) {
+        if (eventsDeferred && !handlingEvent) {
+            runPendingEvents();
         }
         if (!exchange.ended) {
             fail(exchange, true);
-            departedFrom(exchange);
+            notifyModuleOfDeparture(exchange);
         }
     }
 
-    private void departedFrom(Exchange exchange) {
-        event(null, now -> {
-            exchange.pool.own(now);
+    private void notifyModuleOfDeparture(Exchange exchange) {
+        submitEvent(null, now -> {
+            exchange.pool.reportLateness(now);
             exchange.pool.module().departed(now, exchange.id);
         });
     }
 
-    private void finish(Exchange exchange, RequestListener.End end, Why why) {
+    private void finish(Exchange exchange, RequestListener.Result result, Why reason) {
         exchange.ended = true;
-        exchange.backstop.cancel();
-        over(exchange.call, end, why);
-        open--;
-        forget(exchange);
+        exchange.deadlineTimer.cancel();
+        reportEndAndRelease(exchange.message, result, reason);
+        openRequests--;
+        forgetIfDone(exchange);
     }
 
-    /** Once it has ended and none of its attempts is out. */
-    void forget(Exchange exchange) {
-        if (exchange.ended && exchange.out == 0 && exchanges.remove(exchange.id) != null) {
-            exchange.pool.ended();
+    /** Removes the request once it has ended and none of its attempts is in flight. */
+    void forgetIfDone(Exchange exchange) {
+        if (exchange.ended && exchange.attemptsInFlight == 0 && exchanges.remove(exchange.id) != null) {
+            exchange.pool.exchangeEnded();
         }
     }
 }
--- a/src/main/java/mastdrift/engine/Responder.java
+++ b/src/main/java/mastdrift/engine/Responder.java
@@ -1,25 +1,36 @@
 package mastdrift.engine;
 
-/** Where the one final answer of a request goes. Exactly one of these is called, once, unless the client left first. */
+/**
+ * Receives the one final answer of a request. Exactly one of the {@code send} methods is called, once, unless the
+ * client disconnected first.
+ */
 public interface Responder {
 
-    /** Whether it is still there to be answered, as far as this can be known by now. Asked where a first byte is about to leave for it, which may
-        be ahead of the event that tells of its end. */
-    default boolean there() {
+    /**
+     * Whether the client is still connected, as far as this can be known now. Checked just before the first byte of an
+     * attempt leaves for a host, which may be before the event that reports a disconnect has been handled.
+     */
+    default boolean isClientConnected() {
         return true;
     }
 
-    /** Whether it is known to have left, though the event that tells so may be still to come: nothing more is tried for it. */
-    default boolean left() {
+    /**
+     * Whether the client is known to have disconnected, even if the event that reports it is still to come: the request
+     * isn't retried then.
+     */
+    default boolean isClientGone() {
         return false;
     }
 
-    /** With a host's answer, which the caller releases. */
-    void served(ResponseMessage answer);
+    /** Sends a host's response, which the caller releases. */
+    void sendResponse(ResponseMessage response);
 
-    /** Trying again does no harm; {@code retryAfter} in microseconds, 0 where nothing is known. */
-    void refused(long retryAfter);
+    /**
+     * Sends a refusal: the request had no effect, so a retry is harmless. {@code retryAfterMicros} is 0 if nothing is
+     * known.
+     */
+    void sendRefusal(long retryAfterMicros);
 
-    /** No claim about any effect; {@code late} where the time was up. */
-    void failed(boolean late);
+    /** Sends a failure, with no claim about any effect of the request; {@code timedOut} if its time ran out. */
+    void sendFailure(boolean timedOut);
 }
--- a/src/main/java/mastdrift/engine/ResponseMessage.java
+++ b/src/main/java/mastdrift/engine/ResponseMessage.java
@@ -1,5 +1,8 @@
 package mastdrift.engine;
 
-/** What a host answered, in the form that the fronts of its protocol pass on. Valid until the call that brings it ends. */
+/**
+ * A host's response, in the form that the fronts of its protocol send on to clients. It is valid until the call that
+ * delivers it returns.
+ */
 public interface ResponseMessage {
 }
--- a/src/main/java/mastdrift/engine/ServiceCount.java
+++ b/src/main/java/mastdrift/engine/ServiceCount.java
@@ -6,62 +6,62 @@
 import java.util.TreeMap;
 import mastdrift.Balancer.Why;
 
-/** Final answers by class. Read and written on the loop's thread. */
+/** Counts of final answers by request class. Read and written on the event loop's thread. */
 public final class ServiceCount {
 
-    /** How requests of one class ended; {@code failed} includes those whose time was up. */
-    public static final class Of {
+    /** How the requests of one class ended. */
+    public static final class ClassCounts {
         private long served;
-        private final long[] refused = new long[Why.values().length];
+        private final long[] refusedByReason = new long[Why.values().length];
         private long failed;
 
-        /** Requests answered with a host's answer. */
+        /** Requests answered with a host's response. */
         public long served() {
             return served;
         }
 
-        /** Requests turned away: a new try is harmless. */
+        /** Requests refused: a retry is harmless. */
         public long refused() {
-            return Arrays.stream(refused).sum();
+            return Arrays.stream(refusedByReason).sum();
         }
 
-        /** Those of them that were turned away for this. */
-        public long refused(Why why) {
-            return refused[why.ordinal()];
+        /** Requests refused for this reason. */
+        public long refused(Why reason) {
+            return refusedByReason[reason.ordinal()];
         }
 
-        /** Requests that failed, with no claim about their effect. */
+        /** Requests that failed, with no claim about their effect; includes those that timed out. */
         public long failed() {
             return failed;
         }
     }
 
-    private final Map<String, Of> classes = new HashMap<>();
+    private final Map<String, ClassCounts> countsByClass = new HashMap<>();
 
-    /** The counts of a class, which go on counting. */
-    public Of of(String className) {
-        Of of = classes.get(className);
-        if (of == null) {
-            of = new Of();
-            classes.put(className, of);
+    /** The counts of a class; the object is updated with each further answer. */
+    public ClassCounts forClass(String className) {
+        ClassCounts counts = countsByClass.get(className);
+        if (counts == null) {
+            counts = new ClassCounts();
+            countsByClass.put(className, counts);
         }
-        return of;
+        return counts;
     }
 
-    /** Classes that were met, by name. */
-    public Map<String, Of> classes() {
-        return new TreeMap<>(classes);
+    /** The counts of all classes seen so far, sorted by name. */
+    public Map<String, ClassCounts> byClass() {
+        return new TreeMap<>(countsByClass);
     }
 
-    void served(String className) {
-        of(className).served++;
+    void countServed(String className) {
+        forClass(className).served++;
     }
 
-    void refused(String className, Why why) {
-        of(className).refused[why.ordinal()]++;
+    void countRefused(String className, Why reason) {
+        forClass(className).refusedByReason[reason.ordinal()]++;
     }
 
-    void failed(String className) {
-        of(className).failed++;
+    void countFailed(String className) {
+        forClass(className).failed++;
     }
 }
--- a/src/main/java/mastdrift/engine/TimerWheel.java
+++ b/src/main/java/mastdrift/engine/TimerWheel.java
@@ -1,193 +1,205 @@
 package mastdrift.engine;
 
 /**
- * Timers by a hashed wheel with one list a slot (Varghese and Lauck, <em>Hashed and Hierarchical Timing Wheels</em>, SOSP 1987,
- * scheme 6): to begin and to cancel one costs a few links, however many there are. Nearly all timers of a gateway are cancelled,
- * so that is what has to be cheap; a heap pays for its order on each of them.
+ * Timers on a hashed timing wheel with one list per slot (Varghese and Lauck, <em>Hashed and Hierarchical Timing
+ * Wheels</em>, SOSP 1987, scheme 6): scheduling and cancelling change a few links, however many timers there are.
+ * Nearly all timers of a gateway are cancelled, so these must be cheap; a heap would pay for its order on each of them.
  *
- * <p>Times are rounded up to the next {@link #TICK}. One timer of the loop below is armed at a time, for the first slot that has
- * an entry; where that was cancelled in the meantime it finds nothing and arms the next. On the thread of that loop alone.
+ * <p>Times are rounded up to the next {@link #TICK_MICROS}. One base timer is armed at a time, for the first slot that
+ * has an entry; if that entry was cancelled in the meantime, the base timer finds nothing due and arms the next. Used
+ * on the event loop's thread alone.
  */
 public final class TimerWheel implements Timers {
 
-    /** Microseconds. */
-    public static final long TICK = 1_000;
-    private static final int SLOTS = 4_096;  // four seconds ahead: longer ones pass their slot once a round
-    private static final int MASK = SLOTS - 1;
+    /** Length of a tick. */
+    public static final long TICK_MICROS = 1_000;
+    private static final int SLOTS = 4_096;  // about four seconds; a longer timer is passed over once in each rotation
+    private static final int SLOT_MASK = SLOTS - 1;
 
     private final Clock clock;
-    private final Timers loop;
+    private final Timers baseTimers;
     private final Entry[] slots = new Entry[SLOTS];
     private final long[] occupied = new long[SLOTS / Long.SIZE];
-    private long done;  // ticks up to and with this one have been played
-    private long armedFor = Long.MAX_VALUE;
-    private Timer armed = () -> { };
-    private int count;
-
-    /** By timers of {@code loop}, whose time is {@code clock}. */
-    public TimerWheel(Clock clock, Timers loop) {
+    private long lastTick;  // all ticks up to this one have been processed
+    private long armedTick = Long.MAX_VALUE;
+    private Timer armedTimer = () -> { };
+    private int activeCount;
+
+    /**
+     * Creates a wheel without timers.
+     *
+     * @param clock the time base of {@code baseTimers}
+     * @param baseTimers the timers that drive the wheel
+     */
+    public TimerWheel(Clock clock, Timers baseTimers) {
         this.clock = clock;
-        this.loop = loop;
-        done = clock.now() / TICK;
+        this.baseTimers = baseTimers;
+        lastTick = clock.now() / TICK_MICROS;
     }
 
-    /** Timers that are neither over nor cancelled. */
-    public int count() {
-        return count;
+    /** The number of timers that have neither fired nor been cancelled. */
+    public int activeCount() {
+        return activeCount;
     }
 
     @Override
-    public Timer after(long micros, Runnable what) {
+    public Timer after(long delayMicros, Runnable task) {
         long now = clock.now();
-        if (count == 0) {
-            done = Math.max(done, now / TICK);  // nobody looked while there was nothing
+        if (activeCount == 0) {
+            lastTick = Math.max(lastTick, now / TICK_MICROS);  // ticks aren't processed while there are no timers
         }
-        long tick = Math.max(done + 1, (now + Math.max(0, micros) + TICK - 1) / TICK);
-        Entry entry = new Entry(tick, what);
+        long tick = Math.max(lastTick + 1, (now + Math.max(0, delayMicros) + TICK_MICROS - 1) / TICK_MICROS);
+        Entry entry = new Entry(tick, task);
         entry.link();
-        if (tick < armedFor) {
+        if (tick < armedTick) {
             arm(now, tick);
         }
         return entry;
     }
 
     private void arm(long now, long tick) {
-        armed.cancel();
-        armedFor = tick;
-        armed = loop.after(Math.max(1, tick * TICK - now), this::turn);
+        armedTimer.cancel();
+        armedTick = tick;
+        armedTimer = baseTimers.after(Math.max(1, tick * TICK_MICROS - now), this::advance);
     }
 
-    private void turn() {
-        armedFor = Long.MAX_VALUE;
-        long until = clock.now() / TICK;
-        boolean fault = true;
+    private void advance() {
+        armedTick = Long.MAX_VALUE;
+        long currentTick = clock.now() / TICK_MICROS;
+        boolean failed = true;
         try {
-            while (done < until && count > 0) {
-                long tick = nextOccupied(done + 1, Math.min(until, done + SLOTS));
-                done = tick;
-                play(slots[(int) tick & MASK], tick);
+            while (lastTick < currentTick && activeCount > 0) {
+                long tick = nextOccupiedTick(lastTick + 1, Math.min(currentTick, lastTick + SLOTS));
+                lastTick = tick;
+                runDue(slots[(int) tick & SLOT_MASK], tick);
             }
-            done = Math.max(done, until);
-            fault = false;
+            lastTick = Math.max(lastTick, currentTick);
+            failed = false;
         } finally {
-            if (fault) {
-                done--;  // those behind it in its slot are played by the next turn
+            if (failed) {
+                lastTick--;  // the rest of this tick's entries run at the next advance
             }
-            long next = count == 0 ? Long.MAX_VALUE : first();
-            if (next < armedFor) {
-                arm(clock.now(), next);
+            long nextTick = activeCount == 0 ? Long.MAX_VALUE : firstOccupiedTick();
+            if (nextTick < armedTick) {
+                arm(clock.now(), nextTick);
             }
         }
     }
 
-    /** Those of one slot whose tick has come. They are taken out of it before the first is played, since any may cancel any, in this slot too, or begin others
-        in it. One that throws leaves those behind it to the next turn. */
-    private void play(Entry first, long tick) {
-        Entry due = null;
-        Entry last = null;
+    /**
+     * Runs the due entries of one slot. They are unlinked before the first runs, since any of them may cancel any
+     * other, in this slot too, or schedule new ones in it. If one throws, those after it are linked again for the next
+     * advance.
+     */
+    private void runDue(Entry first, long tick) {
+        Entry firstDue = null;
+        Entry lastDue = null;
         for (Entry entry = first; entry != null; ) {
             Entry next = entry.next == first ? null : entry.next;
-            entry.after = null;
+            entry.nextDue = null;
             if (entry.tick <= tick) {
-                due = due == null ? entry : due;
-                if (last != null) {
-                    last.after = entry;
+                firstDue = firstDue == null ? entry : firstDue;
+                if (lastDue != null) {
+                    lastDue.nextDue = entry;
                 }
-                last = entry;
+                lastDue = entry;
             }
             entry = next;
         }
-        for (Entry entry = due; entry != null; entry = entry.after) {
+        for (Entry entry = firstDue; entry != null; entry = entry.nextDue) {
             entry.unlink();
         }
-        for (Entry entry = due; entry != null; entry = entry.after) {
-            Runnable what = entry.what;
-            entry.what = null;
-            if (what != null) {
+        for (Entry entry = firstDue; entry != null; entry = entry.nextDue) {
+            Runnable task = entry.task;
+            entry.task = null;
+            if (task != null) {
                 try {
-                    what.run();
-                } catch (RuntimeException | Error fault) {
-                    relink(entry.after);
-                    throw fault;
+                    task.run();
+                } catch (RuntimeException | Error exception) {
+                    relinkRemaining(entry.nextDue);
+                    throw exception;
                 }
             }
         }
     }
 
-    private static void relink(Entry from) {
-        for (Entry entry = from; entry != null; entry = entry.after) {
-            if (entry.what != null) {
+    private static void relinkRemaining(Entry from) {
+        for (Entry entry = from; entry != null; entry = entry.nextDue) {
+            if (entry.task != null) {
                 entry.link();
             }
         }
     }
 
-    /** The first tick from {@code from} to {@code most} whose slot has an entry; {@code most} where there is none. */
-    private long nextOccupied(long from, long most) {
-        for (long tick = from; tick < most; ) {
-            long word = occupied[(int) (tick & MASK) / Long.SIZE] >>> (tick & Long.SIZE - 1);
+    /** The first tick from {@code from} on whose slot has an entry; {@code limit} if there is none before it. */
+    private long nextOccupiedTick(long from, long limit) {
+        for (long tick = from; tick < limit; ) {
+            long word = occupied[(int) (tick & SLOT_MASK) / Long.SIZE] >>> (tick & Long.SIZE - 1);
             if (word != 0) {
-                return Math.min(most, tick + Long.numberOfTrailingZeros(word));
+                return Math.min(limit, tick + Long.numberOfTrailingZeros(word));
             }
             tick = (tick | Long.SIZE - 1) + 1;
         }
-        return most;
+        return limit;
     }
 
-    /** The first tick that has something to do: a slot may hold entries of a later round alone, which costs a look a round. */
-    private long first() {
-        return nextOccupied(done + 1, done + SLOTS);
+    /**
+     * The next tick to process. Its slot may hold only entries of a later rotation, which costs one look at the slot in
+     * each rotation.
+     */
+    private long firstOccupiedTick() {
+        return nextOccupiedTick(lastTick + 1, lastTick + SLOTS);
     }
 
     private final class Entry implements Timer {
 
         private final long tick;
-        private Runnable what;
-        private Entry before;
+        private Runnable task;
+        private Entry previous;
         private Entry next;
-        private Entry after;  // among those that are due
+        private Entry nextDue;  // the next one among the due entries
         private boolean linked;
 
-        Entry(long tick, Runnable what) {
+        Entry(long tick, Runnable task) {
             this.tick = tick;
-            this.what = what;
+            this.task = task;
         }
 
         private void link() {
-            int slot = (int) tick & MASK;
+            int slot = (int) tick & SLOT_MASK;
             Entry first = slots[slot];
             if (first == null) {
-                slots[slot] = before = next = this;
+                slots[slot] = previous = next = this;
                 occupied[slot / Long.SIZE] |= 1L << slot;
             } else {
-                before = first.before;
+                previous = first.previous;
                 next = first;
-                before.next = this;
-                first.before = this;
+                previous.next = this;
+                first.previous = this;
             }
             linked = true;
-            count++;
+            activeCount++;
         }
 
         private void unlink() {
-            int slot = (int) tick & MASK;
+            int slot = (int) tick & SLOT_MASK;
             if (next == this) {
                 slots[slot] = null;
                 occupied[slot / Long.SIZE] &= ~(1L << slot);
             } else {
-                before.next = next;
-                next.before = before;
+                previous.next = next;
+                next.previous = previous;
                 if (slots[slot] == this) {
                     slots[slot] = next;
                 }
             }
             linked = false;
-            count--;
+            activeCount--;
         }
 
         @Override
         public void cancel() {
-            what = null;
+            task = null;
             if (linked) {
                 unlink();
             }
--- a/src/main/java/mastdrift/engine/Timers.java
+++ b/src/main/java/mastdrift/engine/Timers.java
@@ -4,24 +4,24 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** What is to happen later, on the thread that everything happens on: an event loop's, or a virtual one. */
+/** Schedules tasks on the thread that everything runs on: an event loop's thread, or a simulated one. */
 @FunctionalInterface
 public interface Timers {
 
-    /** Something that is to happen. */
+    /** A scheduled task. */
     @FunctionalInterface
     interface Timer {
-        /** It will not happen, unless it has. */
+        /** Cancels the task unless it has run. */
         void cancel();
     }
 
-    /** Once, after so many microseconds or soon after. */
-    Timer after(long micros, Runnable what);
+    /** Runs a task once, after the delay or soon after it. */
+    Timer after(long delayMicros, Runnable task);
 
-    /** Those of a loop that has one thread. */
-    static Timers of(ScheduledExecutorService loop) {
-        return (micros, what) -> {
-            Future<?> future = loop.schedule(what, micros, TimeUnit.MICROSECONDS);
+    /** Timers of an executor with a single thread. */
+    static Timers of(ScheduledExecutorService executor) {
+        return (delayMicros, task) -> {
+            Future<?> future = executor.schedule(task, delayMicros, TimeUnit.MICROSECONDS);
             return () -> future.cancel(false);
         };
     }
--- a/src/main/java/mastdrift/engine/Transitions.java
+++ b/src/main/java/mastdrift/engine/Transitions.java
@@ -2,45 +2,49 @@
 
 import java.util.StringJoiner;
 
-/** The changes of endpoints' service that one list makes, in words for a log: so many by name, the rest counted. */
+/**
+ * Collects the changes of endpoints' service that a host list makes, as text for a log. Up to {@link #MAX_NAMED} are
+ * listed by name, the rest are counted.
+ */
 final class Transitions {
 
-    static final int NAMED_MOST = 12;
+    static final int MAX_NAMED = 12;
 
     /** Why an endpoint's service ended. */
     enum Cause {
         DRAINING, REMOVED,
-        /** A whole list doesn't name it. */
+        /** A complete host list doesn't name it. */
         LEFT_OUT,
-        /** Another start, or another address, of the same server is in service. */
+        /** Another start or another address of the same server is in service. */
         REPLACED
     }
 
-    private StringJoiner words = new StringJoiner(", ");
+    private StringJoiner descriptions = new StringJoiner(", ");
     private int count;
 
-    void began(String uid) {
+    void addInService(String uid) {
         add(uid + " in service");
     }
 
-    void ended(String uid, Cause cause) {
-        add(uid + " ended: " + cause);
+    void addEnded(String uid, Cause cause) {
+        add(uid + " out of service: " + cause);
     }
 
-    private void add(String word) {
-        if (++count <= NAMED_MOST) {
-            words.add(word);
+    private void add(String description) {
+        if (++count <= MAX_NAMED) {
+            descriptions.add(description);
         }
     }
 
-    /** All since the last call. */
+    /** The changes since the last call; empty if there were none. */
     String take() {
         if (count == 0) {
             return "";
         }
-        String all = count > NAMED_MOST ? words + " and " + (count - NAMED_MOST) + " more" : words.toString();
-        words = new StringJoiner(", ");
+        String text = count > MAX_NAMED ? descriptions + " and " + (count - MAX_NAMED) + " more"
+                : descriptions.toString();
+        descriptions = new StringJoiner(", ");
         count = 0;
-        return all;
+        return text;
     }
 }
--- a/src/main/java/mastdrift/engine/package-info.java
+++ b/src/main/java/mastdrift/engine/package-info.java
@@ -1,3 +1,6 @@
-/** What every protocol shares: the ledger, in which a request has one life and one final answer, and pools, each a list of
-    hosts with one decision module and one transport. Knows no protocol; runs on one event loop, without locks. */
+/**
+ * The part shared by all protocols: the request tracker, which gives each request one final answer, and pools, each
+ * with a host list, one decision module and one transport. Independent of any protocol; runs on one event loop, without
+ * locks.
+ */
 package mastdrift.engine;
--- a/src/main/java/mastdrift/lab/model/ModelGateway.java
+++ b/src/main/java/mastdrift/lab/model/ModelGateway.java
@@ -91,12 +91,12 @@
                 pools.put(poolName, pool);
                 filed.put(poolName, new Membership.Filed(List.of(), settings.rules().fallSpan(), settings.rules().warmWithin()));
                 if (zoning != null) {
-                    pool.zones(zoning.pool(poolName));
+                    pool.setZones(zoning.pool(poolName));
                 }
                 if (peers != null) {
-                    pool.peers(work, peers);
+                    pool.setPeers(work, peers);
                 }
-                pool.start(HostListSource.TELLS, List.of());
+                pool.start(HostListSource.PUSH_ONLY, List.of());
             }
             if (zoning != null) {
                 tick(timers);
@@ -119,7 +119,7 @@
             hosts.stream().map(this::heeded).forEach(host -> byPool.computeIfAbsent(poolOf.get(host.address()), name -> new ArrayList<>()).add(host));
             byPool.forEach((name, own) -> {
                 if (membership == null) {
-                    pools.get(name).learn(form, members(own));
+                    pools.get(name).updateHosts(form, members(own));
                     somebody.put(name, true);
                     return;
                 }
@@ -136,7 +136,7 @@
 
         private void put(Map<String, PoolList> changed) {
             changed.forEach((name, list) -> {
-                pools.get(name).learn(ListForm.FULL, members(list.hosts().stream().map(listed -> listed.host()).toList()));
+                pools.get(name).updateHosts(ListForm.FULL, members(list.hosts().stream().map(listed -> listed.host()).toList()));
                 somebody.put(name, list.somebody());
             });
             long due = membership.dueAt();
@@ -159,10 +159,10 @@
                     : router.pool(traits, this::somebody);
             Pool pool = name == null ? null : pools.get(name);
             if (pool == null) {
-                given.failed(false);
+                given.sendFailure(false);
                 return null;
             }
-            return ledger.take(pool, given, given, ask);
+            return ledger.accept(pool, given, given, ask);
         }
 
         private boolean somebody(String pool) {
--- a/src/main/java/mastdrift/lab/model/ModelTransport.java
+++ b/src/main/java/mastdrift/lab/model/ModelTransport.java
@@ -62,9 +62,9 @@
     public void update(boolean all, List<Member> members) { }
 
     @Override
-    public Attempt send(Endpoint to, RequestMessage call, long timeout, long leaveWithin, Ended ended) {
+    public Attempt send(Endpoint to, RequestMessage call, long timeout, long leaveWithin, CompletionListener ended) {
         if (!to.maySend() || timeout <= 0) {
-            ended.ended(Outcome.UNUSED, null, LoadReport.NONE);
+            ended.completed(Outcome.UNUSED, null, LoadReport.NONE);
             return () -> { };
         }
         Flight flight = new Flight(to, (Try) call, ended);
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public void probe(Endpoint to, Probed probed) {
+    public void probe(Endpoint to, ProbeListener probed) {
         if (!to.maySend()) {
             probed.probed(Outcome.UNUSED, LoadReport.NONE);
             return;
@@ -100,12 +100,12 @@
         private final Endpoint endpoint;
         private final ModelNode node;
         private final Try asked;
-        private final Ended ended;
+        private final CompletionListener ended;
         private Timers.Timer timer;
         private boolean written;
         private boolean over;
 
-        Flight(Endpoint endpoint, Try asked, Ended ended) {
+        Flight(Endpoint endpoint, Try asked, CompletionListener ended) {
             this.endpoint = endpoint;
             node = nodes[indices.get(endpoint.uid())];
             this.asked = asked;
@@ -238,8 +238,8 @@
                 usedAt[node.index()] = time.now();
             }
             boolean answered = outcome == Outcome.DELIVERED || outcome == Outcome.ERROR || outcome == Outcome.SHED;
-            ended.passed(written ? requestBytes : 0, answered ? answerBytes : 0);
-            ended.ended(outcome, outcome == Outcome.DELIVERED ? new ModelAnswer(node) : null, LoadReport.NONE);
+            ended.transferred(written ? requestBytes : 0, answered ? answerBytes : 0);
+            ended.completed(outcome, outcome == Outcome.DELIVERED ? new ModelAnswer(node) : null, LoadReport.NONE);
         }
 
         private void trace(String what) {
--- a/src/main/java/mastdrift/lab/model/Try.java
+++ b/src/main/java/mastdrift/lab/model/Try.java
@@ -105,7 +105,7 @@
             watch.unanswered(request(), "gateway-" + gateway.number());
         }
         if (exchange != null && alive()) {
-            exchange.departed();
+            exchange.clientDisconnected();
         }
         end(Ended.UNANSWERED, 0);
     }
@@ -138,17 +138,17 @@
     }
 
     @Override
-    public void served(ResponseMessage answer) {
+    public void sendResponse(ResponseMessage answer) {
         answer(Ended.SERVED, 0);
     }
 
     @Override
-    public void refused(long retryAfter) {
+    public void sendRefusal(long retryAfter) {
         answer(Ended.REFUSED, retryAfter);
     }
 
     @Override
-    public void failed(boolean late) {
+    public void sendFailure(boolean late) {
         answer(Ended.FAILED, 0);
     }
 
--- a/src/main/java/mastdrift/net/ClientSide.java
+++ b/src/main/java/mastdrift/net/ClientSide.java
@@ -209,7 +209,7 @@
             checkStopped();
             return;
         }
-        loop.schedule(() -> closeServer(ledger.turn()), STOP_ACCEPTING_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> closeServer(ledger.turnNumber()), STOP_ACCEPTING_MILLIS, TimeUnit.MILLISECONDS);
         // With short deadlines the program may be killed sooner than that.
         long answered = answerBy - ledger.now();
         loop.schedule(this::endServing, Math.min(STOP_SERVING_MILLIS * 1_000, answered), TimeUnit.MICROSECONDS);
@@ -224,8 +224,8 @@
     /** Who waits in the system's queue of new connections has been taken, and closing the listener would reset them: only once the wait of a turn behind
         {@code since} has found nobody there, or when all is answered anyway. */
     private void closeServer(long since) {
-        boolean empty = ledger.turn() > since && acceptedIn < ledger.turn() && queueEmpty() && server.config().isAutoRead();
-        if (empty || ledger.turn() == 0 || ledger.now() >= answerBy) {
+        boolean empty = ledger.turnNumber() > since && acceptedIn < ledger.turnNumber() && queueEmpty() && server.config().isAutoRead();
+        if (empty || ledger.turnNumber() == 0 || ledger.now() >= answerBy) {
             server.close();
             checkStopped();
         } else {
@@ -279,9 +279,9 @@
         @Override
         public void channelRead(ChannelHandlerContext context, Object child) {
             if (accepted++ == 0 && queueEmpty()) {
-                queuedSince = ledger.arrived();
+                queuedSince = ledger.earliestArrivalAt();
             }
-            acceptedIn = ledger.turn();
+            acceptedIn = ledger.turnNumber();
             context.fireChannelRead(child);
         }
 
@@ -315,13 +315,13 @@
     /** Whether nobody was left in the system's queue by the last wait, but for who has come since: a look came to its end, or, where it found as many as
         are taken at a time, the wait of a turn behind it has found nobody. */
     private boolean queueEmpty() {
-        return queueSeen || ledger.turn() > acceptedIn + 1;
+        return queueSeen || ledger.turnNumber() > acceptedIn + 1;
     }
 
     private void goOnAccepting() {
         if (!server.config().isAutoRead()) {
             queueSeen = false;  // whoever is there may have come during the pause
-            acceptedIn = ledger.turn();
+            acceptedIn = ledger.turnNumber();
             server.config().setAutoRead(true);
         }
     }
@@ -406,7 +406,7 @@
         /** At the bound another one makes room; where none can, no more are accepted for now. */
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            openedIn = ledger.turn();
+            openedIn = ledger.turnNumber();
             openedSince = queuedSince;
             entry = connections.add(ledger.now(), this, holder(channel.remoteAddress()));
             if (connections.size() > most && !makeRoom(entry)) {
@@ -447,7 +447,7 @@
         /** What is open is answered now. */
         private void end() {
             if (exchange != null) {
-                exchange.overdue();
+                exchange.timeOut();
             }
         }
 
@@ -469,7 +469,7 @@
                 dropWaiting();
             }
             if (exchange != null) {
-                exchange.departed();
+                exchange.clientDisconnected();
             }
             checkStopped();
         }
@@ -493,8 +493,8 @@
             }
             read = true;
             // What the first wait after the accept finds may have been there as long as the connection.
-            long at = ledger.turn() == openedIn + 1 ? Math.min(openedSince, ledger.arrived()) : ledger.arrived();
-            Arrived arrived = new Arrived(message, at, ledger.turn());
+            long at = ledger.turnNumber() == openedIn + 1 ? Math.min(openedSince, ledger.earliestArrivalAt()) : ledger.earliestArrivalAt();
+            Arrived arrived = new Arrived(message, at, ledger.turnNumber());
             if (current == null) {
                 next(arrived);
                 return;
@@ -525,7 +525,7 @@
             Arrived next = waiting == null ? null : waiting.poll();
             if (next == null && counted > 0) {
                 counted--;
-                return new Arrived(COUNTED, ledger.now(), ledger.turn());
+                return new Arrived(COUNTED, ledger.now(), ledger.turnNumber());
             }
             return next;
         }
@@ -555,14 +555,14 @@
             connections.moveTo(ledger.now(), entry, ConnectionPhase.BUSY);
             current = arrived.message;
             // Since it was read, an end has been heard in the turn in which it came.
-            long unheard = arrived.turn == ledger.turn() ? Math.max(ledger.now() - arrived.at, ledger.unseen()) : ledger.unseen();
+            long unheard = arrived.turn == ledger.turnNumber() ? Math.max(ledger.now() - arrived.at, ledger.maxUnreadMicros()) : ledger.maxUnreadMicros();
             if (flooded && current != COUNTED) {
                 loop.execute(() -> {  // where all behind it has been read, it is as good as any
                     flooded = !Look.through(channel, PAUSED_LOOKS);
                     beginNow(arrived, flooded);
                 });
             } else {
-                boolean late = unheard > RequestTracker.LOOK_AFTER;
+                boolean late = unheard > RequestTracker.CHECK_INPUT_AFTER_MICROS;
                 loop.execute(() -> {  // not within the read that brought it: a look at the connection would find nothing there
                     if (late) {
                         Look.at(channel);
@@ -585,7 +585,7 @@
         private void begin(Arrived arrived, boolean behindPause) {
             FullHttpRequest message = arrived.message;
             if (message == COUNTED || behindPause) {
-                refused(0);
+                sendRefusal(0);
                 return;
             }
             Throwable fault = message.decoderResult().cause();
@@ -640,7 +640,7 @@
                     plain(HttpResponseStatus.NOT_FOUND, false);
                     return;
                 }
-                exchange = ledger.take(pool, this, new HttpCall(message.retain()), new RequestAttributes(type.name(), tenant, key, left,
+                exchange = ledger.accept(pool, this, new HttpCall(message.retain()), new RequestAttributes(type.name(), tenant, key, left,
                         head.again(), message.method().equals(HttpMethod.POST), work, zone(), effect), waited);
             }
         }
@@ -673,7 +673,7 @@
 
         /** Its end may stand unread: it is looked for each time, since the process may have been held up since it was read last. */
         @Override
-        public boolean there() {
+        public boolean isClientConnected() {
             if (!channel.config().isAutoRead()) {
                 return Look.through(channel, PAUSED_LOOKS) && channel.isActive();
             }
@@ -682,12 +682,12 @@
         }
 
         @Override
-        public boolean left() {
+        public boolean isClientGone() {
             return !channel.isActive();
         }
 
         @Override
-        public void served(ResponseMessage given) {
+        public void sendResponse(ResponseMessage given) {
             FullHttpResponse answer = ((HttpAnswer) given).message();
             ByteBuf body = answer.content().retain();
             FullHttpResponse response = Unchecked.response(HttpResponseStatus.OK, body);
@@ -700,7 +700,7 @@
 
         /** Whole seconds, as HTTP has them; no word of when to come back where none is to be given. */
         @Override
-        public void refused(long retryAfter) {
+        public void sendRefusal(long retryAfter) {
             FullHttpResponse response = empty(HttpResponseStatus.SERVICE_UNAVAILABLE);
             if (retryAfter > 0) {
                 response.headers().set(HttpHeaderNames.RETRY_AFTER, (retryAfter + 999_999) / 1_000_000);
@@ -709,7 +709,7 @@
         }
 
         @Override
-        public void failed(boolean late) {
+        public void sendFailure(boolean late) {
             plain(late ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY, false);
         }
 
--- a/src/main/java/mastdrift/net/ConnectionPool.java
+++ b/src/main/java/mastdrift/net/ConnectionPool.java
@@ -55,7 +55,7 @@
     private final int most;
     private final Map<String, Idle> idle = new HashMap<>();
     private final Consumer<String> faults;
-    private Transport.Strays strays;  // null where bytes aren't counted
+    private Transport.StrayBytesListener strays;  // null where bytes aren't counted
     private int connections;
     private boolean closed;
 
@@ -90,7 +90,7 @@
     }
 
     /** Bytes are counted from now on; before anything is sent. */
-    void count(Transport.Strays to) {
+    void count(Transport.StrayBytesListener to) {
         strays = to;
     }
 
@@ -164,7 +164,7 @@
         if (strays != null) {
             connection.tellStrays((sent, received) -> {
                 if (sent + received > 0) {
-                    strays.stray(connection.endpoint().uid(), sent, received);
+                    strays.strayBytes(connection.endpoint().uid(), sent, received);
                 }
             });
         }
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -46,23 +46,23 @@
             }
 
             @Override
-            public boolean listHolds() {
+            public boolean isListValid() {
                 return discovery == null || discovery.listHolds();  // null while the known list is put in force
             }
         };
         Discovery.Listener listener = new Lists();
-        ledger.witness(new RequestLog(timed.clock()::now, this::log));
+        ledger.setRequestListener(new RequestLog(timed.clock()::now, this::log));
         if (tally) {
             Tracing tracing = new Tracing(hosts, timed, config.settings(), this::log);
-            ledger.witness(tracing);
+            ledger.setRequestListener(tracing);
             Tallying tallying = new Tallying(tracing, timed, config.settings().rules().warmWithin(), ledger, tracing, this::log);
             hosts = tallying;
             listener = tallying.counted(listener);
         }
         pool = new Pool("hosts", ledger, module, config.settings(), hosts);
-        Discovery.Terms terms = new Discovery.Terms(!config.settings().registryOnRequest(), config.settings().rules().mustAskIn(), ledger::unseen);
+        Discovery.Terms terms = new Discovery.Terms(!config.settings().registryOnRequest(), config.settings().rules().mustAskIn(), ledger::maxUnreadMicros);
         discovery = new Discovery(loop, config.discovery(), terms, config.known(), listener);
-        ledger.notifications(discovery::look);
+        ledger.setNotificationReader(discovery::look);
         pool.start(source, config.known().rev(), config.known().entries());
         log("settings: lists are " + (config.settings().registryOnRequest() ? "asked for" : "pushed") + ", " + config.settings().rules());
         logList(config.known());
@@ -111,7 +111,7 @@
         @Override
         public void listed(HostList list) {
             logList(list);
-            pool.learn(list.all() ? ListForm.FULL : ListForm.DELTA, list.rev(), list.entries());
+            pool.updateHosts(list.all() ? ListForm.FULL : ListForm.DELTA, list.rev(), list.entries());
             told.complete(null);
         }
 
@@ -130,7 +130,7 @@
         @Override
         public void failed(String cause) {
             log("discovery failed: " + cause);
-            pool.unheard();
+            pool.hostListFailed();
         }
     }
 
--- a/src/main/java/mastdrift/net/HttpTransport.java
+++ b/src/main/java/mastdrift/net/HttpTransport.java
@@ -38,28 +38,28 @@
     }
 
     @Override
-    public Attempt send(Endpoint to, RequestMessage call, long timeout, long leaveWithin, Ended ended) {
+    public Attempt send(Endpoint to, RequestMessage call, long timeout, long leaveWithin, CompletionListener ended) {
         return connections.send(to, onward(((HttpCall) call).message()), timeout, leaveWithin, new HttpAttempt.Listener() {
             @Override
             public void ended(Outcome outcome, FullHttpResponse answer) {
                 boolean given = answer != null && reports == Reports.INLINE;
-                ended.ended(outcome, answer == null ? null : new HttpAnswer(answer),
+                ended.completed(outcome, answer == null ? null : new HttpAnswer(answer),
                         given ? LoadReports.parse(answer.headers().get("Endpoint-Load-Metrics")) : LoadReport.NONE);
             }
 
             @Override
             public boolean wanted() {
-                return ended.wanted();
+                return ended.isWanted();
             }
 
             @Override
             public void connected() {
-                ended.step();
+                ended.progressed();
             }
 
             @Override
             public void passed(long sent, long received) {
-                ended.passed(sent, received);
+                ended.transferred(sent, received);
             }
         });
     }
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public void probe(Endpoint to, Probed probed) {
+    public void probe(Endpoint to, ProbeListener probed) {
         boolean given = reports != Reports.OFF;
         FullHttpRequest message = Unchecked.request(HttpMethod.GET, given ? "/status/load" : "/health", Unpooled.EMPTY_BUFFER);
         connections.send(to, message, PROBE_TIMEOUT, PROBE_TIMEOUT, new HttpAttempt.Listener() {
@@ -92,13 +92,13 @@
 
             @Override
             public void passed(long sent, long received) {
-                probed.passed(sent, received);
+                probed.transferred(sent, received);
             }
         });
     }
 
     @Override
-    public void count(Strays strays) {
+    public void countBytes(StrayBytesListener strays) {
         connections.count(strays);
     }
 
--- a/src/main/java/mastdrift/net/RequestLog.java
+++ b/src/main/java/mastdrift/net/RequestLog.java
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public void taken(RequestMessage call, RequestAttributes ask) {
+    public void requestReceived(RequestMessage call, RequestAttributes ask) {
         open.put(call, new Open(clock.getAsLong()));
     }
 
@@ -55,9 +55,9 @@
     }
 
     @Override
-    public void ended(RequestMessage call, End end, Why why) {
+    public void requestEnded(RequestMessage call, Result end, Why why) {
         Open request = open.remove(call);
-        if (request == null || end == End.SERVED && request.count <= 1) {
+        if (request == null || end == Result.SERVED && request.count <= 1) {
             return;
         }
         String id = call instanceof HttpCall http ? http.message().headers().get("X-Trace-Id") : "";
--- a/src/main/java/mastdrift/net/Tallying.java
+++ b/src/main/java/mastdrift/net/Tallying.java
@@ -68,7 +68,7 @@
     /** Final answers are counted by the ledger as they come, and from it here by difference. */
     private void answered() {
         long[] now = new long[answers.length];
-        for (ServiceCount.Of of : ledger.count().classes().values()) {
+        for (ServiceCount.ClassCounts of : ledger.serviceCount().byClass().values()) {
             now[0] += of.served();
             now[1] += of.failed();
             for (Why why : Why.values()) {
@@ -116,45 +116,45 @@
     }
 
     @Override
-    public Attempt send(Endpoint to, RequestMessage call, long timeout, long leaveWithin, Ended ended) {
+    public Attempt send(Endpoint to, RequestMessage call, long timeout, long leaveWithin, CompletionListener ended) {
         String uid = to.uid();
         second.add(Count.SENDS);
         second.sent(uid);
         if (cold.contains(uid)) {
             second.add(Count.COLD);
         }
-        return transport.send(to, call, timeout, leaveWithin, new Ended() {
+        return transport.send(to, call, timeout, leaveWithin, new CompletionListener() {
             @Override
-            public void ended(Outcome outcome, ResponseMessage answer, LoadReport report) {
+            public void completed(Outcome outcome, ResponseMessage answer, LoadReport report) {
                 second.add(Count.valueOf(outcome.name()));
                 if (outcome != Outcome.DELIVERED && outcome != Outcome.REVOKED && outcome != Outcome.UNUSED) {
                     second.lost(uid);
                 }
-                ended.ended(outcome, answer, report);
+                ended.completed(outcome, answer, report);
             }
 
             @Override
-            public boolean wanted() {
-                return ended.wanted();
+            public boolean isWanted() {
+                return ended.isWanted();
             }
 
             @Override
-            public void step() {
+            public void progressed() {
                 second.add(Count.OPENED);
-                ended.step();
+                ended.progressed();
             }
 
             @Override
-            public void passed(long sent, long received) {
-                ended.passed(sent, received);
+            public void transferred(long sent, long received) {
+                ended.transferred(sent, received);
             }
         });
     }
 
     @Override
-    public void probe(Endpoint at, Probed probed) {
+    public void probe(Endpoint at, ProbeListener probed) {
         second.add(Count.PROBES);
-        transport.probe(at, new Probed() {
+        transport.probe(at, new ProbeListener() {
             @Override
             public void probed(Outcome outcome, LoadReport report) {
                 if (outcome != Outcome.DELIVERED) {
@@ -164,8 +164,8 @@
             }
 
             @Override
-            public void passed(long sent, long received) {
-                probed.passed(sent, received);
+            public void transferred(long sent, long received) {
+                probed.transferred(sent, received);
             }
         });
     }
@@ -188,8 +188,8 @@
     }
 
     @Override
-    public void count(Strays strays) {
-        transport.count(strays);
+    public void countBytes(StrayBytesListener strays) {
+        transport.countBytes(strays);
     }
 
     @Override
--- a/src/main/java/mastdrift/net/Tracing.java
+++ b/src/main/java/mastdrift/net/Tracing.java
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void taken(RequestMessage call, RequestAttributes ask) {
+    public void requestReceived(RequestMessage call, RequestAttributes ask) {
         long now = clock.now();
         if (now / SECOND != second) {
             second = now / SECOND;
@@ -94,7 +94,7 @@
         }
         begun++;
         lives.put(id(call), new Life(now));
-        tell(id(call), Step.Kind.TAKEN, -1, "", taken(ask), ask.left());
+        tell(id(call), Step.Kind.TAKEN, -1, "", taken(ask), ask.timeLeftMicros());
     }
 
     private String taken(RequestAttributes ask) {
@@ -102,7 +102,7 @@
     }
 
     @Override
-    public void ended(RequestMessage call, End end, Why why) {
+    public void requestEnded(RequestMessage call, Result end, Why why) {
         Life life = lives.remove(id(call));
         if (life != null) {
             tell(id(call), Step.Kind.ANSWERED, -1, "", why == null ? end.name() : end + " " + why, clock.now() - life.takenAt);
@@ -123,7 +123,7 @@
     }
 
     @Override
-    public Attempt send(Endpoint to, RequestMessage call, long timeout, long leaveWithin, Ended ended) {
+    public Attempt send(Endpoint to, RequestMessage call, long timeout, long leaveWithin, CompletionListener ended) {
         String uid = to.uid();
         String id = id(call);
         Life life = lives.get(id);
@@ -132,33 +132,33 @@
         }
         int number = life.attempts++;
         tellState(id, Step.Kind.SENT, number, uid);
-        return transport.send(to, call, timeout, leaveWithin, new Ended() {
+        return transport.send(to, call, timeout, leaveWithin, new CompletionListener() {
             @Override
-            public void ended(Outcome outcome, ResponseMessage answer, LoadReport report) {
+            public void completed(Outcome outcome, ResponseMessage answer, LoadReport report) {
                 tell(id, Step.Kind.ENDED, number, uid, outcome.name(), 0);
-                ended.ended(outcome, answer, report);
+                ended.completed(outcome, answer, report);
             }
 
             @Override
-            public boolean wanted() {
-                return ended.wanted();
+            public boolean isWanted() {
+                return ended.isWanted();
             }
 
             @Override
-            public void step() {
+            public void progressed() {
                 tellState(id, Step.Kind.OPENED, number, uid);
-                ended.step();
+                ended.progressed();
             }
 
             @Override
-            public void passed(long sent, long received) {
-                ended.passed(sent, received);
+            public void transferred(long sent, long received) {
+                ended.transferred(sent, received);
             }
         });
     }
 
     @Override
-    public void probe(Endpoint at, Probed probed) {
+    public void probe(Endpoint at, ProbeListener probed) {
         transport.probe(at, probed);
     }
 
@@ -189,8 +189,8 @@
     }
 
     @Override
-    public void count(Strays strays) {
-        transport.count(strays);
+    public void countBytes(StrayBytesListener strays) {
+        transport.countBytes(strays);
     }
 
     @Override
--- a/src/main/java/mastdrift/radius/edge/RadiusFront.java
+++ b/src/main/java/mastdrift/radius/edge/RadiusFront.java
@@ -171,12 +171,12 @@
         Pool pool = router.pool(className, client.tenant(), key);
         if (pool == null) {
             drops.drop(Drops.Cause.NO_ROUTE, from, "no route for " + className);
-            reply.failed(false);
+            reply.sendFailure(false);
             return;
         }
-        ledger.take(pool, reply, new RadiusCall(request, client.secret(),
+        ledger.accept(pool, reply, new RadiusCall(request, client.secret(),
                 held == null ? null : held.uid()), new RequestAttributes(className, client.tenant(), key,
-                (accounting ? classes.accountingTime : classes.accessTime) - (ledger.now() - ledger.arrived()), false, accounting, 0,
+                (accounting ? classes.accountingTime : classes.accessTime) - (ledger.now() - ledger.earliestArrivalAt()), false, accounting, 0,
                 zones.apply(from.getAddress()), accounting ? key : null));
     }
 
@@ -213,7 +213,7 @@
         }
 
         @Override
-        public void served(ResponseMessage answer) {
+        public void sendResponse(ResponseMessage answer) {
             RadiusAnswer given = (RadiusAnswer) answer;
             if (given.code() == Code.ACCESS_CHALLENGE) {
                 given.attributes().stream().filter(a -> a.type() == Attribute.STATE).forEach(state -> conversations.challenged(
@@ -244,13 +244,13 @@
 
         /** Silence; a resend is a new try. */
         @Override
-        public void refused(long retryAfter) {
+        public void sendRefusal(long retryAfter) {
             resends.unanswered(entry);
         }
 
         /** Likewise. */
         @Override
-        public void failed(boolean late) {
+        public void sendFailure(boolean late) {
             resends.unanswered(entry);
         }
     }
--- a/src/main/java/mastdrift/radius/edge/RadiusTransport.java
+++ b/src/main/java/mastdrift/radius/edge/RadiusTransport.java
@@ -61,7 +61,7 @@
     private final Drops drops;
     private final SecureRandom random = new SecureRandom();
     private final Map<String, Peer> peers = new HashMap<>();
-    private Strays strays = (uid, sent, received) -> { };
+    private StrayBytesListener strays = (uid, sent, received) -> { };
 
     /** One server: its identifiers, the ports that they are on, and what is out on each. */
     private final class Peer {
@@ -76,14 +76,14 @@
         Peer(byte[] secret, Member member) {
             uid = member.host().address();
             this.secret = new Authenticators(secret);
-            at = member.at();
+            at = member.socketAddress();
             born = member.host().born();
         }
 
         /** Another address or another start is another server, which knows nothing of what was sent to this one: it would
             take a resend as new, and nothing that is out may be answered from there. */
         private boolean same(Member member) {
-            return (member.at() == null || member.at().equals(at)) && member.host().born() == born;
+            return (member.socketAddress() == null || member.socketAddress().equals(at)) && member.host().born() == born;
         }
 
         /** Connected, so that the kernel drops what comes from elsewhere. */
@@ -110,7 +110,7 @@
     }
 
     @Override
-    public void count(Strays to) {
+    public void countBytes(StrayBytesListener to) {
         strays = to;
     }
 
@@ -150,12 +150,12 @@
     }
 
     @Override
-    public Attempt send(Endpoint to, RequestMessage call, long timeout, long leaveWithin, Ended ended) {  // leaves at once
+    public Attempt send(Endpoint to, RequestMessage call, long timeout, long leaveWithin, CompletionListener ended) {  // leaves at once
         RadiusCall given = (RadiusCall) call;
         Packet request = given.request();
         if (given.onlyAt() != null && !given.onlyAt().equals(to.uid())) {
             // No other server could make anything of its State, and a reject would be one of the gateway's making.
-            ended.ended(Outcome.UNUSED, null, LoadReport.NONE);
+            ended.completed(Outcome.UNUSED, null, LoadReport.NONE);
             return () -> { };
         }
         return send(to, timeout, (peer, slot) -> {
@@ -180,16 +180,16 @@
         Packet make(Peer peer, Slot slot);
     }
 
-    private Attempt send(Endpoint to, long timeout, Making making, Ended ended) {
+    private Attempt send(Endpoint to, long timeout, Making making, CompletionListener ended) {
         String uid = to.uid();
         Peer peer = peers.get(uid);
-        if (peer == null || timeout <= 0 || !ended.wanted() || !to.maySend()) {
-            ended.ended(Outcome.UNUSED, null, LoadReport.NONE);
+        if (peer == null || timeout <= 0 || !ended.isWanted() || !to.maySend()) {
+            ended.completed(Outcome.UNUSED, null, LoadReport.NONE);
             return () -> { };
         }
         Slot slot = peer.identifiers.take(clock.getAsLong());
         if (slot == null) {  // each may still be answered: nothing was sent
-            ended.ended(Outcome.DIAL_FAILED, null, LoadReport.NONE);
+            ended.completed(Outcome.DIAL_FAILED, null, LoadReport.NONE);
             return () -> { };
         }
         Packet packet = making.make(peer, slot);
@@ -199,7 +199,7 @@
         if (packet == null || packet.length() + own > Packet.MOST) {
             peer.identifiers.answered(slot);
             drops.drop(packet == null ? Drops.Cause.HIDDEN : Drops.Cause.TOO_LONG, uid, "a request that can't go on");
-            ended.ended(Outcome.UNUSED, null, LoadReport.NONE);
+            ended.completed(Outcome.UNUSED, null, LoadReport.NONE);
             return () -> { };
         }
         List<Attribute> attributes = new ArrayList<>(packet.attributes());
@@ -212,20 +212,20 @@
 
     /** RFC 5997: a Status-Server. */
     @Override
-    public void probe(Endpoint to, Probed probed) {
+    public void probe(Endpoint to, ProbeListener probed) {
         send(to, PROBE_TIMEOUT, (peer, slot) -> {
             byte[] authenticator = new byte[Packet.AUTHENTICATOR];
             random.nextBytes(authenticator);
             return new Packet(Code.STATUS_SERVER, slot.identifier(), authenticator, List.of());
-        }, new Ended() {
+        }, new CompletionListener() {
             @Override
-            public void ended(Outcome outcome, ResponseMessage answer, LoadReport report) {
+            public void completed(Outcome outcome, ResponseMessage answer, LoadReport report) {
                 probed.probed(outcome, report);
             }
 
             @Override
-            public void passed(long sent, long received) {
-                probed.passed(sent, received);
+            public void transferred(long sent, long received) {
+                probed.transferred(sent, received);
             }
         });
     }
@@ -248,7 +248,7 @@
         private final Packet packet;
         private final byte[] bytes;
         private final byte[] mark;
-        private final Ended ended;
+        private final CompletionListener ended;
         private Future<?> timer;
         private Future<?> resend;
         private long pause = RESEND;
@@ -256,7 +256,7 @@
         private long received;
         private boolean over;
 
-        Sent(Endpoint endpoint, Peer peer, Slot slot, Packet packet, byte[] mark, Ended ended) {
+        Sent(Endpoint endpoint, Peer peer, Slot slot, Packet packet, byte[] mark, CompletionListener ended) {
             this.endpoint = endpoint;
             this.peer = peer;
             this.slot = slot;
@@ -294,7 +294,7 @@
                 return;  // a port that nobody listens on told of an earlier packet
             }
             if (over) {
-                strays.stray(endpoint.uid(), bytes.length, 0);
+                strays.strayBytes(endpoint.uid(), bytes.length, 0);
             } else {
                 sent += bytes.length;
             }
@@ -323,8 +323,8 @@
             if (peer.out.isEmpty() && !peers.containsValue(peer)) {
                 peer.close();
             }
-            ended.passed(sent, received);
-            ended.ended(outcome, answer, LoadReport.NONE);
+            ended.transferred(sent, received);
+            ended.completed(outcome, answer, LoadReport.NONE);
         }
 
         private void come(InetSocketAddress from, Packet answer) {
@@ -369,12 +369,12 @@
                 answer = Packet.read(ByteBufUtil.getBytes(datagram.content()));
             } catch (MalformedPacketException e) {
                 drops.drop(Drops.Cause.MALFORMED, datagram.sender(), e.getMessage());
-                strays.stray(peer.uid, 0, bytes);
+                strays.strayBytes(peer.uid, 0, bytes);
                 return;
             }
             Sent sent = peer.out.get(new Slot(port, answer.identifier()));
             if (sent == null) {
-                strays.stray(peer.uid, 0, bytes);
+                strays.strayBytes(peer.uid, 0, bytes);
                 drops.drop(Drops.Cause.NOT_ASKED, datagram.sender(), "an answer to nothing that is out");
             } else {
                 sent.received += bytes;
--- a/src/main/java/mastdrift/serve/DiscoverySource.java
+++ b/src/main/java/mastdrift/serve/DiscoverySource.java
@@ -48,7 +48,7 @@
         pause = PAUSE_LEAST;
         if (!closed) {
             Set<String> before = listed.uids();
-            List<Member> inForce = listed.take(list.rev(), list.all(), list.entries());
+            List<Member> inForce = listed.apply(list.rev(), list.all(), list.entries());
             withdrawFromPool(before, inForce);
             control.told(pool.name(), list.all(), inForce.stream().map(DiscoverySource::node).toList());
         }
@@ -75,7 +75,7 @@
 
     private static Node node(Member member) {
         Host host = member.host();
-        return new Node(host.address(), Addresses.format(member.at()), text(host.zone()), host.cell(), text(host.kind()),
+        return new Node(host.address(), Addresses.format(member.socketAddress()), text(host.zone()), host.cell(), text(host.kind()),
                 host.weight(), host.health(), host.born(), "discovery");
     }
 
--- a/src/main/java/mastdrift/serve/PeerWork.java
+++ b/src/main/java/mastdrift/serve/PeerWork.java
@@ -28,7 +28,7 @@
     }
 
     void of(Pool pool) {
-        pool.peers(work, view);
+        pool.setPeers(work, view);
     }
 
     private void tell() {
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -127,7 +127,7 @@
         this.file = file;
         this.events = events;
         secrets = new Secrets(file, System.getenv());
-        ledger.notifications(this::readNotifications);
+        ledger.setNotificationReader(this::readNotifications);
         watcher = new Watcher(file, new Watcher.Taker() {
             @Override
             public List<String> take(Configuration configuration) {
@@ -191,7 +191,7 @@
             RequestTracker rehearsed = new RequestTracker(on.timers(), on.clock(), on.turns(), OPEN_MOST, this::log);
             Pool pool = new Pool("rehearsal", rehearsed, new Balance(), module,
                     new HttpTransport(on, module, first.connections(), line -> { }));
-            pool.start(HostListSource.TELLS, hosts);
+            pool.start(HostListSource.PUSH_ONLY, hosts);
             return new ClientSide(own, rehearsed, (type, tenant, message, key) -> pool, started.classes(), started.tenants(),
                     gateway.connections(), line -> { });
         }, started.classes(), started.tenants(), gateway.zone(), Addresses.parse(gateway.listen()).getAddress(),
@@ -235,7 +235,7 @@
 
     /** Reads something of the service count on the loop's thread; waits. */
     public <T> T count(Function<ServiceCount, T> read) {
-        return loop.submit(() -> read.apply(ledger.count())).syncUninterruptibly().getNow();
+        return loop.submit(() -> read.apply(ledger.serviceCount())).syncUninterruptibly().getNow();
     }
 
     /** What crossed zones so far, read on the loop's thread; waits. Null where nobody counts. */
@@ -370,7 +370,7 @@
             return;  // told while the pool was taken out
         }
         served.somebody = list.somebody();
-        served.pool.learn(ListForm.FULL, list.members());
+        served.pool.updateHosts(ListForm.FULL, list.members());
     }
 
     /** Of a pool that has its hosts from discovery alone: what files tell holds without it. */
@@ -383,7 +383,7 @@
             public void fetch() { }
 
             @Override
-            public boolean listHolds() {
+            public boolean isListValid() {
                 return discovery.listHolds();
             }
         };
@@ -397,12 +397,12 @@
         DiscoverySource discovery = settings.discovery() == null ? null
                 : new DiscoverySource(loop, pool, Addresses.parse(settings.discovery()), control, this::log);
         if (zones != null) {
-            pool.zones(zones.pool(settings.name()));
+            pool.setZones(zones.pool(settings.name()));
         }
         if (peerWork != null) {
             peerWork.of(pool);
         }
-        pool.start(discovery == null || !settings.files().isEmpty() ? HostListSource.TELLS : onlySource(discovery), List.of());
+        pool.start(discovery == null || !settings.files().isEmpty() ? HostListSource.PUSH_ONLY : onlySource(discovery), List.of());
         if (discovery != null) {
             discovery.watch(true);
         }
--- a/src/test/java/mastdrift/engine/EndpointGateTest.java
+++ b/src/test/java/mastdrift/engine/EndpointGateTest.java
@@ -25,149 +25,156 @@
 
 class EndpointGateTest {
 
-    private static final InetSocketAddress HERE = new InetSocketAddress("127.0.0.1", 1);
-    private static final InetSocketAddress THERE = new InetSocketAddress("127.0.0.1", 2);
+    private static final InetSocketAddress FIRST_ADDRESS = new InetSocketAddress("127.0.0.1", 1);
+    private static final InetSocketAddress SECOND_ADDRESS = new InetSocketAddress("127.0.0.1", 2);
 
     private final EndpointGate gate = new EndpointGate();
 
-    private static Member member(String uid, Health health, long born, InetSocketAddress at) {
-        return new Member(new Host(uid, "a", 0, "m", 1, health, born), at);
+    private static Member member(String uid, Health health, long born, InetSocketAddress socketAddress) {
+        return new Member(new Host(uid, "a", 0, "m", 1, health, born), socketAddress);
     }
 
     private static Member up(String uid) {
-        return member(uid, Health.UP, 0, HERE);
+        return member(uid, Health.UP, 0, FIRST_ADDRESS);
     }
 
     private static Member draining(String uid) {
-        return member(uid, Health.LEAVING, 0, HERE);
+        return member(uid, Health.LEAVING, 0, FIRST_ADDRESS);
     }
 
     @Test
-    void aDrainedInstanceComesBackOnlyByANewerVersion() {
-        gate.take(5, true, List.of(up("s1")));
+    void drainedInstanceReturnsOnlyWithNewerVersion() {
+        gate.apply(5, true, List.of(up("s1")));
         Endpoint before = gate.find("s1");
-        gate.take(7, false, List.of(draining("s1")));
+        gate.apply(7, false, List.of(draining("s1")));
         assertFalse(before.maySend());
         assertNull(gate.find("s1"));
         for (long version : new long[] {5, 6, 7}) {
-            assertEquals(Health.LEAVING, gate.take(version, true, List.of(up("s1"))).get(0).host().health());
+            assertEquals(Health.LEAVING, gate.apply(version, true, List.of(up("s1"))).get(0).host().health());
             assertNull(gate.find("s1"));
         }
-        assertEquals(Health.UP, gate.take(8, false, List.of(up("s1"))).get(0).host().health());
+        assertEquals(Health.UP, gate.apply(8, false, List.of(up("s1"))).get(0).host().health());
         assertTrue(gate.find("s1").maySend());
-        assertFalse(before.maySend(), "who waited for the drained one doesn't leave for its successor");
+        assertFalse(before.maySend(), "a request that waited for the drained endpoint isn't sent to its successor");
     }
 
     @Test
-    void anotherStartIsAnotherInstance() {
-        gate.take(5, true, List.of(up("s1")));
-        gate.take(7, false, List.of(draining("s1")));
-        gate.take(7, false, List.of(member("s1", Health.UP, 9, HERE)));
+    void restartedServerIsNewInstance() {
+        gate.apply(5, true, List.of(up("s1")));
+        gate.apply(7, false, List.of(draining("s1")));
+        gate.apply(7, false, List.of(member("s1", Health.UP, 9, FIRST_ADDRESS)));
         Endpoint second = gate.find("s1");
         assertEquals(9, second.startedAt());
-        assertEquals(List.of(), gate.take(6, false, List.of(up("s1"))), "what an older list says of the start before");
+        assertEquals(List.of(), gate.apply(6, false, List.of(up("s1"))),
+                "an older list's entry for the previous start is left out");
         assertSame(second, gate.find("s1"));
     }
 
     @Test
-    void anotherAddressIsAnotherEndpoint() {
-        gate.take(5, true, List.of(up("s1")));
+    void newAddressMakesNewEndpoint() {
+        gate.apply(5, true, List.of(up("s1")));
         Endpoint before = gate.find("s1");
-        gate.take(6, false, List.of(member("s1", Health.UP, 0, THERE)));
+        gate.apply(6, false, List.of(member("s1", Health.UP, 0, SECOND_ADDRESS)));
         assertNotSame(before, gate.find("s1"));
         assertFalse(before.maySend());
-        assertEquals(THERE, gate.find("s1").address());
+        assertEquals(SECOND_ADDRESS, gate.find("s1").address());
     }
 
     @Test
-    void whomAWholeListLeavesOutIsGone() {
-        gate.take(5, true, List.of(up("s1"), up("s2")));
-        gate.take(6, true, List.of(up("s2")));
+    void serverMissingFromFullListIsOutOfService() {
+        gate.apply(5, true, List.of(up("s1"), up("s2")));
+        gate.apply(6, true, List.of(up("s2")));
         assertNull(gate.find("s1"));
-        gate.take(6, false, List.of(up("s1")));
-        assertNull(gate.find("s1"), "the same version");
+        gate.apply(6, false, List.of(up("s1")));
+        assertNull(gate.find("s1"), "a list of the same version doesn't bring it back");
     }
 
     @Test
-    void whatARefusedListSaysIsTakenBackByOneOfTheSameVersion() {
-        gate.take(5, true, List.of(up("s1"), up("s2")));
+    void withdrawalIsReversedByListOfSameVersion() {
+        gate.apply(5, true, List.of(up("s1"), up("s2")));
         assertEquals(2, gate.withdraw(6, Set.of("s2"), List.of(draining("s2"))).size());
         assertNull(gate.find("s1"));
         assertNull(gate.find("s2"));
-        gate.take(6, true, List.of(up("s1"), up("s2")));
+        gate.apply(6, true, List.of(up("s1"), up("s2")));
         assertNotNull(gate.find("s1"));
         assertNotNull(gate.find("s2"));
     }
 
     @Test
-    void anOlderWholeListSaysNothingOfWhoCameSince() {
-        gate.take(5, true, List.of(up("s1")));
-        gate.take(7, false, List.of(up("s2")));
+    void withdrawalByOlderFullListKeepsServersOpenedLater() {
+        gate.apply(5, true, List.of(up("s1")));
+        gate.apply(7, false, List.of(up("s2")));
         gate.withdraw(6, Set.of(), List.of());
         assertNull(gate.find("s1"));
         assertNotNull(gate.find("s2"));
     }
 
     @Test
-    void whoHasEndedIsRememberedUpToABound() {
-        gate.take(1, true, List.of());
-        for (int i = 0; i <= EndpointGate.ENDED_KEPT; i++) {
-            gate.take(2, false, List.of(draining("s" + i)));
+    void rememberedEndedInstancesAreBounded() {
+        gate.apply(1, true, List.of());
+        for (int i = 0; i <= EndpointGate.MIN_REMEMBERED_LIMIT; i++) {
+            gate.apply(2, false, List.of(draining("s" + i)));
         }
-        gate.take(2, false, List.of(up("s0"), up("s1")));
-        assertNotNull(gate.find("s0"), "the oldest is forgotten");
+        gate.apply(2, false, List.of(up("s0"), up("s1")));
+        assertNotNull(gate.find("s0"), "the oldest instance is forgotten");
         assertNull(gate.find("s1"));
     }
 
-    /** One statement of a list about an instance, as the oracle keeps it. */
+    /** One statement of a list about an instance, as recorded by the oracle. */
     private record Statement(String uid, long born, long version, boolean up) { }
 
     /**
-     * Drawn lists in any order of versions, against what the pages say. The oracle keeps every statement and no state: an instance may be sent to only if
-     * some list in force said that it is in service, and no list, before or since, of the same version or a newer one ended it.
+     * Applies random lists in any order of versions and compares the gate with an oracle. The oracle keeps every
+     * statement and no state: an instance may be sent to only if some list in force said that it is in service, and no
+     * list of the same or a newer version, applied before or after, ended it.
      */
     @Property(tries = 1_000)
-    void nobodyIsSentToWhoWasEndedByANewerList(@ForAll long seed, @ForAll @IntRange(min = 1, max = 60) int lists) {
+    void neverSendsToInstanceEndedBySameOrNewerList(@ForAll long seed, @ForAll @IntRange(min = 1, max = 60) int lists) {
         EndpointGate gate = new EndpointGate();
         Random random = new Random(seed);
-        List<Statement> told = new ArrayList<>();
-        Map<Endpoint, Boolean> seen = new HashMap<>();
-        long newest = 0;
+        List<Statement> statements = new ArrayList<>();
+        Map<Endpoint, Boolean> couldSend = new HashMap<>();
+        long newestVersion = 0;
         for (int i = 0; i < lists; i++) {
-            long version = Math.max(0, newest + random.nextInt(8) - 4);
-            newest = Math.max(newest, version);
-            boolean whole = random.nextInt(4) == 0;
-            boolean taken = random.nextInt(4) > 0;
-            List<Member> entries = drawn(random);
-            Set<String> named = new HashSet<>();
-            entries.forEach(entry -> named.add(entry.host().address()));
+            long version = Math.max(0, newestVersion + random.nextInt(8) - 4);
+            newestVersion = Math.max(newestVersion, version);
+            boolean isFullList = random.nextInt(4) == 0;
+            boolean isApplied = random.nextInt(4) > 0;
+            List<Member> entries = randomEntries(random);
+            Set<String> listedUids = new HashSet<>();
+            entries.forEach(entry -> listedUids.add(entry.host().address()));
             for (Member entry : entries) {
                 Host host = entry.host();
                 boolean up = host.health() == Health.UP;
-                if (taken || !up) {
-                    told.add(new Statement(host.address(), host.born(), taken ? version : version - 1, up));
+                if (isApplied || !up) {
+                    statements.add(new Statement(host.address(), host.born(), isApplied ? version : version - 1, up));
                 }
             }
             Map<String, Endpoint> before = inService(gate);
-            if (taken) {
-                gate.take(version, whole, entries);
+            if (isApplied) {
+                gate.apply(version, isFullList, entries);
             } else {
-                gate.withdraw(version, whole ? named : null, entries.stream().filter(entry -> entry.host().health() != Health.UP).toList());
+                gate.withdraw(version, isFullList ? listedUids : null,
+                        entries.stream().filter(entry -> entry.host().health() != Health.UP).toList());
             }
-            if (whole && taken) {
-                before.forEach((uid, endpoint) -> assertTrue(named.contains(uid) || !endpoint.maySend(), "seed " + seed + ": left out, " + uid));
+            if (isFullList && isApplied) {
+                before.forEach((uid, endpoint) ->
+                        assertTrue(listedUids.contains(uid) || !endpoint.maySend(),
+                                "seed " + seed + ": not on the full list but in service: " + uid));
             }
             Map<String, Endpoint> now = inService(gate);
             for (Endpoint endpoint : now.values()) {
-                assertTrue(mayBeInService(told, endpoint), "seed " + seed + ", list " + i + ": " + endpoint.uid() + " of " + endpoint.startedAt());
+                assertTrue(mayBeInService(statements, endpoint),
+                        "seed " + seed + ", list " + i + ": " + endpoint.uid() + " started at " + endpoint.startedAt());
             }
-            seen.forEach((endpoint, could) -> assertTrue(could || !endpoint.maySend(), "seed " + seed + ": it came back"));
-            now.values().forEach(endpoint -> seen.put(endpoint, true));
-            seen.replaceAll((endpoint, could) -> endpoint.maySend());
+            couldSend.forEach((endpoint, could) ->
+                    assertTrue(could || !endpoint.maySend(), "seed " + seed + ": an ended endpoint came back"));
+            now.values().forEach(endpoint -> couldSend.put(endpoint, true));
+            couldSend.replaceAll((endpoint, could) -> endpoint.maySend());
         }
-        gate.take(newest + 1, true, List.of(up("s0"), up("s1")));
-        assertEquals(Set.of("s0", "s1"), gate.uids(), "seed " + seed + ": a newer whole list is in force as it is");
-        gate.take(newest + 2, true, List.of());
+        gate.apply(newestVersion + 1, true, List.of(up("s0"), up("s1")));
+        assertEquals(Set.of("s0", "s1"), gate.uids(), "seed " + seed + ": a newer full list is in force unchanged");
+        gate.apply(newestVersion + 2, true, List.of());
     }
 
     private static Map<String, Endpoint> inService(EndpointGate gate) {
@@ -176,18 +183,21 @@
         return found;
     }
 
-    private static boolean mayBeInService(List<Statement> told, Endpoint endpoint) {
-        List<Statement> own = told.stream().filter(each -> each.uid.equals(endpoint.uid()) && each.born == endpoint.startedAt()).toList();
-        long ended = own.stream().filter(each -> !each.up).mapToLong(Statement::version).max().orElse(Long.MIN_VALUE);
-        return own.stream().anyMatch(each -> each.up && each.version > ended);
+    private static boolean mayBeInService(List<Statement> statements, Endpoint endpoint) {
+        List<Statement> ofInstance = statements.stream()
+                .filter(each -> each.uid.equals(endpoint.uid()) && each.born == endpoint.startedAt()).toList();
+        long endedByVersion = ofInstance.stream().filter(each -> !each.up).mapToLong(Statement::version).max()
+                .orElse(Long.MIN_VALUE);
+        return ofInstance.stream().anyMatch(each -> each.up && each.version > endedByVersion);
     }
 
-    private static List<Member> drawn(Random random) {
+    private static List<Member> randomEntries(Random random) {
         List<Member> entries = new ArrayList<>();
         for (int uid = 0; uid < 4; uid++) {
             if (random.nextBoolean()) {
                 Health health = Health.values()[random.nextInt(Health.values().length)];
-                entries.add(member("s" + uid, health, random.nextInt(3), random.nextInt(5) == 0 ? THERE : HERE));
+                entries.add(member("s" + uid, health, random.nextInt(3),
+                        random.nextInt(5) == 0 ? SECOND_ADDRESS : FIRST_ADDRESS));
             }
         }
         return entries;
--- a/src/test/java/mastdrift/engine/TimerWheelTest.java
+++ b/src/test/java/mastdrift/engine/TimerWheelTest.java
@@ -15,12 +15,12 @@
 
 class TimerWheelTest {
 
-    /** The loop below: a virtual clock, and timers in their order. */
-    private static final class Loop implements Timers, Clock {
+    /** The timers below the wheel: a virtual clock, and a queue of timers in order of time. */
+    private static final class VirtualTimers implements Timers, Clock {
 
-        private record Due(long at, Runnable what, boolean[] cancelled) { }
+        private record ScheduledTask(long at, Runnable task, boolean[] cancelled) { }
 
-        private final PriorityQueue<Due> timers = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+        private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
         private long now = 1_234_567;
         private int fired;
 
@@ -30,120 +30,130 @@
         }
 
         @Override
-        public Timer after(long micros, Runnable what) {
+        public Timer after(long delayMicros, Runnable task) {
             boolean[] cancelled = new boolean[1];
-            timers.add(new Due(now + micros, what, cancelled));
+            timers.add(new ScheduledTask(now + delayMicros, task, cancelled));
             return () -> cancelled[0] = true;
         }
 
-        /** Goes on to a moment; late by up to {@code late} at each timer. */
-        void until(long at, Random random, int late) {
+        /** Advances the clock to a moment; each timer fires late by less than {@code maxLateMicros}. */
+        void advanceTo(long at, Random random, int maxLateMicros) {
             while (!timers.isEmpty() && timers.peek().at <= at) {
-                Due due = timers.poll();
+                ScheduledTask due = timers.poll();
                 if (!due.cancelled[0]) {
-                    now = Math.max(now, due.at + (late == 0 ? 0 : random.nextInt(late)));
+                    now = Math.max(now, due.at + (maxLateMicros == 0 ? 0 : random.nextInt(maxLateMicros)));
                     fired++;
-                    due.what.run();
+                    due.task.run();
                 }
             }
             now = Math.max(now, at);
         }
     }
 
-    /** Whatever is begun, cancelled, and begun or cancelled from within others: each comes exactly once unless it was cancelled
-        first, not before its time, and no later than a tick after the loop could know. */
+    /**
+     * Timers are scheduled and cancelled at random, also from within the tasks of others: each fires exactly once
+     * unless it was cancelled first, not before its time, and at most a tick after the base timers could notice.
+     */
     @Property(tries = 300)
-    void eachComesOnceInItsTime(@ForAll long seed) {
+    void firesEachTimerOnceInTime(@ForAll long seed) {
         Random random = new Random(seed);
-        Loop loop = new Loop();
+        VirtualTimers loop = new VirtualTimers();
         TimerWheel wheel = new TimerWheel(loop, loop);
-        int late = random.nextBoolean() ? 0 : 30_000;
-        int most = 1 << 1 + random.nextInt(24);
+        int maxLateMicros = random.nextBoolean() ? 0 : 30_000;
+        int maxDelayMicros = 1 << 1 + random.nextInt(24);
         List<Timers.Timer> timers = new ArrayList<>();
-        List<long[]> state = new ArrayList<>();  // due, fired at (0 not yet, -1 cancelled)
-        Runnable[] begin = new Runnable[1];
-        begin[0] = () -> {
-            long micros = random.nextInt(most);
-            long[] own = {loop.now + micros, 0};
-            state.add(own);
-            timers.add(wheel.after(micros, () -> {
-                assertEquals(0, own[1], "once, and not if cancelled");
-                assertTrue(loop.now >= own[0], "not before its time");
-                assertTrue(loop.now <= own[0] + TimerWheel.TICK + late, "soon after it: " + (loop.now - own[0]));
-                own[1] = loop.now;
+        List<long[]> states = new ArrayList<>();  // due at, fired at (0 not yet, -1 cancelled)
+        Runnable[] schedule = new Runnable[1];
+        schedule[0] = () -> {
+            long delayMicros = random.nextInt(maxDelayMicros);
+            long[] state = {loop.now + delayMicros, 0};
+            states.add(state);
+            timers.add(wheel.after(delayMicros, () -> {
+                assertEquals(0, state[1], "fires once, and not if cancelled");
+                assertTrue(loop.now >= state[0], "fires not before its time");
+                assertTrue(loop.now <= state[0] + TimerWheel.TICK_MICROS + maxLateMicros,
+                        "fires at most a tick and the lateness after it: " + (loop.now - state[0]));
+                state[1] = loop.now;
                 if (random.nextInt(3) == 0) {
-                    cancelOne(random, timers, state);
+                    cancelOne(random, timers, states);
                 }
                 if (timers.size() < 2_000 && random.nextInt(4) == 0) {
-                    begin[0].run();
+                    schedule[0].run();
                 }
             }));
         };
         for (int i = 0; i < 300; i++) {
-            begin[0].run();
+            schedule[0].run();
             if (random.nextInt(2) == 0) {
-                cancelOne(random, timers, state);
+                cancelOne(random, timers, states);
             }
-            loop.until(loop.now + random.nextInt(Math.max(1, most / 8)), random, late);
+            loop.advanceTo(loop.now + random.nextInt(Math.max(1, maxDelayMicros / 8)), random, maxLateMicros);
         }
-        loop.until(loop.now + most + 10 * (TimerWheel.TICK + late) + 1_000_000_000L, random, late);
-        assertTrue(state.stream().allMatch(own -> own[1] != 0), "all came or were cancelled");
-        assertEquals(0, wheel.count());
+        loop.advanceTo(loop.now + maxDelayMicros + 10 * (TimerWheel.TICK_MICROS + maxLateMicros) + 1_000_000_000L,
+                random, maxLateMicros);
+        assertTrue(states.stream().allMatch(state -> state[1] != 0), "every timer fired or was cancelled");
+        assertEquals(0, wheel.activeCount());
     }
 
-    private static void cancelOne(Random random, List<Timers.Timer> timers, List<long[]> state) {
+    private static void cancelOne(Random random, List<Timers.Timer> timers, List<long[]> states) {
         int i = random.nextInt(timers.size());
         timers.get(i).cancel();
-        if (state.get(i)[1] == 0) {
-            state.get(i)[1] = -1;
+        if (states.get(i)[1] == 0) {
+            states.get(i)[1] = -1;
         }
     }
 
-    /** Ten thousand that are all cancelled, as those of answered requests: the loop below is asked a few times, not for each. */
+    /**
+     * Ten thousand timers that are all cancelled, as those of answered requests are, fire the base timer a few times,
+     * not once for each.
+     */
     @Test
-    void whatIsCancelledCostsTheLoopNothing() {
-        Loop loop = new Loop();
+    void cancelledTimersFireBaseTimerRarely() {
+        VirtualTimers loop = new VirtualTimers();
         TimerWheel wheel = new TimerWheel(loop, loop);
         for (int i = 0; i < 10_000; i++) {
             Timers.Timer timer = wheel.after(1_400_000, () -> { });
-            loop.until(loop.now + 100, null, 0);
+            loop.advanceTo(loop.now + 100, null, 0);
             timer.cancel();
         }
-        loop.until(loop.now + 10_000_000, null, 0);
-        assertTrue(loop.fired <= 3, "fired " + loop.fired);
+        loop.advanceTo(loop.now + 10_000_000, null, 0);
+        assertTrue(loop.fired <= 3, "base timers fired: " + loop.fired);
     }
 
-    /** The last of a slot is cancelled by an earlier one, with one of a later round between them: the round goes on, and ends. */
+    /**
+     * The last entry of a slot is cancelled by an earlier one, with an entry of a later rotation between them: the walk
+     * through the slot must end.
+     */
     @Test
     @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-    void whatCancelsTheLastOfItsSlotEndsItsTurn() {
-        Loop loop = new Loop();
+    void advanceEndsWhenLastEntryOfSlotIsCancelledInside() {
+        VirtualTimers loop = new VirtualTimers();
         TimerWheel wheel = new TimerWheel(loop, loop);
-        List<String> came = new ArrayList<>();
+        List<String> fired = new ArrayList<>();
         Timers.Timer[] last = new Timers.Timer[1];
         wheel.after(5_000, () -> last[0].cancel());
-        wheel.after(5_000 + 4_096 * TimerWheel.TICK, () -> came.add("next round"));
-        last[0] = wheel.after(5_000, () -> came.add("cancelled"));
-        loop.until(loop.now + 10_000, null, 0);
-        assertEquals(List.of(), came);
-        loop.until(loop.now + 5_000_000, null, 0);
-        assertEquals(List.of("next round"), came);
-        assertEquals(0, wheel.count());
+        wheel.after(5_000 + 4_096 * TimerWheel.TICK_MICROS, () -> fired.add("next round"));
+        last[0] = wheel.after(5_000, () -> fired.add("cancelled"));
+        loop.advanceTo(loop.now + 10_000, null, 0);
+        assertEquals(List.of(), fired);
+        loop.advanceTo(loop.now + 5_000_000, null, 0);
+        assertEquals(List.of("next round"), fired);
+        assertEquals(0, wheel.activeCount());
     }
 
-    /** A fault in one doesn't lose those behind it. */
+    /** A task that throws doesn't stop the timers after it. */
     @Test
-    void aFaultDoesNotStopTheWheel() {
-        Loop loop = new Loop();
+    void throwingTaskDoesNotStopOtherTimers() {
+        VirtualTimers loop = new VirtualTimers();
         TimerWheel wheel = new TimerWheel(loop, loop);
-        List<String> came = new ArrayList<>();
+        List<String> fired = new ArrayList<>();
         wheel.after(5_000, () -> {
             throw new IllegalStateException("on purpose");
         });
-        wheel.after(5_000, () -> came.add("same tick"));
-        wheel.after(9_000, () -> came.add("later"));
-        assertThrows(IllegalStateException.class, () -> loop.until(loop.now + 20_000, null, 0));
-        loop.until(loop.now + 20_000, null, 0);
-        assertEquals(List.of("same tick", "later"), came);
+        wheel.after(5_000, () -> fired.add("same tick"));
+        wheel.after(9_000, () -> fired.add("later"));
+        assertThrows(IllegalStateException.class, () -> loop.advanceTo(loop.now + 20_000, null, 0));
+        loop.advanceTo(loop.now + 20_000, null, 0);
+        assertEquals(List.of("same tick", "later"), fired);
     }
 }
--- a/src/test/java/mastdrift/net/ClientGoneTest.java
+++ b/src/test/java/mastdrift/net/ClientGoneTest.java
@@ -104,15 +104,15 @@
         that, and what comes meanwhile is unread by then. */
     private static CountDownLatch holdAtNextRequest(Node node, CountDownLatch go) {
         CountDownLatch held = new CountDownLatch(1);
-        node.gateway.ledger().witness(new RequestListener() {
+        node.gateway.ledger().setRequestListener(new RequestListener() {
             @Override
-            public void taken(RequestMessage call, RequestAttributes ask) {
+            public void requestReceived(RequestMessage call, RequestAttributes ask) {
                 held.countDown();
                 awaitGo(go);
             }
 
             @Override
-            public void ended(RequestMessage call, End end, Balancer.Why why) { }
+            public void requestEnded(RequestMessage call, Result end, Balancer.Why why) { }
         });
         return held;
     }
@@ -443,9 +443,9 @@
             Socket client = met(node);
             CountDownLatch dialled = new CountDownLatch(1);
             CountDownLatch left = new CountDownLatch(1);
-            node.gateway.ledger().witness(new RequestListener() {
+            node.gateway.ledger().setRequestListener(new RequestListener() {
                 @Override
-                public void taken(RequestMessage call, RequestAttributes ask) {
+                public void requestReceived(RequestMessage call, RequestAttributes ask) {
                     // Behind the event that dials, and what that leaves to the loop, in the same turn.
                     node.loop.execute(() -> node.loop.execute(() -> node.loop.execute(() -> {
                         dialled.countDown();
@@ -454,11 +454,11 @@
                 }
 
                 @Override
-                public void ended(RequestMessage call, End end, Balancer.Why why) { }
+                public void requestEnded(RequestMessage call, Result end, Balancer.Why why) { }
             });
             write(client, id(read(60_000), "gone"));
             assertTrue(dialled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            node.gateway.ledger().witness(null);
+            node.gateway.ledger().setRequestListener(null);
             eventually(() -> !host.accepted.isEmpty());
             leaveForGood(client, how);
             left.countDown();
@@ -479,9 +479,9 @@
             Socket holder = met(node);
             CountDownLatch dialled = new CountDownLatch(1);
             CountDownLatch ready = new CountDownLatch(1);
-            node.gateway.ledger().witness(new RequestListener() {
+            node.gateway.ledger().setRequestListener(new RequestListener() {
                 @Override
-                public void taken(RequestMessage call, RequestAttributes ask) {
+                public void requestReceived(RequestMessage call, RequestAttributes ask) {
                     // Behind the event that dials, and what that leaves to the loop, in the same turn.
                     node.loop.execute(() -> node.loop.execute(() -> node.loop.execute(() -> {
                         dialled.countDown();
@@ -490,7 +490,7 @@
                 }
 
                 @Override
-                public void ended(RequestMessage call, End end, Balancer.Why why) { }
+                public void requestEnded(RequestMessage call, Result end, Balancer.Why why) { }
             });
             write(client, id(read(60_000), "gone"));
             assertTrue(dialled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
@@ -500,13 +500,13 @@
             ready.countDown();
             assertTrue(held.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
             leaveForGood(client, how);
-            node.gateway.ledger().witness(null);
+            node.gateway.ledger().setRequestListener(null);
             go.countDown();
             assertEquals(200, Loopback.read(holder).status());
             Set<String> ids = seen(node, host);
             ids.remove("holder");
             assertEquals(Set.of(), ids);
-            assertEquals(0, node.loop.submit(() -> node.gateway.ledger().count().of("read").refused()).get(), "known to have left, it is answered by nobody");
+            assertEquals(0, node.loop.submit(() -> node.gateway.ledger().serviceCount().forClass("read").refused()).get(), "known to have left, it is answered by nobody");
         }
     }
 
@@ -544,7 +544,7 @@
             turn.countDown();
             assertTrue(held.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
             leaveForGood(client, how);
-            node.gateway.ledger().witness(null);
+            node.gateway.ledger().setRequestListener(null);
             rest.countDown();
             assertEquals(200, Loopback.read(holder).status());
             Set<String> ids = seen(node, host, other);
@@ -602,7 +602,7 @@
             turn.countDown();
             assertTrue(held.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
             leaveForGood(client, how);
-            node.gateway.ledger().witness(null);
+            node.gateway.ledger().setRequestListener(null);
             rest.countDown();
             assertEquals(200, Loopback.read(holder).status());
             Set<String> ids = seen(node, host);
--- a/src/test/java/mastdrift/net/ConnectionPoolTest.java
+++ b/src/test/java/mastdrift/net/ConnectionPoolTest.java
@@ -80,7 +80,7 @@
 
     private void update(ConnectionPool pool, String json) throws Exception {
         HostList list = HostList.parse(JSON.std.anyFrom(json));
-        gate.take(list.rev(), list.all(), list.entries());
+        gate.apply(list.rev(), list.all(), list.entries());
         pool.closeEnded();
     }
 
--- a/src/test/java/mastdrift/net/DescriptorsTest.java
+++ b/src/test/java/mastdrift/net/DescriptorsTest.java
@@ -195,7 +195,7 @@
             EndpointGate gate = new EndpointGate();
             ConnectionPool pool = loop.submit(() -> {
                 ConnectionPool made = new ConnectionPool(loop, Clock.system()::now, Timers.of(loop), 20_000_000, 5_000_000, 10, heard::add);
-                gate.take(1, true, members(entry("s1", addresses[1], "a", "in_service"), entry("s2", addresses[1], "a", "in_service"),
+                gate.apply(1, true, members(entry("s1", addresses[1], "a", "in_service"), entry("s2", addresses[1], "a", "in_service"),
                         entry("s3", addresses[2], "a", "in_service")).entries());
                 return made;
             }).get();
--- a/src/test/java/mastdrift/net/GatewayTest.java
+++ b/src/test/java/mastdrift/net/GatewayTest.java
@@ -49,17 +49,17 @@
 
     private final Responder client = new Responder() {
         @Override
-        public void served(ResponseMessage answer) {
+        public void sendResponse(ResponseMessage answer) {
             answers.add("served");
         }
 
         @Override
-        public void refused(long retryAfter) {
+        public void sendRefusal(long retryAfter) {
             answers.add("refused");
         }
 
         @Override
-        public void failed(boolean late) {
+        public void sendFailure(boolean late) {
             answers.add(late ? "late" : "failed");
         }
     };
@@ -90,7 +90,7 @@
             loop.submit(() -> {
                 Gateway gateway = new Gateway(config, timed, module, 8, 8, false,
                         new PrintStream(log, true, StandardCharsets.UTF_8));
-                gateway.ledger().take(gateway.pool(null, null, null, null), client, new HttpCall(
+                gateway.ledger().accept(gateway.pool(null, null, null, null), client, new HttpCall(
                         new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api")),
                         new RequestAttributes("read", "acme", null, left, false, false, 0));
             }).sync();
--- a/src/test/java/mastdrift/net/HostCrossingTest.java
+++ b/src/test/java/mastdrift/net/HostCrossingTest.java
@@ -57,7 +57,7 @@
         return onLoop(() -> {
             ConnectionPool pool = new ConnectionPool(loop, clock::get, Timers.of(loop), LONG, LONG, 10, line -> { });
             HostList list = HostList.parse(JSON.std.anyFrom(list(1, true, entry("s1", host.address(), "a", "in_service"))));
-            gate.take(list.rev(), true, list.entries());
+            gate.apply(list.rev(), true, list.entries());
             return pool;
         });
     }
@@ -145,7 +145,7 @@
             ConnectionPool pool = pool(unused);
             onLoop(() -> {
                 HostList list = HostList.parse(JSON.std.anyFrom(list(2, true, entry("s1", "127.0.0.1:" + host.getLocalPort(), "a", "in_service"))));
-                gate.take(list.rev(), true, list.entries());
+                gate.apply(list.rev(), true, list.entries());
                 pool.closeEnded();
                 send(pool, "large", 64 << 20);  // more than buffers hold
                 return null;
--- a/src/test/java/mastdrift/net/RequestLogTest.java
+++ b/src/test/java/mastdrift/net/RequestLogTest.java
@@ -30,7 +30,7 @@
 
     private RequestMessage taken(String id) {
         RequestMessage call = call(id);
-        log.taken(call, ASK);
+        log.requestReceived(call, ASK);
         return call;
     }
 
@@ -38,7 +38,7 @@
     void whatIsServedAtOnceIsNotTold() {
         RequestMessage call = taken("a");
         log.attemptEnded(call, "s1", Outcome.DELIVERED);
-        log.ended(call, RequestListener.End.SERVED, null);
+        log.requestEnded(call, RequestListener.Result.SERVED, null);
         assertEquals(List.of(), lines);
     }
 
@@ -48,13 +48,13 @@
         log.attemptEnded(repeated, "s1", Outcome.SHED);
         log.attemptEnded(repeated, "s2", Outcome.DELIVERED);
         now += 12_000;
-        log.ended(repeated, RequestListener.End.SERVED, null);
+        log.requestEnded(repeated, RequestListener.Result.SERVED, null);
         RequestMessage refused = taken("b");
-        log.ended(refused, RequestListener.End.REFUSED, Why.HOSTS);
+        log.requestEnded(refused, RequestListener.Result.REFUSED, Why.HOSTS);
         RequestMessage late = taken("c");
         log.attemptEnded(late, "s1", Outcome.EXPIRED);
         now += 300_000;
-        log.ended(late, RequestListener.End.LATE, null);
+        log.requestEnded(late, RequestListener.Result.LATE, null);
         assertEquals(List.of("request a SERVED after 12 ms, attempts: s1 SHED, s2 DELIVERED", "request b REFUSED HOSTS after 0 ms, no attempt ended",
                 "request c LATE after 300 ms, attempts: s1 EXPIRED"), lines);
     }
@@ -62,12 +62,12 @@
     @Test
     void manyInASecondAreCountedAndToldInTheNext() {
         for (int i = 0; i < RequestLog.LINES_A_SECOND + 5; i++) {
-            log.ended(taken("r" + i), RequestListener.End.REFUSED, Why.HOSTS);
+            log.requestEnded(taken("r" + i), RequestListener.Result.REFUSED, Why.HOSTS);
         }
-        log.ended(taken("l"), RequestListener.End.LEFT, null);
+        log.requestEnded(taken("l"), RequestListener.Result.LEFT, null);
         assertEquals(RequestLog.LINES_A_SECOND, lines.size());
         now += 1_000_000;
-        log.ended(taken("next"), RequestListener.End.FAILED, null);
+        log.requestEnded(taken("next"), RequestListener.Result.FAILED, null);
         assertEquals(List.of("not told one by one: {LEFT=1, REFUSED=5}", "request next FAILED after 0 ms, no attempt ended"),
                 lines.subList(RequestLog.LINES_A_SECOND, lines.size()));
     }
--- a/src/test/java/mastdrift/net/SystemCallTest.java
+++ b/src/test/java/mastdrift/net/SystemCallTest.java
@@ -156,7 +156,7 @@
         try (Server one = host("one")) {
             loop.submit(() -> {
                 EndpointGate gate = new EndpointGate();
-                gate.take(1, true, HostList.parse(com.fasterxml.jackson.jr.ob.JSON.std.anyFrom(
+                gate.apply(1, true, HostList.parse(com.fasterxml.jackson.jr.ob.JSON.std.anyFrom(
                         list(1, true, entry("s1", one.address(), "a", "in_service")))).entries());
                 ConnectionPool pool = new ConnectionPool(loop, Clock.system()::now, Timers.of(loop), DIAL, IDLE, 10, line -> { }, sockets);
                 return pool.send(gate.find("s1"), new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api"), LONG, LONG,
--- a/src/test/java/mastdrift/radius/edge/RadiusEdgeTest.java
+++ b/src/test/java/mastdrift/radius/edge/RadiusEdgeTest.java
@@ -107,7 +107,7 @@
             ledger = new RequestTracker(Timers.of(loop), clock, 1000, line -> { });
             pool = new Pool("radius", ledger, new Balance(), settings(), new RadiusTransport(loop, clock::now,
                     uid -> SERVER, drops));
-            pool.start(HostListSource.TELLS, List.of());
+            pool.start(HostListSource.PUSH_ONLY, List.of());
             RadiusClients clients = new RadiusClients(List.of(new RadiusClients.Client("chargers",
                     AddressRange.parse("127.0.0.0/30"), new Authenticators(CHARGER), null, true)));
             front = new RadiusFront(loop, ledger, (name, tenant, key) -> pool, clients,
@@ -158,7 +158,7 @@
                 List.of(leaving).contains(server.name()) ? Health.LEAVING : Health.UP, 0),
                 new InetSocketAddress("127.0.0.1", server.port()))).toList();
         onLoop(() -> {
-            pool.learn(ListForm.FULL, members);
+            pool.updateHosts(ListForm.FULL, members);
             return null;
         });
     }
@@ -228,7 +228,7 @@
     private void awaitFailed() throws InterruptedException {
         await(() -> {
             try {
-                return onLoop(() -> ledger.count().of("accounting").failed()) == 1;
+                return onLoop(() -> ledger.serviceCount().forClass("accounting").failed()) == 1;
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
@@ -360,7 +360,7 @@
                 List.of(new Attribute(Attribute.STATE, state)))).write());
         await(() -> {
             try {
-                return onLoop(() -> ledger.count().of("conversation").refused() + ledger.count().of("conversation").failed()) == 1;
+                return onLoop(() -> ledger.serviceCount().forClass("conversation").refused() + ledger.serviceCount().forClass("conversation").failed()) == 1;
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
@@ -400,16 +400,16 @@
             relays.forEach(LossyRelay::close);
         }
         assertEquals(0, effects.twice());
-        assertEquals(0, onLoop(() -> ledger.open()));
-        long served = onLoop(() -> ledger.count().of("access").served() + ledger.count().of("accounting").served());
-        long failed = onLoop(() -> ledger.count().of("access").failed() + ledger.count().of("accounting").failed());
+        assertEquals(0, onLoop(() -> ledger.openRequests()));
+        long served = onLoop(() -> ledger.serviceCount().forClass("access").served() + ledger.serviceCount().forClass("accounting").served());
+        long failed = onLoop(() -> ledger.serviceCount().forClass("access").failed() + ledger.serviceCount().forClass("accounting").failed());
         assertEquals(1000, served, "each once; failed meanwhile " + failed);
     }
 
     private void learn(List<Member> members) throws Exception {
         List<Member> all = List.copyOf(members);
         onLoop(() -> {
-            pool.learn(ListForm.FULL, all);
+            pool.updateHosts(ListForm.FULL, all);
             return null;
         });
     }
@@ -543,7 +543,7 @@
         awaitFailed();
         assertEquals(1, servers.get(0).runs() + servers.get(1).runs());
         nothingMore(socket);
-        assertEquals(0, onLoop(() -> ledger.open()));
+        assertEquals(0, onLoop(() -> ledger.openRequests()));
     }
 
     /** Three servers, one slowed ten times, one drained in the middle of a burst, one silent from then on, with packets lost
@@ -593,8 +593,8 @@
         }
         assertEquals(0, effects.twice() + effects.dropped());
         assertEquals(200, fast.runs() + slow.runs() + leaving.runs());
-        assertEquals(200, onLoop(() -> ledger.count().of("access").served() + ledger.count().of("accounting").served()));
+        assertEquals(200, onLoop(() -> ledger.serviceCount().forClass("access").served() + ledger.serviceCount().forClass("accounting").served()));
         assertTrue(leaving.lastAt() - told < 250_000_000L, "nothing new after the grace");
-        assertEquals(0, onLoop(() -> ledger.open()));
+        assertEquals(0, onLoop(() -> ledger.openRequests()));
     }
 }
--- a/src/test/java/mastdrift/serve/RadiusServiceTest.java
+++ b/src/test/java/mastdrift/serve/RadiusServiceTest.java
@@ -170,8 +170,8 @@
         assertEquals(Code.ACCOUNTING_RESPONSE, ask(start(2, 0), 20_000).code());
         assertEquals("h", rig.answering(3));
         assertEquals(2, one.runs());
-        assertEquals("[1, 1, 3]", rig.service.count(count -> List.of(count.of("card").served(),
-                count.of("accounting").served(), count.of("session-read").served())).toString());
+        assertEquals("[1, 1, 3]", rig.service.count(count -> List.of(count.forClass("card").served(),
+                count.forClass("accounting").served(), count.forClass("session-read").served())).toString());
     }
 
     /** The hard case of a start that may have run at a server that then drains: its next try, with a new identifier, must not
--- a/src/test/java/mastdrift/serve/ServiceTest.java
+++ b/src/test/java/mastdrift/serve/ServiceTest.java
@@ -379,12 +379,12 @@
             assertTrue(Thread.activeCount() <= threads, "threads");
         }
         assertEquals(0, rig.effects.twice());
-        assertEquals(0L, (long) rig.service.count(count -> count.classes().values().stream()
-                .mapToLong(ServiceCount.Of::failed).sum()));
+        assertEquals(0L, (long) rig.service.count(count -> count.byClass().values().stream()
+                .mapToLong(ServiceCount.ClassCounts::failed).sum()));
     }
 
     private Map<Balancer.Why, Long> refusedReads() {
-        return rig.service.count(count -> Arrays.stream(Balancer.Why.values()).collect(Collectors.toMap(why -> why, why -> count.of("session-read").refused(why))));
+        return rig.service.count(count -> Arrays.stream(Balancer.Why.values()).collect(Collectors.toMap(why -> why, why -> count.forClass("session-read").refused(why))));
     }
 
     /** 10,000 nodes are read, judged and put in force without holding up the loop; the bound is wide for slow machines, the
--- a/src/test/java/mastdrift/serve/ZoneServiceTest.java
+++ b/src/test/java/mastdrift/serve/ZoneServiceTest.java
@@ -239,7 +239,7 @@
         rig.await(() -> statuses(1, null)[503] == 1, "refused");
         assertEquals(0, c.served());
         assertEquals(0, over(rig.service.crossed()).attempts());
-        assertTrue(rig.service.count(count -> count.of("session-read").refused(Why.ZONES)) > 0);
+        assertTrue(rig.service.count(count -> count.forClass("session-read").refused(Why.ZONES)) > 0);
     }
 
     /** A start that may have run in a zone that is gone since isn't taken to the other one by its client's repeat; others are. */
