--- a/src/main/java/mastdrift/lab/model/ModelGateway.java
+++ b/src/main/java/mastdrift/lab/model/ModelGateway.java
@@ -10,12 +10,12 @@
 import mastdrift.Balancer.ListForm;
 import mastdrift.Balancer.Repeat;
 import mastdrift.Balancer.Settings;
-import mastdrift.engine.Ask;
+import mastdrift.engine.RequestAttributes;
 import mastdrift.engine.Exchange;
-import mastdrift.engine.Ledger;
+import mastdrift.engine.RequestTracker;
 import mastdrift.engine.Member;
 import mastdrift.engine.Pool;
-import mastdrift.engine.Source;
+import mastdrift.engine.HostListSource;
 import mastdrift.engine.Timers;
 import mastdrift.lab.draw.Streams;
 import mastdrift.membership.Membership;
@@ -57,7 +57,7 @@
 
     /** One life of it. */
     private final class Life {
-        private final Ledger ledger;
+        private final RequestTracker ledger;
         private final Router router = new Router(Router.PINS_MOST);
         private final Map<String, Pool> pools = new LinkedHashMap<>();
         private final Membership membership;
@@ -74,7 +74,7 @@
                     what.run();
                 }
             });
-            ledger = new Ledger(timers, time, OPEN_MOST, line -> { });
+            ledger = new RequestTracker(timers, time, OPEN_MOST, line -> { });
             router.swap(new RouteTable(scenario.routes()));
             membership = scenario.site().membership() ? new Membership() : null;
             zoning = scenario.zones() == null ? null : new Zoning("gateway-" + ModelGateway.this.number, zone, scenario.site().gateways(),
@@ -91,12 +91,12 @@
                 pools.put(poolName, pool);
                 filed.put(poolName, new Membership.ConfiguredPool(List.of(), settings.rules().fallSpan(), settings.rules().warmWithin()));
                 if (zoning != null) {
-                    pool.zones(zoning.pool(poolName));
+                    pool.setZones(zoning.pool(poolName));
                 }
                 if (peers != null) {
-                    pool.peers(work, peers);
+                    pool.setPeers(work, peers);
                 }
-                pool.start(Source.TELLS, List.of());
+                pool.start(HostListSource.PUSH_ONLY, List.of());
             }
             if (zoning != null) {
                 tick(timers);
@@ -119,7 +119,7 @@
             hosts.stream().map(this::heeded).forEach(host -> byPool.computeIfAbsent(poolOf.get(host.address()), name -> new ArrayList<>()).add(host));
             byPool.forEach((name, own) -> {
                 if (membership == null) {
-                    pools.get(name).learn(form, members(own));
+                    pools.get(name).updateHosts(form, members(own));
                     somebody.put(name, true);
                     return;
                 }
@@ -136,7 +136,7 @@
 
         private void put(Map<String, PoolList> changed) {
             changed.forEach((name, list) -> {
-                pools.get(name).learn(ListForm.FULL, members(list.hosts().stream().map(listed -> listed.host()).toList()));
+                pools.get(name).updateHosts(ListForm.FULL, members(list.hosts().stream().map(listed -> listed.host()).toList()));
                 somebody.put(name, list.hasAcceptingHost());
             });
             long due = membership.nextReleaseAt();
@@ -150,7 +150,7 @@
         }
 
         private Exchange take(Try given) {
-            Ask ask = given.ask();
+            RequestAttributes ask = given.ask();
             Traits traits = new Traits(ask.className(), ask.tenant(), "/api", zone, ask.key(), name -> List.of());
             String name = poolNames.size() == 1 && scenario.routes().isEmpty() ? poolNames.get(0)
                     : given.type().repeat() == Repeat.KEYED
@@ -159,10 +159,10 @@
                     : router.pool(traits, this::somebody);
             Pool pool = name == null ? null : pools.get(name);
             if (pool == null) {
-                given.failed(false);
+                given.sendFailure(false);
                 return null;
             }
-            return ledger.take(pool, given, given, ask);
+            return ledger.accept(pool, given, given, ask);
         }
 
         private boolean somebody(String pool) {
--- a/src/main/java/mastdrift/net/ConnectionPool.java
+++ b/src/main/java/mastdrift/net/ConnectionPool.java
@@ -27,7 +27,7 @@
 import mastdrift.engine.Endpoint;
 import mastdrift.engine.Timers;
 import mastdrift.engine.Transport;
-import mastdrift.limits.IdleKeep;
+import mastdrift.limits.IdleRetention;
 
 /**
  * Connections to endpoints: dials new ones, keeps idle ones for reuse for a bounded time, and bounds how many there
@@ -57,11 +57,11 @@
     private final Timers timers;
     private final Bootstrap bootstrap;
     private final Future<?> sweepTask;
-    private final IdleKeep idleLimit;
+    private final IdleRetention idleLimit;
     private final int maxConnections;
     private final Map<String, IdleConnections> idleByUid = new HashMap<>();
     private final Consumer<String> faultLog;
-    private Transport.Strays strayListener;  // null where bytes are not counted
+    private Transport.StrayBytesListener strayListener;  // null where bytes are not counted
     private int connectionCount;
     private boolean closed;
 
@@ -81,7 +81,7 @@
         this.maxConnections = maxConnections;
         this.faultLog = faultLog;
         long maxIdleMicros = (long) (idleTimeoutMicros * IDLE_TIMEOUT_FRACTION);
-        idleLimit = new IdleKeep(maxIdleMicros);
+        idleLimit = new IdleRetention(maxIdleMicros);
         bootstrap = new Bootstrap().group(loop).channelFactory(() -> strayListener == null ? socketFactory.get()
                 : CountedChannel.create())
                 .option(ChannelOption.TCP_NODELAY, true)
@@ -100,7 +100,7 @@
     }
 
     /** Counts bytes from now on and reports those that belong to no attempt; call it before anything is sent. */
-    void countBytes(Transport.Strays listener) {
+    void countBytes(Transport.StrayBytesListener listener) {
         strayListener = listener;
     }
 
@@ -179,7 +179,7 @@
         if (strayListener != null) {
             connection.reportStrayBytes((sent, received) -> {
                 if (sent + received > 0) {
-                    strayListener.stray(connection.endpoint().uid(), sent, received);
+                    strayListener.strayBytes(connection.endpoint().uid(), sent, received);
                 }
             });
         }
@@ -191,7 +191,7 @@
             return null;
         }
         long now = clock.getAsLong();
-        long maxIdleMicros = idleLimit.most(now);
+        long maxIdleMicros = idleLimit.retentionMicros(now);
         for (Iterator<EndpointConnection> candidates = pooled.connections.iterator(); candidates.hasNext(); ) {
             EndpointConnection candidate = candidates.next();
             if (candidate.isUsed() && now - candidate.idleSince() < MIN_IDLE_BEFORE_REUSE_MICROS) {
@@ -235,9 +235,9 @@
      */
     void recordAnswer(long now, boolean onNewConnection, boolean shed) {
         if (onNewConnection) {
-            idleLimit.opened(now, shed);
+            idleLimit.recordOnNewConnection(now, shed);
         } else {
-            idleLimit.again(now, shed);
+            idleLimit.recordOnEstablishedConnection(now, shed);
         }
     }
 
@@ -253,7 +253,7 @@
 
     private void closeExpired() {
         long now = clock.getAsLong();
-        long idleSinceLimit = now - idleLimit.most(now);
+        long idleSinceLimit = now - idleLimit.retentionMicros(now);
         for (IdleConnections pooled : idleByUid.values()) {
             while (!pooled.connections.isEmpty() && pooled.connections.peekLast().idleSince() <= idleSinceLimit) {
                 pooled.connections.pollLast().channel().close();
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -9,9 +9,9 @@
 import mastdrift.Balancer;
 import mastdrift.Balancer.ListForm;
 import mastdrift.Balancer.RequestClass;
-import mastdrift.engine.Ledger;
+import mastdrift.engine.RequestTracker;
 import mastdrift.engine.Pool;
-import mastdrift.engine.Source;
+import mastdrift.engine.HostListSource;
 import mastdrift.engine.Transport;
 
 /** The platform's gateway: a single pool, to which every request goes, with hosts from discovery. */
@@ -19,7 +19,7 @@
 
     private final PrintStream out;
     private final Pool pool;
-    private final Ledger ledger;
+    private final RequestTracker ledger;
     private final Discovery discovery;
     private final CompletableFuture<Void> firstList = new CompletableFuture<>();
     private boolean discoveryHeld;  // whether the module's watch is held back until allowDiscovery()
@@ -30,9 +30,9 @@
             boolean tally, PrintStream out) {
         this.out = out;
         EventLoop loop = timedLoop.loop();
-        ledger = new Ledger(timedLoop.timers(), timedLoop.clock(), timedLoop.turns(), maxOpenRequests, this::log);
+        ledger = new RequestTracker(timedLoop.timers(), timedLoop.clock(), timedLoop.turns(), maxOpenRequests, this::log);
         Transport transport = new HttpTransport(timedLoop, config.settings(), maxHostConnections, this::log);
-        Source source = new Source() {
+        HostListSource source = new HostListSource() {
             @Override
             public void watch(boolean active) {
                 watchRequested = active;
@@ -47,24 +47,24 @@
             }
 
             @Override
-            public boolean listHolds() {
+            public boolean isListValid() {
                 return discovery == null || discovery.isListValid();  // null while the known list is applied
             }
         };
         Discovery.Listener listener = new DiscoveryListener();
-        ledger.witness(new RequestLog(timedLoop.clock()::now, this::log));
+        ledger.setRequestListener(new RequestLog(timedLoop.clock()::now, this::log));
         if (tally) {
             RequestTracer tracing = new RequestTracer(transport, timedLoop, config.settings(), this::log);
-            ledger.witness(tracing);
+            ledger.setRequestListener(tracing);
             TallyRecorder tallyRecorder = new TallyRecorder(tracing, timedLoop, config.settings().rules().warmWithin(),
                     ledger, tracing, this::log);
             transport = tallyRecorder;
             listener = tallyRecorder.countingListener(listener);
         }
         pool = new Pool("hosts", ledger, module, config.settings(), transport);
-        Discovery.RegistryOptions terms = new Discovery.RegistryOptions(!config.settings().registryOnRequest(), config.settings().rules().mustAskIn(), ledger::unseen);
+        Discovery.RegistryOptions terms = new Discovery.RegistryOptions(!config.settings().registryOnRequest(), config.settings().rules().mustAskIn(), ledger::maxUnreadMicros);
         discovery = new Discovery(loop, config.discovery(), terms, config.knownList(), listener);
-        ledger.notifications(discovery::readUnreadInput);
+        ledger.setNotificationReader(discovery::readUnreadInput);
         pool.start(source, config.knownList().version(), config.knownList().entries());
         log("settings: lists are " + (config.settings().registryOnRequest() ? "asked for" : "pushed") + ", " + config.settings().rules());
         logList(config.knownList());
@@ -73,7 +73,7 @@
         }
     }
 
-    Ledger ledger() {
+    RequestTracker ledger() {
         return ledger;
     }
 
@@ -119,7 +119,7 @@
         @Override
         public void listAccepted(HostList list) {
             logList(list);
-            pool.learn(list.full() ? ListForm.FULL : ListForm.DELTA, list.version(), list.entries());
+            pool.updateHosts(list.full() ? ListForm.FULL : ListForm.DELTA, list.version(), list.entries());
             firstList.complete(null);
         }
 
@@ -138,7 +138,7 @@
         @Override
         public void callFailed(String cause) {
             log("discovery failed: " + cause);
-            pool.unheard();
+            pool.hostListFailed();
         }
     }
 
--- a/src/main/java/mastdrift/net/HttpFront.java
+++ b/src/main/java/mastdrift/net/HttpFront.java
@@ -47,19 +47,19 @@
 import mastdrift.Balancer.Repeat;
 import mastdrift.Balancer.RequestClass;
 import mastdrift.Balancer.Tenant;
-import mastdrift.engine.Answer;
-import mastdrift.engine.Ask;
-import mastdrift.engine.Client;
+import mastdrift.engine.ResponseMessage;
+import mastdrift.engine.RequestAttributes;
+import mastdrift.engine.Responder;
 import mastdrift.engine.Exchange;
-import mastdrift.engine.Ledger;
+import mastdrift.engine.RequestTracker;
 import mastdrift.engine.Pool;
-import mastdrift.limits.Connections;
-import mastdrift.limits.Phase;
+import mastdrift.limits.ClientConnectionTable;
+import mastdrift.limits.ConnectionPhase;
 import mastdrift.limits.PhaseBounds;
 
 /**
  * The HTTP/1.1 server that clients connect to: accepts connections, decodes and validates requests, hands them to the
- * {@link Ledger} and writes the final responses. It bounds the number of connections and the time that each may spend
+ * {@link RequestTracker} and writes the final responses. It bounds the number of connections and the time that each may spend
  * in a {@link Phase}.
  */
 public final class HttpFront {
@@ -109,7 +109,7 @@
     private static final long ACCEPT_FAILURE_LOG_INTERVAL_MICROS = 10_000_000;
 
     private final EventLoop loop;
-    private final Ledger ledger;
+    private final RequestTracker ledger;
     private final Router router;
     private final Consumer<String> log;
     private final int maxConnections;
@@ -118,7 +118,7 @@
     private ChannelFactory<? extends ServerChannel> serverChannelFactory = NioServerSocketChannel::new;
     private Function<InetAddress, String> clientZoneByAddress;  // zone of a client address; null if zones are not used
     private final PhaseBounds phaseBounds;
-    private final Connections<Connection> connections;
+    private final ClientConnectionTable<Connection> connections;
     private final Set<String> openRequestIds = new HashSet<>();  // ids of requests that have no final answer yet
     private volatile Channel serverChannel;  // set before the first connection is accepted
     private boolean backlogEmptied = true;  // whether the last read of the listen backlog emptied it
@@ -131,16 +131,16 @@
     private Runnable stopCallback;
 
     /** Holds about {@code maxConnections} connections, with the default {@link PhaseBounds}. */
-    public HttpFront(EventLoop loop, Ledger ledger, Router router, List<RequestClass> classes, List<Tenant> tenants,
+    public HttpFront(EventLoop loop, RequestTracker ledger, Router router, List<RequestClass> classes, List<Tenant> tenants,
             int maxConnections, Consumer<String> log) {
-        this(loop, ledger, router, classes, tenants, maxConnections, PhaseBounds.USUAL, log);
+        this(loop, ledger, router, classes, tenants, maxConnections, PhaseBounds.DEFAULT, log);
     }
 
     /** Holds about {@code maxConnections} connections, with the given time bounds. */
-    public HttpFront(EventLoop loop, Ledger ledger, Router router, List<RequestClass> classes, List<Tenant> tenants,
+    public HttpFront(EventLoop loop, RequestTracker ledger, Router router, List<RequestClass> classes, List<Tenant> tenants,
             int maxConnections, PhaseBounds phaseBounds, Consumer<String> log) {
         this.phaseBounds = phaseBounds;
-        connections = new Connections<>(phaseBounds);
+        connections = new ClientConnectionTable<>(phaseBounds);
         this.loop = loop;
         this.ledger = ledger;
         this.router = router;
@@ -175,7 +175,7 @@
      * loop.
      */
     int connectionCount(boolean withHttpHandlers) {
-        int withoutHandlers = connections.size(Phase.DORMANT) + connections.size(Phase.SILENT);
+        int withoutHandlers = connections.size(ConnectionPhase.DORMANT) + connections.size(ConnectionPhase.SILENT);
         return withHttpHandlers ? connections.size() - withoutHandlers : withoutHandlers;
     }
 
@@ -187,7 +187,7 @@
     /** Number of requests, on all connections, that are only counted and will be refused. Call it on the event loop. */
     int overflowRequestCount() {
         int[] total = new int[1];
-        connections.each(Phase.BUSY, connection -> total[0] += connection.overflowCount);
+        connections.forEach(ConnectionPhase.BUSY, connection -> total[0] += connection.overflowCount);
         return total[0];
     }
 
@@ -228,14 +228,14 @@
             completeStopIfDone();
             return;
         }
-        loop.schedule(() -> closeListener(ledger.turn()), STOP_ACCEPT_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> closeListener(ledger.turnNumber()), STOP_ACCEPT_MILLIS, TimeUnit.MILLISECONDS);
         // With short deadlines the process may be killed sooner than that.
         long answeredInMicros = answerDeadlineMicros - ledger.now();
         loop.schedule(this::endServing, Math.min(STOP_SERVE_MILLIS * 1_000, answeredInMicros), TimeUnit.MICROSECONDS);
         loop.schedule(() -> {
-            connections.each(Phase.BUSY, Connection::failOpenRequest);
+            connections.forEach(ConnectionPhase.BUSY, Connection::failOpenRequest);
             // the time to complete partial requests is over
-            List.of(Phase.SILENT, Phase.PART).forEach(phase -> closeUnlessRequested(phase, true));
+            List.of(ConnectionPhase.SILENT, ConnectionPhase.PART).forEach(phase -> closeUnlessRequested(phase, true));
         }, answeredInMicros, TimeUnit.MICROSECONDS);
         // Connections that are still open by then are logged, since the process may be killed next.
         loop.schedule(this::logOpenConnections, answeredInMicros + STOP_LOG_DELAY_MICROS, TimeUnit.MICROSECONDS);
@@ -247,9 +247,9 @@
      * found no new connection, or when all requests have been answered anyway.
      */
     private void closeListener(long sinceTurn) {
-        boolean backlogEmpty = ledger.turn() > sinceTurn && lastAcceptTurn < ledger.turn() && isBacklogEmpty()
+        boolean backlogEmpty = ledger.turnNumber() > sinceTurn && lastAcceptTurn < ledger.turnNumber() && isBacklogEmpty()
                 && serverChannel.config().isAutoRead();
-        if (backlogEmpty || ledger.turn() == 0 || ledger.now() >= answerDeadlineMicros) {
+        if (backlogEmpty || ledger.turnNumber() == 0 || ledger.now() >= answerDeadlineMicros) {
             serverChannel.close();
             completeStopIfDone();
         } else {
@@ -260,7 +260,7 @@
     private void logOpenConnections() {
         if (connections.size() > 0) {
             StringJoiner phases = new StringJoiner(", ");
-            for (Phase phase : Phase.values()) {
+            for (ConnectionPhase phase : ConnectionPhase.values()) {
                 if (connections.size(phase) > 0) {
                     phases.add(connections.size(phase) + " " + phase);
                 }
@@ -276,16 +276,16 @@
      */
     void endServing() {
         servingEnded = true;
-        List.of(Phase.SILENT, Phase.IDLE, Phase.DORMANT).forEach(phase -> closeUnlessRequested(phase, false));
+        List.of(ConnectionPhase.SILENT, ConnectionPhase.IDLE, ConnectionPhase.DORMANT).forEach(phase -> closeUnlessRequested(phase, false));
         completeStopIfDone();
     }
 
-    private void closeUnlessRequested(Phase phase, boolean includePartial) {
-        connections.each(phase, connection -> connection.closeUnlessRequested(phase, includePartial));
+    private void closeUnlessRequested(ConnectionPhase phase, boolean includePartial) {
+        connections.forEach(phase, connection -> connection.closeUnlessRequested(phase, includePartial));
     }
 
     private void closeOverdueConnections() {
-        connections.overdue(ledger.now(), MAX_CLOSES_PER_SWEEP, Connection::handleOverdue);
+        connections.forEachOverdue(ledger.now(), MAX_CLOSES_PER_SWEEP, Connection::handleOverdue);
     }
 
     /**
@@ -308,9 +308,9 @@
         @Override
         public void channelRead(ChannelHandlerContext context, Object child) {
             if (acceptedInRead++ == 0 && isBacklogEmpty()) {
-                earliestArrivalMicros = ledger.arrived();
+                earliestArrivalMicros = ledger.earliestArrivalAt();
             }
-            lastAcceptTurn = ledger.turn();
+            lastAcceptTurn = ledger.turnNumber();
             context.fireChannelRead(child);
         }
 
@@ -350,13 +350,13 @@
      * turn found none.
      */
     private boolean isBacklogEmpty() {
-        return backlogEmptied || ledger.turn() > lastAcceptTurn + 1;
+        return backlogEmptied || ledger.turnNumber() > lastAcceptTurn + 1;
     }
 
     private void resumeAccepting() {
         if (!serverChannel.config().isAutoRead()) {
             backlogEmptied = false;  // the connections in the backlog may have arrived during the pause
-            lastAcceptTurn = ledger.turn();
+            lastAcceptTurn = ledger.turnNumber();
             serverChannel.config().setAutoRead(true);
         }
     }
@@ -365,9 +365,9 @@
      * Closes a connection that is owed no response. Its unread input is read first, since it may contain a request.
      * Returns false if no connection could be closed.
      */
-    private boolean evictConnection(Connections.Entry<Connection> newcomer) {
+    private boolean evictConnection(ClientConnectionTable.Entry<Connection> newcomer) {
         for (int i = 0; i < MAX_EVICTION_CANDIDATES; i++) {
-            Connection candidate = connections.givesWay(newcomer);
+            Connection candidate = connections.evictionCandidate(newcomer);
             if (candidate == null) {
                 return false;
             }
@@ -432,10 +432,10 @@
      * One client's connection. Until its first byte arrives, this is the only handler in the pipeline: the first byte
      * adds the HTTP handlers in front of it, and they are removed again once the connection has been idle for a while.
      */
-    private final class Connection extends ChannelInboundHandlerAdapter implements Client {
+    private final class Connection extends ChannelInboundHandlerAdapter implements Responder {
 
         private final Channel channel;
-        private Connections.Entry<Connection> entry;
+        private ClientConnectionTable.Entry<Connection> entry;
         private StrictDecoder decoder;  // null while the HTTP handlers are not in the pipeline
         private ArrayDeque<ReceivedRequest> pipelined;  // requests behind the current one; null until there is one
         private int overflowCount;  // requests behind those, which will be refused
@@ -458,9 +458,9 @@
         /** Above the connection limit another connection is evicted; if none can be, accepting pauses. */
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            openedTurn = ledger.turn();
+            openedTurn = ledger.turnNumber();
             earliestOpenMicros = earliestArrivalMicros;
-            entry = connections.opened(ledger.now(), this, addressPrefix(channel.remoteAddress()));
+            entry = connections.add(ledger.now(), this, addressPrefix(channel.remoteAddress()));
             if (connections.size() > maxConnections && !evictConnection(entry)) {
                 serverChannel.config().setAutoRead(false);
             }
@@ -470,9 +470,9 @@
          * Removes the HTTP handlers of a connection that has been idle for a while; closes it in any other case. It
          * closes without a response, since a 408 might cross a request and be taken for its answer.
          */
-        private void handleOverdue(Phase phase) {
-            if (phase == Phase.IDLE && decoder.isBetweenRequests()) {
-                connections.moved(ledger.now(), entry, Phase.DORMANT);
+        private void handleOverdue(ConnectionPhase phase) {
+            if (phase == ConnectionPhase.IDLE && decoder.isBetweenRequests()) {
+                connections.moveTo(ledger.now(), entry, ConnectionPhase.DORMANT);
                 channel.pipeline().remove(StrictDecoder.class);
                 channel.pipeline().remove(HttpResponseEncoder.class);
                 channel.pipeline().remove(RequestAggregator.class);
@@ -488,7 +488,7 @@
          * changes that: the close would reset a request that had arrived before it. Closes one with a partial request
          * only if {@code includePartial}.
          */
-        private void closeUnlessRequested(Phase phase, boolean includePartial) {
+        private void closeUnlessRequested(ConnectionPhase phase, boolean includePartial) {
             if (entry.phase() == phase) {
                 UnreadInput.read(channel);
             }
@@ -505,19 +505,19 @@
         /** Ends the open request now, as if its deadline had passed. */
         private void failOpenRequest() {
             if (exchange != null) {
-                exchange.overdue();
+                exchange.timeOut();
             }
         }
 
         private void close() {
-            connections.closed(entry);
+            connections.remove(entry);
             channel.close();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             if (entry != null) {
-                connections.closed(entry);
+                connections.remove(entry);
             }
             openRequestIds.remove(requestId);
             if (connections.size() <= maxConnections) {
@@ -527,7 +527,7 @@
                 releasePipelined();
             }
             if (exchange != null) {
-                exchange.departed();
+                exchange.clientDisconnected();
             }
             completeStopIfDone();
         }
@@ -551,9 +551,9 @@
             }
             requestCompleted = true;
             // A request found by the first wait after the accept may have been there as long as the connection.
-            long waitingSinceMicros = ledger.turn() == openedTurn + 1 ? Math.min(earliestOpenMicros, ledger.arrived())
-                    : ledger.arrived();
-            ReceivedRequest received = new ReceivedRequest(message, waitingSinceMicros, ledger.turn());
+            long waitingSinceMicros = ledger.turnNumber() == openedTurn + 1 ? Math.min(earliestOpenMicros, ledger.earliestArrivalAt())
+                    : ledger.earliestArrivalAt();
+            ReceivedRequest received = new ReceivedRequest(message, waitingSinceMicros, ledger.turnNumber());
             if (currentRequest == null) {
                 startNext(received);
                 return;
@@ -585,7 +585,7 @@
             ReceivedRequest next = pipelined == null ? null : pipelined.poll();
             if (next == null && overflowCount > 0) {
                 overflowCount--;
-                return new ReceivedRequest(OVERFLOW_REQUEST, ledger.now(), ledger.turn());
+                return new ReceivedRequest(OVERFLOW_REQUEST, ledger.now(), ledger.turnNumber());
             }
             return next;
         }
@@ -596,8 +596,8 @@
             if (!requestCompleted && currentRequest == null && !lastResponseWritten) {
                 // If the bound for silence is no longer, it stays in force: a client that trickles must not gain time
                 // by its first byte.
-                boolean keepsSilentBound = entry.phase() == Phase.SILENT && phaseBounds.silent() <= phaseBounds.whole();
-                connections.moved(ledger.now(), entry, keepsSilentBound ? Phase.SILENT : Phase.PART);
+                boolean keepsSilentBound = entry.phase() == ConnectionPhase.SILENT && phaseBounds.silentMicros() <= phaseBounds.requestMicros();
+                connections.moveTo(ledger.now(), entry, keepsSilentBound ? ConnectionPhase.SILENT : ConnectionPhase.PART);
             }
             requestCompleted = false;
         }
@@ -605,27 +605,27 @@
         private void startNext(ReceivedRequest request) {
             if (request == null) {
                 channel.config().setAutoRead(true);
-                connections.moved(ledger.now(), entry, decoder.isBetweenRequests() ? Phase.IDLE : Phase.PART);
-                if (servingEnded && entry.phase() == Phase.IDLE) {
+                connections.moveTo(ledger.now(), entry, decoder.isBetweenRequests() ? ConnectionPhase.IDLE : ConnectionPhase.PART);
+                if (servingEnded && entry.phase() == ConnectionPhase.IDLE) {
                     close();  // its response was on the way when the other connections were closed
                 } else if (connections.size() > maxConnections) {  // else accepting, once paused, never resumes
                     evictConnection(null);
                 }
                 return;
             }
-            connections.moved(ledger.now(), entry, Phase.BUSY);
+            connections.moveTo(ledger.now(), entry, ConnectionPhase.BUSY);
             currentRequest = request.message;
             // How long a close of the connection may have gone unnoticed: after the turn in which the request was read,
             // a close is noticed in the turn in which it arrives.
-            long closeUnnoticedMicros = request.readTurn == ledger.turn()
-                    ? Math.max(ledger.now() - request.waitingSinceMicros, ledger.unseen()) : ledger.unseen();
+            long closeUnnoticedMicros = request.readTurn == ledger.turnNumber()
+                    ? Math.max(ledger.now() - request.waitingSinceMicros, ledger.maxUnreadMicros()) : ledger.maxUnreadMicros();
             if (overflowed && currentRequest != OVERFLOW_REQUEST) {
                 loop.execute(() -> {  // once all input behind it has been read, it is served like any other
                     overflowed = !UnreadInput.readAll(channel, MAX_READS_AFTER_PAUSE);
                     processAndRelease(request, overflowed);
                 });
             } else {
-                boolean readFirst = closeUnnoticedMicros > Ledger.LOOK_AFTER;
+                boolean readFirst = closeUnnoticedMicros > RequestTracker.CHECK_INPUT_AFTER_MICROS;
                 loop.execute(() -> {  // not within the read that delivered it, where reading again would find nothing
                     if (readFirst) {
                         UnreadInput.read(channel);
@@ -649,7 +649,7 @@
         private void process(ReceivedRequest request, boolean behindPause) {
             FullHttpRequest message = request.message;
             if (message == OVERFLOW_REQUEST || behindPause) {
-                refused(0);
+                sendRefusal(0);
                 return;
             }
             Throwable fault = message.decoderResult().cause();
@@ -710,8 +710,8 @@
                     writeEmptyResponse(HttpResponseStatus.NOT_FOUND, false);
                     return;
                 }
-                exchange = ledger.take(pool, this, new HttpCall(message.retain()),
-                        new Ask(requestClass.name(), tenant, affinityKey, timeLeftMicros, head.isRepeat(),
+                exchange = ledger.accept(pool, this, new HttpCall(message.retain()),
+                        new RequestAttributes(requestClass.name(), tenant, affinityKey, timeLeftMicros, head.isRepeat(),
                                 message.method().equals(HttpMethod.POST), workMicros, clientZone(), effectKey),
                         waitedMicros);
             }
@@ -749,7 +749,7 @@
          * stalled since the last read.
          */
         @Override
-        public boolean there() {
+        public boolean isClientConnected() {
             if (!channel.config().isAutoRead()) {
                 return UnreadInput.readAll(channel, MAX_READS_AFTER_PAUSE) && channel.isActive();
             }
@@ -758,12 +758,12 @@
         }
 
         @Override
-        public boolean left() {
+        public boolean isClientGone() {
             return !channel.isActive();
         }
 
         @Override
-        public void served(Answer hostAnswer) {
+        public void sendResponse(ResponseMessage hostAnswer) {
             FullHttpResponse hostResponse = ((HttpAnswer) hostAnswer).message();
             ByteBuf body = hostResponse.content().retain();
             FullHttpResponse response = UncheckedHeaders.newResponse(HttpResponseStatus.OK, body);
@@ -776,7 +776,7 @@
 
         /** Retry-After is in whole seconds, as HTTP defines it; 0 omits it. */
         @Override
-        public void refused(long retryAfterMicros) {
+        public void sendRefusal(long retryAfterMicros) {
             FullHttpResponse response = emptyResponse(HttpResponseStatus.SERVICE_UNAVAILABLE);
             if (retryAfterMicros > 0) {
                 response.headers().set(HttpHeaderNames.RETRY_AFTER, (retryAfterMicros + 999_999) / 1_000_000);
@@ -785,7 +785,7 @@
         }
 
         @Override
-        public void failed(boolean late) {
+        public void sendFailure(boolean late) {
             writeEmptyResponse(late ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY, false);
         }
 
@@ -807,7 +807,7 @@
                     && HttpUtil.isKeepAlive(currentRequest);
             HttpUtil.setContentLength(response, response.content().readableBytes());
             HttpUtil.setKeepAlive(response, keepAlive);
-            connections.moved(ledger.now(), entry, Phase.UNREAD);
+            connections.moveTo(ledger.now(), entry, ConnectionPhase.UNREAD);
             channel.writeAndFlush(response).addListener((ChannelFutureListener) written -> {
                 currentRequest = null;
                 if (keepAlive && written.isSuccess()) {
--- a/src/main/java/mastdrift/net/HttpTransport.java
+++ b/src/main/java/mastdrift/net/HttpTransport.java
@@ -14,7 +14,7 @@
 import mastdrift.Balancer.Outcome;
 import mastdrift.Balancer.Reports;
 import mastdrift.Balancer.Settings;
-import mastdrift.engine.Call;
+import mastdrift.engine.RequestMessage;
 import mastdrift.engine.Endpoint;
 import mastdrift.engine.Member;
 import mastdrift.engine.Transport;
@@ -41,30 +41,30 @@
     }
 
     @Override
-    public Attempt send(Endpoint endpoint, Call call, long timeoutMicros, long sendWithinMicros, Ended listener) {
+    public Attempt send(Endpoint endpoint, RequestMessage call, long timeoutMicros, long sendWithinMicros, CompletionListener listener) {
         return connections.send(endpoint, forwardedRequest(((HttpCall) call).message()), timeoutMicros,
                 sendWithinMicros, new HttpAttempt.Listener() {
             @Override
             public void ended(Outcome outcome, FullHttpResponse answer) {
                 boolean hasReport = answer != null && reports == Reports.INLINE;
-                listener.ended(outcome, answer == null ? null : new HttpAnswer(answer),
+                listener.completed(outcome, answer == null ? null : new HttpAnswer(answer),
                         hasReport ? LoadReportParser.parse(answer.headers().get("Endpoint-Load-Metrics"))
                                 : LoadReport.NONE);
             }
 
             @Override
             public boolean isWanted() {
-                return listener.wanted();
+                return listener.isWanted();
             }
 
             @Override
             public void connected() {
-                listener.step();
+                listener.progressed();
             }
 
             @Override
             public void bytesTransferred(long sent, long received) {
-                listener.passed(sent, received);
+                listener.transferred(sent, received);
             }
         });
     }
@@ -85,7 +85,7 @@
     }
 
     @Override
-    public void probe(Endpoint endpoint, Probed listener) {
+    public void probe(Endpoint endpoint, ProbeListener listener) {
         boolean reportsEnabled = reports != Reports.OFF;
         FullHttpRequest message = UncheckedHeaders.newRequest(HttpMethod.GET, reportsEnabled ? "/status/load" : "/health",
                 Unpooled.EMPTY_BUFFER);
@@ -98,13 +98,13 @@
 
             @Override
             public void bytesTransferred(long sent, long received) {
-                listener.passed(sent, received);
+                listener.transferred(sent, received);
             }
         });
     }
 
     @Override
-    public void count(Strays listener) {
+    public void countBytes(StrayBytesListener listener) {
         connections.countBytes(listener);
     }
 
--- a/src/main/java/mastdrift/net/RequestLog.java
+++ b/src/main/java/mastdrift/net/RequestLog.java
@@ -7,16 +7,16 @@
 import java.util.function.LongSupplier;
 import mastdrift.Balancer.Outcome;
 import mastdrift.Balancer.Why;
-import mastdrift.engine.Ask;
-import mastdrift.engine.Call;
-import mastdrift.engine.Witness;
+import mastdrift.engine.RequestAttributes;
+import mastdrift.engine.RequestMessage;
+import mastdrift.engine.RequestListener;
 
 /**
  * Logs a line for each request that was not served at its first attempt: how it ended and why, and its attempts with
  * their outcomes. The lines are rate-limited by {@link RateLimitedLog}. Attempts are kept for open requests only, whose
  * number is bounded.
  */
-final class RequestLog implements Witness {
+final class RequestLog implements RequestListener {
 
     static final int MAX_LINES_PER_SECOND = 20;
 
@@ -33,7 +33,7 @@
 
     private final LongSupplier clockMicros;
     private final RateLimitedLog log;
-    private final Map<Call, OpenRequest> openRequests = new IdentityHashMap<>();
+    private final Map<RequestMessage, OpenRequest> openRequests = new IdentityHashMap<>();
 
     /** The clock is in microseconds. */
     RequestLog(LongSupplier clockMicros, Consumer<String> log) {
@@ -42,12 +42,12 @@
     }
 
     @Override
-    public void taken(Call call, Ask ask) {
+    public void requestReceived(RequestMessage call, RequestAttributes ask) {
         openRequests.put(call, new OpenRequest(clockMicros.getAsLong()));
     }
 
     @Override
-    public void attemptEnded(Call call, String uid, Outcome outcome) {
+    public void attemptEnded(RequestMessage call, String uid, Outcome outcome) {
         OpenRequest request = openRequests.get(call);
         if (request != null) {
             request.attemptCount++;
@@ -56,9 +56,9 @@
     }
 
     @Override
-    public void ended(Call call, End end, Why why) {
+    public void requestEnded(RequestMessage call, Result end, Why why) {
         OpenRequest request = openRequests.remove(call);
-        if (request == null || end == End.SERVED && request.attemptCount <= 1) {
+        if (request == null || end == Result.SERVED && request.attemptCount <= 1) {
             return;
         }
         String id = call instanceof HttpCall http ? http.message().headers().get("X-Trace-Id") : "";
--- a/src/main/java/mastdrift/net/RequestTracer.java
+++ b/src/main/java/mastdrift/net/RequestTracer.java
@@ -13,14 +13,14 @@
 import mastdrift.Balancer.RequestClass;
 import mastdrift.Balancer.Settings;
 import mastdrift.Balancer.Why;
-import mastdrift.engine.Answer;
-import mastdrift.engine.Ask;
-import mastdrift.engine.Call;
+import mastdrift.engine.ResponseMessage;
+import mastdrift.engine.RequestAttributes;
+import mastdrift.engine.RequestMessage;
 import mastdrift.engine.Clock;
 import mastdrift.engine.Endpoint;
 import mastdrift.engine.Member;
 import mastdrift.engine.Transport;
-import mastdrift.engine.Witness;
+import mastdrift.engine.RequestListener;
 import mastdrift.tally.Step;
 
 /**
@@ -29,7 +29,7 @@
  * to {@value #MAX_TRACED_PER_SECOND} new requests a second and {@value #MAX_OPEN_TRACED} at a time, each of them
  * completely; the others are counted.
  */
-final class RequestTracer implements Transport, Witness {
+final class RequestTracer implements Transport, RequestListener {
 
     static final int MAX_TRACED_PER_SECOND = 200;
     static final int MAX_OPEN_TRACED = 2_000;
@@ -77,7 +77,7 @@
         return count;
     }
 
-    private static String traceId(Call call) {
+    private static String traceId(RequestMessage call) {
         return ((HttpCall) call).message().headers().get("X-Trace-Id");
     }
 
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void taken(Call call, Ask ask) {
+    public void requestReceived(RequestMessage call, RequestAttributes ask) {
         long now = clock.now();
         if (now / MICROS_PER_SECOND != currentSecond) {
             currentSecond = now / MICROS_PER_SECOND;
@@ -98,17 +98,17 @@
         }
         tracedThisSecond++;
         tracedRequests.put(traceId(call), new TracedRequest(now));
-        logStep(traceId(call), Step.Kind.TAKEN, -1, "", taken(ask), ask.left());
+        logStep(traceId(call), Step.Kind.TAKEN, -1, "", taken(ask), ask.timeLeftMicros());
     }
 
     /** The word of a TAKEN step: {@code tenant:class:REPEAT}, or without the tenant if there is none. */
-    private String taken(Ask ask) {
+    private String taken(RequestAttributes ask) {
         return (ask.tenant() == null ? "" : ask.tenant() + ":")
                 + classLabels.getOrDefault(ask.className(), ask.className());
     }
 
     @Override
-    public void ended(Call call, End end, Why why) {
+    public void requestEnded(RequestMessage call, Result end, Why why) {
         TracedRequest request = tracedRequests.remove(traceId(call));
         if (request != null) {
             logStep(traceId(call), Step.Kind.ANSWERED, -1, "", why == null ? end.name() : end + " " + why,
@@ -130,7 +130,7 @@
     }
 
     @Override
-    public Attempt send(Endpoint to, Call call, long timeoutMicros, long sendWithinMicros, Ended listener) {
+    public Attempt send(Endpoint to, RequestMessage call, long timeoutMicros, long sendWithinMicros, CompletionListener listener) {
         String uid = to.uid();
         String id = traceId(call);
         TracedRequest request = tracedRequests.get(id);
@@ -139,33 +139,33 @@
         }
         int attemptNumber = request.attemptCount++;
         logHostState(id, Step.Kind.SENT, attemptNumber, uid);
-        return transport.send(to, call, timeoutMicros, sendWithinMicros, new Ended() {
+        return transport.send(to, call, timeoutMicros, sendWithinMicros, new CompletionListener() {
             @Override
-            public void ended(Outcome outcome, Answer answer, LoadReport report) {
+            public void completed(Outcome outcome, ResponseMessage answer, LoadReport report) {
                 logStep(id, Step.Kind.ENDED, attemptNumber, uid, outcome.name(), 0);
-                listener.ended(outcome, answer, report);
+                listener.completed(outcome, answer, report);
             }
 
             @Override
-            public boolean wanted() {
-                return listener.wanted();
+            public boolean isWanted() {
+                return listener.isWanted();
             }
 
             @Override
-            public void step() {
+            public void progressed() {
                 logHostState(id, Step.Kind.OPENED, attemptNumber, uid);
-                listener.step();
+                listener.progressed();
             }
 
             @Override
-            public void passed(long sent, long received) {
-                listener.passed(sent, received);
+            public void transferred(long sent, long received) {
+                listener.transferred(sent, received);
             }
         });
     }
 
     @Override
-    public void probe(Endpoint at, Probed probed) {
+    public void probe(Endpoint at, ProbeListener probed) {
         transport.probe(at, probed);
     }
 
@@ -196,8 +196,8 @@
     }
 
     @Override
-    public void count(Strays strays) {
-        transport.count(strays);
+    public void countBytes(StrayBytesListener strays) {
+        transport.countBytes(strays);
     }
 
     @Override
--- a/src/main/java/mastdrift/net/TallyRecorder.java
+++ b/src/main/java/mastdrift/net/TallyRecorder.java
@@ -8,11 +8,11 @@
 import mastdrift.Balancer.LoadReport;
 import mastdrift.Balancer.Outcome;
 import mastdrift.Balancer.Why;
-import mastdrift.engine.Answer;
-import mastdrift.engine.Call;
+import mastdrift.engine.ResponseMessage;
+import mastdrift.engine.RequestMessage;
 import mastdrift.engine.Clock;
 import mastdrift.engine.Endpoint;
-import mastdrift.engine.Ledger;
+import mastdrift.engine.RequestTracker;
 import mastdrift.engine.Member;
 import mastdrift.engine.ServiceCount;
 import mastdrift.engine.Timers;
@@ -32,14 +32,14 @@
     private final Clock clock;
     private final Timers timers;
     private final long warmWithinMicros;
-    private final Ledger ledger;
+    private final RequestTracker ledger;
     private final RequestTracer tracing;
     private final Consumer<String> log;
     private final Set<String> coldHosts = new HashSet<>();
     private final long[] countedAnswers = new long[2 + Why.values().length];
     private Second currentSecond;
 
-    TallyRecorder(Transport transport, TimedEventLoop timedLoop, long warmWithinMicros, Ledger ledger, RequestTracer tracing,
+    TallyRecorder(Transport transport, TimedEventLoop timedLoop, long warmWithinMicros, RequestTracker ledger, RequestTracer tracing,
             Consumer<String> log) {
         this.transport = transport;
         clock = timedLoop.clock();
@@ -70,7 +70,7 @@
     /** Counts the final answers since the last call; the ledger holds totals, of which this takes the difference. */
     private void countFinalAnswers() {
         long[] totals = new long[countedAnswers.length];
-        for (ServiceCount.Of classCount : ledger.count().classes().values()) {
+        for (ServiceCount.ClassCounts classCount : ledger.serviceCount().byClass().values()) {
             totals[0] += classCount.served();
             totals[1] += classCount.failed();
             for (Why why : Why.values()) {
@@ -119,45 +119,45 @@
     }
 
     @Override
-    public Attempt send(Endpoint endpoint, Call call, long timeoutMicros, long sendWithinMicros, Ended listener) {
+    public Attempt send(Endpoint endpoint, RequestMessage call, long timeoutMicros, long sendWithinMicros, CompletionListener listener) {
         String uid = endpoint.uid();
         currentSecond.add(Count.SENDS);
         currentSecond.sent(uid);
         if (coldHosts.contains(uid)) {
             currentSecond.add(Count.COLD);
         }
-        return transport.send(endpoint, call, timeoutMicros, sendWithinMicros, new Ended() {
+        return transport.send(endpoint, call, timeoutMicros, sendWithinMicros, new CompletionListener() {
             @Override
-            public void ended(Outcome outcome, Answer answer, LoadReport report) {
+            public void completed(Outcome outcome, ResponseMessage answer, LoadReport report) {
                 currentSecond.add(Count.valueOf(outcome.name()));
                 if (outcome != Outcome.DELIVERED && outcome != Outcome.REVOKED && outcome != Outcome.UNUSED) {
                     currentSecond.lost(uid);
                 }
-                listener.ended(outcome, answer, report);
+                listener.completed(outcome, answer, report);
             }
 
             @Override
-            public boolean wanted() {
-                return listener.wanted();
+            public boolean isWanted() {
+                return listener.isWanted();
             }
 
             @Override
-            public void step() {
+            public void progressed() {
                 currentSecond.add(Count.OPENED);
-                listener.step();
+                listener.progressed();
             }
 
             @Override
-            public void passed(long sent, long received) {
-                listener.passed(sent, received);
+            public void transferred(long sent, long received) {
+                listener.transferred(sent, received);
             }
         });
     }
 
     @Override
-    public void probe(Endpoint endpoint, Probed listener) {
+    public void probe(Endpoint endpoint, ProbeListener listener) {
         currentSecond.add(Count.PROBES);
-        transport.probe(endpoint, new Probed() {
+        transport.probe(endpoint, new ProbeListener() {
             @Override
             public void probed(Outcome outcome, LoadReport report) {
                 if (outcome != Outcome.DELIVERED) {
@@ -167,8 +167,8 @@
             }
 
             @Override
-            public void passed(long sent, long received) {
-                listener.passed(sent, received);
+            public void transferred(long sent, long received) {
+                listener.transferred(sent, received);
             }
         });
     }
@@ -191,8 +191,8 @@
     }
 
     @Override
-    public void count(Strays listener) {
-        transport.count(listener);
+    public void countBytes(StrayBytesListener listener) {
+        transport.countBytes(listener);
     }
 
     @Override
--- a/src/main/java/mastdrift/net/TimedEventLoop.java
+++ b/src/main/java/mastdrift/net/TimedEventLoop.java
@@ -9,11 +9,11 @@
 import io.netty.channel.nio.NioIoHandler;
 import mastdrift.engine.Clock;
 import mastdrift.engine.Timers;
-import mastdrift.engine.Wheel;
-import mastdrift.lateness.Turns;
+import mastdrift.engine.TimerWheel;
+import mastdrift.lateness.EventLoopLateness;
 
 /** An event loop that measures its own lateness, with its clock and timers. */
-public record TimedEventLoop(EventLoop loop, Clock clock, Timers timers, Turns turns) {
+public record TimedEventLoop(EventLoop loop, Clock clock, Timers timers, EventLoopLateness turns) {
 
     // The run queue delay is not read again within this time: changes over less than that don't matter.
     private static final long RUN_QUEUE_READ_INTERVAL_MICROS = 1_000;
@@ -28,21 +28,21 @@
     /** Starts a loop on a thread of its own. */
     public static TimedEventLoop start() {
         Clock clock = Clock.system();
-        Turns turns = new Turns();
+        EventLoopLateness turns = new EventLoopLateness();
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, executor ->
                 new TimedIoHandler(NioIoHandler.newFactory().newHandler(executor), clock, turns)).next();
-        return new TimedEventLoop(loop, clock, new Wheel(clock, Timers.of(loop)), turns);
+        return new TimedEventLoop(loop, clock, new TimerWheel(clock, Timers.of(loop)), turns);
     }
 
     /**
-     * Reports the turns of the loop to {@link Turns}. Netty's handler asks {@link #shouldReportActiveIoTime} after it
+     * Reports the turns of the loop to {@link EventLoopLateness}. Netty's handler asks {@link #shouldReportActiveIoTime} after it
      * has returned from the selector and before it handles ready channels; no other hook is called between the two.
      */
     private static final class TimedIoHandler implements IoHandler, IoHandlerContext {
 
         private final IoHandler handler;
         private final Clock clock;
-        private final Turns turns;
+        private final EventLoopLateness turns;
         private final RunQueueDelay runQueueDelay = new RunQueueDelay();
         private IoHandlerContext context;
         private long waitStartMicros;
@@ -50,7 +50,7 @@
         private long runQueueReadAtMicros;
         private long runQueueDelayMicros;
 
-        TimedIoHandler(IoHandler handler, Clock clock, Turns turns) {
+        TimedIoHandler(IoHandler handler, Clock clock, EventLoopLateness turns) {
             this.handler = handler;
             this.clock = clock;
             this.turns = turns;
@@ -72,9 +72,9 @@
             }
             waitStartMicros = now;
             waitDueMicros = Long.MAX_VALUE;
-            turns.waits(now);
+            turns.waitStarted(now);
             int handled = handler.run(this);
-            turns.handled();
+            turns.readyEventsHandled();
             return handled;
         }
 
@@ -85,7 +85,7 @@
             long queuedMicros = now - waitStartMicros >= RUN_QUEUE_READ_INTERVAL_MICROS
                     ? readRunQueueDelay(now) - previousDelayMicros : 0;
             // Events that arrived while the thread could not run did so at an unknown time.
-            turns.back(now, now - WAKEUP_TOLERANCE_MICROS > waitDueMicros ? now - waitStartMicros : queuedMicros);
+            turns.waitEnded(now, now - WAKEUP_TOLERANCE_MICROS > waitDueMicros ? now - waitStartMicros : queuedMicros);
             return context.shouldReportActiveIoTime();
         }
 
--- a/src/test/java/mastdrift/net/ClientDisconnectTest.java
+++ b/src/test/java/mastdrift/net/ClientDisconnectTest.java
@@ -33,9 +33,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 import mastdrift.Balancer;
-import mastdrift.engine.Ask;
-import mastdrift.engine.Call;
-import mastdrift.engine.Witness;
+import mastdrift.engine.RequestAttributes;
+import mastdrift.engine.RequestMessage;
+import mastdrift.engine.RequestListener;
 import mastdrift.net.Loopback.Message;
 import mastdrift.net.Loopback.Node;
 import mastdrift.net.Loopback.Server;
@@ -111,15 +111,15 @@
      */
     private static CountDownLatch stallAtNextRequest(Node node, CountDownLatch release) {
         CountDownLatch stalled = new CountDownLatch(1);
-        node.gateway.ledger().witness(new Witness() {
+        node.gateway.ledger().setRequestListener(new RequestListener() {
             @Override
-            public void taken(Call call, Ask ask) {
+            public void requestReceived(RequestMessage call, RequestAttributes ask) {
                 stalled.countDown();
                 awaitLatch(release);
             }
 
             @Override
-            public void ended(Call call, End end, Balancer.Why why) { }
+            public void requestEnded(RequestMessage call, Result end, Balancer.Why why) { }
         });
         return stalled;
     }
@@ -493,9 +493,9 @@
             Socket client = connectAndRequest(node);
             CountDownLatch dialled = new CountDownLatch(1);
             CountDownLatch clientLeft = new CountDownLatch(1);
-            node.gateway.ledger().witness(new Witness() {
+            node.gateway.ledger().setRequestListener(new RequestListener() {
                 @Override
-                public void taken(Call call, Ask ask) {
+                public void requestReceived(RequestMessage call, RequestAttributes ask) {
                     // Runs after the event that dials, and the tasks that it schedules, in the same turn.
                     node.loop.execute(() -> node.loop.execute(() -> node.loop.execute(() -> {
                         dialled.countDown();
@@ -504,11 +504,11 @@
                 }
 
                 @Override
-                public void ended(Call call, End end, Balancer.Why why) { }
+                public void requestEnded(RequestMessage call, Result end, Balancer.Why why) { }
             });
             write(client, withTraceId(read(60_000), "gone"));
             assertTrue(dialled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            node.gateway.ledger().witness(null);
+            node.gateway.ledger().setRequestListener(null);
             eventually(() -> !host.accepted.isEmpty());
             disconnectBeyondCutoff(client, closeMode);
             clientLeft.countDown();
@@ -533,9 +533,9 @@
             Socket stallingClient = connectAndRequest(node);
             CountDownLatch dialled = new CountDownLatch(1);
             CountDownLatch ready = new CountDownLatch(1);
-            node.gateway.ledger().witness(new Witness() {
+            node.gateway.ledger().setRequestListener(new RequestListener() {
                 @Override
-                public void taken(Call call, Ask ask) {
+                public void requestReceived(RequestMessage call, RequestAttributes ask) {
                     // Runs after the event that dials, and the tasks that it schedules, in the same turn.
                     node.loop.execute(() -> node.loop.execute(() -> node.loop.execute(() -> {
                         dialled.countDown();
@@ -544,7 +544,7 @@
                 }
 
                 @Override
-                public void ended(Call call, End end, Balancer.Why why) { }
+                public void requestEnded(RequestMessage call, Result end, Balancer.Why why) { }
             });
             write(client, withTraceId(read(60_000), "gone"));
             assertTrue(dialled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
@@ -554,13 +554,13 @@
             ready.countDown();
             assertTrue(stalled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
             disconnectBeyondCutoff(client, closeMode);
-            node.gateway.ledger().witness(null);
+            node.gateway.ledger().setRequestListener(null);
             release.countDown();
             assertEquals(200, Loopback.read(stallingClient).status());
             Set<String> ids = receivedIds(node, host);
             ids.remove("holder");
             assertEquals(Set.of(), ids);
-            assertEquals(0, node.loop.submit(() -> node.gateway.ledger().count().of("read").refused()).get(),
+            assertEquals(0, node.loop.submit(() -> node.gateway.ledger().serviceCount().forClass("read").refused()).get(),
                     "a request whose client is known to have left must not be refused");
         }
     }
@@ -601,7 +601,7 @@
             firstStall.countDown();
             assertTrue(stalled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
             disconnectBeyondCutoff(client, closeMode);
-            node.gateway.ledger().witness(null);
+            node.gateway.ledger().setRequestListener(null);
             rest.countDown();
             assertEquals(200, Loopback.read(stallingClient).status());
             Set<String> ids = receivedIds(node, host, other);
@@ -664,7 +664,7 @@
             firstStall.countDown();
             assertTrue(stalled.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
             disconnectBeyondCutoff(client, closeMode);
-            node.gateway.ledger().witness(null);
+            node.gateway.ledger().setRequestListener(null);
             rest.countDown();
             assertEquals(200, Loopback.read(stallingClient).status());
             Set<String> ids = receivedIds(node, host);
--- a/src/test/java/mastdrift/net/ConnectionPoolTest.java
+++ b/src/test/java/mastdrift/net/ConnectionPoolTest.java
@@ -81,7 +81,7 @@
 
     private void update(ConnectionPool pool, String json) throws Exception {
         HostList list = HostList.parse(JSON.std.anyFrom(json));
-        gate.take(list.version(), list.full(), list.entries());
+        gate.apply(list.version(), list.full(), list.entries());
         pool.closeIdleOutOfService();
     }
 
--- a/src/test/java/mastdrift/net/DescriptorsTest.java
+++ b/src/test/java/mastdrift/net/DescriptorsTest.java
@@ -207,7 +207,7 @@
             ConnectionPool pool = loop.submit(() -> {
                 ConnectionPool created = new ConnectionPool(loop, Clock.system()::now, Timers.of(loop), 20_000_000,
                         5_000_000, 10, results::add);
-                gate.take(1, true, members(entry("s1", addresses[1], "a", "in_service"), entry("s2", addresses[1], "a", "in_service"),
+                gate.apply(1, true, members(entry("s1", addresses[1], "a", "in_service"), entry("s2", addresses[1], "a", "in_service"),
                         entry("s3", addresses[2], "a", "in_service")).entries());
                 return created;
             }).get();
--- a/src/test/java/mastdrift/net/GatewayTest.java
+++ b/src/test/java/mastdrift/net/GatewayTest.java
@@ -24,9 +24,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import mastdrift.Balancer;
-import mastdrift.engine.Answer;
-import mastdrift.engine.Ask;
-import mastdrift.engine.Client;
+import mastdrift.engine.ResponseMessage;
+import mastdrift.engine.RequestAttributes;
+import mastdrift.engine.Responder;
 import mastdrift.net.Loopback.Server;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -47,19 +47,19 @@
     private final List<String> events = new CopyOnWriteArrayList<>();
     private Balancer.Actions actions;
 
-    private final Client client = new Client() {
+    private final Responder client = new Responder() {
         @Override
-        public void served(Answer answer) {
+        public void sendResponse(ResponseMessage answer) {
             answers.add("served");
         }
 
         @Override
-        public void refused(long retryAfter) {
+        public void sendRefusal(long retryAfter) {
             answers.add("refused");
         }
 
         @Override
-        public void failed(boolean late) {
+        public void sendFailure(boolean late) {
             answers.add(late ? "late" : "failed");
         }
     };
@@ -90,9 +90,9 @@
             loop.submit(() -> {
                 Gateway gateway = new Gateway(config, timed, module, 8, 8, false,
                         new PrintStream(log, true, StandardCharsets.UTF_8));
-                gateway.ledger().take(gateway.pool(null, null, null, null), client, new HttpCall(
+                gateway.ledger().accept(gateway.pool(null, null, null, null), client, new HttpCall(
                         new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api")),
-                        new Ask("read", "acme", null, remainingMicros, false, false, 0));
+                        new RequestAttributes("read", "acme", null, remainingMicros, false, false, 0));
             }).sync();
         }
     }
--- a/src/test/java/mastdrift/net/SystemCallFailureTest.java
+++ b/src/test/java/mastdrift/net/SystemCallFailureTest.java
@@ -159,7 +159,7 @@
         try (Server one = host("one")) {
             loop.submit(() -> {
                 EndpointGate gate = new EndpointGate();
-                gate.take(1, true, HostList.parse(com.fasterxml.jackson.jr.ob.JSON.std.anyFrom(
+                gate.apply(1, true, HostList.parse(com.fasterxml.jackson.jr.ob.JSON.std.anyFrom(
                         list(1, true, entry("s1", one.address(), "a", "in_service")))).entries());
                 ConnectionPool pool = new ConnectionPool(loop, Clock.system()::now, Timers.of(loop),
                         DIAL_TIMEOUT_MICROS, IDLE_TIMEOUT_MICROS, 10, line -> { }, socketFactory);
