--- a/src/main/java/mastdrift/engine/RequestTracker.java
+++ b/src/main/java/mastdrift/engine/RequestTracker.java
@@ -239,7 +239,7 @@
             try {
                 event.accept(now());
             } catch (RuntimeException | Error exception) {  // an OutOfMemoryError may concern one request alone
-                log("exception in an event handler: " + exception
+                log("fault in an event handler: " + exception
                 + Arrays.stream(exception.getStackTrace()).limit(1).toList());
                 if (exchange != null && !exchange.ended) {
                     fail(exchange, false);
--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -209,7 +209,7 @@
     static void listen(StartedGateway started, GatewayConfig config, PrintStream out) {
         ChannelFuture bound = started.clients().listen(config.listen()).awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new IllegalArgumentException("can't listen on " + config.listen() + ": " + bound.cause().getMessage(),
+            throw new IllegalArgumentException("no listening on " + config.listen() + ": " + bound.cause().getMessage(),
                     bound.cause());
         }
         out.println("listening on " + started.clients().address());
