--- a/src/test/java/mastdrift/net/DrainTest.java
+++ b/src/test/java/mastdrift/net/DrainTest.java
@@ -324,7 +324,7 @@
         String change = list(4, false, drainingFirst(), inService("s2", two));
         int cut = change.length() - 20;
         writeChunk(watch, change.substring(0, cut));
-        eventually(() -> log().contains("s1 ended"));
+        eventually(() -> log().contains("s1 out of service"));
         switch (rest) {
             case "stays away" -> eventually(() -> node.ask(read(20_000)).status() == 503);
             case "comes" -> writeChunk(watch, change.substring(cut) + "\n");
