--- a/src/main/java/mastdrift/cli/ZonesCommand.java
+++ b/src/main/java/mastdrift/cli/ZonesCommand.java
@@ -48,7 +48,7 @@
             switch (form) {
                 case CSV -> out.print(ZoneReports.csv(snapshots));
                 case JSON -> out.print(ZoneReports.json(snapshots));
-                default -> ZoneReports.lines(snapshots).forEach(out::println);
+                default -> ZoneReports.textLines(snapshots).forEach(out::println);
             }
             out.flush();
             if (picture != null) {
--- a/src/main/java/mastdrift/config/ZonesReader.java
+++ b/src/main/java/mastdrift/config/ZonesReader.java
@@ -73,7 +73,7 @@
         String name = Tables.word(each, "name", each.requiredText("name"));
         each.once("name", name, names);
         List<Window> windows = List.of(Window.values());
-        Window window = each.word("window", null, windows.stream().map(Window::word).toList(), windows);
+        Window window = each.word("window", null, windows.stream().map(Window::settingName).toList(), windows);
         if (window == null && !each.has("window")) {
             each.problem("window", "expected minute, hour, day or month, found nothing");
         }
@@ -119,9 +119,9 @@
         for (Section each : section.sections("price", MOST)) {
             Price price = new Price(requiredZone(each, "from"), requiredZone(each, "to"), each.real("per_gib", 0, 0, 1e9),
                     each.real("per_million_requests", 0, 0, 1e9));
-            each.once("to", price.from() + " to " + price.to(), met);
-            if (price.from().equals(price.to()) && !price.from().equals("?")) {
-                each.problem("to", "expected two zones, found \"" + price.to() + "\" twice");
+            each.once("to", price.fromZone() + " to " + price.toZone(), met);
+            if (price.fromZone().equals(price.toZone()) && !price.fromZone().equals("?")) {
+                each.problem("to", "expected two zones, found \"" + price.toZone() + "\" twice");
             }
             prices.add(price);
             each.noMore();
@@ -132,7 +132,7 @@
     private List<Networks.Network> networks() {
         List<Networks.Network> networks = new ArrayList<>();
         Set<String> met = Section.met();
-        for (Section each : section.sections("client", Networks.MOST)) {
+        for (Section each : section.sections("client", Networks.MAX_NETWORKS)) {
             AddressRange range = Tables.range(each, "network");
             String zone = requiredZone(each, "zone");
             if (range != null) {
--- a/src/main/java/mastdrift/engine/Ledger.java
+++ b/src/main/java/mastdrift/engine/Ledger.java
@@ -167,7 +167,7 @@
             pool.own(at);
             long left = Math.max(0, exchange.endsAt - at);  // of which it may have spent some held back
             pool.module().request(at, new Balancer.Request(exchange.id, ask.className(), ask.tenant(), ask.key(), left,
-                    ask.work(), ask.repeated(), ask.write(), exchange.pass == null ? null : exchange.pass.bounds()));
+                    ask.work(), ask.repeated(), ask.write(), exchange.pass == null ? null : exchange.pass.asCrossing()));
         });
         return exchange.ended ? null : exchange;
     }
@@ -280,7 +280,7 @@
         finish(exchange, Witness.End.REFUSED, why);
         count.refused(exchange.className, why);
         if (exchange.pass != null) {
-            exchange.pass.refused(now(), why);
+            exchange.pass.recordRefusal(now(), why);
         }
         exchange.client.refused(retryAfter);
     }
--- a/src/main/java/mastdrift/engine/Pool.java
+++ b/src/main/java/mastdrift/engine/Pool.java
@@ -48,7 +48,7 @@
     /** What crosses zones is counted and bounded from now on; before {@link #start}. */
     public void zones(PoolZones counted) {
         zones = counted;
-        transport.count((uid, sent, received) -> counted.stray(ledger.now(), uid, sent, received));
+        transport.count((uid, sent, received) -> counted.recordUnattributedBytes(ledger.now(), uid, sent, received));
     }
 
     /** What is out is counted for peers, and the module sees what they have out; before {@link #start}. */
@@ -63,7 +63,7 @@
         }
         for (RequestClass type : settings.classes()) {
             if (type.name().equals(ask.className())) {
-                return zones.pass(ledger.now(), type, ask.tenant(), ask.clientZone(), ask.effect());
+                return zones.startRequest(ledger.now(), type, ask.tenant(), ask.clientZone(), ask.effect());
             }
         }
         return null;
@@ -153,7 +153,7 @@
         transport.update(form != ListForm.DELTA, members);
         List<Host> hosts = members.stream().map(Member::host).toList();
         if (zones != null) {
-            zones.hosts(ledger.now(), form != ListForm.DELTA, hosts);
+            zones.updateHosts(ledger.now(), form != ListForm.DELTA, hosts);
         }
         ledger.event(null, now -> module.hosts(now, form, hosts));
     }
@@ -194,7 +194,7 @@
             this.exchange = exchange;
             this.uid = uid;
             number = exchange.attempts.size();
-            leg = exchange.pass == null ? null : exchange.pass.sent(sentAt, uid, number);
+            leg = exchange.pass == null ? null : exchange.pass.startAttempt(sentAt, uid, number);
             if (work != null) {
                 work.sent(uid);
             }
@@ -236,7 +236,7 @@
             }
             Outcome told = own > UNSURE && 2 * own > all ? unblamed(outcome) : outcome;
             if (leg != null) {
-                leg.ended(now, told, sent, received);
+                leg.end(now, told, sent, received);
             }
             ledger.event(exchange, at -> {
                 exchange.out--;
@@ -329,7 +329,7 @@
             @Override
             public void probed(Outcome outcome, LoadReport report) {
                 if (zones != null) {
-                    zones.probed(ledger.now(), uid, outcome, sent, received);
+                    zones.recordProbe(ledger.now(), uid, outcome, sent, received);
                 }
                 long all = ledger.now() - sentAt;
                 long elapsed = Math.max(all - ledger.turns().own(ledger.now()), Math.min(all, LEAST));
--- a/src/main/java/mastdrift/lab/model/ModelGateway.java
+++ b/src/main/java/mastdrift/lab/model/ModelGateway.java
@@ -252,12 +252,12 @@
 
     /** Its word on budgets, or null where it is down. */
     Escrow.Word word() {
-        return life == null ? null : life.zoning.word(time.now());
+        return life == null ? null : life.zoning.announcement(time.now());
     }
 
     void heard(Escrow.Word word) {
         if (life != null) {
-            life.zoning.heard(word);
+            life.zoning.receive(word);
         }
     }
 
--- a/src/main/java/mastdrift/lab/model/World.java
+++ b/src/main/java/mastdrift/lab/model/World.java
@@ -191,9 +191,9 @@
         if (scenario.zones().shared()) {
             time.after(WORDS_EVERY, this::words);
         }
-        if (!scenario.zones().settings().limits().isEmpty()) {
-            Limit first = scenario.zones().settings().limits().get(0);
-            long span = (first.window().end(0) - first.window().begin(0)) * 1_000;
+        if (!scenario.zones().settings().budgets().isEmpty()) {
+            Limit first = scenario.zones().settings().budgets().get(0);
+            long span = (first.window().endMillis(0) - first.window().startMillis(0)) * 1_000;
             for (long end = span; end <= scenario.length(); end += span) {
                 time.after(end - 1_000, () -> window(first.amount()));
             }
--- a/src/main/java/mastdrift/lab/report/ZonePicture.java
+++ b/src/main/java/mastdrift/lab/report/ZonePicture.java
@@ -25,10 +25,10 @@
         for (Cause cause : Cause.values()) {
             flows.forEach((flow, counts) -> {
                 if (flow.crosses() && counts.bytes(cause) > 0) {
-                    String bar = flow.className() + ", " + flow.from() + " to " + flow.to();
-                    double before = data.getRowIndex(cause.word()) >= 0 && data.getColumnIndex(bar) >= 0
-                            && data.getValue(cause.word(), bar) != null ? data.getValue(cause.word(), bar).doubleValue() : 0;
-                    data.setValue(before + counts.bytes(cause) / MIB, cause.word(), bar);
+                    String bar = flow.className() + ", " + flow.fromZone() + " to " + flow.toZone();
+                    double before = data.getRowIndex(cause.reportName()) >= 0 && data.getColumnIndex(bar) >= 0
+                            && data.getValue(cause.reportName(), bar) != null ? data.getValue(cause.reportName(), bar).doubleValue() : 0;
+                    data.setValue(before + counts.bytes(cause) / MIB, cause.reportName(), bar);
                 }
             });
         }
--- a/src/main/java/mastdrift/measure/ZonesMeasurement.java
+++ b/src/main/java/mastdrift/measure/ZonesMeasurement.java
@@ -103,8 +103,8 @@
             Counts counts = entry.getValue();
             if (flow.crosses() == crossing) {
                 totals[0] += counts.attempts();
-                totals[1] += counts.sent();
-                totals[2] += counts.received();
+                totals[1] += counts.bytesSent();
+                totals[2] += counts.bytesReceived();
             }
         }
         return totals;
--- a/src/main/java/mastdrift/serve/Changes.java
+++ b/src/main/java/mastdrift/serve/Changes.java
@@ -39,7 +39,7 @@
             bound.add("[[radius]]: expected the listeners that the gateway started with; start it anew to change them");
         }
         boolean counted = inForce.zones() != null;
-        if (counted != (next.zones() != null) || counted && !inForce.zones().sameAtStart(next.zones())) {
+        if (counted != (next.zones() != null) || counted && !inForce.zones().samePaths(next.zones())) {
             bound.add("[zones]: expected the table, or none, and the files that the gateway started with; start it anew to change them");
         }
         if ((inForce.peers() == null) != (next.peers() == null) || inForce.peers() != null && !inForce.peers().sameAtStart(next.peers())) {
--- a/src/main/java/mastdrift/serve/ZoneService.java
+++ b/src/main/java/mastdrift/serve/ZoneService.java
@@ -34,8 +34,8 @@
         this.now = now;
         zoning = new Zoning(gateway.name(), gateway.zone(), gateway.gateways(), settings, now.getAsLong(), System.currentTimeMillis());
         networks = new Networks(settings.networks());
-        files = new ZoneFiles(file, gateway.name(), settings, word -> loop.execute(() -> zoning.heard(word)), log);
-        Snapshot earlier = files.earlier();
+        files = new ZoneFiles(file, gateway.name(), settings, word -> loop.execute(() -> zoning.receive(word)), log);
+        Snapshot earlier = files.readSnapshot();
         if (earlier != null) {
             try {
                 zoning.restore(earlier, UNSAVED_MILLIS);
@@ -43,8 +43,8 @@
                 log.accept("the state of zones is not used: " + e.getMessage());
             }
         }
-        if (files.told() != null) {
-            zoning.told(files.told());
+        if (files.readOwnAnnouncement() != null) {
+            zoning.restoreTransfers(files.readOwnAnnouncement());
         }
         loop.scheduleWithFixedDelay(() -> tick(log), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -62,7 +62,7 @@
 
     /** Soon, by the thread of the files; on the loop's thread. */
     void write() {
-        files.write(zoning.snapshot(now.getAsLong()), zoning.word(now.getAsLong()));
+        files.write(zoning.snapshot(now.getAsLong()), zoning.announcement(now.getAsLong()));
     }
 
     /** The operator's file has changed. */
@@ -76,7 +76,7 @@
     }
 
     void closed(String name) {
-        zoning.closed(name);
+        zoning.removePool(name);
     }
 
     String zone(InetAddress client) {
--- a/src/main/java/mastdrift/zones/Account.java
+++ b/src/main/java/mastdrift/zones/Account.java
@@ -13,98 +13,98 @@
 final class Account {
 
     /** A bucket holds the pace of so much of a window. */
-    static final double BUCKET = 1.0 / 60;
+    static final double BUCKET_WINDOW_FRACTION = 1.0 / 60;
     /** Of a window's part, what may go into paying debts. */
-    static final double REPAID = 0.5;
+    static final double MAX_REPAYMENT_FRACTION = 0.5;
     // A rate over a shorter time would be none.
-    private static final long FORECAST_LEAST = 1_000;
+    private static final long MIN_FORECAST_SPAN_MILLIS = 1_000;
 
-    private Limit limit;
-    private double part;
-    private long begin;
-    private long end;
-    private long at;
+    private Limit budget;
+    private double allotment;
+    private long windowStartMillis;
+    private long windowEndMillis;
+    private long currentMillis;
     private double granted;
     private double spent;
     private double reserved;
     private double credit;
     private double owed;
     private double denied;
-    private double asked;
-    private long openedAt;
-    private final Map<String, Double> given = new TreeMap<>();
-    private final Map<String, Double> got = new TreeMap<>();
+    private double recentMaxCost;
+    private long usageSinceMillis;
+    private final Map<String, Double> transferredOut = new TreeMap<>();
+    private final Map<String, Double> transferredIn = new TreeMap<>();
 
     /** Opens in the middle of a window, of which the past part is taken for spent. */
-    Account(Limit limit, int gateways, long millis) {
-        this.limit = limit;
-        part = limit.amount() / gateways;
-        begin = limit.window().begin(millis);
-        end = limit.window().end(millis);
-        at = millis;
-        openedAt = millis;
-        granted = part * (end - millis) / (end - begin);
+    Account(Limit limit, int gatewayCount, long millis) {
+        this.budget = limit;
+        allotment = limit.amount() / gatewayCount;
+        windowStartMillis = limit.window().startMillis(millis);
+        windowEndMillis = limit.window().endMillis(millis);
+        currentMillis = millis;
+        usageSinceMillis = millis;
+        granted = allotment * (windowEndMillis - millis) / (windowEndMillis - windowStartMillis);
     }
 
-    Limit limit() {
-        return limit;
+    Limit budget() {
+        return budget;
     }
 
     /** The operator has changed it: what was spent stays spent, and the window's part grows or shrinks at once. */
-    void change(Limit next, int gateways) {
-        double before = part;
-        part = next.amount() / gateways;
-        limit = next;
-        granted += part - before;
-        credit = Math.min(credit, Math.max(0, left()));
+    void updateBudget(Limit newBudget, int gatewayCount) {
+        double previousAllotment = allotment;
+        allotment = newBudget.amount() / gatewayCount;
+        budget = newBudget;
+        granted += allotment - previousAllotment;
+        credit = Math.min(credit, Math.max(0, remaining()));
     }
 
     /** A clock that runs back changes nothing. */
     void advance(long millis) {
-        if (millis >= end) {
-            roll(millis);
+        if (millis >= windowEndMillis) {
+            startNextWindow(millis);
         }
-        if (millis > at) {
-            double most = Math.min(granted, Math.max(granted * BUCKET, asked));
-            double rest = left() - reserved - Math.max(0, credit);
-            if (credit < most && rest > 0) {
-                credit = Math.min(most, credit + rest * Math.min(1, (double) (millis - at) / (end - at)));
+        if (millis > currentMillis) {
+            double capacity = Math.min(granted, Math.max(granted * BUCKET_WINDOW_FRACTION, recentMaxCost));
+            double available = remaining() - reserved - Math.max(0, credit);
+            if (credit < capacity && available > 0) {
+                credit = Math.min(capacity, credit + available * Math.min(1, (double) (millis - currentMillis) / (windowEndMillis - currentMillis)));
             }
-            at = millis;
+            currentMillis = millis;
         }
     }
 
-    private void roll(long millis) {
-        double left = left();
-        double carried = Math.min(Math.max(0, left), limit.carryMost() * part);
-        owed += Math.max(0, -left);
-        double paid = Math.min(owed, REPAID * part);
-        owed -= paid;
-        granted = part + carried - paid;
-        begin = limit.window().begin(millis);
-        end = limit.window().end(millis);
-        at = begin;
-        openedAt = begin;
+    private void startNextWindow(long millis) {
+        double remaining = remaining();
+        double carried = Math.min(Math.max(0, remaining), budget.maxCarryFraction() * allotment);
+        owed += Math.max(0, -remaining);
+        double repayment = Math.min(owed, MAX_REPAYMENT_FRACTION * allotment);
+        owed -= repayment;
+        granted = allotment + carried - repayment;
+        windowStartMillis = budget.window().startMillis(millis);
+        windowEndMillis = budget.window().endMillis(millis);
+        currentMillis = windowStartMillis;
+        usageSinceMillis = windowStartMillis;
         spent = 0;
         denied = 0;
         credit = -reserved;  // what is out is settled on this window
-        given.clear();
-        got.clear();
+        transferredOut.clear();
+        transferredIn.clear();
     }
 
     /** What this window's part has left, without what is reserved; below 0 for what is owed. */
-    double left() {
+    double remaining() {
         return granted - spent;
     }
 
     /** How easily a crossing of a cost fits: 0 not at all, 1 from half a bucket on. */
-    double ease(double cost) {
-        asked = Math.max(cost, 0.99 * asked);
-        double full = Math.min(granted, Math.max(granted * BUCKET, cost));
-        if (cost > credit || credit <= 0 || left() - reserved < cost) {
-            return cost == 0 && limit.amount() > 0 ? 1 : 0;
+    double admissionFraction(double cost) {
+        recentMaxCost = Math.max(cost, 0.99 * recentMaxCost);
+        double capacity = Math.min(granted, Math.max(granted * BUCKET_WINDOW_FRACTION, cost));
+        if (cost > credit || credit <= 0 || remaining() - reserved < cost) {
+            return cost == 0 && budget.amount() > 0 ? 1 : 0;
         }
-        return Math.min(1, 2 * credit / full);
+        return Math.min(1, 2 * credit / capacity);
     }
 
     void reserve(double cost) {
@@ -113,37 +113,37 @@
     }
 
     /** Ends a reserve with what it really cost. */
-    void settle(double cost, double real) {
-        reserved = Math.max(0, reserved - cost);
-        credit += cost - real;
-        spent += real;
+    void settle(double reservedCost, double realCost) {
+        reserved = Math.max(0, reserved - reservedCost);
+        credit += reservedCost - realCost;
+        spent += realCost;
     }
 
     /** A crossing that would have been made with more room. */
-    void deny(double cost) {
+    void recordDenied(double cost) {
         denied += cost;
     }
 
     /** What the window will have used at its end, as it goes. */
     double forecast() {
-        long passed = at - openedAt;
-        return passed < FORECAST_LEAST ? spent : spent + spent / passed * (end - at);
+        long elapsed = currentMillis - usageSinceMillis;
+        return elapsed < MIN_FORECAST_SPAN_MILLIS ? spent : spent + spent / elapsed * (windowEndMillis - currentMillis);
     }
 
     // ---- parts of other gateways
 
     /** What it would use of the rest of the window beyond what it has; 0 or less for what it has too much of. */
-    double wants() {
-        long passed = Math.max(FORECAST_LEAST, at - openedAt);
-        return (spent + denied) / passed * (end - at) - (left() - reserved);
+    double expectedShortfall() {
+        long elapsed = Math.max(MIN_FORECAST_SPAN_MILLIS, currentMillis - usageSinceMillis);
+        return (spent + denied) / elapsed * (windowEndMillis - currentMillis) - (remaining() - reserved);
     }
 
-    long begin() {
-        return begin;
+    long windowStartMillis() {
+        return windowStartMillis;
     }
 
-    long end() {
-        return end;
+    long windowEndMillis() {
+        return windowEndMillis;
     }
 
     double spent() {
@@ -162,61 +162,61 @@
         return credit;
     }
 
-    Map<String, Double> given() {
-        return given;
+    Map<String, Double> transferredOut() {
+        return transferredOut;
     }
 
     /** Takes it off at once: only then may it be told. */
-    void give(String peer, double amount) {
+    void transferOut(String peer, double amount) {
         granted -= amount;
-        given.merge(peer, amount, Double::sum);
+        transferredOut.merge(peer, amount, Double::sum);
     }
 
     /** A peer has given so much in all in the window that begins then; other windows' and what was taken before don't count. */
-    void take(String peer, long windowBegin, double inAll) {
-        double more = inAll - got.getOrDefault(peer, 0.0);
-        if (windowBegin == begin && more > 0) {
-            got.put(peer, inAll);
-            granted += more;
+    void receiveTransfer(String peer, long windowStart, double total) {
+        double increase = total - transferredIn.getOrDefault(peer, 0.0);
+        if (windowStart == windowStartMillis && increase > 0) {
+            transferredIn.put(peer, total);
+            granted += increase;
         }
     }
 
     // ---- over a restart
 
     /** What an earlier process gave away in the window that begins then, where nothing else is known of it. */
-    void gaveBefore(long windowBegin, Map<String, Double> before) {
-        if (windowBegin == begin && given.isEmpty()) {
-            before.forEach(this::give);
+    void restoreTransfers(long windowStart, Map<String, Double> transfers) {
+        if (windowStart == windowStartMillis && transferredOut.isEmpty()) {
+            transfers.forEach(this::transferOut);
         }
     }
 
-    Kept keep() {
-        return new Kept(begin, at, granted, spent, reserved, credit, denied, owed, Map.copyOf(given), Map.copyOf(got));
+    Kept state() {
+        return new Kept(windowStartMillis, currentMillis, granted, spent, reserved, credit, denied, owed, Map.copyOf(transferredOut), Map.copyOf(transferredIn));
     }
 
     /** Goes on from what was kept, less what may have been spent since: what was out, a bucket, and the pace of at most {@code unsaved} milliseconds.
         Of an earlier window only what is owed counts, and what it has left. */
-    void restore(Kept kept, long unsaved) {
-        long now = at;
-        if (kept.begin() > begin) {
+    void restore(Kept saved, long maxUnsavedMillis) {
+        long now = currentMillis;
+        if (saved.windowStartMillis() > windowStartMillis) {
             return;  // from a later window than this: a clock that was wrong, then or now
         }
-        begin = limit.window().begin(kept.begin());
-        end = limit.window().end(kept.begin());
-        granted = kept.granted();
-        spent = kept.spent() + kept.reserved();
-        owed = kept.owed();
-        denied = kept.denied();
-        given.putAll(kept.given());
-        got.putAll(kept.got());
-        openedAt = begin;
-        at = Math.max(begin, Math.min(kept.savedAt(), end - 1));
-        double pace = Math.max(0, left()) / (end - at);
-        spent += Math.min(Math.max(0, left()), Math.max(0, kept.credit()) + pace * Math.max(0, Math.min(unsaved, now - at)));
+        windowStartMillis = budget.window().startMillis(saved.windowStartMillis());
+        windowEndMillis = budget.window().endMillis(saved.windowStartMillis());
+        granted = saved.granted();
+        spent = saved.spent() + saved.reserved();
+        owed = saved.owed();
+        denied = saved.denied();
+        transferredOut.putAll(saved.transferredOut());
+        transferredIn.putAll(saved.transferredIn());
+        usageSinceMillis = windowStartMillis;
+        currentMillis = Math.max(windowStartMillis, Math.min(saved.savedAtMillis(), windowEndMillis - 1));
+        double refillRate = Math.max(0, remaining()) / (windowEndMillis - currentMillis);
+        spent += Math.min(Math.max(0, remaining()), Math.max(0, saved.credit()) + refillRate * Math.max(0, Math.min(maxUnsavedMillis, now - currentMillis)));
         credit = 0;
-        if (now >= end) {
-            roll(now);
+        if (now >= windowEndMillis) {
+            startNextWindow(now);
         }
-        at = Math.max(at, now);
+        currentMillis = Math.max(currentMillis, now);
     }
 }
--- a/src/main/java/mastdrift/zones/Book.java
+++ b/src/main/java/mastdrift/zones/Book.java
@@ -8,25 +8,25 @@
 public final class Book {
 
     /** Flows that are told apart. */
-    public static final int FLOWS_MOST = 4_096;
+    public static final int MAX_FLOWS = 4_096;
 
-    private final int most;
+    private final int maxFlows;
     private final Map<Flow, Counts> flows = new LinkedHashMap<>();
 
     /** An empty book. */
     public Book() {
-        this(FLOWS_MOST);
+        this(MAX_FLOWS);
     }
 
-    Book(int most) {
-        this.most = most;
+    Book(int maxFlows) {
+        this.maxFlows = maxFlows;
     }
 
     /** The counts of a flow, which go on counting. */
-    Counts of(Flow flow) {
+    Counts counts(Flow flow) {
         Counts counts = flows.get(flow);
         if (counts == null) {
-            Flow key = flows.size() < most ? flow : flow.folded();
+            Flow key = flows.size() < maxFlows ? flow : flow.aggregated();
             counts = flows.computeIfAbsent(key, any -> new Counts());
         }
         return counts;
@@ -34,7 +34,7 @@
 
     /** Adds what was counted earlier. */
     void add(Map<Flow, Counts> earlier) {
-        earlier.forEach((flow, counts) -> of(flow).add(counts));
+        earlier.forEach((flow, counts) -> counts(flow).add(counts));
     }
 
     /** A copy, which counts no further. */
--- a/src/main/java/mastdrift/zones/Cause.java
+++ b/src/main/java/mastdrift/zones/Cause.java
@@ -20,7 +20,7 @@
     WEIGHTS;
 
     /** As reports write it. */
-    public String word() {
+    public String reportName() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/mastdrift/zones/Counts.java
+++ b/src/main/java/mastdrift/zones/Counts.java
@@ -3,16 +3,16 @@
 /** What went over a flow. Bytes as the socket took and gave them; attempts of which not a byte was sent are not among them. */
 public final class Counts {
 
-    private static final int CAUSES = Cause.values().length;
+    private static final int CAUSE_COUNT = Cause.values().length;
 
     private long requests;
     private long attempts;
     private long probes;
     private long failed;
-    private long sent;
-    private long received;
-    private final long[] attemptsBy = new long[CAUSES];
-    private final long[] bytesBy = new long[CAUSES];
+    private long bytesSent;
+    private long bytesReceived;
+    private final long[] attemptsByCause = new long[CAUSE_COUNT];
+    private final long[] bytesByCause = new long[CAUSE_COUNT];
 
     /** Requests whose first attempt this flow took. */
     public long requests() {
@@ -35,46 +35,46 @@
     }
 
     /** Bytes from the gateway to hosts. */
-    public long sent() {
-        return sent;
+    public long bytesSent() {
+        return bytesSent;
     }
 
     /** Bytes from hosts to the gateway. */
-    public long received() {
-        return received;
+    public long bytesReceived() {
+        return bytesReceived;
     }
 
     /** Attempts that left the zone for this cause. */
     public long attempts(Cause cause) {
-        return attemptsBy[cause.ordinal()];
+        return attemptsByCause[cause.ordinal()];
     }
 
     /** Bytes of both directions that did. */
     public long bytes(Cause cause) {
-        return bytesBy[cause.ordinal()];
+        return bytesByCause[cause.ordinal()];
     }
 
-    void attempt(boolean first) {
+    void addAttempt(boolean first) {
         attempts++;
         requests += first ? 1 : 0;
     }
 
-    void probe() {
+    void addProbe() {
         probes++;
     }
 
-    void fail() {
+    void addFailure() {
         failed++;
     }
 
     void bytes(long out, long in) {
-        sent += out;
-        received += in;
+        bytesSent += out;
+        bytesReceived += in;
     }
 
-    void because(Cause cause, long ofAttempts, long ofBytes) {
-        attemptsBy[cause.ordinal()] += ofAttempts;
-        bytesBy[cause.ordinal()] += ofBytes;
+    void addByCause(Cause cause, long addedAttempts, long addedBytes) {
+        attemptsByCause[cause.ordinal()] += addedAttempts;
+        bytesByCause[cause.ordinal()] += addedBytes;
     }
 
     /** Adds another's. */
@@ -83,28 +83,28 @@
         attempts += other.attempts;
         probes += other.probes;
         failed += other.failed;
-        sent += other.sent;
-        received += other.received;
-        for (int i = 0; i < CAUSES; i++) {
-            attemptsBy[i] += other.attemptsBy[i];
-            bytesBy[i] += other.bytesBy[i];
+        bytesSent += other.bytesSent;
+        bytesReceived += other.bytesReceived;
+        for (int i = 0; i < CAUSE_COUNT; i++) {
+            attemptsByCause[i] += other.attemptsByCause[i];
+            bytesByCause[i] += other.bytesByCause[i];
         }
     }
 
     /** As numbers in a fixed order: those above, then attempts and bytes by cause. */
     public long[] values() {
-        long[] values = new long[6 + 2 * CAUSES];
-        long[] first = {requests, attempts, probes, failed, sent, received};
-        System.arraycopy(first, 0, values, 0, first.length);
-        System.arraycopy(attemptsBy, 0, values, 6, CAUSES);
-        System.arraycopy(bytesBy, 0, values, 6 + CAUSES, CAUSES);
+        long[] values = new long[6 + 2 * CAUSE_COUNT];
+        long[] totals = {requests, attempts, probes, failed, bytesSent, bytesReceived};
+        System.arraycopy(totals, 0, values, 0, totals.length);
+        System.arraycopy(attemptsByCause, 0, values, 6, CAUSE_COUNT);
+        System.arraycopy(bytesByCause, 0, values, 6 + CAUSE_COUNT, CAUSE_COUNT);
         return values;
     }
 
     /** Reads {@link #values}; throws IllegalArgumentException for other lengths and for numbers below 0. */
     public static Counts of(long[] values) {
-        if (values.length != 6 + 2 * CAUSES) {
-            throw new IllegalArgumentException("expected " + (6 + 2 * CAUSES) + " counts, found " + values.length);
+        if (values.length != 6 + 2 * CAUSE_COUNT) {
+            throw new IllegalArgumentException("expected " + (6 + 2 * CAUSE_COUNT) + " counts, found " + values.length);
         }
         Counts counts = new Counts();
         for (long value : values) {
@@ -116,10 +116,10 @@
         counts.attempts = values[1];
         counts.probes = values[2];
         counts.failed = values[3];
-        counts.sent = values[4];
-        counts.received = values[5];
-        System.arraycopy(values, 6, counts.attemptsBy, 0, CAUSES);
-        System.arraycopy(values, 6 + CAUSES, counts.bytesBy, 0, CAUSES);
+        counts.bytesSent = values[4];
+        counts.bytesReceived = values[5];
+        System.arraycopy(values, 6, counts.attemptsByCause, 0, CAUSE_COUNT);
+        System.arraycopy(values, 6 + CAUSE_COUNT, counts.bytesByCause, 0, CAUSE_COUNT);
         return counts;
     }
 }
--- a/src/main/java/mastdrift/zones/Escrow.java
+++ b/src/main/java/mastdrift/zones/Escrow.java
@@ -14,78 +14,78 @@
 public final class Escrow {
 
     /** Gateways that are heard. */
-    public static final int PEERS_MOST = 256;
+    public static final int MAX_PEERS = 256;
     /** Milliseconds after which a word's wishes count no more; its grants count as long as their window. */
-    static final long HEARD = 10_000;
+    static final long SHORTFALL_TTL_MILLIS = 10_000;
     // Of its own part, what a giver keeps beyond what it expects to need.
-    private static final double KEPT = 0.1;
+    private static final double KEPT_GRANT_FRACTION = 0.1;
     // Of what is too much, given at a time: the next word may tell otherwise.
-    private static final double AT_ONCE = 0.5;
+    private static final double MAX_TRANSFER_FRACTION = 0.5;
     // Of a window, the first part, in which nobody knows yet what it needs.
-    private static final double TOO_SOON = 0.05;
+    private static final double MIN_ELAPSED_WINDOW_FRACTION = 0.05;
 
     /** What one gateway says of one budget: the window that it is in, what it expects to lack, and what it gave to whom in that window. */
-    public record Says(long begin, double wants, Map<String, Double> given) { }
+    public record Says(long windowStartMillis, double expectedShortfall, Map<String, Double> transferredOut) { }
 
     /** What one gateway says; {@code at} in milliseconds since 1970, by budget. */
-    public record Word(String gateway, long at, Map<String, Says> budgets) { }
+    public record Word(String gateway, long sentAtMillis, Map<String, Says> budgets) { }
 
-    private final String self;
-    private final Map<String, Word> words = new LinkedHashMap<>();
+    private final String ownName;
+    private final Map<String, Word> announcements = new LinkedHashMap<>();
 
     /** By its own name, which is unlike the others'. */
-    Escrow(String self) {
-        this.self = self;
+    Escrow(String ownName) {
+        this.ownName = ownName;
     }
 
     /** A gateway's word; its own and those beyond the bound are passed over. Returns whether it was taken. */
-    boolean heard(Word word) {
-        Word known = words.get(word.gateway);
-        if (word.gateway.equals(self) || known == null && words.size() >= PEERS_MOST || known != null && known.at > word.at) {
+    boolean receive(Word announcement) {
+        Word known = announcements.get(announcement.gateway);
+        if (announcement.gateway.equals(ownName) || known == null && announcements.size() >= MAX_PEERS || known != null && known.sentAtMillis > announcement.sentAtMillis) {
             return false;
         }
-        words.put(word.gateway, word);
+        announcements.put(announcement.gateway, announcement);
         return true;
     }
 
     /** Takes what was given to it, and gives what it has too much of. */
-    void settle(long millis, Collection<Account> accounts) {
+    void rebalance(long wallMillis, Collection<Account> accounts) {
         for (Account account : accounts) {
-            String name = account.limit().name();
-            double wanted = 0;
-            for (Word word : words.values()) {
-                Says says = word.budgets.get(name);
-                if (says != null) {
-                    account.take(word.gateway, says.begin, says.given.getOrDefault(self, 0.0));
-                    wanted += wants(millis, word, account);
+            String name = account.budget().name();
+            double totalShortfall = 0;
+            for (Word announcement : announcements.values()) {
+                Says budget = announcement.budgets.get(name);
+                if (budget != null) {
+                    account.receiveTransfer(announcement.gateway, budget.windowStartMillis, budget.transferredOut.getOrDefault(ownName, 0.0));
+                    totalShortfall += shortfall(wallMillis, announcement, account);
                 }
             }
-            long length = account.end() - account.begin();
-            double surplus = -account.wants() - KEPT * account.granted();
-            if (wanted <= 0 || surplus <= 0 || millis - account.begin() < TOO_SOON * length) {
+            long windowMillis = account.windowEndMillis() - account.windowStartMillis();
+            double surplus = -account.expectedShortfall() - KEPT_GRANT_FRACTION * account.granted();
+            if (totalShortfall <= 0 || surplus <= 0 || wallMillis - account.windowStartMillis() < MIN_ELAPSED_WINDOW_FRACTION * windowMillis) {
                 continue;
             }
-            double given = Math.min(wanted, AT_ONCE * Math.min(surplus, account.left()));
-            for (Word word : words.values()) {
-                double part = given * wants(millis, word, account) / wanted;
+            double transferred = Math.min(totalShortfall, MAX_TRANSFER_FRACTION * Math.min(surplus, account.remaining()));
+            for (Word announcement : announcements.values()) {
+                double part = transferred * shortfall(wallMillis, announcement, account) / totalShortfall;
                 if (part > 0) {
-                    account.give(word.gateway, part);
+                    account.transferOut(announcement.gateway, part);
                 }
             }
         }
     }
 
-    private static double wants(long millis, Word word, Account account) {
-        Says says = word.budgets.get(account.limit().name());
-        boolean counts = says != null && says.begin == account.begin() && Math.abs(millis - word.at) <= HEARD;
-        return counts ? Math.max(0, says.wants) : 0;
+    private static double shortfall(long wallMillis, Word announcement, Account account) {
+        Says budget = announcement.budgets.get(account.budget().name());
+        boolean valid = budget != null && budget.windowStartMillis == account.windowStartMillis() && Math.abs(wallMillis - announcement.sentAtMillis) <= SHORTFALL_TTL_MILLIS;
+        return valid ? Math.max(0, budget.expectedShortfall) : 0;
     }
 
     /** Its own word. */
-    Word word(long millis, Collection<Account> accounts) {
+    Word announcement(long wallMillis, Collection<Account> accounts) {
         Map<String, Says> budgets = new TreeMap<>();
-        accounts.forEach(account -> budgets.put(account.limit().name(),
-                new Says(account.begin(), account.wants(), Map.copyOf(account.given()))));
-        return new Word(self, millis, budgets);
+        accounts.forEach(account -> budgets.put(account.budget().name(),
+                new Says(account.windowStartMillis(), account.expectedShortfall(), Map.copyOf(account.transferredOut()))));
+        return new Word(ownName, wallMillis, budgets);
     }
 }
--- a/src/main/java/mastdrift/zones/KeyZones.java
+++ b/src/main/java/mastdrift/zones/KeyZones.java
@@ -9,69 +9,69 @@
 final class KeyZones {
 
     /** Keys. */
-    static final int MOST = 1 << 16;
+    static final int MAX_KEYS = 1 << 16;
 
     private static final class Entry {
         private final String zone;
-        private long until;
-        private int mayHaveRun;
+        private long expiresAt;
+        private int possiblyRunAttempts;
 
         Entry(String zone) {
             this.zone = zone;
         }
     }
 
-    private final int most;
-    private final Map<Long, Entry> keys = new LinkedHashMap<>();
+    private final int maxKeys;
+    private final Map<Long, Entry> entries = new LinkedHashMap<>();
 
-    KeyZones(int most) {
-        this.most = most;
+    KeyZones(int maxKeys) {
+        this.maxKeys = maxKeys;
     }
 
     /** Null where it belongs to none. */
     String zone(long now, long key) {
-        Entry entry = keys.get(key);
-        if (entry != null && entry.until <= now) {
-            keys.remove(key);
+        Entry entry = entries.get(key);
+        if (entry != null && entry.expiresAt <= now) {
+            entries.remove(key);
             return null;
         }
         return entry == null ? null : entry.zone;
     }
 
     /** Whether another key can be remembered. */
-    boolean room(long now) {
-        if (keys.size() < most) {
+    boolean hasRoom(long now) {
+        if (entries.size() < maxKeys) {
             return true;
         }
-        Iterator<Entry> eldest = keys.values().iterator();
-        if (eldest.next().until <= now) {
-            eldest.remove();
+        Iterator<Entry> oldest = entries.values().iterator();
+        if (oldest.next().expiresAt <= now) {
+            oldest.remove();
         }
-        return keys.size() < most;
+        return entries.size() < maxKeys;
     }
 
     /** An attempt goes to a zone; its window is open until then. */
-    void sent(long now, long key, String zone, long until) {
+    void recordSent(long now, long key, String zone, long expiresAt) {
         String known = zone(now, key);
-        if (known == null && !room(now)) {
+        if (known == null && !hasRoom(now)) {
             return;
         }
-        Entry entry = keys.computeIfAbsent(key, any -> new Entry(zone));
+        Entry entry = entries.computeIfAbsent(key, any -> new Entry(zone));
         if (entry.zone.equals(zone)) {
-            entry.mayHaveRun++;
-            entry.until = Math.max(entry.until, until);
+            entry.possiblyRunAttempts++;
+            entry.expiresAt = Math.max(entry.expiresAt, expiresAt);
         }
     }
 
     /** An attempt there is proved not to have run. */
-    void neverRan(long key, String zone) {
-        Entry entry = keys.get(key);
-        if (entry != null && entry.zone.equals(zone) && --entry.mayHaveRun <= 0) {
-            keys.remove(key);
+    void recordNeverRan(long key, String zone) {
+        Entry entry = entries.get(key);
+        if (entry != null && entry.zone.equals(zone) && --entry.possiblyRunAttempts <= 0) {
+            entries.remove(key);
         }
     }
 
     int size() {
-        return keys.size();
+        return entries.size();
     }
 }
--- a/src/main/java/mastdrift/zones/Limit.java
+++ b/src/main/java/mastdrift/zones/Limit.java
@@ -7,15 +7,15 @@
  * @param window for which the amount is
  * @param unit of the amount
  * @param amount of all gateways together
- * @param to the zone that is crossed to
+ * @param toZone the zone that is crossed to
  * @param className of this class alone
  * @param tenant of this tenant alone
  * @param pool of this pool alone
- * @param carryMost what a window may leave to the next, as a part of the amount, 0 to 1
+ * @param maxCarryFraction what a window may leave to the next, as a part of the amount, 0 to 1
  * @param hard whether service doesn't go before it
  */
-public record Limit(String name, Window window, Unit unit, double amount, String to, String className, String tenant, String pool,
-        double carryMost, boolean hard) {
+public record Limit(String name, Window window, Unit unit, double amount, String toZone, String className, String tenant, String pool,
+        double maxCarryFraction, boolean hard) {
 
     /** What an amount counts. */
     public enum Unit {
@@ -28,12 +28,12 @@
     }
 
     /** The same for so many times the amount. */
-    public Limit times(double factor) {
-        return new Limit(name, window, unit, amount * factor, to, className, tenant, pool, carryMost, hard);
+    public Limit scaledBy(double factor) {
+        return new Limit(name, window, unit, amount * factor, toZone, className, tenant, pool, maxCarryFraction, hard);
     }
 
-    boolean covers(String zone, String ofClass, String ofTenant, String ofPool) {
-        return (to == null || to.equals(zone)) && (className == null || className.equals(ofClass))
-                && (tenant == null || tenant.equals(ofTenant)) && (pool == null || pool.equals(ofPool));
+    boolean covers(String destinationZone, String requestClass, String requestTenant, String requestPool) {
+        return (toZone == null || toZone.equals(destinationZone)) && (className == null || className.equals(requestClass))
+                && (tenant == null || tenant.equals(requestTenant)) && (pool == null || pool.equals(requestPool));
     }
 }
--- a/src/main/java/mastdrift/zones/Networks.java
+++ b/src/main/java/mastdrift/zones/Networks.java
@@ -9,7 +9,7 @@
 public final class Networks {
 
     /** Networks at most. */
-    public static final int MOST = 256;
+    public static final int MAX_NETWORKS = 256;
 
     /** A network and the zone of its clients. */
     public record Network(AddressRange range, String zone) { }
--- a/src/main/java/mastdrift/zones/PoolZones.java
+++ b/src/main/java/mastdrift/zones/PoolZones.java
@@ -17,51 +17,51 @@
 /** One pool's traffic across zones: where its hosts are, which of its requests may cross, what did and why. */
 public final class PoolZones {
 
-    private final Zoning zoning;
-    private final String name;
-    private final Relief relief;
-    private final Map<String, String> zones = new HashMap<>();
-    private final Map<String, String> gone = new HashMap<>();
-    private final Set<String> homeUp = new HashSet<>();
-    private final Set<String> homeLeaving = new HashSet<>();
-
-    PoolZones(Zoning zoning, String name, Relief relief) {
-        this.zoning = zoning;
-        this.name = name;
-        this.relief = relief;
+    private final Zoning manager;
+    private final String poolName;
+    private final Relief budgetOverride;
+    private final Map<String, String> zoneByHost = new HashMap<>();
+    private final Map<String, String> zoneByRemovedHost = new HashMap<>();
+    private final Set<String> ownZoneHostsUp = new HashSet<>();
+    private final Set<String> ownZoneHostsDraining = new HashSet<>();
+
+    PoolZones(Zoning manager, String poolName, Relief budgetOverride) {
+        this.manager = manager;
+        this.poolName = poolName;
+        this.budgetOverride = budgetOverride;
     }
 
-    Relief relief() {
-        return relief;
+    Relief budgetOverride() {
+        return budgetOverride;
     }
 
     /** Hosts, all of them or those that changed. */
-    public void hosts(long now, boolean all, List<Host> hosts) {
+    public void updateHosts(long now, boolean all, List<Host> hosts) {
         if (all) {
-            gone.clear();
-            gone.putAll(zones);
-            zones.clear();
-            homeUp.clear();
-            homeLeaving.clear();
+            zoneByRemovedHost.clear();
+            zoneByRemovedHost.putAll(zoneByHost);
+            zoneByHost.clear();
+            ownZoneHostsUp.clear();
+            ownZoneHostsDraining.clear();
         }
         for (Host host : hosts) {
             if (host.health() == Health.GONE) {
-                gone.put(host.address(), host.zone());
-                zones.remove(host.address());
+                zoneByRemovedHost.put(host.address(), host.zone());
+                zoneByHost.remove(host.address());
             } else {
-                zones.put(host.address(), host.zone());
+                zoneByHost.put(host.address(), host.zone());
             }
-            boolean home = host.zone().equals(zoning.zone());
-            put(homeUp, host, home && host.health() == Health.UP);
-            put(homeLeaving, host, home && host.health() == Health.LEAVING);
+            boolean inOwnZone = host.zone().equals(manager.zone());
+            setMember(ownZoneHostsUp, host, inOwnZone && host.health() == Health.UP);
+            setMember(ownZoneHostsDraining, host, inOwnZone && host.health() == Health.LEAVING);
         }
-        if (!zones.isEmpty()) {  // or a pool that hasn't heard its list yet would begin with its zone out
-            relief.hosts(now, homeUp);
+        if (!zoneByHost.isEmpty()) {  // or a pool that hasn't heard its list yet would begin with its zone out
+            budgetOverride.updateHosts(now, ownZoneHostsUp);
         }
     }
 
-    private static void put(Set<String> set, Host host, boolean in) {
-        if (in) {
+    private static void setMember(Set<String> set, Host host, boolean member) {
+        if (member) {
             set.add(host.address());
         } else {
             set.remove(host.address());
@@ -69,180 +69,180 @@
     }
 
     /** What is on its way may end after its host left the list. */
-    private String zone(String uid) {
-        String zone = zones.get(uid);
-        return zone != null ? zone : gone.getOrDefault(uid, "");
+    private String zoneOf(String uid) {
+        String zone = zoneByHost.get(uid);
+        return zone != null ? zone : zoneByRemovedHost.getOrDefault(uid, "");
     }
 
     /** A request comes; {@code client} is its client's zone, empty where it isn't told, and {@code effect} stands for what repeats of it share, or is null. */
-    public Pass pass(long now, RequestClass type, String tenant, String client, Long effect) {
-        relief.offered(now);
-        boolean kept = effect != null && type.repeat() == Repeat.KEYED && type.group() != Group.ALL;
-        return new Pass(type, tenant == null ? "" : tenant, client, kept ? effect * 31 + type.name().hashCode() : null);
+    public Pass startRequest(long now, RequestClass requestClass, String tenant, String clientZone, Long effectKey) {
+        budgetOverride.recordRequest(now);
+        boolean boundToZone = effectKey != null && requestClass.repeat() == Repeat.KEYED && requestClass.group() != Group.ALL;
+        return new Pass(requestClass, tenant == null ? "" : tenant, clientZone, boundToZone ? effectKey * 31 + requestClass.name().hashCode() : null);
     }
 
     /** What one request may cross for, for as long as it lives. */
     public final class Pass implements Crossing {
 
-        private final RequestClass type;
+        private final RequestClass requestClass;
         private final String tenant;
-        private final String client;
+        private final String clientZone;
         private final Long key;
-        private String heldBack;
-        private boolean soft;  // a budget that could give way held it back
-        private boolean denied;
-        private long judgedAt = Long.MIN_VALUE;
-        private String judgedZone;
-        private double judged;
-
-        Pass(RequestClass type, String tenant, String client, Long key) {
-            this.type = type;
+        private String heldBackZone;
+        private boolean heldBackBySoftBudget;  // a budget that could give way held it back
+        private boolean denialRecorded;
+        private long cachedAt = Long.MIN_VALUE;
+        private String cachedZone;
+        private double cachedFraction;
+
+        Pass(RequestClass requestClass, String tenant, String clientZone, Long key) {
+            this.requestClass = requestClass;
             this.tenant = tenant;
-            this.client = client;
+            this.clientZone = clientZone;
             this.key = key;
         }
 
         /** Itself where any budget says what may cross; null where all is counted and nothing bounded. */
-        public Crossing bounds() {
-            return zoning.bounds() ? this : null;
+        public Crossing asCrossing() {
+            return manager.hasBudgets() ? this : null;
         }
 
         @Override
-        public double part(long now, String to) {
-            if (now != judgedAt || !to.equals(judgedZone)) {  // draws ask the same many times over
-                judged = judge(now, to);
-                judgedAt = now;
-                judgedZone = to;
+        public double part(long now, String toZone) {
+            if (now != cachedAt || !toZone.equals(cachedZone)) {  // draws ask the same many times over
+                cachedFraction = admissionFraction(now, toZone);
+                cachedAt = now;
+                cachedZone = toZone;
             }
-            return judged;
+            return cachedFraction;
         }
 
-        private double judge(long now, String to) {
-            String belongs = key == null ? null : zoning.keys().zone(now, key);
-            if (belongs != null && !belongs.equals(to)) {
+        private double admissionFraction(long now, String toZone) {
+            String boundZone = key == null ? null : manager.keyZones().zone(now, key);
+            if (boundZone != null && !boundZone.equals(toZone)) {
                 return 0;
             }
-            if (to.equals(zoning.zone())) {
+            if (toZone.equals(manager.zone())) {
                 return 1;
             }
-            if (belongs == null && key != null && !zoning.keys().room(now)) {
+            if (boundZone == null && key != null && !manager.keyZones().hasRoom(now)) {
                 return 0;
             }
-            boolean first = belongs != null || relief.gives(type.name());  // service, before budgets that aren't hard
-            double ease = zoning.ease(now, to, type.name(), tenant, name, first);
-            if (ease == 0) {
-                heldBack = to;
-                soft |= !first && zoning.ease(now, to, type.name(), tenant, name, true) > 0;
+            boolean mayOverride = boundZone != null || budgetOverride.mayExceedBudgets(requestClass.name());  // service, before budgets that aren't hard
+            double fraction = manager.admissionFraction(now, toZone, requestClass.name(), tenant, poolName, mayOverride);
+            if (fraction == 0) {
+                heldBackZone = toZone;
+                heldBackBySoftBudget |= !mayOverride && manager.admissionFraction(now, toZone, requestClass.name(), tenant, poolName, true) > 0;
             }
-            return first && ease > 0 ? 1 : ease;
+            return mayOverride && fraction > 0 ? 1 : fraction;
         }
 
         @Override
         public boolean heldBack() {
-            return heldBack != null;
+            return heldBackZone != null;
         }
 
         /** Tells the budgets once that they held it back. */
-        private void settled() {
-            if (heldBack != null && !denied) {
-                denied = true;
-                zoning.deny(heldBack, type.name(), tenant, name);
+        private void recordDenial() {
+            if (heldBackZone != null && !denialRecorded) {
+                denialRecorded = true;
+                manager.recordDenied(heldBackZone, requestClass.name(), tenant, poolName);
             }
         }
 
         /** It was refused. */
-        public void refused(long now, Why why) {
-            settled();
+        public void recordRefusal(long now, Why why) {
+            recordDenial();
             if (why == Why.HOSTS || why == Why.ZONES) {
-                relief.refused(now, soft);
+                budgetOverride.recordRefusal(now, heldBackBySoftBudget);
             }
         }
 
         /** An attempt goes out, numbered from 0. */
-        public Leg sent(long now, String uid, int number) {
-            settled();
-            return new Leg(this, now, uid, number);
+        public Leg startAttempt(long now, String hostAddress, int attemptNumber) {
+            recordDenial();
+            return new Leg(this, now, hostAddress, attemptNumber);
         }
     }
 
-    private Cause cause(Pass pass, boolean belonged, int number) {
-        return belonged ? Cause.KEY : number > 0 ? Cause.REPEAT : relief.out() ? Cause.ZONE_OUT
-                : relief.gives(pass.type.name()) ? Cause.NO_CAPACITY : !homeLeaving.isEmpty() ? Cause.DRAIN : Cause.WEIGHTS;
+    private Cause cause(Pass request, boolean keyBound, int attemptNumber) {
+        return keyBound ? Cause.KEY : attemptNumber > 0 ? Cause.REPEAT : budgetOverride.isZoneOut() ? Cause.ZONE_OUT
+                : budgetOverride.mayExceedBudgets(request.requestClass.name()) ? Cause.NO_CAPACITY : !ownZoneHostsDraining.isEmpty() ? Cause.DRAIN : Cause.WEIGHTS;
     }
 
     /** One attempt, until it ends. */
     public final class Leg {
 
-        private final Pass pass;
-        private final String uid;
-        private final String to;
-        private final int number;
+        private final Pass request;
+        private final String hostAddress;
+        private final String toZone;
+        private final int attemptNumber;
         private final boolean crosses;
         private final Cause cause;
-        private final Zoning.Reserve reserve;
-
-        Leg(Pass pass, long now, String uid, int number) {
-            this.pass = pass;
-            this.uid = uid;
-            this.number = number;
-            to = zone(uid);
-            crosses = !to.equals(zoning.zone());
-            boolean belonged = pass.key != null && to.equals(zoning.keys().zone(now, pass.key));
-            cause = cause(pass, belonged, number);
-            reserve = crosses ? zoning.new Reserve(now, to, pass.type.name(), pass.tenant, name) : null;
-            if (pass.key != null) {
-                zoning.keys().sent(now, pass.key, to, now + pass.type.dedupWindow());
+        private final Zoning.Reserve reservation;
+
+        Leg(Pass request, long now, String hostAddress, int attemptNumber) {
+            this.request = request;
+            this.hostAddress = hostAddress;
+            this.attemptNumber = attemptNumber;
+            toZone = zoneOf(hostAddress);
+            crosses = !toZone.equals(manager.zone());
+            boolean keyBound = request.key != null && toZone.equals(manager.keyZones().zone(now, request.key));
+            cause = cause(request, keyBound, attemptNumber);
+            reservation = crosses ? manager.new Reserve(now, toZone, request.requestClass.name(), request.tenant, poolName) : null;
+            if (request.key != null) {
+                manager.keyZones().recordSent(now, request.key, toZone, now + request.requestClass.dedupWindow());
             }
         }
 
         /** It ended, with so many bytes sent and received. */
-        public void ended(long now, Outcome outcome, long sent, long received) {
-            Counts counts = zoning.counts(new Flow(zoning.zone(), to, pass.client, pass.type.name(), name, pass.tenant));
-            if (sent > 0) {
-                counts.attempt(number == 0);
+        public void end(long now, Outcome outcome, long bytesSent, long bytesReceived) {
+            Counts counts = manager.counts(new Flow(manager.zone(), toZone, request.clientZone, request.requestClass.name(), poolName, request.tenant));
+            if (bytesSent > 0) {
+                counts.addAttempt(attemptNumber == 0);
                 if (outcome != Outcome.DELIVERED) {
-                    counts.fail();
+                    counts.addFailure();
                 }
             }
-            counts.bytes(sent, received);
+            counts.bytes(bytesSent, bytesReceived);
             if (crosses) {
-                counts.because(cause, sent > 0 ? 1 : 0, sent + received);
-                reserve.settle(now, sent, received);
+                counts.addByCause(cause, bytesSent > 0 ? 1 : 0, bytesSent + bytesReceived);
+                reservation.settle(now, bytesSent, bytesReceived);
             }
-            if (pass.key != null && outcome.neverRan()) {
-                zoning.keys().neverRan(pass.key, to);
+            if (request.key != null && outcome.neverRan()) {
+                manager.keyZones().recordNeverRan(request.key, toZone);
             }
-            seen(now, uid, outcome);
+            recordOutcome(now, hostAddress, outcome);
         }
     }
 
-    private void seen(long now, String uid, Outcome outcome) {
+    private void recordOutcome(long now, String hostAddress, Outcome outcome) {
         if (outcome != Outcome.REVOKED && outcome != Outcome.UNUSED) {
-            relief.outcome(now, uid, outcome == Outcome.DELIVERED || outcome == Outcome.ERROR || outcome == Outcome.SHED);
+            budgetOverride.recordOutcome(now, hostAddress, outcome == Outcome.DELIVERED || outcome == Outcome.ERROR || outcome == Outcome.SHED);
         }
     }
 
     /** A probe ended, with so many bytes sent and received. */
-    public void probed(long now, String uid, Outcome outcome, long sent, long received) {
-        count(now, uid, sent, received, sent > 0);
-        seen(now, uid, outcome);
+    public void recordProbe(long now, String hostAddress, Outcome outcome, long bytesSent, long bytesReceived) {
+        addUnrequested(now, hostAddress, bytesSent, bytesReceived, bytesSent > 0);
+        recordOutcome(now, hostAddress, outcome);
     }
 
     /** Bytes that belong to no attempt. */
-    public void stray(long now, String uid, long sent, long received) {
-        count(now, uid, sent, received, false);
+    public void recordUnattributedBytes(long now, String hostAddress, long bytesSent, long bytesReceived) {
+        addUnrequested(now, hostAddress, bytesSent, bytesReceived, false);
     }
 
-    private void count(long now, String uid, long sent, long received, boolean probe) {
-        String to = zone(uid);
-        Counts counts = zoning.counts(new Flow(zoning.zone(), to, "", Flow.NONE, name, ""));
-        counts.bytes(sent, received);
+    private void addUnrequested(long now, String hostAddress, long bytesSent, long bytesReceived, boolean probe) {
+        String toZone = zoneOf(hostAddress);
+        Counts counts = manager.counts(new Flow(manager.zone(), toZone, "", Flow.NO_CLASS, poolName, ""));
+        counts.bytes(bytesSent, bytesReceived);
         if (probe) {
-            counts.probe();
+            counts.addProbe();
         }
-        if (!to.equals(zoning.zone())) {
-            counts.because(Cause.PROBE, probe ? 1 : 0, sent + received);
-            zoning.charge(now, to, name, sent, received, probe ? 1 : 0);
+        if (!toZone.equals(manager.zone())) {
+            counts.addByCause(Cause.PROBE, probe ? 1 : 0, bytesSent + bytesReceived);
+            manager.charge(now, toZone, poolName, bytesSent, bytesReceived, probe ? 1 : 0);
         }
     }
 }
--- a/src/main/java/mastdrift/zones/Relief.java
+++ b/src/main/java/mastdrift/zones/Relief.java
@@ -15,172 +15,172 @@
 public final class Relief {
 
     /** Microseconds that are judged together. */
-    static final long SPAN = 500_000;
-    static final int BAD_SPANS = 2;
-    static final long STEP = 1_000_000;
-    static final long AGAIN = 30_000_000;
-    static final long WAIT_MOST = 60_000_000;
-    static final long FUTILE_AFTER = 8_000_000;
-    static final long FUTILE_FOR = 30_000_000;
-    private static final double PART = 0.02;
-    private static final int LEAST = 5;
-    private static final double HELPS = 0.8;
-    private static final double NEWEST = 0.2;
-    private static final int FAILURES = 3;
-    private static final long UNANSWERED = 1_000_000;
+    static final long EVALUATION_INTERVAL_MICROS = 500_000;
+    static final int MIN_OVERLOADED_INTERVALS = 2;
+    static final long MIN_STEP_INTERVAL_MICROS = 1_000_000;
+    static final long RELAPSE_WINDOW_MICROS = 30_000_000;
+    static final long MAX_STEP_DOWN_DELAY_MICROS = 60_000_000;
+    static final long FUTILITY_CHECK_DELAY_MICROS = 8_000_000;
+    static final long FUTILITY_BACKOFF_MICROS = 30_000_000;
+    private static final double OVERLOAD_REFUSED_FRACTION = 0.02;
+    private static final int MIN_OVERLOAD_REFUSALS = 5;
+    private static final double FUTILE_REMAINING_FRACTION = 0.8;
+    private static final double EWMA_WEIGHT = 0.2;
+    private static final int MIN_CONSECUTIVE_FAILURES = 3;
+    private static final long MIN_UNANSWERED_MICROS = 1_000_000;
 
     private static final class Seen {
-        private int failures;
-        private long answeredAt;
+        private int consecutiveFailures;
+        private long lastAnswerAt;
     }
 
-    private List<String> order;
-    private long calm;
-    private final Map<String, Seen> up = new HashMap<>();
-    private boolean told;
-    private boolean out;
-    private long wholeSince = -1;
-    private int level;
-    private long wait;
-    private long spanAt;
-    private int offered;
-    private int held;
-    private int refused;
-    private int badSpans;
-    private double refusedPart;
-    private double refusedBefore;
-    private long givingSince;
-    private long steppedAt = Long.MIN_VALUE / 2;
-    private long downAt = Long.MIN_VALUE / 2;
-    private long heldAt = Long.MIN_VALUE / 2;
-    private long futileUntil = Long.MIN_VALUE;
+    private List<String> classOrder;
+    private long recoveryDelayMicros;
+    private final Map<String, Seen> healthByHost = new HashMap<>();
+    private boolean hostsKnown;
+    private boolean zoneOut;
+    private long recoveredSince = -1;
+    private int overridingClassCount;
+    private long stepDownDelayMicros;
+    private long intervalStart;
+    private int requestCount;
+    private int heldBackCount;
+    private int refusedCount;
+    private int overloadedIntervals;
+    private double refusedFraction;
+    private double refusedFractionBefore;
+    private long overridingSince;
+    private long lastStepAt = Long.MIN_VALUE / 2;
+    private long lastStepDownAt = Long.MIN_VALUE / 2;
+    private long lastHeldBackAt = Long.MIN_VALUE / 2;
+    private long suspendedUntil = Long.MIN_VALUE;
 
     /** Classes in the order in which they give way, and microseconds without trouble before one of them is held again. */
-    public Relief(List<String> order, long calm) {
-        change(order, calm);
+    public Relief(List<String> classOrder, long recoveryDelayMicros) {
+        configure(classOrder, recoveryDelayMicros);
     }
 
     /** The operator has changed them. */
-    void change(List<String> next, long nextCalm) {
-        order = List.copyOf(next);
-        calm = nextCalm;
-        wait = nextCalm;
-        level = Math.min(level, order.size());
+    void configure(List<String> newClassOrder, long newRecoveryDelayMicros) {
+        classOrder = List.copyOf(newClassOrder);
+        recoveryDelayMicros = newRecoveryDelayMicros;
+        stepDownDelayMicros = newRecoveryDelayMicros;
+        overridingClassCount = Math.min(overridingClassCount, classOrder.size());
     }
 
     /** The hosts of the own zone that take requests. */
-    public void hosts(long now, Set<String> homeUp) {
-        told = true;
-        up.keySet().retainAll(homeUp);
-        homeUp.forEach(uid -> up.computeIfAbsent(uid, any -> {
-            Seen seen = new Seen();
-            seen.answeredAt = now;
-            return seen;
+    public void updateHosts(long now, Set<String> hostsUp) {
+        hostsKnown = true;
+        healthByHost.keySet().retainAll(hostsUp);
+        hostsUp.forEach(hostAddress -> healthByHost.computeIfAbsent(hostAddress, any -> {
+            Seen health = new Seen();
+            health.lastAnswerAt = now;
+            return health;
         }));
-        judge(now);
+        evaluateHosts(now);
     }
 
     /** A host of the own zone has answered, or has not. */
-    public void outcome(long now, String uid, boolean answered) {
-        Seen seen = up.get(uid);
-        if (seen != null) {
-            seen.failures = answered ? 0 : seen.failures + 1;
-            seen.answeredAt = answered ? now : seen.answeredAt;
-            judge(now);
+    public void recordOutcome(long now, String hostAddress, boolean answered) {
+        Seen health = healthByHost.get(hostAddress);
+        if (health != null) {
+            health.consecutiveFailures = answered ? 0 : health.consecutiveFailures + 1;
+            health.lastAnswerAt = answered ? now : health.lastAnswerAt;
+            evaluateHosts(now);
         }
     }
 
-    private void judge(long now) {
-        long failing = up.values().stream().filter(s -> s.failures >= FAILURES && now - s.answeredAt > UNANSWERED).count();
-        if (told && (up.isEmpty() || 2 * failing > up.size())) {
-            if (!out && now - downAt < AGAIN) {
-                wait = Math.min(WAIT_MOST, 2 * wait);
+    private void evaluateHosts(long now) {
+        long failing = healthByHost.values().stream().filter(s -> s.consecutiveFailures >= MIN_CONSECUTIVE_FAILURES && now - s.lastAnswerAt > MIN_UNANSWERED_MICROS).count();
+        if (hostsKnown && (healthByHost.isEmpty() || 2 * failing > healthByHost.size())) {
+            if (!zoneOut && now - lastStepDownAt < RELAPSE_WINDOW_MICROS) {
+                stepDownDelayMicros = Math.min(MAX_STEP_DOWN_DELAY_MICROS, 2 * stepDownDelayMicros);
             }
-            out = true;
-            wholeSince = -1;
-        } else if (out && wholeSince < 0) {
-            wholeSince = now;
+            zoneOut = true;
+            recoveredSince = -1;
+        } else if (zoneOut && recoveredSince < 0) {
+            recoveredSince = now;
         }
     }
 
     /** A request has come in. */
-    public void offered(long now) {
+    public void recordRequest(long now) {
         advance(now);
-        offered++;
+        requestCount++;
     }
 
     /** A request was refused for the hosts; {@code byBudget} where one held back hosts that might have taken it. */
-    public void refused(long now, boolean byBudget) {
+    public void recordRefusal(long now, boolean heldBackByBudget) {
         advance(now);
-        refused++;
-        held += byBudget ? 1 : 0;
+        refusedCount++;
+        heldBackCount += heldBackByBudget ? 1 : 0;
     }
 
     /** Time goes by. */
     public void advance(long now) {
-        if (out && wholeSince >= 0 && now - wholeSince >= calm) {
-            out = false;
-            level = order.size();  // cold hosts don't take all at once: back a class at a time
-            steppedAt = now;
-            givingSince = now;
-            refusedBefore = 1;
+        if (zoneOut && recoveredSince >= 0 && now - recoveredSince >= recoveryDelayMicros) {
+            zoneOut = false;
+            overridingClassCount = classOrder.size();  // cold hosts don't take all at once: back a class at a time
+            lastStepAt = now;
+            overridingSince = now;
+            refusedFractionBefore = 1;
         }
-        if (now - spanAt >= SPAN) {
-            span(now);
-            offered = 0;
-            held = 0;
-            refused = 0;
-            spanAt = now;
+        if (now - intervalStart >= EVALUATION_INTERVAL_MICROS) {
+            evaluateInterval(now);
+            requestCount = 0;
+            heldBackCount = 0;
+            refusedCount = 0;
+            intervalStart = now;
         }
     }
 
-    private void span(long now) {
-        boolean bad = held >= LEAST && held >= PART * offered;
-        badSpans = bad ? badSpans + 1 : 0;
-        if (held > 0) {
-            heldAt = now;
+    private void evaluateInterval(long now) {
+        boolean overloaded = heldBackCount >= MIN_OVERLOAD_REFUSALS && heldBackCount >= OVERLOAD_REFUSED_FRACTION * requestCount;
+        overloadedIntervals = overloaded ? overloadedIntervals + 1 : 0;
+        if (heldBackCount > 0) {
+            lastHeldBackAt = now;
         }
-        double part = offered == 0 ? 0 : Math.min(1, (double) refused / offered);
-        refusedPart += NEWEST * (part - refusedPart);
-        if (out) {
+        double fraction = requestCount == 0 ? 0 : Math.min(1, (double) refusedCount / requestCount);
+        refusedFraction += EWMA_WEIGHT * (fraction - refusedFraction);
+        if (zoneOut) {
             return;
         }
-        if (badSpans >= BAD_SPANS && level < order.size() && now >= futileUntil && now - steppedAt >= STEP) {
-            if (level == 0) {
-                givingSince = now;
-                refusedBefore = Math.max(refusedPart, part);
+        if (overloadedIntervals >= MIN_OVERLOADED_INTERVALS && overridingClassCount < classOrder.size() && now >= suspendedUntil && now - lastStepAt >= MIN_STEP_INTERVAL_MICROS) {
+            if (overridingClassCount == 0) {
+                overridingSince = now;
+                refusedFractionBefore = Math.max(refusedFraction, fraction);
             }
-            if (now - downAt < AGAIN) {
-                wait = Math.min(WAIT_MOST, 2 * wait);
+            if (now - lastStepDownAt < RELAPSE_WINDOW_MICROS) {
+                stepDownDelayMicros = Math.min(MAX_STEP_DOWN_DELAY_MICROS, 2 * stepDownDelayMicros);
             }
-            level++;
-            steppedAt = now;
-        } else if (level > 0 && now - givingSince >= FUTILE_AFTER && refusedPart > PART
-                && refusedPart >= HELPS * refusedBefore) {
-            level = 0;
-            futileUntil = now + FUTILE_FOR;
-        } else if (level > 0 && now - Math.max(heldAt, steppedAt) >= wait) {
-            level--;
-            steppedAt = now;
-            downAt = now;
-        } else if (level == 0 && now - downAt >= WAIT_MOST) {
-            wait = calm;
+            overridingClassCount++;
+            lastStepAt = now;
+        } else if (overridingClassCount > 0 && now - overridingSince >= FUTILITY_CHECK_DELAY_MICROS && refusedFraction > OVERLOAD_REFUSED_FRACTION
+                && refusedFraction >= FUTILE_REMAINING_FRACTION * refusedFractionBefore) {
+            overridingClassCount = 0;
+            suspendedUntil = now + FUTILITY_BACKOFF_MICROS;
+        } else if (overridingClassCount > 0 && now - Math.max(lastHeldBackAt, lastStepAt) >= stepDownDelayMicros) {
+            overridingClassCount--;
+            lastStepAt = now;
+            lastStepDownAt = now;
+        } else if (overridingClassCount == 0 && now - lastStepDownAt >= MAX_STEP_DOWN_DELAY_MICROS) {
+            stepDownDelayMicros = recoveryDelayMicros;
         }
     }
 
     /** Whether a class may go beyond budgets now, those that aren't hard. */
-    public boolean gives(String className) {
-        int at = order.indexOf(className);
-        return at >= 0 && (out || at < level);
+    public boolean mayExceedBudgets(String className) {
+        int position = classOrder.indexOf(className);
+        return position >= 0 && (zoneOut || position < overridingClassCount);
     }
 
     /** Whether the own zone is out. */
-    public boolean out() {
-        return out;
+    public boolean isZoneOut() {
+        return zoneOut;
     }
 
     /** Classes that give way now. */
-    public List<String> giving() {
-        return out ? order : order.subList(0, level);
+    public List<String> overridingClasses() {
+        return zoneOut ? classOrder : classOrder.subList(0, overridingClassCount);
     }
 }
--- a/src/main/java/mastdrift/zones/Snapshot.java
+++ b/src/main/java/mastdrift/zones/Snapshot.java
@@ -8,14 +8,14 @@
  *
  * @param gateway its name
  * @param zone its zone
- * @param at milliseconds since 1970
+ * @param timeMillis milliseconds since 1970
  * @param flows counts since the book was begun
  * @param budgets of this window
  * @param prices by which money is reckoned
- * @param giving classes that give way, by pool; only pools where any does
+ * @param overridingClasses classes that give way, by pool; only pools where any does
  */
-public record Snapshot(String gateway, String zone, long at, Map<Flow, Counts> flows, List<Budget> budgets, List<Price> prices,
-        Map<String, List<String>> giving) {
+public record Snapshot(String gateway, String zone, long timeMillis, Map<Flow, Counts> flows, List<Budget> budgets, List<Price> prices,
+        Map<String, List<String>> overridingClasses) {
 
     /**
      * A budget as it stands.
@@ -25,48 +25,48 @@
      * @param forecast what it will have used at the window's end, as it goes
      * @param kept the rest, as an account goes on from it
      */
-    public record Budget(Limit limit, long end, double forecast, Kept kept) {
+    public record Budget(Limit budget, long endMillis, double forecast, Kept account) {
 
         /** The beginning of the window, in milliseconds since 1970. */
-        public long begin() {
-            return kept.begin();
+        public long startMillis() {
+            return account.windowStartMillis();
         }
 
         /** This gateway's part of it, with what others gave and without what it gave. */
         public double granted() {
-            return kept.granted();
+            return account.granted();
         }
 
         /** Of that, used. */
         public double spent() {
-            return kept.spent();
+            return account.spent();
         }
 
         /** What later windows pay for. */
         public double owed() {
-            return kept.owed();
+            return account.owed();
         }
 
         /** What was left of the part; below 0 where service went before the budget. */
-        public double left() {
-            return kept.granted() - kept.spent();
+        public double remaining() {
+            return account.granted() - account.spent();
         }
     }
 
     /** What a flow costs by the prices, both ways; 0 where none is given. */
-    public double money(Flow flow, Counts counts) {
-        return flow.crosses() ? money(prices, flow.from(), flow.to(), counts.sent(), counts.received(), counts.attempts()) : 0;
+    public double cost(Flow flow, Counts counts) {
+        return flow.crosses() ? cost(prices, flow.fromZone(), flow.toZone(), counts.bytesSent(), counts.bytesReceived(), counts.attempts()) : 0;
     }
 
-    static double money(List<Price> prices, String from, String to, long sent, long received, long attempts) {
-        double money = 0;
+    static double cost(List<Price> prices, String fromZone, String toZone, long bytesSent, long bytesReceived, long attempts) {
+        double cost = 0;
         for (Price price : prices) {
-            if (price.from().equals(from) && price.to().equals(to)) {
-                money += price.of(sent, attempts);
-            } else if (price.from().equals(to) && price.to().equals(from)) {
-                money += price.of(received, 0);
+            if (price.fromZone().equals(fromZone) && price.toZone().equals(toZone)) {
+                cost += price.cost(bytesSent, attempts);
+            } else if (price.fromZone().equals(toZone) && price.toZone().equals(fromZone)) {
+                cost += price.cost(bytesReceived, 0);
             }
         }
-        return money;
+        return cost;
     }
 }
--- a/src/main/java/mastdrift/zones/SteadyClock.java
+++ b/src/main/java/mastdrift/zones/SteadyClock.java
@@ -4,42 +4,42 @@
     for a while. Small differences are taken at once. */
 public final class SteadyClock {
 
-    static final long DIFFERENT = 2_000;
-    static final long BELIEVED = 30_000_000;
+    static final long MAX_IMMEDIATE_OFFSET_MILLIS = 2_000;
+    static final long STEP_CONFIRMATION_MICROS = 30_000_000;
 
-    private long baseNow;
-    private long baseMillis;
-    private long suspectOffset;
-    private long suspectSince = -1;
+    private long baseMonotonicMicros;
+    private long baseWallMillis;
+    private long candidateOffsetMillis;
+    private long candidateSinceMicros = -1;
 
-    /** {@code now} in microseconds of the monotonic clock, {@code millis} since 1970 by the wall clock. */
-    public SteadyClock(long now, long millis) {
-        baseNow = now;
-        baseMillis = millis;
+    /** {@code now} in microseconds of the monotonic clock, {@code wallMillis} since 1970 by the wall clock. */
+    public SteadyClock(long nowMicros, long wallMillis) {
+        baseMonotonicMicros = nowMicros;
+        baseWallMillis = wallMillis;
     }
 
     /** The wall time of a moment, in milliseconds. */
-    public long millis(long now) {
-        return baseMillis + (now - baseNow) / 1_000;
+    public long wallMillis(long nowMicros) {
+        return baseWallMillis + (nowMicros - baseMonotonicMicros) / 1_000;
     }
 
     /** What both clocks say now. */
-    public void tick(long now, long millis) {
-        long offset = millis - millis(now);
-        if (Math.abs(offset) <= DIFFERENT) {
-            suspectSince = -1;
-            take(now, millis);
-        } else if (suspectSince < 0 || Math.abs(offset - suspectOffset) > DIFFERENT) {
-            suspectSince = now;
-            suspectOffset = offset;
-        } else if (now - suspectSince >= BELIEVED) {
-            suspectSince = -1;
-            take(now, millis);
+    public void tick(long nowMicros, long wallMillis) {
+        long offsetMillis = wallMillis - wallMillis(nowMicros);
+        if (Math.abs(offsetMillis) <= MAX_IMMEDIATE_OFFSET_MILLIS) {
+            candidateSinceMicros = -1;
+            setBase(nowMicros, wallMillis);
+        } else if (candidateSinceMicros < 0 || Math.abs(offsetMillis - candidateOffsetMillis) > MAX_IMMEDIATE_OFFSET_MILLIS) {
+            candidateSinceMicros = nowMicros;
+            candidateOffsetMillis = offsetMillis;
+        } else if (nowMicros - candidateSinceMicros >= STEP_CONFIRMATION_MICROS) {
+            candidateSinceMicros = -1;
+            setBase(nowMicros, wallMillis);
         }
     }
 
-    private void take(long now, long millis) {
-        baseNow = now;
-        baseMillis = millis;
+    private void setBase(long nowMicros, long wallMillis) {
+        baseMonotonicMicros = nowMicros;
+        baseWallMillis = wallMillis;
     }
 }
--- a/src/main/java/mastdrift/zones/Window.java
+++ b/src/main/java/mastdrift/zones/Window.java
@@ -24,21 +24,21 @@
     }
 
     /** As files write it. */
-    public String word() {
+    public String settingName() {
         return name().toLowerCase(Locale.ROOT);
     }
 
     /** The beginning of the window that holds a time; milliseconds since 1970. */
-    public long begin(long millis) {
-        return begun(millis).toInstant().toEpochMilli();
+    public long startMillis(long millis) {
+        return start(millis).toInstant().toEpochMilli();
     }
 
     /** Its end, which is the next one's beginning. */
-    public long end(long millis) {
-        return begun(millis).plus(1, unit).toInstant().toEpochMilli();
+    public long endMillis(long millis) {
+        return start(millis).plus(1, unit).toInstant().toEpochMilli();
     }
 
-    private ZonedDateTime begun(long millis) {
+    private ZonedDateTime start(long millis) {
         ZonedDateTime at = Instant.ofEpochMilli(millis).atZone(ZoneOffset.UTC);
         return unit == ChronoUnit.MONTHS ? at.truncatedTo(ChronoUnit.DAYS).withDayOfMonth(1) : at.truncatedTo(unit);
     }
--- a/src/main/java/mastdrift/zones/Zoning.java
+++ b/src/main/java/mastdrift/zones/Zoning.java
@@ -14,18 +14,18 @@
 public final class Zoning {
 
     // What a crossing is thought to move before any of its class has: more than small requests do.
-    private static final double GUESS = 4_096;
+    private static final double INITIAL_SIZE_BYTES = 4_096;
     // The largest of late counts: it falls by this part of the way a crossing.
-    private static final double FADE = 0.02;
-    private static final int CLASSES_MOST = 256;
+    private static final double SIZE_DECAY_FRACTION = 0.02;
+    private static final int MAX_CLASSES = 256;
 
     private static final class Usual {
-        private double sent = GUESS;
-        private double received = GUESS;
+        private double bytesSent = INITIAL_SIZE_BYTES;
+        private double bytesReceived = INITIAL_SIZE_BYTES;
 
-        void learn(long out, long in) {
-            sent = Math.max(out, sent + FADE * (out - sent));
-            received = Math.max(in, received + FADE * (in - received));
+        void update(long actualBytesSent, long actualBytesReceived) {
+            bytesSent = Math.max(actualBytesSent, bytesSent + SIZE_DECAY_FRACTION * (actualBytesSent - bytesSent));
+            bytesReceived = Math.max(actualBytesReceived, bytesReceived + SIZE_DECAY_FRACTION * (actualBytesReceived - bytesReceived));
         }
     }
 
@@ -34,62 +34,62 @@
 
     private final String gateway;
     private final String zone;
-    private final int gateways;
+    private final int gatewayCount;
     private final SteadyClock clock;
-    private final Book book = new Book();
-    private final KeyZones keys = new KeyZones(KeyZones.MOST);
-    private final Map<String, Usual> usual = new HashMap<>();
-    private final Map<String, Account> accounts = new LinkedHashMap<>();
+    private final Book counters = new Book();
+    private final KeyZones keyZones = new KeyZones(KeyZones.MAX_KEYS);
+    private final Map<String, Usual> sizeEstimates = new HashMap<>();
+    private final Map<String, Account> accountByBudget = new LinkedHashMap<>();
     private final Map<String, PoolZones> pools = new TreeMap<>();
     private final Escrow escrow;
     private ZoneSettings settings;
     private long lastNow;
 
-    /** {@code gateway} is its name among {@code gateways}, {@code millis} the wall clock's since 1970. */
-    public Zoning(String gateway, String zone, int gateways, ZoneSettings settings, long now, long millis) {
+    /** {@code gateway} is its name among {@code gatewayCount}, {@code millis} the wall clock's since 1970. */
+    public Zoning(String gateway, String zone, int gatewayCount, ZoneSettings settings, long now, long wallMillis) {
         this.gateway = gateway;
         this.zone = zone;
-        this.gateways = gateways;
+        this.gatewayCount = gatewayCount;
         lastNow = now;
-        clock = new SteadyClock(now, millis);
+        clock = new SteadyClock(now, wallMillis);
         escrow = new Escrow(gateway);
         configure(settings);
     }
 
     /** Other budgets, prices or orders: what was counted and spent stays. Budgets go on by name, window and unit. */
-    public void configure(ZoneSettings next) {
-        Map<String, Account> before = new LinkedHashMap<>(accounts);
-        accounts.clear();
-        for (Limit limit : next.limits()) {
-            Account known = before.get(limit.name());
-            if (known != null && known.limit().window() == limit.window() && known.limit().unit() == limit.unit()) {
-                known.change(limit, gateways);
-                accounts.put(limit.name(), known);
+    public void configure(ZoneSettings newSettings) {
+        Map<String, Account> previousAccounts = new LinkedHashMap<>(accountByBudget);
+        accountByBudget.clear();
+        for (Limit limit : newSettings.budgets()) {
+            Account known = previousAccounts.get(limit.name());
+            if (known != null && known.budget().window() == limit.window() && known.budget().unit() == limit.unit()) {
+                known.updateBudget(limit, gatewayCount);
+                accountByBudget.put(limit.name(), known);
             } else {
-                accounts.put(limit.name(), new Account(limit, gateways, clock.millis(lastNow)));
+                accountByBudget.put(limit.name(), new Account(limit, gatewayCount, clock.wallMillis(lastNow)));
             }
         }
-        settings = next;
-        pools.values().forEach(pool -> pool.relief().change(next.giveWay(), next.calm()));
+        settings = newSettings;
+        pools.values().forEach(pool -> pool.budgetOverride().configure(newSettings.overrideClasses(), newSettings.recoveryDelayMicros()));
     }
 
     /** The wall clock's milliseconds; to be told several times a second. */
-    public void tick(long now, long millis) {
+    public void tick(long now, long wallMillis) {
         lastNow = Math.max(lastNow, now);
-        clock.tick(now, millis);
-        long wall = clock.millis(now);
-        accounts.values().forEach(account -> account.advance(wall));
-        escrow.settle(wall, accounts.values());
-        pools.values().forEach(pool -> pool.relief().advance(now));
+        clock.tick(now, wallMillis);
+        long filteredMillis = clock.wallMillis(now);
+        accountByBudget.values().forEach(account -> account.advance(filteredMillis));
+        escrow.rebalance(filteredMillis, accountByBudget.values());
+        pools.values().forEach(pool -> pool.budgetOverride().advance(now));
     }
 
     /** The view of one pool, the same for the same name. */
     public PoolZones pool(String name) {
-        return pools.computeIfAbsent(name, any -> new PoolZones(this, name, new Relief(settings.giveWay(), settings.calm())));
+        return pools.computeIfAbsent(name, any -> new PoolZones(this, name, new Relief(settings.overrideClasses(), settings.recoveryDelayMicros())));
     }
 
     /** A pool is gone; its counts stay. */
-    public void closed(String name) {
+    public void removePool(String name) {
         pools.remove(name);
     }
 
@@ -97,100 +97,100 @@
         return zone;
     }
 
-    boolean bounds() {
-        return !accounts.isEmpty();
+    boolean hasBudgets() {
+        return !accountByBudget.isEmpty();
     }
 
-    KeyZones keys() {
-        return keys;
+    KeyZones keyZones() {
+        return keyZones;
     }
 
     Counts counts(Flow flow) {
-        return book.of(flow);
+        return counters.counts(flow);
     }
 
     // ---- budgets
 
-    private Usual usual(String className) {
-        Usual known = usual.get(className);
+    private Usual sizeEstimate(String className) {
+        Usual known = sizeEstimates.get(className);
         if (known == null) {
-            known = usual.size() < CLASSES_MOST ? usual.computeIfAbsent(className, any -> new Usual()) : new Usual();
+            known = sizeEstimates.size() < MAX_CLASSES ? sizeEstimates.computeIfAbsent(className, any -> new Usual()) : new Usual();
         }
         return known;
     }
 
-    private double cost(Limit limit, String to, double sent, double received) {
+    private double cost(Limit limit, String toZone, double bytesSent, double bytesReceived) {
         return switch (limit.unit()) {
-            case BYTES -> sent + received;
+            case BYTES -> bytesSent + bytesReceived;
             case REQUESTS -> 1;
-            case MONEY -> Snapshot.money(settings.prices(), zone, to, (long) sent, (long) received, 1);
+            case MONEY -> Snapshot.cost(settings.prices(), zone, toZone, (long) bytesSent, (long) bytesReceived, 1);
         };
     }
 
     /** How easily a crossing fits all budgets that cover it, 0 to 1; with {@code hardOnly}, those that service doesn't go before. */
-    double ease(long now, String to, String className, String tenant, String pool, boolean hardOnly) {
-        double ease = 1;
-        Usual moves = usual(className);
-        for (Account account : accounts.values()) {
-            Limit limit = account.limit();
-            if (limit.covers(to, className, tenant, pool) && (limit.hard() || !hardOnly)) {
-                account.advance(clock.millis(now));
-                ease = Math.min(ease, account.ease(cost(limit, to, moves.sent, moves.received)));
+    double admissionFraction(long now, String toZone, String className, String tenant, String pool, boolean hardOnly) {
+        double fraction = 1;
+        Usual estimate = sizeEstimate(className);
+        for (Account account : accountByBudget.values()) {
+            Limit limit = account.budget();
+            if (limit.covers(toZone, className, tenant, pool) && (limit.hard() || !hardOnly)) {
+                account.advance(clock.wallMillis(now));
+                fraction = Math.min(fraction, account.admissionFraction(cost(limit, toZone, estimate.bytesSent, estimate.bytesReceived)));
             }
         }
-        return ease;
+        return fraction;
     }
 
     /** A crossing that a budget held back. */
-    void deny(String to, String className, String tenant, String pool) {
-        Usual moves = usual(className);
-        accounts.values().stream().filter(account -> account.limit().covers(to, className, tenant, pool))
-                .forEach(account -> account.deny(cost(account.limit(), to, moves.sent, moves.received)));
+    void recordDenied(String toZone, String className, String tenant, String pool) {
+        Usual estimate = sizeEstimate(className);
+        accountByBudget.values().stream().filter(account -> account.budget().covers(toZone, className, tenant, pool))
+                .forEach(account -> account.recordDenied(cost(account.budget(), toZone, estimate.bytesSent, estimate.bytesReceived)));
     }
 
     /** What a crossing holds until it ends. */
     final class Reserve {
-        private final String to;
+        private final String toZone;
         private final String className;
-        private final List<Hold> holds = new ArrayList<>(2);
+        private final List<Hold> reservations = new ArrayList<>(2);
 
-        Reserve(long now, String to, String className, String tenant, String pool) {
-            this.to = to;
+        Reserve(long now, String toZone, String className, String tenant, String pool) {
+            this.toZone = toZone;
             this.className = className;
-            Usual moves = usual(className);
-            for (Account account : accounts.values()) {
-                if (account.limit().covers(to, className, tenant, pool)) {
-                    account.advance(clock.millis(now));
-                    double cost = cost(account.limit(), to, moves.sent, moves.received);
+            Usual estimate = sizeEstimate(className);
+            for (Account account : accountByBudget.values()) {
+                if (account.budget().covers(toZone, className, tenant, pool)) {
+                    account.advance(clock.wallMillis(now));
+                    double cost = cost(account.budget(), toZone, estimate.bytesSent, estimate.bytesReceived);
                     account.reserve(cost);
-                    holds.add(new Hold(account, cost));
+                    reservations.add(new Hold(account, cost));
                 }
             }
         }
 
         /** With nothing sent it costs nothing. */
-        void settle(long now, long sent, long received) {
-            boolean went = sent > 0;
-            if (went) {
-                usual(className).learn(sent, received);
+        void settle(long now, long bytesSent, long bytesReceived) {
+            boolean anySent = bytesSent > 0;
+            if (anySent) {
+                sizeEstimate(className).update(bytesSent, bytesReceived);
             }
-            for (Hold hold : holds) {
-                hold.account.advance(clock.millis(now));
-                hold.account.settle(hold.cost, went ? cost(hold.account.limit(), to, sent, received) : 0);
+            for (Hold reservation : reservations) {
+                reservation.account.advance(clock.wallMillis(now));
+                reservation.account.settle(reservation.cost, anySent ? cost(reservation.account.budget(), toZone, bytesSent, bytesReceived) : 0);
             }
         }
     }
 
     /** Bytes that crossed without a crossing that had asked: probes, and what belongs to no attempt. No budget holds them back, and all are charged. */
-    void charge(long now, String to, String pool, long sent, long received, int attempts) {
-        for (Account account : accounts.values()) {
-            Limit limit = account.limit();
-            if (limit.covers(to, Flow.NONE, "", pool)) {
-                account.advance(clock.millis(now));
+    void charge(long now, String toZone, String pool, long bytesSent, long bytesReceived, int attempts) {
+        for (Account account : accountByBudget.values()) {
+            Limit limit = account.budget();
+            if (limit.covers(toZone, Flow.NO_CLASS, "", pool)) {
+                account.advance(clock.wallMillis(now));
                 account.settle(0, switch (limit.unit()) {
-                    case BYTES -> sent + received;
+                    case BYTES -> bytesSent + bytesReceived;
                     case REQUESTS -> attempts;
-                    case MONEY -> Snapshot.money(settings.prices(), zone, to, sent, received, attempts);
+                    case MONEY -> Snapshot.cost(settings.prices(), zone, toZone, bytesSent, bytesReceived, attempts);
                 });
             }
         }
@@ -199,59 +199,59 @@
     // ---- other gateways, and a restart
 
     /** Another gateway's word; returns whether it was taken. */
-    public boolean heard(Escrow.Word word) {
-        return escrow.heard(word);
+    public boolean receive(Escrow.Word announcement) {
+        return escrow.receive(announcement);
     }
 
     /** What an earlier process of this name said last; counts for budgets that nothing was restored for. */
-    public void told(Escrow.Word earlier) {
-        earlier.budgets().forEach((name, says) -> {
-            Account account = accounts.get(name);
+    public void restoreTransfers(Escrow.Word earlier) {
+        earlier.budgets().forEach((name, budget) -> {
+            Account account = accountByBudget.get(name);
             if (account != null && earlier.gateway().equals(gateway)) {
-                account.gaveBefore(says.begin(), says.given());
+                account.restoreTransfers(budget.windowStartMillis(), budget.transferredOut());
             }
         });
     }
 
     /** Its own word for the others. */
-    public Escrow.Word word(long now) {
-        return escrow.word(clock.millis(now), accounts.values());
+    public Escrow.Word announcement(long now) {
+        return escrow.announcement(clock.wallMillis(now), accountByBudget.values());
     }
 
     /** What it knows at this moment. */
     public Snapshot snapshot(long now) {
-        long wall = clock.millis(now);
+        long wallMillis = clock.wallMillis(now);
         List<Snapshot.Budget> budgets = new ArrayList<>();
-        for (Account account : accounts.values()) {
-            account.advance(wall);
-            budgets.add(new Snapshot.Budget(account.limit(), account.end(), account.forecast(), account.keep()));
+        for (Account account : accountByBudget.values()) {
+            account.advance(wallMillis);
+            budgets.add(new Snapshot.Budget(account.budget(), account.windowEndMillis(), account.forecast(), account.state()));
         }
-        Map<String, List<String>> giving = new TreeMap<>();
+        Map<String, List<String>> overridingClasses = new TreeMap<>();
         pools.forEach((name, pool) -> {
-            if (!pool.relief().giving().isEmpty()) {
-                giving.put(name, List.copyOf(pool.relief().giving()));
+            if (!pool.budgetOverride().overridingClasses().isEmpty()) {
+                overridingClasses.put(name, List.copyOf(pool.budgetOverride().overridingClasses()));
             }
         });
-        return new Snapshot(gateway, zone, wall, book.copy(), budgets, settings.prices(), giving);
+        return new Snapshot(gateway, zone, wallMillis, counters.copy(), budgets, settings.prices(), overridingClasses);
     }
 
     /** Goes on from what an earlier process of the same name had written; {@code unsaved} milliseconds are the longest between two writes. To be
         called before anything is counted. Throws IllegalArgumentException, with nothing changed, for another gateway's or zone's. */
-    public void restore(Snapshot earlier, long unsaved) {
+    public void restore(Snapshot earlier, long maxUnsavedMillis) {
         if (!earlier.gateway().equals(gateway) || !earlier.zone().equals(zone)) {
             throw new IllegalArgumentException("expected the state of gateway " + gateway + " in " + zone + ", found that of "
                     + earlier.gateway() + " in " + earlier.zone());
         }
-        book.add(earlier.flows());
+        counters.add(earlier.flows());
         for (Snapshot.Budget budget : earlier.budgets()) {
-            Account account = accounts.get(budget.limit().name());
-            if (account != null && account.limit().window() == budget.limit().window()
-                    && account.limit().unit() == budget.limit().unit()) {
-                Kept kept = budget.kept();
-                Limit now = account.limit();
-                account.change(budget.limit(), gateways);  // what was granted was by the amount of then
-                account.restore(kept, unsaved);
-                account.change(now, gateways);
+            Account account = accountByBudget.get(budget.budget().name());
+            if (account != null && account.budget().window() == budget.budget().window()
+                    && account.budget().unit() == budget.budget().unit()) {
+                Kept saved = budget.account();
+                Limit configuredLimit = account.budget();
+                account.updateBudget(budget.budget(), gatewayCount);  // what was granted was by the amount of then
+                account.restore(saved, maxUnsavedMillis);
+                account.updateBudget(configuredLimit, gatewayCount);
             }
         }
     }
--- a/src/main/java/mastdrift/zones/edge/ZoneFiles.java
+++ b/src/main/java/mastdrift/zones/edge/ZoneFiles.java
@@ -26,179 +26,179 @@
 public final class ZoneFiles implements AutoCloseable {
 
     /** A state that isn't read. */
-    private static final long STATE_MOST = 64 << 20;
-    private static final long WORD_MOST = 1 << 20;
-    private static final String WORD_NAMES = "budgets-*.json";
+    private static final long MAX_STATE_BYTES = 64 << 20;
+    private static final long MAX_ANNOUNCEMENT_BYTES = 1 << 20;
+    private static final String ANNOUNCEMENT_GLOB = "budgets-*.json";
 
-    private record Work(Snapshot snapshot, Escrow.Word word) { }
+    private record PendingWrite(Snapshot snapshot, Escrow.Word announcement) { }
 
-    private final Path state;
-    private final Path report;
-    private final Path shared;
+    private final Path stateFile;
+    private final Path reportFile;
+    private final Path sharedFolder;
     private final String gateway;
-    private final Consumer<Escrow.Word> heard;
+    private final Consumer<Escrow.Word> announcementListener;
     private final Consumer<String> log;
-    private final ExecutorService thread = Executors.newSingleThreadExecutor(task -> {
+    private final ExecutorService executor = Executors.newSingleThreadExecutor(task -> {
         Thread made = new Thread(task, "zone-files");
         made.setDaemon(true);
         return made;
     });
-    private final AtomicReference<Work> waiting = new AtomicReference<>();
-    private String said = "";
-    private FileChannel lock;
-    private FileLock locked;
+    private final AtomicReference<PendingWrite> pendingWrite = new AtomicReference<>();
+    private String lastLogged = "";
+    private FileChannel lockChannel;
+    private FileLock fileLock;
 
-    /** Paths beside the gateway's file where they are relative. {@code heard} gets other gateways' words, on the thread of the files. */
-    public ZoneFiles(Path gatewayFile, String gateway, ZoneSettings settings, Consumer<Escrow.Word> heard, Consumer<String> log) {
+    /** Paths beside the gateway's file where they are relative. {@code announcementListener} gets other gateways' words, on the thread of the files. */
+    public ZoneFiles(Path gatewayFile, String gateway, ZoneSettings settings, Consumer<Escrow.Word> announcementListener, Consumer<String> log) {
         this.gateway = gateway;
-        this.heard = heard;
+        this.announcementListener = announcementListener;
         this.log = log;
         Path folder = gatewayFile.toAbsolutePath().getParent();
-        report = settings.reportFile() == null ? null : folder.resolve(settings.reportFile());
-        shared = settings.sharedFolder() == null ? null : folder.resolve(settings.sharedFolder());
-        Path kept = settings.stateFolder() == null ? null : folder.resolve(settings.stateFolder());
-        state = kept != null && lock(kept) ? kept.resolve("zones-" + gateway + ".state") : null;
+        reportFile = settings.reportFile() == null ? null : folder.resolve(settings.reportFile());
+        sharedFolder = settings.sharedFolder() == null ? null : folder.resolve(settings.sharedFolder());
+        Path stateFolder = settings.stateFolder() == null ? null : folder.resolve(settings.stateFolder());
+        stateFile = stateFolder != null && acquireLock(stateFolder) ? stateFolder.resolve("zones-" + gateway + ".state") : null;
     }
 
     /** One process a folder and name: another one runs without a state. */
-    private boolean lock(Path folder) {
+    private boolean acquireLock(Path folder) {
         try {
-            lock = FileChannel.open(folder.resolve("zones-" + gateway + ".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-            locked = lock.tryLock();
+            lockChannel = FileChannel.open(folder.resolve("zones-" + gateway + ".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            fileLock = lockChannel.tryLock();
         } catch (IOException | OverlappingFileLockException e) {
-            say("no state is kept in " + folder + ": " + e);
+            logOnce("no state is kept in " + folder + ": " + e);
             return false;
         }
-        if (locked == null) {
-            say("no state is kept in " + folder + ": another process of this name has it");
+        if (fileLock == null) {
+            logOnce("no state is kept in " + folder + ": another process of this name has it");
         }
-        return locked != null;
+        return fileLock != null;
     }
 
-    private void say(String line) {
-        if (!line.equals(said)) {  // once, and not every second
-            said = line;
+    private void logOnce(String line) {
+        if (!line.equals(lastLogged)) {  // once, and not every second
+            lastLogged = line;
             log.accept(line);
         }
     }
 
     /** What an earlier process wrote, or null where there is nothing, or nothing to rely on, which is said. Waits for the disk. */
-    public Snapshot earlier() {
-        if (state == null || !Files.exists(state)) {
+    public Snapshot readSnapshot() {
+        if (stateFile == null || !Files.exists(stateFile)) {
             return null;
         }
         try {
-            return ZoneTexts.snapshot(ZoneTexts.opened(ZoneTexts.STATE, read(state, STATE_MOST)));
+            return ZoneTexts.snapshot(ZoneTexts.unwrap(ZoneTexts.STATE_FORMAT, read(stateFile, MAX_STATE_BYTES)));
         } catch (IOException e) {
-            say(state + " is not used: " + e.getMessage());
+            logOnce(stateFile + " is not used: " + e.getMessage());
             return null;
         }
     }
 
     /** What an earlier process of this name told the others last, or null; for who keeps no state. Waits for the disk. */
-    public Escrow.Word told() {
-        Path own = shared == null ? null : shared.resolve("budgets-" + gateway + ".json");
+    public Escrow.Word readOwnAnnouncement() {
+        Path own = sharedFolder == null ? null : sharedFolder.resolve("budgets-" + gateway + ".json");
         if (own == null || !Files.exists(own)) {
             return null;
         }
         try {
-            return ZoneTexts.word(ZoneTexts.opened(ZoneTexts.WORD, read(own, WORD_MOST)));
+            return ZoneTexts.announcement(ZoneTexts.unwrap(ZoneTexts.ANNOUNCEMENT_FORMAT, read(own, MAX_ANNOUNCEMENT_BYTES)));
         } catch (IOException e) {
-            say(own + " is not used: " + e.getMessage());
+            logOnce(own + " is not used: " + e.getMessage());
             return null;
         }
     }
 
     /** Links are not followed: in a folder that others write to, they may lead anywhere. */
-    private static byte[] read(Path file, long most) throws IOException {
-        if (!Files.isRegularFile(file, LinkOption.NOFOLLOW_LINKS) || Files.size(file) > most) {
-            throw new IOException("expected a file of at most " + most + " bytes");
+    private static byte[] read(Path file, long maxBytes) throws IOException {
+        if (!Files.isRegularFile(file, LinkOption.NOFOLLOW_LINKS) || Files.size(file) > maxBytes) {
+            throw new IOException("expected a file of at most " + maxBytes + " bytes");
         }
         return Files.readAllBytes(file);
     }
 
     /** Writes all files soon, and reads the words of others. Returns at once. */
-    public void write(Snapshot snapshot, Escrow.Word word) {
-        if (waiting.getAndSet(new Work(snapshot, word)) == null) {
-            thread.execute(() -> work(waiting.getAndSet(null)));
+    public void write(Snapshot snapshot, Escrow.Word announcement) {
+        if (pendingWrite.getAndSet(new PendingWrite(snapshot, announcement)) == null) {
+            executor.execute(() -> writeAll(pendingWrite.getAndSet(null)));
         }
     }
 
-    private void work(Work work) {
-        boolean kept = state == null || save(state, () -> ZoneTexts.sealed(ZoneTexts.STATE, ZoneTexts.map(work.snapshot)), true);
-        if (shared != null && kept) {  // only after the state: who forgets what it gave would spend it too
-            save(shared.resolve("budgets-" + gateway + ".json"), () -> ZoneTexts.sealed(ZoneTexts.WORD, ZoneTexts.map(work.word)), false);
-            others();
+    private void writeAll(PendingWrite write) {
+        boolean stateSaved = stateFile == null || save(stateFile, () -> ZoneTexts.wrap(ZoneTexts.STATE_FORMAT, ZoneTexts.toMap(write.snapshot)), true);
+        if (sharedFolder != null && stateSaved) {  // only after the state: who forgets what it gave would spend it too
+            save(sharedFolder.resolve("budgets-" + gateway + ".json"), () -> ZoneTexts.wrap(ZoneTexts.ANNOUNCEMENT_FORMAT, ZoneTexts.toMap(write.announcement)), false);
+            readAnnouncements();
         }
-        if (report != null) {
-            save(report, () -> JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asBytes(ZoneTexts.map(work.snapshot)), false);
+        if (reportFile != null) {
+            save(reportFile, () -> JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asBytes(ZoneTexts.toMap(write.snapshot)), false);
         }
     }
 
-    private interface Bytes {
-        byte[] make() throws IOException;
+    private interface ContentEncoder {
+        byte[] encode() throws IOException;
     }
 
-    private boolean save(Path file, Bytes bytes, boolean lasting) {
-        Path aside = file.resolveSibling("." + file.getFileName() + ".new");
+    private boolean save(Path file, ContentEncoder content, boolean durable) {
+        Path temporary = file.resolveSibling("." + file.getFileName() + ".new");
         try {
-            try (FileChannel out = FileChannel.open(aside, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
+            try (FileChannel out = FileChannel.open(temporary, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
                     StandardOpenOption.WRITE)) {
-                ByteBuffer buffer = ByteBuffer.wrap(bytes.make());
+                ByteBuffer buffer = ByteBuffer.wrap(content.encode());
                 while (buffer.hasRemaining()) {
                     out.write(buffer);
                 }
-                if (lasting) {
+                if (durable) {
                     out.force(true);
                 }
             }
-            Files.move(aside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-            if (lasting) {
+            Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            if (durable) {
                 try (FileChannel folder = FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
                     folder.force(true);
                 }
             }
             return true;
         } catch (IOException e) {
-            say(file + " was not written: " + e);
+            logOnce(file + " was not written: " + e);
             return false;
         }
     }
 
-    private void others() {
-        int read = 0;
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(shared, WORD_NAMES)) {
+    private void readAnnouncements() {
+        int readCount = 0;
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(sharedFolder, ANNOUNCEMENT_GLOB)) {
             for (Path file : files) {
-                if (file.getFileName().toString().equals("budgets-" + gateway + ".json") || ++read > Escrow.PEERS_MOST) {
+                if (file.getFileName().toString().equals("budgets-" + gateway + ".json") || ++readCount > Escrow.MAX_PEERS) {
                     continue;
                 }
                 try {
-                    heard.accept(ZoneTexts.word(ZoneTexts.opened(ZoneTexts.WORD, read(file, WORD_MOST))));
+                    announcementListener.accept(ZoneTexts.announcement(ZoneTexts.unwrap(ZoneTexts.ANNOUNCEMENT_FORMAT, read(file, MAX_ANNOUNCEMENT_BYTES))));
                 } catch (IOException e) {
-                    say(file + " is not used: " + e.getMessage());
+                    logOnce(file + " is not used: " + e.getMessage());
                 }
             }
         } catch (IOException e) {
-            say("no words of others in " + shared + ": " + e);
+            logOnce("no words of others in " + sharedFolder + ": " + e);
         }
     }
 
     /** Writes what waits, and ends; waits for that, at most two seconds. */
     @Override
     public void close() {
-        thread.shutdown();
+        executor.shutdown();
         try {
-            thread.awaitTermination(2, TimeUnit.SECONDS);
-            if (locked != null) {
-                locked.release();
+            executor.awaitTermination(2, TimeUnit.SECONDS);
+            if (fileLock != null) {
+                fileLock.release();
             }
-            if (lock != null) {
-                lock.close();
+            if (lockChannel != null) {
+                lockChannel.close();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            say("a lock was not released: " + e);
+            logOnce("a lock was not released: " + e);
         }
     }
 }
--- a/src/main/java/mastdrift/zones/edge/ZoneReports.java
+++ b/src/main/java/mastdrift/zones/edge/ZoneReports.java
@@ -24,21 +24,21 @@
 /** Reports of one gateway or of several, as a person reads them, as CSV (RFC 4180) and as JSON. */
 public final class ZoneReports {
 
-    private static final long FILE_MOST = 64 << 20;
+    private static final long MAX_FILE_BYTES = 64 << 20;
 
     private ZoneReports() { }
 
     /** Reads a report or a state; an IOException names what was expected and found. */
     public static Snapshot read(Path file) throws IOException {
-        if (!Files.isRegularFile(file) || Files.size(file) > FILE_MOST) {
+        if (!Files.isRegularFile(file) || Files.size(file) > MAX_FILE_BYTES) {
             throw new IOException(file + ": expected a report or a state of at most 64 MiB, found "
                     + (Files.isRegularFile(file) ? "a larger file" : "no file"));
         }
         byte[] bytes = Files.readAllBytes(file);
         try {
-            String head = new String(bytes, 0, Math.min(bytes.length, 200), StandardCharsets.UTF_8);
-            boolean sealed = head.contains("\"" + ZoneTexts.STATE + "\"");
-            return ZoneTexts.snapshot(sealed ? ZoneTexts.opened(ZoneTexts.STATE, bytes) : JSON.std.mapFrom(bytes));
+            String header = new String(bytes, 0, Math.min(bytes.length, 200), StandardCharsets.UTF_8);
+            boolean isState = header.contains("\"" + ZoneTexts.STATE_FORMAT + "\"");
+            return ZoneTexts.snapshot(isState ? ZoneTexts.unwrap(ZoneTexts.STATE_FORMAT, bytes) : JSON.std.mapFrom(bytes));
         } catch (IOException e) {
             throw new IOException(file + ": " + e.getMessage(), e);
         }
@@ -54,27 +54,27 @@
     /** One JSON text. */
     public static String json(List<Snapshot> snapshots) throws IOException {
         List<Object> gateways = new ArrayList<>();
-        snapshots.forEach(snapshot -> gateways.add(ZoneTexts.map(snapshot)));
+        snapshots.forEach(snapshot -> gateways.add(ZoneTexts.toMap(snapshot)));
         return JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asString(Map.of("gateways", gateways)) + "\n";
     }
 
     /** A line a flow and gateway, with a head. */
     public static String csv(List<Snapshot> snapshots) throws IOException {
-        List<String> head = new ArrayList<>(List.of("gateway", "at", "from", "to", "client", "class", "pool", "tenant", "requests", "attempts",
+        List<String> header = new ArrayList<>(List.of("gateway", "at", "from", "to", "client", "class", "pool", "tenant", "requests", "attempts",
                 "probes", "failed", "sent", "received", "money"));
         for (Cause cause : Cause.values()) {
-            head.add(cause.word() + "_attempts");
-            head.add(cause.word() + "_bytes");
+            header.add(cause.reportName() + "_attempts");
+            header.add(cause.reportName() + "_bytes");
         }
         StringBuilder text = new StringBuilder();
-        try (CSVPrinter printer = new CSVPrinter(text, CSVFormat.RFC4180.builder().setHeader(head.toArray(new String[0])).get())) {
+        try (CSVPrinter printer = new CSVPrinter(text, CSVFormat.RFC4180.builder().setHeader(header.toArray(new String[0])).get())) {
             for (Snapshot snapshot : snapshots) {
                 for (Map.Entry<Flow, Counts> entry : snapshot.flows().entrySet()) {
                     Flow flow = entry.getKey();
                     Counts counts = entry.getValue();
-                    List<Object> row = new ArrayList<>(List.of(snapshot.gateway(), Instant.ofEpochMilli(snapshot.at()), flow.from(), flow.to(),
-                            flow.client(), flow.className(), flow.pool(), flow.tenant(), counts.requests(), counts.attempts(), counts.probes(),
-                            counts.failed(), counts.sent(), counts.received(), snapshot.money(flow, counts)));
+                    List<Object> row = new ArrayList<>(List.of(snapshot.gateway(), Instant.ofEpochMilli(snapshot.timeMillis()), flow.fromZone(), flow.toZone(),
+                            flow.clientZone(), flow.className(), flow.pool(), flow.tenant(), counts.requests(), counts.attempts(), counts.probes(),
+                            counts.failed(), counts.bytesSent(), counts.bytesReceived(), snapshot.cost(flow, counts)));
                     for (Cause cause : Cause.values()) {
                         row.add(counts.attempts(cause));
                         row.add(counts.bytes(cause));
@@ -89,69 +89,69 @@
     // ---- for a person
 
     /** What crossed, by class and pair of zones; why; and the budgets of each gateway. */
-    public static List<String> lines(List<Snapshot> snapshots) {
+    public static List<String> textLines(List<Snapshot> snapshots) {
         List<String> lines = new ArrayList<>();
-        Map<Flow, Counts> byClass = new TreeMap<>((one, other) -> (one.from() + " " + one.to() + " " + one.className())
-                .compareTo(other.from() + " " + other.to() + " " + other.className()));
-        Map<Flow, Double> money = new HashMap<>();
-        Counts all = new Counts();
+        Map<Flow, Counts> byClass = new TreeMap<>((one, other) -> (one.fromZone() + " " + one.toZone() + " " + one.className())
+                .compareTo(other.fromZone() + " " + other.toZone() + " " + other.className()));
+        Map<Flow, Double> costs = new HashMap<>();
+        Counts total = new Counts();
         for (Snapshot snapshot : snapshots) {
             snapshot.flows().forEach((flow, counts) -> {
-                all.add(counts);
+                total.add(counts);
                 if (flow.crosses()) {
-                    Flow key = new Flow(flow.from(), flow.to(), "", flow.className(), "", "");
+                    Flow key = new Flow(flow.fromZone(), flow.toZone(), "", flow.className(), "", "");
                     byClass.computeIfAbsent(key, any -> new Counts()).add(counts);
-                    money.merge(key, snapshot.money(flow, counts), Double::sum);
+                    costs.merge(key, snapshot.cost(flow, counts), Double::sum);
                 }
             });
-            lines.add("gateway " + snapshot.gateway() + " in " + snapshot.zone() + " at " + Instant.ofEpochMilli(snapshot.at())
-                    + (snapshot.giving().isEmpty() ? "" : ", giving way: " + snapshot.giving()));
+            lines.add("gateway " + snapshot.gateway() + " in " + snapshot.zone() + " at " + Instant.ofEpochMilli(snapshot.timeMillis())
+                    + (snapshot.overridingClasses().isEmpty() ? "" : ", giving way: " + snapshot.overridingClasses()));
         }
         lines.add("");
-        lines.add(row("crossing", "class", "requests", "attempts", "failed", "sent", "received", "money"));
+        lines.add(formatRow("crossing", "class", "requests", "attempts", "failed", "sent", "received", "money"));
         Counts crossed = new Counts();
         byClass.forEach((flow, counts) -> {
             crossed.add(counts);
-            lines.add(row(flow.from() + " > " + flow.to(), flow.className(), "" + counts.requests(), "" + counts.attempts(), "" + counts.failed(),
-                    bytes(counts.sent()), bytes(counts.received()), String.format(Locale.ROOT, "%.4f", money.get(flow))));
+            lines.add(formatRow(flow.fromZone() + " > " + flow.toZone(), flow.className(), "" + counts.requests(), "" + counts.attempts(), "" + counts.failed(),
+                    formatBytes(counts.bytesSent()), formatBytes(counts.bytesReceived()), String.format(Locale.ROOT, "%.4f", costs.get(flow))));
         });
-        lines.add(String.format(Locale.ROOT, "%d of %d attempts crossed (%.2f%%), %s of %s", crossed.attempts(), all.attempts(),
-                100.0 * crossed.attempts() / Math.max(1, all.attempts()), bytes(crossed.sent() + crossed.received()),
-                bytes(all.sent() + all.received())));
+        lines.add(String.format(Locale.ROOT, "%d of %d attempts crossed (%.2f%%), %s of %s", crossed.attempts(), total.attempts(),
+                100.0 * crossed.attempts() / Math.max(1, total.attempts()), formatBytes(crossed.bytesSent() + crossed.bytesReceived()),
+                formatBytes(total.bytesSent() + total.bytesReceived())));
         lines.add("");
         for (Cause cause : Cause.values()) {
             if (crossed.attempts(cause) > 0 || crossed.bytes(cause) > 0) {
-                lines.add(row("because of", cause.word(), "", "" + crossed.attempts(cause), "", bytes(crossed.bytes(cause)), "", ""));
+                lines.add(formatRow("because of", cause.reportName(), "", "" + crossed.attempts(cause), "", formatBytes(crossed.bytes(cause)), "", ""));
             }
         }
         for (Snapshot snapshot : snapshots) {
-            snapshot.budgets().forEach(budget -> lines.add(line(snapshot.gateway(), budget)));
+            snapshot.budgets().forEach(budget -> lines.add(budgetLine(snapshot.gateway(), budget)));
         }
         return lines;
     }
 
-    private static String line(String gateway, Snapshot.Budget budget) {
-        Limit limit = budget.limit();
-        return gateway + ", budget " + limit.name() + " until " + Instant.ofEpochMilli(budget.end()) + ": part " + amount(limit, budget.granted())
-                + ", used " + amount(limit, budget.spent()) + ", left " + amount(limit, budget.left()) + ", by its end "
-                + amount(limit, budget.forecast()) + (budget.owed() > 0 ? ", owed later " + amount(limit, budget.owed()) : "")
-                + (budget.kept().given().isEmpty() ? "" : ", gave " + budget.kept().given())
-                + (budget.kept().got().isEmpty() ? "" : ", got " + budget.kept().got());
+    private static String budgetLine(String gateway, Snapshot.Budget budget) {
+        Limit limit = budget.budget();
+        return gateway + ", budget " + limit.name() + " until " + Instant.ofEpochMilli(budget.endMillis()) + ": part " + formatAmount(limit, budget.granted())
+                + ", used " + formatAmount(limit, budget.spent()) + ", left " + formatAmount(limit, budget.remaining()) + ", by its end "
+                + formatAmount(limit, budget.forecast()) + (budget.owed() > 0 ? ", owed later " + formatAmount(limit, budget.owed()) : "")
+                + (budget.account().transferredOut().isEmpty() ? "" : ", gave " + budget.account().transferredOut())
+                + (budget.account().transferredIn().isEmpty() ? "" : ", got " + budget.account().transferredIn());
     }
 
-    private static String amount(Limit limit, double amount) {
+    private static String formatAmount(Limit limit, double amount) {
         return switch (limit.unit()) {
-            case BYTES -> amount < 0 ? "-" + bytes(Math.round(-amount)) : bytes(Math.round(amount));
+            case BYTES -> amount < 0 ? "-" + formatBytes(Math.round(-amount)) : formatBytes(Math.round(amount));
             case REQUESTS -> String.format(Locale.ROOT, "%.0f requests", amount);
             case MONEY -> String.format(Locale.ROOT, "%.4f", amount);
         };
     }
 
-    private static String row(String... cells) {
+    private static String formatRow(String... cells) {
         return String.format(Locale.ROOT, "%-20s %-20s %10s %10s %8s %12s %12s %10s", (Object[]) cells).stripTrailing();
     }
 
-    private static String bytes(long bytes) {
+    private static String formatBytes(long bytes) {
         String[] units = {"B", "KiB", "MiB", "GiB", "TiB", "PiB"};
         int unit = Math.min(units.length - 1, bytes < 1024 ? 0 : (63 - Long.numberOfLeadingZeros(bytes)) / 10);
         return unit == 0 ? bytes + " B" : String.format(Locale.ROOT, "%.2f %s", bytes / Math.pow(1024, unit), units[unit]);
--- a/src/main/java/mastdrift/zones/edge/ZoneTexts.java
+++ b/src/main/java/mastdrift/zones/edge/ZoneTexts.java
@@ -27,30 +27,30 @@
 public final class ZoneTexts {
 
     /** The format of a state. */
-    public static final String STATE = "pewterlead-zones-state";
+    public static final String STATE_FORMAT = "pewterlead-zones-state";
     /** The format of a word. */
-    public static final String WORD = "pewterlead-zones-word";
+    public static final String ANNOUNCEMENT_FORMAT = "pewterlead-zones-word";
     private static final int VERSION = 1;
-    private static final int HEAD_MOST = 200;
-    private static final int FLOWS_MOST = 1 << 16;
+    private static final int MAX_HEADER_BYTES = 200;
+    private static final int MAX_LIST_ENTRIES = 1 << 16;
 
     private ZoneTexts() { }
 
     // ---- the seal
 
     /** A payload with its seal. */
-    public static byte[] sealed(String format, Map<String, Object> payload) throws IOException {
+    public static byte[] wrap(String format, Map<String, Object> payload) throws IOException {
         byte[] body = JSON.std.asBytes(payload);
-        Map<String, Object> head = new LinkedHashMap<>();
-        head.put("format", format);
-        head.put("version", VERSION);
-        head.put("bytes", body.length);
-        head.put("crc32c", crc(body, 0));
-        byte[] first = (JSON.std.asString(head) + "\n").getBytes(StandardCharsets.UTF_8);
-        byte[] whole = new byte[first.length + body.length];
-        System.arraycopy(first, 0, whole, 0, first.length);
-        System.arraycopy(body, 0, whole, first.length, body.length);
-        return whole;
+        Map<String, Object> header = new LinkedHashMap<>();
+        header.put("format", format);
+        header.put("version", VERSION);
+        header.put("bytes", body.length);
+        header.put("crc32c", crc(body, 0));
+        byte[] headerLine = (JSON.std.asString(header) + "\n").getBytes(StandardCharsets.UTF_8);
+        byte[] file = new byte[headerLine.length + body.length];
+        System.arraycopy(headerLine, 0, file, 0, headerLine.length);
+        System.arraycopy(body, 0, file, headerLine.length, body.length);
+        return file;
     }
 
     private static long crc(byte[] bytes, int from) {
@@ -60,90 +60,90 @@
     }
 
     /** The payload of what was sealed. */
-    public static Map<String, Object> opened(String format, byte[] whole) throws IOException {
-        int end = 0;
-        while (end < whole.length && end < HEAD_MOST && whole[end] != '\n') {
-            end++;
+    public static Map<String, Object> unwrap(String format, byte[] file) throws IOException {
+        int headerLength = 0;
+        while (headerLength < file.length && headerLength < MAX_HEADER_BYTES && file[headerLength] != '\n') {
+            headerLength++;
         }
-        if (end == whole.length || whole[end] != '\n') {
+        if (headerLength == file.length || file[headerLength] != '\n') {
             throw new IOException("expected a first line with format and version, found none");
         }
-        Map<String, Object> head = JSON.std.mapFrom(new String(whole, 0, end, StandardCharsets.UTF_8));
-        int body = whole.length - end - 1;
-        expect("format", format, head.get("format"));
-        if (!(head.get("version") instanceof Integer version) || version > VERSION || version < 1) {
-            throw new IOException("expected a version from 1 to " + VERSION + ", found " + head.get("version")
+        Map<String, Object> header = JSON.std.mapFrom(new String(file, 0, headerLength, StandardCharsets.UTF_8));
+        int bodyLength = file.length - headerLength - 1;
+        expect("format", format, header.get("format"));
+        if (!(header.get("version") instanceof Integer version) || version > VERSION || version < 1) {
+            throw new IOException("expected a version from 1 to " + VERSION + ", found " + header.get("version")
                     + "; it may be of a newer program");
         }
-        expect("bytes", String.valueOf(body), head.get("bytes"));
-        expect("crc32c", String.valueOf(crc(whole, end + 1)), head.get("crc32c"));
-        return JSON.std.mapFrom(new String(whole, end + 1, body, StandardCharsets.UTF_8));
+        expect("bytes", String.valueOf(bodyLength), header.get("bytes"));
+        expect("crc32c", String.valueOf(crc(file, headerLength + 1)), header.get("crc32c"));
+        return JSON.std.mapFrom(new String(file, headerLength + 1, bodyLength, StandardCharsets.UTF_8));
     }
 
-    private static void expect(String what, String expected, Object found) throws IOException {
+    private static void expect(String field, String expected, Object found) throws IOException {
         if (!expected.equals(String.valueOf(found))) {
-            throw new IOException("expected " + what + " " + expected + ", found " + found);
+            throw new IOException("expected " + field + " " + expected + ", found " + found);
         }
     }
 
     // ---- snapshots
 
     /** As the report and the state have it: what can be read back, and what a person wants beside it. */
-    public static Map<String, Object> map(Snapshot snapshot) {
+    public static Map<String, Object> toMap(Snapshot snapshot) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("gateway", snapshot.gateway());
         map.put("zone", snapshot.zone());
-        map.put("at", Instant.ofEpochMilli(snapshot.at()).toString());
-        map.put("giving_way", snapshot.giving());
+        map.put("at", Instant.ofEpochMilli(snapshot.timeMillis()).toString());
+        map.put("giving_way", snapshot.overridingClasses());
         List<Object> prices = new ArrayList<>();
         for (Price price : snapshot.prices()) {
-            prices.add(Map.of("from", price.from(), "to", price.to(), "per_gib", price.perGib(), "per_million_requests", price.perMillion()));
+            prices.add(Map.of("from", price.fromZone(), "to", price.toZone(), "per_gib", price.perGib(), "per_million_requests", price.perMillionRequests()));
         }
         map.put("prices", prices);
         List<Object> budgets = new ArrayList<>();
-        snapshot.budgets().forEach(budget -> budgets.add(map(budget)));
+        snapshot.budgets().forEach(budget -> budgets.add(toMap(budget)));
         map.put("budgets", budgets);
         List<Object> flows = new ArrayList<>();
-        snapshot.flows().forEach((flow, counts) -> flows.add(map(snapshot, flow, counts)));
+        snapshot.flows().forEach((flow, counts) -> flows.add(toMap(snapshot, flow, counts)));
         map.put("flows", flows);
         return map;
     }
 
-    private static Map<String, Object> map(Snapshot.Budget budget) {
-        Limit limit = budget.limit();
-        Kept kept = budget.kept();
+    private static Map<String, Object> toMap(Snapshot.Budget budget) {
+        Limit limit = budget.budget();
+        Kept account = budget.account();
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("name", limit.name());
-        map.put("window", limit.window().word());
+        map.put("window", limit.window().settingName());
         map.put("unit", limit.unit().name().toLowerCase(Locale.ROOT));
         map.put("amount", limit.amount());
-        map.put("to", limit.to());
+        map.put("to", limit.toZone());
         map.put("class", limit.className());
         map.put("tenant", limit.tenant());
         map.put("pool", limit.pool());
-        map.put("carry_most", limit.carryMost());
+        map.put("carry_most", limit.maxCarryFraction());
         map.put("hard", limit.hard());
-        map.put("begin", Instant.ofEpochMilli(kept.begin()).toString());
-        map.put("end", Instant.ofEpochMilli(budget.end()).toString());
-        map.put("saved", Instant.ofEpochMilli(kept.savedAt()).toString());
-        map.put("granted", kept.granted());
-        map.put("spent", kept.spent());
-        map.put("left", budget.left());
+        map.put("begin", Instant.ofEpochMilli(account.windowStartMillis()).toString());
+        map.put("end", Instant.ofEpochMilli(budget.endMillis()).toString());
+        map.put("saved", Instant.ofEpochMilli(account.savedAtMillis()).toString());
+        map.put("granted", account.granted());
+        map.put("spent", account.spent());
+        map.put("left", budget.remaining());
         map.put("forecast", budget.forecast());
-        map.put("reserved", kept.reserved());
-        map.put("credit", kept.credit());
-        map.put("denied", kept.denied());
-        map.put("owed", kept.owed());
-        map.put("given", kept.given());
-        map.put("got", kept.got());
+        map.put("reserved", account.reserved());
+        map.put("credit", account.credit());
+        map.put("denied", account.denied());
+        map.put("owed", account.owed());
+        map.put("given", account.transferredOut());
+        map.put("got", account.transferredIn());
         return map;
     }
 
-    private static Map<String, Object> map(Snapshot snapshot, Flow flow, Counts counts) {
+    private static Map<String, Object> toMap(Snapshot snapshot, Flow flow, Counts counts) {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("from", flow.from());
-        map.put("to", flow.to());
-        map.put("client", flow.client());
+        map.put("from", flow.fromZone());
+        map.put("to", flow.toZone());
+        map.put("client", flow.clientZone());
         map.put("class", flow.className());
         map.put("pool", flow.pool());
         map.put("tenant", flow.tenant());
@@ -151,39 +151,39 @@
         map.put("attempts", counts.attempts());
         map.put("probes", counts.probes());
         map.put("failed", counts.failed());
-        map.put("sent", counts.sent());
-        map.put("received", counts.received());
-        Map<String, Object> why = new LinkedHashMap<>();
+        map.put("sent", counts.bytesSent());
+        map.put("received", counts.bytesReceived());
+        Map<String, Object> causes = new LinkedHashMap<>();
         for (Cause cause : Cause.values()) {
             if (counts.attempts(cause) > 0 || counts.bytes(cause) > 0) {
-                why.put(cause.word(), Map.of("attempts", counts.attempts(cause), "bytes", counts.bytes(cause)));
+                causes.put(cause.reportName(), Map.of("attempts", counts.attempts(cause), "bytes", counts.bytes(cause)));
             }
         }
-        map.put("why", why);
-        map.put("money", snapshot.money(flow, counts));
+        map.put("why", causes);
+        map.put("money", snapshot.cost(flow, counts));
         return map;
     }
 
-    /** Reads {@link #map(Snapshot)}. */
+    /** Reads {@link #toMap(Snapshot)}. */
     public static Snapshot snapshot(Map<String, Object> map) throws IOException {
         try {
             Map<Flow, Counts> flows = new LinkedHashMap<>();
-            for (Map<String, Object> flow : tables(map, "flows", FLOWS_MOST)) {
-                flows.put(new Flow(text(flow, "from"), text(flow, "to"), text(flow, "client"), text(flow, "class"), text(flow, "pool"),
-                        text(flow, "tenant")), counts(flow));
+            for (Map<String, Object> flow : requireTables(map, "flows", MAX_LIST_ENTRIES)) {
+                flows.put(new Flow(requireString(flow, "from"), requireString(flow, "to"), requireString(flow, "client"), requireString(flow, "class"), requireString(flow, "pool"),
+                        requireString(flow, "tenant")), counts(flow));
             }
             List<Snapshot.Budget> budgets = new ArrayList<>();
-            for (Map<String, Object> budget : tables(map, "budgets", FLOWS_MOST)) {
+            for (Map<String, Object> budget : requireTables(map, "budgets", MAX_LIST_ENTRIES)) {
                 budgets.add(budget(budget));
             }
             List<Price> prices = new ArrayList<>();
-            for (Map<String, Object> price : tables(map, "prices", FLOWS_MOST)) {
-                prices.add(new Price(text(price, "from"), text(price, "to"), real(price, "per_gib"), real(price, "per_million_requests")));
+            for (Map<String, Object> price : requireTables(map, "prices", MAX_LIST_ENTRIES)) {
+                prices.add(new Price(requireString(price, "from"), requireString(price, "to"), requireDouble(price, "per_gib"), requireDouble(price, "per_million_requests")));
             }
-            Map<String, List<String>> giving = new TreeMap<>();
-            table(map, "giving_way").forEach((pool, classes) -> giving.put(pool,
+            Map<String, List<String>> overridingClasses = new TreeMap<>();
+            requireTable(map, "giving_way").forEach((pool, classes) -> overridingClasses.put(pool,
                     classes instanceof List<?> list ? list.stream().map(String::valueOf).toList() : List.of()));
-            return new Snapshot(text(map, "gateway"), text(map, "zone"), time(map, "at"), flows, budgets, prices, giving);
+            return new Snapshot(requireString(map, "gateway"), requireString(map, "zone"), requireTimeMillis(map, "at"), flows, budgets, prices, overridingClasses);
         } catch (IllegalArgumentException | DateTimeException e) {
             throw new IOException(e.getMessage(), e);
         }
@@ -192,59 +192,59 @@
     private static Counts counts(Map<String, Object> flow) throws IOException {
         Cause[] causes = Cause.values();
         long[] values = new long[6 + 2 * causes.length];
-        String[] first = {"requests", "attempts", "probes", "failed", "sent", "received"};
-        for (int i = 0; i < first.length; i++) {
-            values[i] = whole(flow, first[i]);
+        String[] totals = {"requests", "attempts", "probes", "failed", "sent", "received"};
+        for (int i = 0; i < totals.length; i++) {
+            values[i] = requireLong(flow, totals[i]);
         }
-        Map<String, Object> why = table(flow, "why");
+        Map<String, Object> causesTable = requireTable(flow, "why");
         for (int i = 0; i < causes.length; i++) {
-            if (why.containsKey(causes[i].word())) {
-                Map<String, Object> of = table(why, causes[i].word());
-                values[6 + i] = whole(of, "attempts");
-                values[6 + causes.length + i] = whole(of, "bytes");
+            if (causesTable.containsKey(causes[i].reportName())) {
+                Map<String, Object> causeTable = requireTable(causesTable, causes[i].reportName());
+                values[6 + i] = requireLong(causeTable, "attempts");
+                values[6 + causes.length + i] = requireLong(causeTable, "bytes");
             }
         }
         return Counts.of(values);
     }
 
     private static Snapshot.Budget budget(Map<String, Object> map) throws IOException {
-        Limit limit = new Limit(text(map, "name"), Window.valueOf(text(map, "window").toUpperCase(Locale.ROOT)),
-                Limit.Unit.valueOf(text(map, "unit").toUpperCase(Locale.ROOT)), real(map, "amount"), (String) map.get("to"),
-                (String) map.get("class"), (String) map.get("tenant"), (String) map.get("pool"), real(map, "carry_most"),
+        Limit limit = new Limit(requireString(map, "name"), Window.valueOf(requireString(map, "window").toUpperCase(Locale.ROOT)),
+                Limit.Unit.valueOf(requireString(map, "unit").toUpperCase(Locale.ROOT)), requireDouble(map, "amount"), (String) map.get("to"),
+                (String) map.get("class"), (String) map.get("tenant"), (String) map.get("pool"), requireDouble(map, "carry_most"),
                 Boolean.TRUE.equals(map.get("hard")));
-        Kept kept = new Kept(time(map, "begin"), time(map, "saved"), real(map, "granted"), real(map, "spent"), real(map, "reserved"),
-                real(map, "credit"), real(map, "denied"), real(map, "owed"), reals(map, "given"), reals(map, "got"));
-        return new Snapshot.Budget(limit, time(map, "end"), real(map, "forecast"), kept);
+        Kept account = new Kept(requireTimeMillis(map, "begin"), requireTimeMillis(map, "saved"), requireDouble(map, "granted"), requireDouble(map, "spent"), requireDouble(map, "reserved"),
+                requireDouble(map, "credit"), requireDouble(map, "denied"), requireDouble(map, "owed"), requireDoubles(map, "given"), requireDoubles(map, "got"));
+        return new Snapshot.Budget(limit, requireTimeMillis(map, "end"), requireDouble(map, "forecast"), account);
     }
 
     // ---- words
 
     /** As a file has it. */
-    public static Map<String, Object> map(Escrow.Word word) {
+    public static Map<String, Object> toMap(Escrow.Word announcement) {
         Map<String, Object> budgets = new TreeMap<>();
-        word.budgets().forEach((name, says) -> budgets.put(name, Map.of("begin", Instant.ofEpochMilli(says.begin()).toString(),
-                "wants", says.wants(), "given", says.given())));
+        announcement.budgets().forEach((name, budget) -> budgets.put(name, Map.of("begin", Instant.ofEpochMilli(budget.windowStartMillis()).toString(),
+                "wants", budget.expectedShortfall(), "given", budget.transferredOut())));
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("gateway", word.gateway());
-        map.put("at", Instant.ofEpochMilli(word.at()).toString());
+        map.put("gateway", announcement.gateway());
+        map.put("at", Instant.ofEpochMilli(announcement.sentAtMillis()).toString());
         map.put("budgets", budgets);
         return map;
     }
 
-    /** Reads {@link #map(Escrow.Word)}. */
-    public static Escrow.Word word(Map<String, Object> map) throws IOException {
+    /** Reads {@link #toMap(Escrow.Word)}. */
+    public static Escrow.Word announcement(Map<String, Object> map) throws IOException {
         try {
             Map<String, Escrow.Says> budgets = new TreeMap<>();
-            Map<String, Object> told = table(map, "budgets");
-            for (String name : told.keySet()) {
-                Map<String, Object> says = table(told, name);
-                Map<String, Double> given = reals(says, "given");
-                if (given.values().stream().anyMatch(amount -> amount < 0)) {
-                    throw new IOException("budgets." + name + ".given: expected 0 or more, found " + given);
+            Map<String, Object> budgetsTable = requireTable(map, "budgets");
+            for (String name : budgetsTable.keySet()) {
+                Map<String, Object> budgetTable = requireTable(budgetsTable, name);
+                Map<String, Double> transferredOut = requireDoubles(budgetTable, "given");
+                if (transferredOut.values().stream().anyMatch(amount -> amount < 0)) {
+                    throw new IOException("budgets." + name + ".given: expected 0 or more, found " + transferredOut);
                 }
-                budgets.put(name, new Escrow.Says(time(says, "begin"), real(says, "wants"), given));
+                budgets.put(name, new Escrow.Says(requireTimeMillis(budgetTable, "begin"), requireDouble(budgetTable, "wants"), transferredOut));
             }
-            return new Escrow.Word(text(map, "gateway"), time(map, "at"), budgets);
+            return new Escrow.Word(requireString(map, "gateway"), requireTimeMillis(map, "at"), budgets);
         } catch (DateTimeException e) {
             throw new IOException(e.getMessage(), e);
         }
@@ -252,61 +252,61 @@
 
     // ---- values
 
-    private static IOException wrong(String key, String expected, Object found) {
+    private static IOException unexpectedValue(String key, String expected, Object found) {
         return new IOException(key + ": expected " + expected + ", found " + found);
     }
 
-    private static String text(Map<String, Object> map, String key) throws IOException {
+    private static String requireString(Map<String, Object> map, String key) throws IOException {
         if (map.get(key) instanceof String text) {
             return text;
         }
-        throw wrong(key, "a text", map.get(key));
+        throw unexpectedValue(key, "a text", map.get(key));
     }
 
-    private static long time(Map<String, Object> map, String key) throws IOException {
-        return Instant.parse(text(map, key)).toEpochMilli();
+    private static long requireTimeMillis(Map<String, Object> map, String key) throws IOException {
+        return Instant.parse(requireString(map, key)).toEpochMilli();
     }
 
-    private static long whole(Map<String, Object> map, String key) throws IOException {
+    private static long requireLong(Map<String, Object> map, String key) throws IOException {
         Object value = map.get(key);
         if (value instanceof Integer || value instanceof Long) {
             return ((Number) value).longValue();
         }
-        throw wrong(key, "a whole number", value);
+        throw unexpectedValue(key, "a whole number", value);
     }
 
-    private static double real(Map<String, Object> map, String key) throws IOException {
+    private static double requireDouble(Map<String, Object> map, String key) throws IOException {
         if (map.get(key) instanceof Number number && Double.isFinite(number.doubleValue())) {
             return number.doubleValue();
         }
-        throw wrong(key, "a number", map.get(key));
+        throw unexpectedValue(key, "a number", map.get(key));
     }
 
-    private static Map<String, Object> table(Map<String, Object> map, String key) throws IOException {
+    private static Map<String, Object> requireTable(Map<String, Object> map, String key) throws IOException {
         Map<String, Object> table = new LinkedHashMap<>();
         if (!(map.get(key) instanceof Map<?, ?> found)) {
-            throw wrong(key, "a table", map.get(key));
+            throw unexpectedValue(key, "a table", map.get(key));
         }
         found.forEach((name, value) -> table.put(String.valueOf(name), value));
         return table;
     }
 
-    private static Map<String, Double> reals(Map<String, Object> map, String key) throws IOException {
-        Map<String, Object> table = table(map, key);
-        Map<String, Double> reals = new TreeMap<>();
+    private static Map<String, Double> requireDoubles(Map<String, Object> map, String key) throws IOException {
+        Map<String, Object> table = requireTable(map, key);
+        Map<String, Double> numbers = new TreeMap<>();
         for (String name : table.keySet()) {
-            reals.put(name, real(table, name));
+            numbers.put(name, requireDouble(table, name));
         }
-        return reals;
+        return numbers;
     }
 
-    private static List<Map<String, Object>> tables(Map<String, Object> map, String key, int most) throws IOException {
-        if (!(map.get(key) instanceof List<?> list) || list.size() > most) {
-            throw wrong(key, "a list of at most " + most, map.get(key) instanceof List<?> longer ? longer.size() : map.get(key));
+    private static List<Map<String, Object>> requireTables(Map<String, Object> map, String key, int maxEntries) throws IOException {
+        if (!(map.get(key) instanceof List<?> list) || list.size() > maxEntries) {
+            throw unexpectedValue(key, "a list of at most " + maxEntries, map.get(key) instanceof List<?> longer ? longer.size() : map.get(key));
         }
         List<Map<String, Object>> tables = new ArrayList<>();
         for (Object each : list) {
-            tables.add(table(Map.of(key, each), key));
+            tables.add(requireTable(Map.of(key, each), key));
         }
         return tables;
     }
--- a/src/test/java/mastdrift/config/ZonesReaderTest.java
+++ b/src/test/java/mastdrift/config/ZonesReaderTest.java
@@ -39,7 +39,7 @@
     @Test
     void withoutTheTableThereIsNone() {
         assertNull(read("").configuration().zones());
-        assertEquals(List.of(), read("[zones]").configuration().zones().limits());
+        assertEquals(List.of(), read("[zones]").configuration().zones().budgets());
     }
 
     @Test
@@ -73,10 +73,10 @@
         assertEquals(List.of(), result.problems());
         ZoneSettings zones = result.configuration().zones();
         assertEquals(List.of(new Limit("month", Window.MONTH, Limit.Unit.BYTES, 1.5 * (1 << 30), "oviedo", "read", null, "main", 0.25, false),
-                new Limit("hard", Window.MINUTE, Limit.Unit.REQUESTS, 0, null, null, null, null, 0, true)), zones.limits());
+                new Limit("hard", Window.MINUTE, Limit.Unit.REQUESTS, 0, null, null, null, null, 0, true)), zones.budgets());
         assertEquals(List.of(new Price("bilbao", "oviedo", 0.02, 0)), zones.prices());
         assertEquals(List.of(new Networks.Network(AddressRange.parse("10.1.0.0/16"), "oviedo")), zones.networks());
-        assertEquals(10_000_000, zones.calm());
+        assertEquals(10_000_000, zones.recoveryDelayMicros());
         assertNotNull(zones.reportFile());
     }
 
--- a/src/test/java/mastdrift/serve/ZoneServiceTest.java
+++ b/src/test/java/mastdrift/serve/ZoneServiceTest.java
@@ -99,7 +99,7 @@
     /** Bytes by zone as the gateway has them and as the stand-ins have them: the gateway's out are the hosts' in. */
     private static Map<String, List<Long>> bytes(Snapshot snapshot) {
         Map<String, List<Long>> bytes = new TreeMap<>();
-        snapshot.flows().forEach((flow, counts) -> bytes.merge(flow.to(), List.of(counts.sent(), counts.received()),
+        snapshot.flows().forEach((flow, counts) -> bytes.merge(flow.toZone(), List.of(counts.bytesSent(), counts.bytesReceived()),
                 (one, other) -> List.of(one.get(0) + other.get(0), one.get(1) + other.get(1))));
         return bytes;
     }
@@ -159,8 +159,8 @@
             for (Cause cause : Cause.values()) {
                 byCause += over.bytes(cause);
             }
-            assertEquals(over.sent() + over.received(), byCause);
-            assertTrue(snapshot.flows().keySet().stream().anyMatch(flow -> flow.client().equals("leon") && flow.className().equals("accounting")));
+            assertEquals(over.bytesSent() + over.bytesReceived(), byCause);
+            assertTrue(snapshot.flows().keySet().stream().anyMatch(flow -> flow.clientZone().equals("leon") && flow.className().equals("accounting")));
             assertEquals(0, rig.effects.twice());
         }
     }
@@ -202,7 +202,7 @@
         assertEquals(20, statuses(20, "out-")[200]);
         Snapshot out = rig.service.crossed();
         assertTrue(over(out).attempts(Cause.ZONE_OUT) >= 120, "for the zone that is out");
-        assertTrue(out.budgets().get(0).left() <= -120, "and it is owed");
+        assertTrue(out.budgets().get(0).remaining() <= -120, "and it is owed");
         nodes("", "");
         rig.await(() -> {
             long before = c.served();
@@ -315,8 +315,8 @@
                 assertEquals(30, statuses(30, null)[200]);
                 Snapshot.Budget own = rig.service.crossed().budgets().get(0);
                 Snapshot.Budget other = idle.crossed().budgets().get(0);
-                assertTrue(own.begin() != other.begin() || own.granted() + other.granted() <= 40 + 1e-9, "no more than all");
-                return own.kept().got().getOrDefault("idle", 0.0) > 1;
+                assertTrue(own.startMillis() != other.startMillis() || own.granted() + other.granted() <= 40 + 1e-9, "no more than all");
+                return own.account().transferredIn().getOrDefault("idle", 0.0) > 1;
             }, "the idle one gives of its part");
         }
     }
--- a/src/test/java/mastdrift/zones/AccountTest.java
+++ b/src/test/java/mastdrift/zones/AccountTest.java
@@ -19,19 +19,19 @@
 /** One budget: paced, never above its part, whatever the clock and the process do; and parts that gateways give one another. */
 class AccountTest {
 
-    private static final long MINUTE = 60_000;
-    private static final long BEGIN = Instant.parse("2026-12-01T10:00:00Z").toEpochMilli();
+    private static final long MINUTE_MILLIS = 60_000;
+    private static final long START_MILLIS = Instant.parse("2026-12-01T10:00:00Z").toEpochMilli();
 
     private static Limit limit(Window window, double amount, double carry) {
         return new Limit("b", window, Limit.Unit.BYTES, amount, null, null, null, null, carry, false);
     }
 
     /** Spends whatever fits until a time, every so many milliseconds; returns what that was. */
-    private static double greedy(Account account, long from, long until, long every, double cost) {
+    private static double spendGreedily(Account account, long from, long until, long every, double cost) {
         double spent = 0;
         for (long at = from; at < until; at += every) {
             account.advance(at);
-            if (account.ease(cost) > 0) {
+            if (account.admissionFraction(cost) > 0) {
                 account.reserve(cost);
                 account.settle(cost, cost);
                 spent += cost;
@@ -42,66 +42,66 @@
 
     /** A greedy user gets nearly all of a window, at an even pace, and nothing beyond; with estimates above, below and at what is real. */
     @Property(tries = 200)
-    void aWindowIsSpentEvenlyAndNotBeyond(@ForAll long seed, @ForAll @IntRange(min = 20, max = 2_000) int crossings) {
+    void spendingIsPacedAndNeverExceedsTheBudget(@ForAll long seed, @ForAll @IntRange(min = 20, max = 2_000) int crossings) {
         SplittableRandom random = new SplittableRandom(seed);
         double cost = 1_000;
-        Account account = new Account(limit(Window.MINUTE, crossings * cost, 0), 1, BEGIN);
+        Account account = new Account(limit(Window.MINUTE, crossings * cost, 0), 1, START_MILLIS);
         double spent = 0;
-        List<Double> out = new ArrayList<>();
-        for (long at = BEGIN; at < BEGIN + MINUTE; at += 1 + random.nextInt(5)) {
+        List<Double> reservations = new ArrayList<>();
+        for (long at = START_MILLIS; at < START_MILLIS + MINUTE_MILLIS; at += 1 + random.nextInt(5)) {
             account.advance(at);
-            if (account.ease(cost) > 0) {
+            if (account.admissionFraction(cost) > 0) {
                 account.reserve(cost);
-                out.add(cost);
+                reservations.add(cost);
             }
-            if (!out.isEmpty() && random.nextInt(3) == 0) {
+            if (!reservations.isEmpty() && random.nextInt(3) == 0) {
                 double real = random.nextInt(2) * cost;
-                account.settle(out.remove(0), real);
+                account.settle(reservations.remove(0), real);
                 spent += real;
             }
-            double part = (double) (at - BEGIN) / MINUTE;
-            assertTrue(spent + out.size() * cost <= crossings * cost + 1e-6, "beyond at " + part);
-            if (part < 0.5) {  // later the rate may have risen for what was not used
-                assertTrue(spent + out.size() * cost <= crossings * cost * (2 * part + Account.BUCKET) + cost + 1e-6, "too soon at " + part);
+            double elapsedFraction = (double) (at - START_MILLIS) / MINUTE_MILLIS;
+            assertTrue(spent + reservations.size() * cost <= crossings * cost + 1e-6, "beyond at " + elapsedFraction);
+            if (elapsedFraction < 0.5) {  // later the rate may have risen for what was not used
+                assertTrue(spent + reservations.size() * cost <= crossings * cost * (2 * elapsedFraction + Account.BUCKET_WINDOW_FRACTION) + cost + 1e-6, "too soon at " + elapsedFraction);
             }
         }
         assertEquals(spent, account.spent(), 1e-6);
     }
 
     @Test
-    void aGreedyUserGetsNearlyAllOfItHoweverLateHeComes() {
+    void greedyClientGetsNearlyTheWholeBudgetHoweverLateItStarts() {
         for (int late = 0; late <= 45; late += 15) {
-            Account account = new Account(limit(Window.MINUTE, 600_000, 0), 1, BEGIN);
-            double spent = greedy(account, BEGIN + late * 1_000, BEGIN + MINUTE, 2, 1_000);
+            Account account = new Account(limit(Window.MINUTE, 600_000, 0), 1, START_MILLIS);
+            double spent = spendGreedily(account, START_MILLIS + late * 1_000, START_MILLIS + MINUTE_MILLIS, 2, 1_000);
             assertTrue(spent >= 0.97 * 600_000 && spent <= 600_000, "from " + late + " s: " + spent);
         }
     }
 
     /** Window, amount, what is spent before the end, and the next window's part. */
     @Test
-    void whatIsLeftIsCarriedAndWhatIsOwedIsPaid() {
+    void unusedBudgetIsCarriedOverAndDebtIsRepaid() {
         Object[][] table = {
             // carry, spent, next part, owed then
             {0.0, 40.0, 100.0, 0.0}, {0.25, 40.0, 125.0, 0.0}, {0.25, 90.0, 110.0, 0.0}, {0.0, 130.0, 70.0, 0.0}, {0.0, 250.0, 50.0, 100.0},
             {1.0, 100.0, 100.0, 0.0}};
         for (Object[] row : table) {
-            Account account = new Account(limit(Window.MONTH, 100, (double) row[0]), 1, Window.MONTH.begin(BEGIN));
+            Account account = new Account(limit(Window.MONTH, 100, (double) row[0]), 1, Window.MONTH.startMillis(START_MILLIS));
             account.settle(0, (double) row[1]);
-            account.advance(Window.MONTH.end(BEGIN) + 5);
+            account.advance(Window.MONTH.endMillis(START_MILLIS) + 5);
             assertEquals((double) row[2], account.granted(), 1e-9, "part after " + row[1]);
             assertEquals((double) row[3], account.owed(), 1e-9, "owed after " + row[1]);
-            assertEquals(Instant.parse("2027-01-01T00:00:00Z").toEpochMilli(), account.begin());
+            assertEquals(Instant.parse("2027-01-01T00:00:00Z").toEpochMilli(), account.windowStartMillis());
         }
     }
 
     /** Under load over a month's end: what is out is charged once, in the window in which it ends. */
     @Test
-    void whatIsOutAtTheEndIsChargedToTheNextWindow() {
-        Account account = new Account(limit(Window.MINUTE, 6_000, 0), 1, BEGIN);
-        account.advance(BEGIN + 59_000);
-        assertTrue(account.ease(50) > 0);
+    void crossingUnderWayAtWindowEndIsChargedToTheNextWindow() {
+        Account account = new Account(limit(Window.MINUTE, 6_000, 0), 1, START_MILLIS);
+        account.advance(START_MILLIS + 59_000);
+        assertTrue(account.admissionFraction(50) > 0);
         account.reserve(50);
-        account.advance(BEGIN + MINUTE + 10);
+        account.advance(START_MILLIS + MINUTE_MILLIS + 10);
         assertEquals(0, account.spent());
         assertTrue(account.credit() < -40, "it is reserved in the new window too");
         account.settle(50, 80);
@@ -109,85 +109,85 @@
     }
 
     @Test
-    void aJumpOfTheClockGivesNoMoreThanABucket() {
-        Account account = new Account(limit(Window.HOUR, 3_600_000, 0), 1, BEGIN);
-        account.advance(BEGIN + 50 * MINUTE);
-        double spent = greedy(account, BEGIN + 50 * MINUTE, BEGIN + 50 * MINUTE + 100, 1, 100);
-        assertTrue(spent <= 3_600_000 * Account.BUCKET + 100 * 600 + 1, "a bucket and the pace: " + spent);
-        account.advance(BEGIN);
-        assertEquals(BEGIN, account.begin());
-        assertTrue(account.left() >= 0);
+    void clockJumpAdmitsNoMoreThanABucket() {
+        Account account = new Account(limit(Window.HOUR, 3_600_000, 0), 1, START_MILLIS);
+        account.advance(START_MILLIS + 50 * MINUTE_MILLIS);
+        double spent = spendGreedily(account, START_MILLIS + 50 * MINUTE_MILLIS, START_MILLIS + 50 * MINUTE_MILLIS + 100, 1, 100);
+        assertTrue(spent <= 3_600_000 * Account.BUCKET_WINDOW_FRACTION + 100 * 600 + 1, "a bucket and the pace: " + spent);
+        account.advance(START_MILLIS);
+        assertEquals(START_MILLIS, account.windowStartMillis());
+        assertTrue(account.remaining() >= 0);
     }
 
     @Test
-    void aBudgetOfNothingAndOneThatIsUsedUpLetNothingCross() {
-        Account none = new Account(limit(Window.MONTH, 0, 0), 1, BEGIN);
-        none.advance(BEGIN + 86_400_000);
-        assertEquals(0, none.ease(1));
-        assertEquals(0, none.ease(0), "not even what costs nothing");
-        Account used = new Account(limit(Window.MONTH, 1_000, 0), 1, Window.MONTH.begin(BEGIN));
-        used.advance(used.begin() + 1_000);
+    void zeroAndExhaustedBudgetsAdmitNothing() {
+        Account empty = new Account(limit(Window.MONTH, 0, 0), 1, START_MILLIS);
+        empty.advance(START_MILLIS + 86_400_000);
+        assertEquals(0, empty.admissionFraction(1));
+        assertEquals(0, empty.admissionFraction(0), "not even what costs nothing");
+        Account used = new Account(limit(Window.MONTH, 1_000, 0), 1, Window.MONTH.startMillis(START_MILLIS));
+        used.advance(used.windowStartMillis() + 1_000);
         used.settle(0, 1_000);
-        used.advance(used.end() - 1);
-        assertEquals(0, used.ease(1));
-        used.advance(used.end() + 86_400_000);
-        assertTrue(used.ease(1) > 0, "a new month");
+        used.advance(used.windowEndMillis() - 1);
+        assertEquals(0, used.admissionFraction(1));
+        used.advance(used.windowEndMillis() + 86_400_000);
+        assertTrue(used.admissionFraction(1) > 0, "a new month");
     }
 
     /** The operator halves it in mid-window: nothing crosses until what was spent fits again. */
     @Test
-    void aChangeOfTheAmountCountsAtOnce() {
-        Account account = new Account(limit(Window.MINUTE, 1_000, 0), 1, BEGIN);
-        greedy(account, BEGIN, BEGIN + 30_000, 10, 10);
+    void changedAmountAppliesAtOnce() {
+        Account account = new Account(limit(Window.MINUTE, 1_000, 0), 1, START_MILLIS);
+        spendGreedily(account, START_MILLIS, START_MILLIS + 30_000, 10, 10);
         double before = account.spent();
-        account.change(limit(Window.MINUTE, 400, 0), 1);
+        account.updateBudget(limit(Window.MINUTE, 400, 0), 1);
         assertEquals(before, account.spent());
-        assertEquals(0, account.ease(10));
-        account.change(limit(Window.MINUTE, 2_000, 0), 1);
-        account.advance(BEGIN + 31_000);
-        assertTrue(account.ease(10) > 0);
+        assertEquals(0, account.admissionFraction(10));
+        account.updateBudget(limit(Window.MINUTE, 2_000, 0), 1);
+        account.advance(START_MILLIS + 31_000);
+        assertTrue(account.admissionFraction(10) > 0);
     }
 
     /** Killed at random moments, with and without its file, with what was spent after the last write unknown: never beyond its part. */
     @Property(tries = 300)
-    void restartsInMidWindowNeverLetMoreGo(@ForAll long seed) {
+    void restartsInMidWindowNeverExceedTheBudget(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Limit limit = limit(Window.MINUTE, 600_000, 0);
-        Account account = new Account(limit, 1, BEGIN);
+        Account account = new Account(limit, 1, START_MILLIS);
         double spent = 0;
-        Kept written = account.keep();
-        long at = BEGIN;
-        while (at < BEGIN + MINUTE) {
-            long until = Math.min(BEGIN + MINUTE, at + 200 + random.nextInt(15_000));
+        Kept saved = account.state();
+        long at = START_MILLIS;
+        while (at < START_MILLIS + MINUTE_MILLIS) {
+            long until = Math.min(START_MILLIS + MINUTE_MILLIS, at + 200 + random.nextInt(15_000));
             for (; at < until; at += 5) {
                 account.advance(at);
-                if (at - written.savedAt() >= 1_000) {
-                    written = account.keep();
+                if (at - saved.savedAtMillis() >= 1_000) {
+                    saved = account.state();
                 }
-                if (account.ease(1_000) > 0) {
+                if (account.admissionFraction(1_000) > 0) {
                     account.reserve(1_000);
                     account.settle(1_000, 1_000);
                     spent += 1_000;
                 }
             }
             at += random.nextInt(3_000);
-            account = new Account(limit, 1, Math.min(at, BEGIN + MINUTE - 1));
+            account = new Account(limit, 1, Math.min(at, START_MILLIS + MINUTE_MILLIS - 1));
             if (random.nextBoolean()) {
-                account.restore(written, 10_000);
+                account.restore(saved, 10_000);
             }
-            written = account.keep();
+            saved = account.state();
         }
-        assertTrue(spent <= 600_000 * (1 + Account.BUCKET) + 1, "spent " + spent);
+        assertTrue(spent <= 600_000 * (1 + Account.BUCKET_WINDOW_FRACTION) + 1, "spent " + spent);
     }
 
     @Test
-    void whatWasKeptInAnEarlierWindowIsCarriedAndOfALaterOneIsNotUsed() {
-        Kept kept = new Kept(BEGIN, BEGIN + 30_000, 1_000, 1_500, 0, 0, 0, 0, Map.of(), Map.of());
-        Account next = new Account(limit(Window.MINUTE, 1_000, 0), 1, BEGIN + MINUTE + 1);
-        next.restore(kept, 10_000);
+    void stateOfAnEarlierWindowIsCarriedOverAndOfALaterOneIgnored() {
+        Kept saved = new Kept(START_MILLIS, START_MILLIS + 30_000, 1_000, 1_500, 0, 0, 0, 0, Map.of(), Map.of());
+        Account next = new Account(limit(Window.MINUTE, 1_000, 0), 1, START_MILLIS + MINUTE_MILLIS + 1);
+        next.restore(saved, 10_000);
         assertEquals(500, next.granted(), 1e-9);
-        Account before = new Account(limit(Window.MINUTE, 1_000, 0), 1, BEGIN - MINUTE);
-        before.restore(kept, 10_000);
+        Account before = new Account(limit(Window.MINUTE, 1_000, 0), 1, START_MILLIS - MINUTE_MILLIS);
+        before.restore(saved, 10_000);
         assertEquals(0, before.spent());
     }
 
@@ -196,86 +196,86 @@
     /** Words that are late, lost, doubled and out of order, gateways that die and come back with and without their state: all parts together
         are never above the amount, and none spends above its own. */
     @Property(tries = 150)
-    void partsThatAreGivenAreNeverSpentTwice(@ForAll long seed, @ForAll @IntRange(min = 2, max = 5) int many) {
+    void transferredBudgetIsNeverSpentTwice(@ForAll long seed, @ForAll @IntRange(min = 2, max = 5) int gatewayCount) {
         SplittableRandom random = new SplittableRandom(seed);
         Limit limit = limit(Window.MINUTE, 600_000, 0);
-        Account[] accounts = new Account[many];
-        Escrow[] escrows = new Escrow[many];
-        for (int i = 0; i < many; i++) {
-            accounts[i] = new Account(limit, many, BEGIN);
+        Account[] accounts = new Account[gatewayCount];
+        Escrow[] escrows = new Escrow[gatewayCount];
+        for (int i = 0; i < gatewayCount; i++) {
+            accounts[i] = new Account(limit, gatewayCount, START_MILLIS);
             escrows[i] = new Escrow("g" + i);
         }
-        TreeMap<Long, List<Escrow.Word>> under = new TreeMap<>();
+        TreeMap<Long, List<Escrow.Word>> inFlight = new TreeMap<>();
         double spent = 0;
-        for (long at = BEGIN; at < BEGIN + MINUTE; at += 100) {
-            for (int i = 0; i < many; i++) {
+        for (long at = START_MILLIS; at < START_MILLIS + MINUTE_MILLIS; at += 100) {
+            for (int i = 0; i < gatewayCount; i++) {
                 accounts[i].advance(at);
-                int wants = i == 0 ? 300 : random.nextInt(2);
-                for (int n = 0; n < wants; n++) {
-                    if (accounts[i].ease(100) > 0) {
+                int demand = i == 0 ? 300 : random.nextInt(2);
+                for (int n = 0; n < demand; n++) {
+                    if (accounts[i].admissionFraction(100) > 0) {
                         accounts[i].reserve(100);
                         accounts[i].settle(100, 100);
                         spent += 100;
                     } else {
-                        accounts[i].deny(100);
+                        accounts[i].recordDenied(100);
                     }
                 }
                 if (at % 1_000 == 0) {
-                    Escrow.Word word = escrows[i].word(at, List.of(accounts[i]));
+                    Escrow.Word announcement = escrows[i].announcement(at, List.of(accounts[i]));
                     for (int copies = random.nextInt(3); copies > 0; copies--) {
-                        under.computeIfAbsent(at + random.nextInt(4_000), any -> new ArrayList<>()).add(word);
+                        inFlight.computeIfAbsent(at + random.nextInt(4_000), any -> new ArrayList<>()).add(announcement);
                     }
                     if (random.nextInt(200) == 0) {  // dies, and comes back with what it had written
-                        Kept kept = accounts[i].keep();
-                        accounts[i] = new Account(limit, many, at);
-                        accounts[i].restore(kept, 10_000);
+                        Kept saved = accounts[i].state();
+                        accounts[i] = new Account(limit, gatewayCount, at);
+                        accounts[i].restore(saved, 10_000);
                         escrows[i] = new Escrow("g" + i);
                     }
-                    escrows[i].settle(at, List.of(accounts[i]));
+                    escrows[i].rebalance(at, List.of(accounts[i]));
                 }
             }
-            while (!under.isEmpty() && under.firstKey() <= at) {
-                for (Escrow.Word word : under.pollFirstEntry().getValue()) {
+            while (!inFlight.isEmpty() && inFlight.firstKey() <= at) {
+                for (Escrow.Word announcement : inFlight.pollFirstEntry().getValue()) {
                     for (Escrow escrow : escrows) {
-                        escrow.heard(word);
+                        escrow.receive(announcement);
                     }
                 }
             }
-            double parts = 0;
+            double granted = 0;
             for (Account account : accounts) {
-                parts += account.granted();
-                assertTrue(account.left() >= -1e-6, "above its own part");
+                granted += account.granted();
+                assertTrue(account.remaining() >= -1e-6, "above its own part");
             }
-            assertTrue(parts <= 600_000 + 1e-6 && spent <= 600_000 + 1e-6, "parts " + parts + ", spent " + spent);
+            assertTrue(granted <= 600_000 + 1e-6 && spent <= 600_000 + 1e-6, "parts " + granted + ", spent " + spent);
         }
     }
 
     /** One of three has all the traffic: it uses most of what is for all, and one that is gone keeps its part. */
     @Test
-    void whatOthersDontNeedIsNotLost() {
+    void surplusOfPeersIsTransferredToTheBusyGateway() {
         for (int alive = 2; alive <= 3; alive++) {
             Limit limit = limit(Window.MINUTE, 600_000, 0);
             List<Account> accounts = new ArrayList<>();
             List<Escrow> escrows = new ArrayList<>();
             for (int i = 0; i < alive; i++) {
-                accounts.add(new Account(limit, 3, BEGIN));
+                accounts.add(new Account(limit, 3, START_MILLIS));
                 escrows.add(new Escrow("g" + i));
             }
             double spent = 0;
-            for (long at = BEGIN; at < BEGIN + MINUTE; at += 10) {
+            for (long at = START_MILLIS; at < START_MILLIS + MINUTE_MILLIS; at += 10) {
                 accounts.get(0).advance(at);
-                if (accounts.get(0).ease(100) > 0) {
+                if (accounts.get(0).admissionFraction(100) > 0) {
                     accounts.get(0).reserve(100);
                     accounts.get(0).settle(100, 100);
                     spent += 100;
                 } else {
-                    accounts.get(0).deny(100);
+                    accounts.get(0).recordDenied(100);
                 }
                 for (int i = 0; i < alive && at % 1_000 == 0; i++) {
                     accounts.get(i).advance(at);
-                    Escrow.Word word = escrows.get(i).word(at, List.of(accounts.get(i)));
-                    escrows.forEach(escrow -> escrow.heard(word));
-                    escrows.get(i).settle(at, List.of(accounts.get(i)));
+                    Escrow.Word announcement = escrows.get(i).announcement(at, List.of(accounts.get(i)));
+                    escrows.forEach(escrow -> escrow.receive(announcement));
+                    escrows.get(i).rebalance(at, List.of(accounts.get(i)));
                 }
             }
             assertTrue(spent > 1.2 * 200_000 * (alive - 1) && spent <= 200_000 * alive, alive + " of 3 alive: " + spent);
@@ -283,13 +283,13 @@
     }
 
     @Test
-    void grantsOfAnotherWindowDontCount() {
-        Account account = new Account(limit(Window.MINUTE, 1_000, 0), 1, BEGIN);
-        account.take("peer", BEGIN - MINUTE, 500);
-        account.take("peer", BEGIN + MINUTE, 500);
+    void transfersOfAnotherWindowAreIgnored() {
+        Account account = new Account(limit(Window.MINUTE, 1_000, 0), 1, START_MILLIS);
+        account.receiveTransfer("peer", START_MILLIS - MINUTE_MILLIS, 500);
+        account.receiveTransfer("peer", START_MILLIS + MINUTE_MILLIS, 500);
         assertEquals(1_000, account.granted());
-        account.take("peer", BEGIN, 500);
-        account.take("peer", BEGIN, 500);
+        account.receiveTransfer("peer", START_MILLIS, 500);
+        account.receiveTransfer("peer", START_MILLIS, 500);
         assertEquals(1_500, account.granted());
     }
 
@@ -297,26 +297,26 @@
 
     /** Offset of the wall clock, for so many seconds, and what is believed at the end. */
     @Test
-    void aClockThatJumpsIsBelievedOnlyAfterAWhile() {
+    void clockStepIsAdoptedOnlyAfterItPersists() {
         long[][] table = {{1_500, 1, 1_500}, {3_600_000, 20, 0}, {-3_600_000, 20, 0}, {3_600_000, 40, 3_600_000}, {-3_600_000, 40, -3_600_000}};
         for (long[] row : table) {
-            SteadyClock clock = new SteadyClock(0, BEGIN);
+            SteadyClock clock = new SteadyClock(0, START_MILLIS);
             long seconds = row[1];
             for (long now = 0; now <= seconds * 1_000_000; now += 100_000) {
-                clock.tick(now, BEGIN + now / 1_000 + row[0]);
+                clock.tick(now, START_MILLIS + now / 1_000 + row[0]);
             }
-            assertEquals(BEGIN + seconds * 1_000 + row[2], clock.millis(seconds * 1_000_000), 1, row[0] + " for " + seconds);
+            assertEquals(START_MILLIS + seconds * 1_000 + row[2], clock.wallMillis(seconds * 1_000_000), 1, row[0] + " for " + seconds);
         }
     }
 
     @Test
-    void windowsBeginAndEndByTheCalendar() {
+    void windowsStartAndEndByTheCalendar() {
         String[][] table = {{"MINUTE", "2026-12-01T10:59:00Z", "2026-12-01T11:00:00Z"}, {"HOUR", "2026-12-01T10:00:00Z", "2026-12-01T11:00:00Z"},
             {"DAY", "2026-12-01T00:00:00Z", "2026-12-02T00:00:00Z"}, {"MONTH", "2026-12-01T00:00:00Z", "2027-01-01T00:00:00Z"}};
         long at = Instant.parse("2026-12-01T10:59:31.500Z").toEpochMilli();
         for (String[] row : table) {
-            assertEquals(Instant.parse(row[1]).toEpochMilli(), Window.valueOf(row[0]).begin(at), row[0]);
-            assertEquals(Instant.parse(row[2]).toEpochMilli(), Window.valueOf(row[0]).end(at), row[0]);
+            assertEquals(Instant.parse(row[1]).toEpochMilli(), Window.valueOf(row[0]).startMillis(at), row[0]);
+            assertEquals(Instant.parse(row[2]).toEpochMilli(), Window.valueOf(row[0]).endMillis(at), row[0]);
         }
     }
 
@@ -324,14 +324,14 @@
         whole would hold many times as much, and rounds of twenty with a pause of 10 ms between never all fit. */
     @ParameterizedTest
     @CsvSource({"HOUR, 0, 1, false", "HOUR, 0.1, 1, false", "HOUR, 0, 5, true", "HOUR, 0.99, 1, true", "MINUTE, 0, 1, true", "MINUTE, 0.9, 1, true"})
-    void aRaisedBudgetIsSpentFromAtItsPace(Window window, double passed, long everyMillis, boolean allFit) {
-        long now = BEGIN + (long) (passed * (window.end(BEGIN) - window.begin(BEGIN)));
+    void raisedBudgetIsSpentAtTheRefillRate(Window window, double elapsedFraction, long everyMillis, boolean allFit) {
+        long now = START_MILLIS + (long) (elapsedFraction * (window.endMillis(START_MILLIS) - window.startMillis(START_MILLIS)));
         Account account = new Account(limit(window, 0, 0), 1, now);
-        account.change(limit(window, 1_000_000, 0), 1);
+        account.updateBudget(limit(window, 1_000_000, 0), 1);
         double most = 0;
         for (int round = 0; round < 100; round++) {
             now += 10;
-            most = Math.max(most, greedy(account, now, now + 20 * everyMillis, everyMillis, 1));
+            most = Math.max(most, spendGreedily(account, now, now + 20 * everyMillis, everyMillis, 1));
             now += 20 * everyMillis;
         }
         assertEquals(allFit, most == 20, "crossed in the best round: " + most);
--- a/src/test/java/mastdrift/zones/edge/ZoneFilesTest.java
+++ b/src/test/java/mastdrift/zones/edge/ZoneFilesTest.java
@@ -24,8 +24,8 @@
 class ZoneFilesTest {
 
     private static final int WAIT_SECONDS = 30;
-    private static final String STATE = "zones-g.state";
-    private static final String WORD = "budgets-g.json";
+    private static final String STATE_FILE = "zones-g.state";
+    private static final String ANNOUNCEMENT_FILE = "budgets-g.json";
 
     @TempDir
     private Path folder;
@@ -41,7 +41,7 @@
         return new Snapshot("g", "bilbao", at, Map.of(), List.of(), List.of(), Map.of());
     }
 
-    private static Escrow.Word word(long at) {
+    private static Escrow.Word announcement(long at) {
         return new Escrow.Word("g", at, Map.of());
     }
 
@@ -53,41 +53,41 @@
 
     /** Opening the new file fails, or the renaming: neither is the state written nor are the others told what rests on it, which is said; afterwards both are, without a restart. */
     @ParameterizedTest
-    @ValueSource(strings = {"." + STATE + ".new", STATE})
-    void whatCantBeWrittenIsNotToldAndWrittenLater(String blocked) throws Exception {
-        Path inTheWay = Files.createDirectory(folder.resolve(blocked));
-        Path withSomething = Files.createFile(inTheWay.resolve("x"));  // or a file could take its place
+    @ValueSource(strings = {"." + STATE_FILE + ".new", STATE_FILE})
+    void unwrittenStateIsNotAnnouncedAndIsWrittenLater(String blocked) throws Exception {
+        Path blockingDirectory = Files.createDirectory(folder.resolve(blocked));
+        Path fileInDirectory = Files.createFile(blockingDirectory.resolve("x"));  // or a file could take its place
         try (ZoneFiles files = open()) {
-            files.write(snapshot(1), word(1));
-            String said = log.poll(WAIT_SECONDS, TimeUnit.SECONDS);
-            assertNotNull(said);
-            assertTrue(said.contains(STATE + " was not written"), said);
-            assertFalse(Files.exists(folder.resolve(WORD)), "told the others what is not on disk");
-            Files.delete(withSomething);
-            Files.delete(inTheWay);
-            files.write(snapshot(2), word(2));
-            awaitFile(WORD);
-            assertTrue(Files.isRegularFile(folder.resolve(STATE)));
+            files.write(snapshot(1), announcement(1));
+            String logged = log.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+            assertNotNull(logged);
+            assertTrue(logged.contains(STATE_FILE + " was not written"), logged);
+            assertFalse(Files.exists(folder.resolve(ANNOUNCEMENT_FILE)), "told the others what is not on disk");
+            Files.delete(fileInDirectory);
+            Files.delete(blockingDirectory);
+            files.write(snapshot(2), announcement(2));
+            awaitFile(ANNOUNCEMENT_FILE);
+            assertTrue(Files.isRegularFile(folder.resolve(STATE_FILE)));
         }
         try (ZoneFiles files = open()) {
-            assertEquals(2, files.earlier().at());
+            assertEquals(2, files.readSnapshot().timeMillis());
         }
     }
 
     /** A kill while the new file is written leaves the old one in force. */
     @Test
-    void aHalfWrittenFileBesideChangesNothing() throws Exception {
+    void partlyWrittenTemporaryFileIsIgnored() throws Exception {
         try (ZoneFiles files = open()) {
-            files.write(snapshot(1), word(1));
-            awaitFile(WORD);
+            files.write(snapshot(1), announcement(1));
+            awaitFile(ANNOUNCEMENT_FILE);
         }
-        Files.write(folder.resolve("." + STATE + ".new"), new byte[] {'{', '"'});
+        Files.write(folder.resolve("." + STATE_FILE + ".new"), new byte[] {'{', '"'});
         try (ZoneFiles files = open()) {
-            assertEquals(1, files.earlier().at());
-            files.write(snapshot(2), word(2));
+            assertEquals(1, files.readSnapshot().timeMillis());
+            files.write(snapshot(2), announcement(2));
         }
         try (ZoneFiles files = open()) {
-            assertEquals(2, files.earlier().at());
+            assertEquals(2, files.readSnapshot().timeMillis());
         }
     }
 }
--- a/src/test/java/mastdrift/zones/edge/ZoneTextsTest.java
+++ b/src/test/java/mastdrift/zones/edge/ZoneTextsTest.java
@@ -46,130 +46,130 @@
         }
         Limit limit = new Limit("m", Window.MONTH, Limit.Unit.MONEY, random.nextDouble() * 1e6, "oviedo", null, "t", null, 0.25, true);
         long at = 1_796_000_000_000L + random.nextInt(1_000_000);
-        Kept kept = new Kept(Window.MONTH.begin(at), at, random.nextDouble(), random.nextDouble(), 0, -random.nextDouble(), 1, 2,
+        Kept saved = new Kept(Window.MONTH.startMillis(at), at, random.nextDouble(), random.nextDouble(), 0, -random.nextDouble(), 1, 2,
                 Map.of("g2", random.nextDouble()), Map.of());
-        return new Snapshot("g", "bilbao", at, flows, List.of(new Snapshot.Budget(limit, Window.MONTH.end(at), 3.5, kept)),
+        return new Snapshot("g", "bilbao", at, flows, List.of(new Snapshot.Budget(limit, Window.MONTH.endMillis(at), 3.5, saved)),
                 List.of(new Price("bilbao", "oviedo", 0.02, 0.4)), Map.of("p", List.of("c1")));
     }
 
-    private static byte[] sealed(Snapshot snapshot) throws IOException {
-        return ZoneTexts.sealed(ZoneTexts.STATE, ZoneTexts.map(snapshot));
+    private static byte[] encode(Snapshot snapshot) throws IOException {
+        return ZoneTexts.wrap(ZoneTexts.STATE_FORMAT, ZoneTexts.toMap(snapshot));
     }
 
-    private static Snapshot opened(byte[] bytes) throws IOException {
-        return ZoneTexts.snapshot(ZoneTexts.opened(ZoneTexts.STATE, bytes));
+    private static Snapshot decode(byte[] bytes) throws IOException {
+        return ZoneTexts.snapshot(ZoneTexts.unwrap(ZoneTexts.STATE_FORMAT, bytes));
     }
 
     @Test
-    void whatIsWrittenIsReadBack() throws IOException {
+    void encodedDataIsReadBackUnchanged() throws IOException {
         for (long seed = 0; seed < 50; seed++) {
             Snapshot one = snapshot(seed);
-            Snapshot other = opened(sealed(one));
+            Snapshot other = decode(encode(one));
             assertEquals(one.budgets(), other.budgets());
             assertEquals(one.prices(), other.prices());
-            assertEquals(one.giving(), other.giving());
+            assertEquals(one.overridingClasses(), other.overridingClasses());
             assertEquals(one.flows().keySet(), other.flows().keySet());
             one.flows().forEach((flow, counts) -> assertArrayEquals(counts.values(), other.flows().get(flow).values()));
-            Escrow.Word word = new Escrow.Word("g", one.at(), Map.of("m", new Escrow.Says(one.at(), -3.25, Map.of("h", 0.1))));
-            assertEquals(word, ZoneTexts.word(ZoneTexts.opened(ZoneTexts.WORD, ZoneTexts.sealed(ZoneTexts.WORD, ZoneTexts.map(word)))));
+            Escrow.Word announcement = new Escrow.Word("g", one.timeMillis(), Map.of("m", new Escrow.Says(one.timeMillis(), -3.25, Map.of("h", 0.1))));
+            assertEquals(announcement, ZoneTexts.announcement(ZoneTexts.unwrap(ZoneTexts.ANNOUNCEMENT_FORMAT, ZoneTexts.wrap(ZoneTexts.ANNOUNCEMENT_FORMAT, ZoneTexts.toMap(announcement)))));
         }
     }
 
     /** Every bit flipped, every truncation, and random edits: refused, each by an IOException with a word. */
     @Test
-    void whatIsNotWholeIsRefused() throws IOException {
-        byte[] whole = sealed(snapshot(1));
-        for (int bit = 0; bit < 8 * whole.length; bit++) {
-            byte[] changed = whole.clone();
+    void damagedFileIsRejected() throws IOException {
+        byte[] file = encode(snapshot(1));
+        for (int bit = 0; bit < 8 * file.length; bit++) {
+            byte[] changed = file.clone();
             changed[bit / 8] ^= (byte) (1 << bit % 8);
-            refused(changed);
+            assertRejected(changed);
         }
-        for (int length = 0; length < whole.length; length++) {
-            refused(Arrays.copyOf(whole, length));
+        for (int length = 0; length < file.length; length++) {
+            assertRejected(Arrays.copyOf(file, length));
         }
         SplittableRandom random = new SplittableRandom(7);
         for (int i = 0; i < 2_000; i++) {
-            byte[] changed = whole.clone();
+            byte[] changed = file.clone();
             for (int n = 0; n <= random.nextInt(6); n++) {
                 changed[random.nextInt(changed.length)] = (byte) random.nextInt(256);
             }
-            if (!Arrays.equals(changed, whole)) {
-                refused(changed);
+            if (!Arrays.equals(changed, file)) {
+                assertRejected(changed);
             }
         }
     }
 
-    private static void refused(byte[] bytes) {
-        IOException e = assertThrows(IOException.class, () -> opened(bytes), () -> new String(bytes, StandardCharsets.ISO_8859_1));
+    private static void assertRejected(byte[] bytes) {
+        IOException e = assertThrows(IOException.class, () -> decode(bytes), () -> new String(bytes, StandardCharsets.ISO_8859_1));
         assertNotNull(e.getMessage());
     }
 
     /** Rightly sealed, and still not to be used: each says where. */
     @Test
-    void whatIsSealedAndWrongSaysWhere() throws IOException {
+    void invalidContentIsRejectedWithItsPlace() throws IOException {
         Object[][] table = {{"flows", 3, "flows"}, {"at", "yesterday", "yesterday"}, {"gateway", null, "gateway"}, {"budgets", List.of(1), "budgets"},
             {"flows", List.of(Map.of("from", "a")), "to"}};
         for (Object[] row : table) {
-            Map<String, Object> map = ZoneTexts.map(snapshot(1));
+            Map<String, Object> map = ZoneTexts.toMap(snapshot(1));
             map.put((String) row[0], row[1]);
-            byte[] bytes = ZoneTexts.sealed(ZoneTexts.STATE, map);
-            IOException e = assertThrows(IOException.class, () -> opened(bytes));
+            byte[] bytes = ZoneTexts.wrap(ZoneTexts.STATE_FORMAT, map);
+            IOException e = assertThrows(IOException.class, () -> decode(bytes));
             assertTrue(e.getMessage().contains((String) row[2]), e.getMessage());
         }
-        String newer = new String(sealed(snapshot(1)), StandardCharsets.UTF_8).replace("\"version\":1", "\"version\":2");
-        IOException e = assertThrows(IOException.class, () -> opened(newer.getBytes(StandardCharsets.UTF_8)));
+        String newer = new String(encode(snapshot(1)), StandardCharsets.UTF_8).replace("\"version\":1", "\"version\":2");
+        IOException e = assertThrows(IOException.class, () -> decode(newer.getBytes(StandardCharsets.UTF_8)));
         assertTrue(e.getMessage().contains("newer program"), e.getMessage());
     }
 
     // ---- files
 
-    private ZoneFiles files(String gateway, List<Escrow.Word> heard) {
+    private ZoneFiles files(String gateway, List<Escrow.Word> announcements) {
         ZoneSettings settings = new ZoneSettings(List.of(), List.of(), List.of(), List.of(), 1, "report.json", ".", ".");
-        return new ZoneFiles(folder.resolve("gateway.toml"), gateway, settings, heard::add, log::add);
+        return new ZoneFiles(folder.resolve("gateway.toml"), gateway, settings, announcements::add, log::add);
     }
 
-    private static Escrow.Word word(String gateway) {
+    private static Escrow.Word announcement(String gateway) {
         return new Escrow.Word(gateway, 1, Map.of());
     }
 
     @Test
-    void filesGoFromOneProcessToTheNextAndWordsToTheOthers() throws IOException {
-        List<Escrow.Word> heard = new ArrayList<>();
+    void stateSurvivesARestartAndAnnouncementsReachPeers() throws IOException {
+        List<Escrow.Word> announcements = new ArrayList<>();
         try (ZoneFiles files = files("other", new ArrayList<>())) {
-            files.write(snapshot(1), word("other"));
+            files.write(snapshot(1), announcement("other"));
         }
-        try (ZoneFiles files = files("g", heard)) {
-            assertNull(files.earlier());
-            assertNull(files.told());
-            files.write(snapshot(2), word("g"));
+        try (ZoneFiles files = files("g", announcements)) {
+            assertNull(files.readSnapshot());
+            assertNull(files.readOwnAnnouncement());
+            files.write(snapshot(2), announcement("g"));
         }
-        assertEquals(List.of(word("other")), heard);
+        assertEquals(List.of(announcement("other")), announcements);
         assertTrue(Files.readString(folder.resolve("report.json")).contains("\"gateway\""));
-        try (ZoneFiles files = files("g", heard); ZoneFiles second = files("g", heard)) {
-            assertEquals(snapshot(2).budgets(), files.earlier().budgets());
-            assertEquals(word("g"), files.told());
-            assertNull(second.earlier(), "one process a folder and name");
+        try (ZoneFiles files = files("g", announcements); ZoneFiles second = files("g", announcements)) {
+            assertEquals(snapshot(2).budgets(), files.readSnapshot().budgets());
+            assertEquals(announcement("g"), files.readOwnAnnouncement());
+            assertNull(second.readSnapshot(), "one process a folder and name");
         }
         assertEquals(1, log.size(), log.toString());
         Files.writeString(folder.resolve("zones-g.state"), "half");
         Files.delete(folder.resolve("budgets-other.json"));
-        Files.write(folder.resolve("elsewhere"), ZoneTexts.sealed(ZoneTexts.WORD, ZoneTexts.map(word("other"))));
+        Files.write(folder.resolve("elsewhere"), ZoneTexts.wrap(ZoneTexts.ANNOUNCEMENT_FORMAT, ZoneTexts.toMap(announcement("other"))));
         Files.createSymbolicLink(folder.resolve("budgets-other.json"), folder.resolve("elsewhere"));
-        try (ZoneFiles files = files("g", heard)) {
-            assertNull(files.earlier());
+        try (ZoneFiles files = files("g", announcements)) {
+            assertNull(files.readSnapshot());
             assertTrue(log.get(1).contains("zones-g.state is not used: expected a first line"), log.toString());
-            heard.clear();
-            files.write(snapshot(2), word("g"));
+            announcements.clear();
+            files.write(snapshot(2), announcement("g"));
         }
-        assertEquals(List.of(), heard, "a link is not followed");
+        assertEquals(List.of(), announcements, "a link is not followed");
     }
 
     @Test
-    void aFolderThatIsNotThereIsSaidAndTheRestGoesOn() throws IOException {
+    void missingFolderIsLoggedAndTheRestGoesOn() throws IOException {
         ZoneSettings settings = new ZoneSettings(List.of(), List.of(), List.of(), List.of(), 1, "report.json", "none", "none");
         try (ZoneFiles files = new ZoneFiles(folder.resolve("gateway.toml"), "g", settings, word -> { }, log::add)) {
-            assertNull(files.earlier());
-            files.write(snapshot(1), word("g"));
+            assertNull(files.readSnapshot());
+            files.write(snapshot(1), announcement("g"));
         }
         assertTrue(log.get(0).contains("no state is kept"), log.toString());
         assertTrue(Files.exists(folder.resolve("report.json")));
