--- a/src/main/java/mastdrift/cli/ZonesCommand.java
+++ b/src/main/java/mastdrift/cli/ZonesCommand.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import mastdrift.lab.report.ZonePicture;
-import mastdrift.zones.Snapshot;
+import mastdrift.zones.ZoneSnapshot;
 import mastdrift.zones.edge.ZoneReports;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -40,7 +40,7 @@
     @Override
     public Integer call() {
         PrintWriter out = spec.commandLine().getOut();
-        List<Snapshot> snapshots = new ArrayList<>();
+        List<ZoneSnapshot> snapshots = new ArrayList<>();
         try {
             for (Path file : files) {
                 snapshots.add(ZoneReports.read(file));
--- a/src/main/java/mastdrift/config/ZonesReader.java
+++ b/src/main/java/mastdrift/config/ZonesReader.java
@@ -9,11 +9,11 @@
 import mastdrift.Balancer.RequestClass;
 import mastdrift.Balancer.Tenant;
 import mastdrift.settings.AddressRange;
-import mastdrift.zones.Limit;
-import mastdrift.zones.Limit.Unit;
-import mastdrift.zones.Networks;
+import mastdrift.zones.CrossingBudget;
+import mastdrift.zones.CrossingBudget.Unit;
+import mastdrift.zones.ClientNetworks;
 import mastdrift.zones.Price;
-import mastdrift.zones.Window;
+import mastdrift.zones.BudgetWindow;
 import mastdrift.zones.ZoneSettings;
 
 /** Reads the table {@code [zones]}, of a gateway's file and of an experiment's; docs/operations/zones.md lists its keys. */
@@ -54,7 +54,7 @@
                 section.problem("give_way", Tables.expectedOne("the classes", classes, name));
             }
         });
-        List<Limit> limits = new ArrayList<>();
+        List<CrossingBudget> limits = new ArrayList<>();
         Set<String> names = Section.met();
         for (Section each : section.sections("budget", MOST)) {
             limits.add(limit(each, names));
@@ -69,11 +69,11 @@
         return settings;
     }
 
-    private Limit limit(Section each, Set<String> names) {
+    private CrossingBudget limit(Section each, Set<String> names) {
         String name = Tables.word(each, "name", each.requiredText("name"));
         each.once("name", name, names);
-        List<Window> windows = List.of(Window.values());
-        Window window = each.word("window", null, windows.stream().map(Window::settingName).toList(), windows);
+        List<BudgetWindow> windows = List.of(BudgetWindow.values());
+        BudgetWindow window = each.word("window", null, windows.stream().map(BudgetWindow::settingName).toList(), windows);
         if (window == null && !each.has("window")) {
             each.problem("window", "expected minute, hour, day or month, found nothing");
         }
@@ -90,7 +90,7 @@
         if (to != null && to.equals(own)) {
             each.problem("to", "expected another zone than the gateway's own, found \"" + to + "\"");
         }
-        Limit limit = new Limit(name, window == null ? Window.MONTH : window, unit, amount, to, Tables.among(each, "class", classes),
+        CrossingBudget limit = new CrossingBudget(name, window == null ? BudgetWindow.MONTH : window, unit, amount, to, Tables.among(each, "class", classes),
                 Tables.among(each, "tenant", tenants), Tables.among(each, "pool", pools), each.real("carry_most", 0, 0, 1),
                 each.flag("hard", false));
         each.noMore();
@@ -129,15 +129,15 @@
         return prices;
     }
 
-    private List<Networks.Network> networks() {
-        List<Networks.Network> networks = new ArrayList<>();
+    private List<ClientNetworks.Network> networks() {
+        List<ClientNetworks.Network> networks = new ArrayList<>();
         Set<String> met = Section.met();
-        for (Section each : section.sections("client", Networks.MAX_NETWORKS)) {
+        for (Section each : section.sections("client", ClientNetworks.MAX_NETWORKS)) {
             AddressRange range = Tables.range(each, "network");
             String zone = requiredZone(each, "zone");
             if (range != null) {
                 each.once("network", each.text("network"), met);
-                networks.add(new Networks.Network(range, zone));
+                networks.add(new ClientNetworks.Network(range, zone));
             }
             each.noMore();
         }
--- a/src/main/java/mastdrift/engine/Exchange.java
+++ b/src/main/java/mastdrift/engine/Exchange.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import mastdrift.zones.PoolZones;
+import mastdrift.zones.PoolCrossings;
 
 /** A request that was taken, until it has ended and all its attempts have. It lives in one pool. */
 public final class Exchange {
@@ -13,7 +13,7 @@
     final Call call;
     final String className;
     final List<Transport.Attempt> attempts = new ArrayList<>(2);
-    PoolZones.Pass pass;  // null where nobody counts what crosses zones
+    PoolCrossings.RequestCrossing pass;  // null where nobody counts what crosses zones
     Timers.Timer backstop;
     long endsAt;  // for hosts: an answer from there later than that would not reach its client in time
     int out;
--- a/src/main/java/mastdrift/engine/Pool.java
+++ b/src/main/java/mastdrift/engine/Pool.java
@@ -11,7 +11,7 @@
 import mastdrift.Balancer.Settings;
 import mastdrift.Balancer.Why;
 import mastdrift.peers.OwnWork;
-import mastdrift.zones.PoolZones;
+import mastdrift.zones.PoolCrossings;
 
 /** A list of hosts, the one module that decides on them, and the transport to them. Drives the module: hands it events and
     carries out what it asks. Everything happens on the loop's thread. */
@@ -30,7 +30,7 @@
     private final Settings settings;
     private final Transport transport;
     private final EndpointGate gate = new EndpointGate(this::listHolds);
-    private PoolZones zones;
+    private PoolCrossings zones;
     private OwnWork work;
     private Source source = Source.TELLS;
     private int living;
@@ -46,7 +46,7 @@
     }
 
     /** What crosses zones is counted and bounded from now on; before {@link #start}. */
-    public void zones(PoolZones counted) {
+    public void zones(PoolCrossings counted) {
         zones = counted;
         transport.count((uid, sent, received) -> counted.recordUnattributedBytes(ledger.now(), uid, sent, received));
     }
@@ -57,7 +57,7 @@
         module.elsewhere(others);
     }
 
-    PoolZones.Pass pass(Ask ask) {
+    PoolCrossings.RequestCrossing pass(Ask ask) {
         if (zones == null) {
             return null;
         }
@@ -185,7 +185,7 @@
         private final int number;
         private final String uid;
         private final long sentAt = ledger.now();
-        private final PoolZones.Leg leg;
+        private final PoolCrossings.TrackedAttempt leg;
         private long own;
         private long sent;
         private long received;
--- a/src/main/java/mastdrift/lab/ExperimentReader.java
+++ b/src/main/java/mastdrift/lab/ExperimentReader.java
@@ -490,7 +490,7 @@
         boolean shared = section.flag("shared", zones.shared());
         boolean gives = section.flag("gives", true);
         ZoneSettings all = zones.settings();
-        List<mastdrift.zones.Limit> limits = all.budgets().stream().map(limit -> limit.scaledBy(times)).toList();
+        List<mastdrift.zones.CrossingBudget> limits = all.budgets().stream().map(limit -> limit.scaledBy(times)).toList();
         return !on ? null : new Scenario.Zones(new ZoneSettings(limits, all.prices(), all.networks(), gives ? all.overrideClasses() : List.of(), all.recoveryDelayMicros(), null, null,
                 null), shared, zones.requestBytes(), zones.answerBytes());
     }
--- a/src/main/java/mastdrift/lab/model/ModelGateway.java
+++ b/src/main/java/mastdrift/lab/model/ModelGateway.java
@@ -28,8 +28,8 @@
 import mastdrift.routing.Router;
 import mastdrift.routing.Traits;
 import mastdrift.zones.Escrow;
-import mastdrift.zones.Snapshot;
-import mastdrift.zones.Zoning;
+import mastdrift.zones.ZoneSnapshot;
+import mastdrift.zones.ZoneBudgetManager;
 
 /** A gateway: the ledger, the router, the pools with their modules and, where the site says so, the membership, as they are in
     service. It may be killed and start again knowing nothing. */
@@ -62,7 +62,7 @@
         private final Map<String, Pool> pools = new LinkedHashMap<>();
         private final Membership membership;
         private final Map<String, Boolean> somebody = new HashMap<>();
-        private final Zoning zoning;
+        private final ZoneBudgetManager zoning;
         private final OwnWork work;
         private final PeerView peers;
         private boolean over;
@@ -77,7 +77,7 @@
             ledger = new Ledger(timers, time, OPEN_MOST, line -> { });
             router.swap(new RouteTable(scenario.routes()));
             membership = scenario.site().membership() ? new Membership() : null;
-            zoning = scenario.zones() == null ? null : new Zoning("gateway-" + ModelGateway.this.number, zone, scenario.site().gateways(),
+            zoning = scenario.zones() == null ? null : new ZoneBudgetManager("gateway-" + ModelGateway.this.number, zone, scenario.site().gateways(),
                     scenario.zones().settings(), time.now(), wall());
             String name = "gateway-" + ModelGateway.this.number;
             work = scenario.peers() == null ? null : new OwnWork(name, time.now());
@@ -236,7 +236,7 @@
     }
 
     private double spentByLife() {
-        List<Snapshot.Budget> budgets = life == null || life.zoning == null ? List.of() : life.zoning.snapshot(time.now()).budgets();
+        List<ZoneSnapshot.BudgetStatus> budgets = life == null || life.zoning == null ? List.of() : life.zoning.snapshot(time.now()).budgets();
         return budgets.isEmpty() ? 0 : budgets.get(0).spent();
     }
 
@@ -251,11 +251,11 @@
     }
 
     /** Its word on budgets, or null where it is down. */
-    Escrow.Word word() {
+    Escrow.Announcement word() {
         return life == null ? null : life.zoning.announcement(time.now());
     }
 
-    void heard(Escrow.Word word) {
+    void heard(Escrow.Announcement word) {
         if (life != null) {
             life.zoning.receive(word);
         }
--- a/src/main/java/mastdrift/lab/model/World.java
+++ b/src/main/java/mastdrift/lab/model/World.java
@@ -30,7 +30,7 @@
 import mastdrift.peers.Digest;
 import mastdrift.peers.PeerView;
 import mastdrift.zones.Escrow;
-import mastdrift.zones.Limit;
+import mastdrift.zones.CrossingBudget;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.ListSampler;
 
@@ -192,7 +192,7 @@
             time.after(WORDS_EVERY, this::words);
         }
         if (!scenario.zones().settings().budgets().isEmpty()) {
-            Limit first = scenario.zones().settings().budgets().get(0);
+            CrossingBudget first = scenario.zones().settings().budgets().get(0);
             long span = (first.window().endMillis(0) - first.window().startMillis(0)) * 1_000;
             for (long end = span; end <= scenario.length(); end += span) {
                 time.after(end - 1_000, () -> window(first.amount()));
@@ -201,7 +201,7 @@
     }
 
     private void words() {
-        List<Escrow.Word> words = gateways.stream().map(ModelGateway::word).filter(Objects::nonNull).toList();
+        List<Escrow.Announcement> words = gateways.stream().map(ModelGateway::word).filter(Objects::nonNull).toList();
         time.after(WORDS_EVERY / 2, () -> gateways.forEach(gateway -> words.forEach(gateway::heard)));
         time.after(WORDS_EVERY, this::words);
     }
--- a/src/main/java/mastdrift/lab/report/ZonePicture.java
+++ b/src/main/java/mastdrift/lab/report/ZonePicture.java
@@ -2,8 +2,8 @@
 
 import java.awt.Color;
 import java.util.Map;
-import mastdrift.zones.Cause;
-import mastdrift.zones.Counts;
+import mastdrift.zones.CrossingCause;
+import mastdrift.zones.FlowCounts;
 import mastdrift.zones.Flow;
 import org.jfree.chart.axis.CategoryAxis;
 import org.jfree.chart.axis.NumberAxis;
@@ -20,9 +20,9 @@
     private ZonePicture() { }
 
     /** As SVG. */
-    public static String svg(Map<Flow, Counts> flows) {
+    public static String svg(Map<Flow, FlowCounts> flows) {
         DefaultCategoryDataset data = new DefaultCategoryDataset();
-        for (Cause cause : Cause.values()) {
+        for (CrossingCause cause : CrossingCause.values()) {
             flows.forEach((flow, counts) -> {
                 if (flow.crosses() && counts.bytes(cause) > 0) {
                     String bar = flow.className() + ", " + flow.fromZone() + " to " + flow.toZone();
--- a/src/main/java/mastdrift/measure/ZonesMeasurement.java
+++ b/src/main/java/mastdrift/measure/ZonesMeasurement.java
@@ -26,9 +26,9 @@
 import mastdrift.standin.StandInHost;
 import mastdrift.standin.StandInHost.Manner;
 import mastdrift.standin.StandInRadiusServer;
-import mastdrift.zones.Counts;
+import mastdrift.zones.FlowCounts;
 import mastdrift.zones.Flow;
-import mastdrift.zones.Snapshot;
+import mastdrift.zones.ZoneSnapshot;
 
 /** Traffic across zones over loopback: the gateway's counts against the hosts', what counting costs, and how soon a budget gives way and is kept
     again. {@code ZonesMeasurement [counts|cost|relief]}, all of them without a word. */
@@ -96,11 +96,11 @@
 
     // ---- counts
 
-    private static long[] totals(Snapshot snapshot, boolean crossing) {
+    private static long[] totals(ZoneSnapshot snapshot, boolean crossing) {
         long[] totals = new long[3];
         for (var entry : snapshot.flows().entrySet()) {
             Flow flow = entry.getKey();
-            Counts counts = entry.getValue();
+            FlowCounts counts = entry.getValue();
             if (flow.crosses() == crossing) {
                 totals[0] += counts.attempts();
                 totals[1] += counts.bytesSent();
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -62,7 +62,7 @@
 import mastdrift.routing.RouteTable;
 import mastdrift.routing.Router;
 import mastdrift.routing.Traits;
-import mastdrift.zones.Snapshot;
+import mastdrift.zones.ZoneSnapshot;
 
 /** A gateway that serves as its files say, and goes on doing so as they change. */
 public final class Service implements AutoCloseable {
@@ -239,7 +239,7 @@
     }
 
     /** What crossed zones so far, read on the loop's thread; waits. Null where nobody counts. */
-    public Snapshot crossed() {
+    public ZoneSnapshot crossed() {
         return loop.submit(() -> zones == null ? null : zones.snapshot()).syncUninterruptibly().getNow();
     }
 
--- a/src/main/java/mastdrift/serve/ZoneService.java
+++ b/src/main/java/mastdrift/serve/ZoneService.java
@@ -8,12 +8,12 @@
 import java.util.function.LongSupplier;
 import mastdrift.config.Configuration;
 import mastdrift.config.GatewaySettings;
-import mastdrift.zones.Networks;
-import mastdrift.zones.PoolZones;
-import mastdrift.zones.Snapshot;
+import mastdrift.zones.ClientNetworks;
+import mastdrift.zones.PoolCrossings;
+import mastdrift.zones.ZoneSnapshot;
 import mastdrift.zones.ZoneSettings;
-import mastdrift.zones.Zoning;
-import mastdrift.zones.edge.ZoneFiles;
+import mastdrift.zones.ZoneBudgetManager;
+import mastdrift.zones.edge.ZoneFileStore;
 
 /** What crosses zones, in a gateway from files: one decider on the loop, told the time, and its files. */
 final class ZoneService {
@@ -24,18 +24,18 @@
     private static final long UNSAVED_MILLIS = 10_000;
 
     private final LongSupplier now;
-    private final Zoning zoning;
-    private final ZoneFiles files;
-    private volatile Networks networks;
+    private final ZoneBudgetManager zoning;
+    private final ZoneFileStore files;
+    private volatile ClientNetworks networks;
     private int ticks;
 
     /** Reads what an earlier process left; before the gateway serves, since it waits for the disk. On the loop's thread. */
     ZoneService(Path file, EventLoop loop, LongSupplier now, GatewaySettings gateway, ZoneSettings settings, Consumer<String> log) {
         this.now = now;
-        zoning = new Zoning(gateway.name(), gateway.zone(), gateway.gateways(), settings, now.getAsLong(), System.currentTimeMillis());
-        networks = new Networks(settings.networks());
-        files = new ZoneFiles(file, gateway.name(), settings, word -> loop.execute(() -> zoning.receive(word)), log);
-        Snapshot earlier = files.readSnapshot();
+        zoning = new ZoneBudgetManager(gateway.name(), gateway.zone(), gateway.gateways(), settings, now.getAsLong(), System.currentTimeMillis());
+        networks = new ClientNetworks(settings.networks());
+        files = new ZoneFileStore(file, gateway.name(), settings, word -> loop.execute(() -> zoning.receive(word)), log);
+        ZoneSnapshot earlier = files.readSnapshot();
         if (earlier != null) {
             try {
                 zoning.restore(earlier, UNSAVED_MILLIS);
@@ -67,11 +67,11 @@
 
     /** The operator's file has changed. */
     void configure(Configuration next) {
-        networks = new Networks(next.zones().networks());
+        networks = new ClientNetworks(next.zones().networks());
         zoning.configure(next.zones());
     }
 
-    PoolZones pool(String name) {
+    PoolCrossings pool(String name) {
         return zoning.pool(name);
     }
 
@@ -83,7 +83,7 @@
         return networks.zone(client.getAddress());
     }
 
-    Snapshot snapshot() {
+    ZoneSnapshot snapshot() {
         return zoning.snapshot(now.getAsLong());
     }
 
--- a/src/main/java/mastdrift/zones/Kept.java
+++ b/src/main/java/mastdrift/zones/AccountState.java
@@ -16,5 +16,5 @@
  * @param transferredOut to other gateways in this window, by name
  * @param transferredIn from others, likewise
  */
-public record Kept(long windowStartMillis, long savedAtMillis, double granted, double spent, double reserved, double credit, double denied, double owed,
+public record AccountState(long windowStartMillis, long savedAtMillis, double granted, double spent, double reserved, double credit, double denied, double owed,
         Map<String, Double> transferredOut, Map<String, Double> transferredIn) { }
--- a/src/main/java/mastdrift/zones/Relief.java
+++ b/src/main/java/mastdrift/zones/BudgetOverride.java
@@ -12,7 +12,7 @@
  * <p>A slow host is no reason: it answers. What counts is hosts that answer nobody, and requests that were refused while a budget held them
  * back.
  */
-public final class Relief {
+public final class BudgetOverride {
 
     /** Microseconds that are judged together. */
     static final long EVALUATION_INTERVAL_MICROS = 500_000;
@@ -29,14 +29,14 @@
     private static final int MIN_CONSECUTIVE_FAILURES = 3;
     private static final long MIN_UNANSWERED_MICROS = 1_000_000;
 
-    private static final class Seen {
+    private static final class HostHealth {
         private int consecutiveFailures;
-        private long lastAnswerAt;
+        private long lastAnswerMicros;
     }
 
     private List<String> classOrder;
     private long recoveryDelayMicros;
-    private final Map<String, Seen> healthByHost = new HashMap<>();
+    private final Map<String, HostHealth> healthByHost = new HashMap<>();
     private boolean hostsKnown;
     private boolean zoneOut;
     private long recoveredSince = -1;
@@ -56,7 +56,7 @@
     private long suspendedUntil = Long.MIN_VALUE;
 
     /** Classes in the order in which they give way, and microseconds without trouble before one of them is held again. */
-    public Relief(List<String> classOrder, long recoveryDelayMicros) {
+    public BudgetOverride(List<String> classOrder, long recoveryDelayMicros) {
         configure(classOrder, recoveryDelayMicros);
     }
 
@@ -73,8 +73,8 @@
         hostsKnown = true;
         healthByHost.keySet().retainAll(hostsUp);
         hostsUp.forEach(hostAddress -> healthByHost.computeIfAbsent(hostAddress, any -> {
-            Seen health = new Seen();
-            health.lastAnswerAt = now;
+            HostHealth health = new HostHealth();
+            health.lastAnswerMicros = now;
             return health;
         }));
         evaluateHosts(now);
@@ -82,16 +82,16 @@
 
     /** A host of the own zone has answered, or has not. */
     public void recordOutcome(long now, String hostAddress, boolean answered) {
-        Seen health = healthByHost.get(hostAddress);
+        HostHealth health = healthByHost.get(hostAddress);
         if (health != null) {
             health.consecutiveFailures = answered ? 0 : health.consecutiveFailures + 1;
-            health.lastAnswerAt = answered ? now : health.lastAnswerAt;
+            health.lastAnswerMicros = answered ? now : health.lastAnswerMicros;
             evaluateHosts(now);
         }
     }
 
     private void evaluateHosts(long now) {
-        long failing = healthByHost.values().stream().filter(s -> s.consecutiveFailures >= MIN_CONSECUTIVE_FAILURES && now - s.lastAnswerAt > MIN_UNANSWERED_MICROS).count();
+        long failing = healthByHost.values().stream().filter(s -> s.consecutiveFailures >= MIN_CONSECUTIVE_FAILURES && now - s.lastAnswerMicros > MIN_UNANSWERED_MICROS).count();
         if (hostsKnown && (healthByHost.isEmpty() || 2 * failing > healthByHost.size())) {
             if (!zoneOut && now - lastStepDownAt < RELAPSE_WINDOW_MICROS) {
                 stepDownDelayMicros = Math.min(MAX_STEP_DOWN_DELAY_MICROS, 2 * stepDownDelayMicros);
--- a/src/main/java/mastdrift/zones/Window.java
+++ b/src/main/java/mastdrift/zones/BudgetWindow.java
@@ -7,7 +7,7 @@
 import java.util.Locale;
 
 /** The windows that budgets are for, in UTC. */
-public enum Window {
+public enum BudgetWindow {
     /** From a full minute to the next. */
     MINUTE(ChronoUnit.MINUTES),
     /** Likewise. */
@@ -19,7 +19,7 @@
 
     private final ChronoUnit unit;
 
-    Window(ChronoUnit unit) {
+    BudgetWindow(ChronoUnit unit) {
         this.unit = unit;
     }
 
--- a/src/main/java/mastdrift/zones/Networks.java
+++ b/src/main/java/mastdrift/zones/ClientNetworks.java
@@ -6,7 +6,7 @@
 import mastdrift.settings.AddressRange;
 
 /** The zones of clients, by their addresses; the longest network that holds an address decides. */
-public final class Networks {
+public final class ClientNetworks {
 
     /** Networks at most. */
     public static final int MAX_NETWORKS = 256;
@@ -17,7 +17,7 @@
     private final List<Network> networks;
 
     /** In any order. */
-    public Networks(List<Network> networks) {
+    public ClientNetworks(List<Network> networks) {
         this.networks = new ArrayList<>(networks);
         this.networks.sort(Comparator.comparingInt((Network network) -> network.range.prefix()).reversed());
     }
--- a/src/main/java/mastdrift/zones/Account.java
+++ b/src/main/java/mastdrift/zones/CrossingAccount.java
@@ -10,7 +10,7 @@
  *
  * <p>Parts given away are taken off first (see {@link Escrow}). All amounts in the limit's unit, times in milliseconds of the wall.
  */
-final class Account {
+final class CrossingAccount {
 
     /** A bucket holds the pace of so much of a window. */
     static final double BUCKET_WINDOW_FRACTION = 1.0 / 60;
@@ -19,7 +19,7 @@
     // A rate over a shorter time would be none.
     private static final long MIN_FORECAST_SPAN_MILLIS = 1_000;
 
-    private Limit budget;
+    private CrossingBudget budget;
     private double allotment;
     private long windowStartMillis;
     private long windowEndMillis;
@@ -36,22 +36,22 @@
     private final Map<String, Double> transferredIn = new TreeMap<>();
 
     /** Opens in the middle of a window, of which the past part is taken for spent. */
-    Account(Limit limit, int gatewayCount, long millis) {
-        this.budget = limit;
-        allotment = limit.amount() / gatewayCount;
-        windowStartMillis = limit.window().startMillis(millis);
-        windowEndMillis = limit.window().endMillis(millis);
+    CrossingAccount(CrossingBudget budget, int gatewayCount, long millis) {
+        this.budget = budget;
+        allotment = budget.amount() / gatewayCount;
+        windowStartMillis = budget.window().startMillis(millis);
+        windowEndMillis = budget.window().endMillis(millis);
         currentMillis = millis;
         usageSinceMillis = millis;
         granted = allotment * (windowEndMillis - millis) / (windowEndMillis - windowStartMillis);
     }
 
-    Limit budget() {
+    CrossingBudget budget() {
         return budget;
     }
 
     /** The operator has changed it: what was spent stays spent, and the window's part grows or shrinks at once. */
-    void updateBudget(Limit newBudget, int gatewayCount) {
+    void updateBudget(CrossingBudget newBudget, int gatewayCount) {
         double previousAllotment = allotment;
         allotment = newBudget.amount() / gatewayCount;
         budget = newBudget;
@@ -190,13 +190,13 @@
         }
     }
 
-    Kept state() {
-        return new Kept(windowStartMillis, currentMillis, granted, spent, reserved, credit, denied, owed, Map.copyOf(transferredOut), Map.copyOf(transferredIn));
+    AccountState state() {
+        return new AccountState(windowStartMillis, currentMillis, granted, spent, reserved, credit, denied, owed, Map.copyOf(transferredOut), Map.copyOf(transferredIn));
     }
 
     /** Goes on from what was kept, less what may have been spent since: what was out, a bucket, and the pace of at most {@code unsaved} milliseconds.
         Of an earlier window only what is owed counts, and what it has left. */
-    void restore(Kept saved, long maxUnsavedMillis) {
+    void restore(AccountState saved, long maxUnsavedMillis) {
         long now = currentMillis;
         if (saved.windowStartMillis() > windowStartMillis) {
             return;  // from a later window than this: a clock that was wrong, then or now
--- a/src/main/java/mastdrift/zones/Limit.java
+++ b/src/main/java/mastdrift/zones/CrossingBudget.java
@@ -14,7 +14,7 @@
  * @param maxCarryFraction what a window may leave to the next, as a part of the amount, 0 to 1
  * @param hard whether service doesn't go before it
  */
-public record Limit(String name, Window window, Unit unit, double amount, String toZone, String className, String tenant, String pool,
+public record CrossingBudget(String name, BudgetWindow window, Unit unit, double amount, String toZone, String className, String tenant, String pool,
         double maxCarryFraction, boolean hard) {
 
     /** What an amount counts. */
@@ -28,8 +28,8 @@
     }
 
     /** The same for so many times the amount. */
-    public Limit scaledBy(double factor) {
-        return new Limit(name, window, unit, amount * factor, toZone, className, tenant, pool, maxCarryFraction, hard);
+    public CrossingBudget scaledBy(double factor) {
+        return new CrossingBudget(name, window, unit, amount * factor, toZone, className, tenant, pool, maxCarryFraction, hard);
     }
 
     boolean covers(String destinationZone, String requestClass, String requestTenant, String requestPool) {
--- a/src/main/java/mastdrift/zones/Cause.java
+++ b/src/main/java/mastdrift/zones/CrossingCause.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Why an attempt left its gateway's zone. The first that holds, in this order. */
-public enum Cause {
+public enum CrossingCause {
     /** Nobody's attempt: a probe. */
     PROBE,
     /** Its key was first sent to that zone, and its window is open. */
--- a/src/main/java/mastdrift/zones/Escrow.java
+++ b/src/main/java/mastdrift/zones/Escrow.java
@@ -25,13 +25,13 @@
     private static final double MIN_ELAPSED_WINDOW_FRACTION = 0.05;
 
     /** What one gateway says of one budget: the window that it is in, what it expects to lack, and what it gave to whom in that window. */
-    public record Says(long windowStartMillis, double expectedShortfall, Map<String, Double> transferredOut) { }
+    public record BudgetAnnouncement(long windowStartMillis, double expectedShortfall, Map<String, Double> transferredOut) { }
 
     /** What one gateway says; {@code at} in milliseconds since 1970, by budget. */
-    public record Word(String gateway, long sentAtMillis, Map<String, Says> budgets) { }
+    public record Announcement(String gateway, long sentAtMillis, Map<String, BudgetAnnouncement> budgets) { }
 
     private final String ownName;
-    private final Map<String, Word> announcements = new LinkedHashMap<>();
+    private final Map<String, Announcement> announcements = new LinkedHashMap<>();
 
     /** By its own name, which is unlike the others'. */
     Escrow(String ownName) {
@@ -39,8 +39,8 @@
     }
 
     /** A gateway's word; its own and those beyond the bound are passed over. Returns whether it was taken. */
-    boolean receive(Word announcement) {
-        Word known = announcements.get(announcement.gateway);
+    boolean receive(Announcement announcement) {
+        Announcement known = announcements.get(announcement.gateway);
         if (announcement.gateway.equals(ownName) || known == null && announcements.size() >= MAX_PEERS || known != null && known.sentAtMillis > announcement.sentAtMillis) {
             return false;
         }
@@ -49,12 +49,12 @@
     }
 
     /** Takes what was given to it, and gives what it has too much of. */
-    void rebalance(long wallMillis, Collection<Account> accounts) {
-        for (Account account : accounts) {
+    void rebalance(long wallMillis, Collection<CrossingAccount> accounts) {
+        for (CrossingAccount account : accounts) {
             String name = account.budget().name();
             double totalShortfall = 0;
-            for (Word announcement : announcements.values()) {
-                Says budget = announcement.budgets.get(name);
+            for (Announcement announcement : announcements.values()) {
+                BudgetAnnouncement budget = announcement.budgets.get(name);
                 if (budget != null) {
                     account.receiveTransfer(announcement.gateway, budget.windowStartMillis, budget.transferredOut.getOrDefault(ownName, 0.0));
                     totalShortfall += shortfall(wallMillis, announcement, account);
@@ -66,26 +66,26 @@
                 continue;
             }
             double transferred = Math.min(totalShortfall, MAX_TRANSFER_FRACTION * Math.min(surplus, account.remaining()));
-            for (Word announcement : announcements.values()) {
-                double part = transferred * shortfall(wallMillis, announcement, account) / totalShortfall;
-                if (part > 0) {
-                    account.transferOut(announcement.gateway, part);
+            for (Announcement announcement : announcements.values()) {
+                double amount = transferred * shortfall(wallMillis, announcement, account) / totalShortfall;
+                if (amount > 0) {
+                    account.transferOut(announcement.gateway, amount);
                 }
             }
         }
     }
 
-    private static double shortfall(long wallMillis, Word announcement, Account account) {
-        Says budget = announcement.budgets.get(account.budget().name());
+    private static double shortfall(long wallMillis, Announcement announcement, CrossingAccount account) {
+        BudgetAnnouncement budget = announcement.budgets.get(account.budget().name());
         boolean valid = budget != null && budget.windowStartMillis == account.windowStartMillis() && Math.abs(wallMillis - announcement.sentAtMillis) <= SHORTFALL_TTL_MILLIS;
         return valid ? Math.max(0, budget.expectedShortfall) : 0;
     }
 
     /** Its own word. */
-    Word announcement(long wallMillis, Collection<Account> accounts) {
-        Map<String, Says> budgets = new TreeMap<>();
+    Announcement announcement(long wallMillis, Collection<CrossingAccount> accounts) {
+        Map<String, BudgetAnnouncement> budgets = new TreeMap<>();
         accounts.forEach(account -> budgets.put(account.budget().name(),
-                new Says(account.windowStartMillis(), account.expectedShortfall(), Map.copyOf(account.transferredOut()))));
-        return new Word(ownName, wallMillis, budgets);
+                new BudgetAnnouncement(account.windowStartMillis(), account.expectedShortfall(), Map.copyOf(account.transferredOut()))));
+        return new Announcement(ownName, wallMillis, budgets);
     }
 }
--- a/src/main/java/mastdrift/zones/Book.java
+++ b/src/main/java/mastdrift/zones/FlowCounters.java
@@ -5,43 +5,43 @@
 
 /** All counts by flow, since the book was begun. Bounded: flows beyond are counted together by their pair of zones, so that sums
     stay exact. */
-public final class Book {
+public final class FlowCounters {
 
     /** Flows that are told apart. */
     public static final int MAX_FLOWS = 4_096;
 
     private final int maxFlows;
-    private final Map<Flow, Counts> flows = new LinkedHashMap<>();
+    private final Map<Flow, FlowCounts> flows = new LinkedHashMap<>();
 
     /** An empty book. */
-    public Book() {
+    public FlowCounters() {
         this(MAX_FLOWS);
     }
 
-    Book(int maxFlows) {
+    FlowCounters(int maxFlows) {
         this.maxFlows = maxFlows;
     }
 
     /** The counts of a flow, which go on counting. */
-    Counts counts(Flow flow) {
-        Counts counts = flows.get(flow);
+    FlowCounts counts(Flow flow) {
+        FlowCounts counts = flows.get(flow);
         if (counts == null) {
             Flow key = flows.size() < maxFlows ? flow : flow.aggregated();
-            counts = flows.computeIfAbsent(key, any -> new Counts());
+            counts = flows.computeIfAbsent(key, any -> new FlowCounts());
         }
         return counts;
     }
 
     /** Adds what was counted earlier. */
-    void add(Map<Flow, Counts> earlier) {
+    void add(Map<Flow, FlowCounts> earlier) {
         earlier.forEach((flow, counts) -> counts(flow).add(counts));
     }
 
     /** A copy, which counts no further. */
-    Map<Flow, Counts> copy() {
-        Map<Flow, Counts> copy = new LinkedHashMap<>();
+    Map<Flow, FlowCounts> copy() {
+        Map<Flow, FlowCounts> copy = new LinkedHashMap<>();
         flows.forEach((flow, counts) -> {
-            Counts own = new Counts();
+            FlowCounts own = new FlowCounts();
             own.add(counts);
             copy.put(flow, own);
         });
--- a/src/main/java/mastdrift/zones/Counts.java
+++ b/src/main/java/mastdrift/zones/FlowCounts.java
@@ -1,9 +1,9 @@
 package mastdrift.zones;
 
 /** What went over a flow. Bytes as the socket took and gave them; attempts of which not a byte was sent are not among them. */
-public final class Counts {
+public final class FlowCounts {
 
-    private static final int CAUSE_COUNT = Cause.values().length;
+    private static final int CAUSE_COUNT = CrossingCause.values().length;
 
     private long requests;
     private long attempts;
@@ -45,12 +45,12 @@
     }
 
     /** Attempts that left the zone for this cause. */
-    public long attempts(Cause cause) {
+    public long attempts(CrossingCause cause) {
         return attemptsByCause[cause.ordinal()];
     }
 
     /** Bytes of both directions that did. */
-    public long bytes(Cause cause) {
+    public long bytes(CrossingCause cause) {
         return bytesByCause[cause.ordinal()];
     }
 
@@ -67,18 +67,18 @@
         failed++;
     }
 
-    void bytes(long out, long in) {
-        bytesSent += out;
-        bytesReceived += in;
+    void bytes(long addedBytesSent, long addedBytesReceived) {
+        bytesSent += addedBytesSent;
+        bytesReceived += addedBytesReceived;
     }
 
-    void addByCause(Cause cause, long addedAttempts, long addedBytes) {
+    void addByCause(CrossingCause cause, long addedAttempts, long addedBytes) {
         attemptsByCause[cause.ordinal()] += addedAttempts;
         bytesByCause[cause.ordinal()] += addedBytes;
     }
 
     /** Adds another's. */
-    public void add(Counts other) {
+    public void add(FlowCounts other) {
         requests += other.requests;
         attempts += other.attempts;
         probes += other.probes;
@@ -102,11 +102,11 @@
     }
 
     /** Reads {@link #values}; throws IllegalArgumentException for other lengths and for numbers below 0. */
-    public static Counts of(long[] values) {
+    public static FlowCounts of(long[] values) {
         if (values.length != 6 + 2 * CAUSE_COUNT) {
             throw new IllegalArgumentException("expected " + (6 + 2 * CAUSE_COUNT) + " counts, found " + values.length);
         }
-        Counts counts = new Counts();
+        FlowCounts counts = new FlowCounts();
         for (long value : values) {
             if (value < 0) {
                 throw new IllegalArgumentException("expected counts of 0 or more, found " + value);
--- a/src/main/java/mastdrift/zones/KeyZones.java
+++ b/src/main/java/mastdrift/zones/KeyZoneTable.java
@@ -6,7 +6,7 @@
 
 /** The zone that a key's effect belongs to while its window is open: the one in which it may have run. Bounded; at the bound nothing more
     is taken in until the eldest window closes, and keys that couldn't be stay where they need not be remembered, in the own zone. */
-final class KeyZones {
+final class KeyZoneTable {
 
     /** Keys. */
     static final int MAX_KEYS = 1 << 16;
@@ -24,7 +24,7 @@
     private final int maxKeys;
     private final Map<Long, Entry> entries = new LinkedHashMap<>();
 
-    KeyZones(int maxKeys) {
+    KeyZoneTable(int maxKeys) {
         this.maxKeys = maxKeys;
     }
 
@@ -52,8 +52,8 @@
 
     /** An attempt goes to a zone; its window is open until then. */
     void recordSent(long now, long key, String zone, long expiresAt) {
-        String known = zone(now, key);
-        if (known == null && !hasRoom(now)) {
+        String knownZone = zone(now, key);
+        if (knownZone == null && !hasRoom(now)) {
             return;
         }
         Entry entry = entries.computeIfAbsent(key, any -> new Entry(zone));
--- a/src/main/java/mastdrift/zones/PoolZones.java
+++ b/src/main/java/mastdrift/zones/PoolCrossings.java
@@ -15,23 +15,23 @@
 import mastdrift.Balancer.Why;
 
 /** One pool's traffic across zones: where its hosts are, which of its requests may cross, what did and why. */
-public final class PoolZones {
+public final class PoolCrossings {
 
-    private final Zoning manager;
+    private final ZoneBudgetManager manager;
     private final String poolName;
-    private final Relief budgetOverride;
+    private final BudgetOverride budgetOverride;
     private final Map<String, String> zoneByHost = new HashMap<>();
     private final Map<String, String> zoneByRemovedHost = new HashMap<>();
     private final Set<String> ownZoneHostsUp = new HashSet<>();
     private final Set<String> ownZoneHostsDraining = new HashSet<>();
 
-    PoolZones(Zoning manager, String poolName, Relief budgetOverride) {
+    PoolCrossings(ZoneBudgetManager manager, String poolName, BudgetOverride budgetOverride) {
         this.manager = manager;
         this.poolName = poolName;
         this.budgetOverride = budgetOverride;
     }
 
-    Relief budgetOverride() {
+    BudgetOverride budgetOverride() {
         return budgetOverride;
     }
 
@@ -69,20 +69,20 @@
     }
 
     /** What is on its way may end after its host left the list. */
-    private String zoneOf(String uid) {
-        String zone = zoneByHost.get(uid);
-        return zone != null ? zone : zoneByRemovedHost.getOrDefault(uid, "");
+    private String zoneOf(String hostAddress) {
+        String zone = zoneByHost.get(hostAddress);
+        return zone != null ? zone : zoneByRemovedHost.getOrDefault(hostAddress, "");
     }
 
     /** A request comes; {@code client} is its client's zone, empty where it isn't told, and {@code effect} stands for what repeats of it share, or is null. */
-    public Pass startRequest(long now, RequestClass requestClass, String tenant, String clientZone, Long effectKey) {
+    public RequestCrossing startRequest(long now, RequestClass requestClass, String tenant, String clientZone, Long effectKey) {
         budgetOverride.recordRequest(now);
         boolean boundToZone = effectKey != null && requestClass.repeat() == Repeat.KEYED && requestClass.group() != Group.ALL;
-        return new Pass(requestClass, tenant == null ? "" : tenant, clientZone, boundToZone ? effectKey * 31 + requestClass.name().hashCode() : null);
+        return new RequestCrossing(requestClass, tenant == null ? "" : tenant, clientZone, boundToZone ? effectKey * 31 + requestClass.name().hashCode() : null);
     }
 
     /** What one request may cross for, for as long as it lives. */
-    public final class Pass implements Crossing {
+    public final class RequestCrossing implements Crossing {
 
         private final RequestClass requestClass;
         private final String tenant;
@@ -95,7 +95,7 @@
         private String cachedZone;
         private double cachedFraction;
 
-        Pass(RequestClass requestClass, String tenant, String clientZone, Long key) {
+        RequestCrossing(RequestClass requestClass, String tenant, String clientZone, Long key) {
             this.requestClass = requestClass;
             this.tenant = tenant;
             this.clientZone = clientZone;
@@ -159,29 +159,29 @@
         }
 
         /** An attempt goes out, numbered from 0. */
-        public Leg startAttempt(long now, String hostAddress, int attemptNumber) {
+        public TrackedAttempt startAttempt(long now, String hostAddress, int attemptNumber) {
             recordDenial();
-            return new Leg(this, now, hostAddress, attemptNumber);
+            return new TrackedAttempt(this, now, hostAddress, attemptNumber);
         }
     }
 
-    private Cause cause(Pass request, boolean keyBound, int attemptNumber) {
-        return keyBound ? Cause.KEY : attemptNumber > 0 ? Cause.REPEAT : budgetOverride.isZoneOut() ? Cause.ZONE_OUT
-                : budgetOverride.mayExceedBudgets(request.requestClass.name()) ? Cause.NO_CAPACITY : !ownZoneHostsDraining.isEmpty() ? Cause.DRAIN : Cause.WEIGHTS;
+    private CrossingCause cause(RequestCrossing request, boolean keyBound, int attemptNumber) {
+        return keyBound ? CrossingCause.KEY : attemptNumber > 0 ? CrossingCause.REPEAT : budgetOverride.isZoneOut() ? CrossingCause.ZONE_OUT
+                : budgetOverride.mayExceedBudgets(request.requestClass.name()) ? CrossingCause.NO_CAPACITY : !ownZoneHostsDraining.isEmpty() ? CrossingCause.DRAIN : CrossingCause.WEIGHTS;
     }
 
     /** One attempt, until it ends. */
-    public final class Leg {
+    public final class TrackedAttempt {
 
-        private final Pass request;
+        private final RequestCrossing request;
         private final String hostAddress;
         private final String toZone;
         private final int attemptNumber;
         private final boolean crosses;
-        private final Cause cause;
-        private final Zoning.Reserve reservation;
+        private final CrossingCause cause;
+        private final ZoneBudgetManager.CrossingReservation reservation;
 
-        Leg(Pass request, long now, String hostAddress, int attemptNumber) {
+        TrackedAttempt(RequestCrossing request, long now, String hostAddress, int attemptNumber) {
             this.request = request;
             this.hostAddress = hostAddress;
             this.attemptNumber = attemptNumber;
@@ -189,7 +189,7 @@
             crosses = !toZone.equals(manager.zone());
             boolean keyBound = request.key != null && toZone.equals(manager.keyZones().zone(now, request.key));
             cause = cause(request, keyBound, attemptNumber);
-            reservation = crosses ? manager.new Reserve(now, toZone, request.requestClass.name(), request.tenant, poolName) : null;
+            reservation = crosses ? manager.new CrossingReservation(now, toZone, request.requestClass.name(), request.tenant, poolName) : null;
             if (request.key != null) {
                 manager.keyZones().recordSent(now, request.key, toZone, now + request.requestClass.dedupWindow());
             }
@@ -197,7 +197,7 @@
 
         /** It ended, with so many bytes sent and received. */
         public void end(long now, Outcome outcome, long bytesSent, long bytesReceived) {
-            Counts counts = manager.counts(new Flow(manager.zone(), toZone, request.clientZone, request.requestClass.name(), poolName, request.tenant));
+            FlowCounts counts = manager.counts(new Flow(manager.zone(), toZone, request.clientZone, request.requestClass.name(), poolName, request.tenant));
             if (bytesSent > 0) {
                 counts.addAttempt(attemptNumber == 0);
                 if (outcome != Outcome.DELIVERED) {
@@ -235,13 +235,13 @@
 
     private void addUnrequested(long now, String hostAddress, long bytesSent, long bytesReceived, boolean probe) {
         String toZone = zoneOf(hostAddress);
-        Counts counts = manager.counts(new Flow(manager.zone(), toZone, "", Flow.NO_CLASS, poolName, ""));
+        FlowCounts counts = manager.counts(new Flow(manager.zone(), toZone, "", Flow.NO_CLASS, poolName, ""));
         counts.bytes(bytesSent, bytesReceived);
         if (probe) {
             counts.addProbe();
         }
         if (!toZone.equals(manager.zone())) {
-            counts.addByCause(Cause.PROBE, probe ? 1 : 0, bytesSent + bytesReceived);
+            counts.addByCause(CrossingCause.PROBE, probe ? 1 : 0, bytesSent + bytesReceived);
             manager.charge(now, toZone, poolName, bytesSent, bytesReceived, probe ? 1 : 0);
         }
     }
--- a/src/main/java/mastdrift/zones/SteadyClock.java
+++ b/src/main/java/mastdrift/zones/StepFilteredClock.java
@@ -2,7 +2,7 @@
 
 /** Wall time that doesn't jump: it runs on by the monotonic clock, and takes a wall clock that disagrees only once it has disagreed alike
     for a while. Small differences are taken at once. */
-public final class SteadyClock {
+public final class StepFilteredClock {
 
     static final long MAX_IMMEDIATE_OFFSET_MILLIS = 2_000;
     static final long STEP_CONFIRMATION_MICROS = 30_000_000;
@@ -13,7 +13,7 @@
     private long candidateSinceMicros = -1;
 
     /** {@code now} in microseconds of the monotonic clock, {@code wallMillis} since 1970 by the wall clock. */
-    public SteadyClock(long nowMicros, long wallMillis) {
+    public StepFilteredClock(long nowMicros, long wallMillis) {
         baseMonotonicMicros = nowMicros;
         baseWallMillis = wallMillis;
     }
--- a/src/main/java/mastdrift/zones/Zoning.java
+++ b/src/main/java/mastdrift/zones/ZoneBudgetManager.java
@@ -11,7 +11,7 @@
  * One gateway's traffic across zones: the book, the budgets, and what pools ask of them. A crossing goes by every budget that covers it.
  * Times in microseconds of the gateway's clock where nothing else is said; one thread.
  */
-public final class Zoning {
+public final class ZoneBudgetManager {
 
     // What a crossing is thought to move before any of its class has: more than small requests do.
     private static final double INITIAL_SIZE_BYTES = 4_096;
@@ -19,7 +19,7 @@
     private static final double SIZE_DECAY_FRACTION = 0.02;
     private static final int MAX_CLASSES = 256;
 
-    private static final class Usual {
+    private static final class SizeEstimate {
         private double bytesSent = INITIAL_SIZE_BYTES;
         private double bytesReceived = INITIAL_SIZE_BYTES;
 
@@ -30,43 +30,43 @@
     }
 
     /** What one crossing holds of one budget. */
-    private record Hold(Account account, double cost) { }
+    private record BudgetReservation(CrossingAccount account, double cost) { }
 
     private final String gateway;
     private final String zone;
     private final int gatewayCount;
-    private final SteadyClock clock;
-    private final Book counters = new Book();
-    private final KeyZones keyZones = new KeyZones(KeyZones.MAX_KEYS);
-    private final Map<String, Usual> sizeEstimates = new HashMap<>();
-    private final Map<String, Account> accountByBudget = new LinkedHashMap<>();
-    private final Map<String, PoolZones> pools = new TreeMap<>();
+    private final StepFilteredClock clock;
+    private final FlowCounters counters = new FlowCounters();
+    private final KeyZoneTable keyZones = new KeyZoneTable(KeyZoneTable.MAX_KEYS);
+    private final Map<String, SizeEstimate> sizeEstimates = new HashMap<>();
+    private final Map<String, CrossingAccount> accountByBudget = new LinkedHashMap<>();
+    private final Map<String, PoolCrossings> pools = new TreeMap<>();
     private final Escrow escrow;
     private ZoneSettings settings;
-    private long lastNow;
+    private long lastNowMicros;
 
     /** {@code gateway} is its name among {@code gatewayCount}, {@code millis} the wall clock's since 1970. */
-    public Zoning(String gateway, String zone, int gatewayCount, ZoneSettings settings, long now, long wallMillis) {
+    public ZoneBudgetManager(String gateway, String zone, int gatewayCount, ZoneSettings settings, long now, long wallMillis) {
         this.gateway = gateway;
         this.zone = zone;
         this.gatewayCount = gatewayCount;
-        lastNow = now;
-        clock = new SteadyClock(now, wallMillis);
+        lastNowMicros = now;
+        clock = new StepFilteredClock(now, wallMillis);
         escrow = new Escrow(gateway);
         configure(settings);
     }
 
     /** Other budgets, prices or orders: what was counted and spent stays. Budgets go on by name, window and unit. */
     public void configure(ZoneSettings newSettings) {
-        Map<String, Account> previousAccounts = new LinkedHashMap<>(accountByBudget);
+        Map<String, CrossingAccount> previousAccounts = new LinkedHashMap<>(accountByBudget);
         accountByBudget.clear();
-        for (Limit limit : newSettings.budgets()) {
-            Account known = previousAccounts.get(limit.name());
-            if (known != null && known.budget().window() == limit.window() && known.budget().unit() == limit.unit()) {
-                known.updateBudget(limit, gatewayCount);
-                accountByBudget.put(limit.name(), known);
+        for (CrossingBudget budget : newSettings.budgets()) {
+            CrossingAccount known = previousAccounts.get(budget.name());
+            if (known != null && known.budget().window() == budget.window() && known.budget().unit() == budget.unit()) {
+                known.updateBudget(budget, gatewayCount);
+                accountByBudget.put(budget.name(), known);
             } else {
-                accountByBudget.put(limit.name(), new Account(limit, gatewayCount, clock.wallMillis(lastNow)));
+                accountByBudget.put(budget.name(), new CrossingAccount(budget, gatewayCount, clock.wallMillis(lastNowMicros)));
             }
         }
         settings = newSettings;
@@ -75,7 +75,7 @@
 
     /** The wall clock's milliseconds; to be told several times a second. */
     public void tick(long now, long wallMillis) {
-        lastNow = Math.max(lastNow, now);
+        lastNowMicros = Math.max(lastNowMicros, now);
         clock.tick(now, wallMillis);
         long filteredMillis = clock.wallMillis(now);
         accountByBudget.values().forEach(account -> account.advance(filteredMillis));
@@ -84,8 +84,8 @@
     }
 
     /** The view of one pool, the same for the same name. */
-    public PoolZones pool(String name) {
-        return pools.computeIfAbsent(name, any -> new PoolZones(this, name, new Relief(settings.overrideClasses(), settings.recoveryDelayMicros())));
+    public PoolCrossings pool(String name) {
+        return pools.computeIfAbsent(name, any -> new PoolCrossings(this, name, new BudgetOverride(settings.overrideClasses(), settings.recoveryDelayMicros())));
     }
 
     /** A pool is gone; its counts stay. */
@@ -101,41 +101,41 @@
         return !accountByBudget.isEmpty();
     }
 
-    KeyZones keyZones() {
+    KeyZoneTable keyZones() {
         return keyZones;
     }
 
-    Counts counts(Flow flow) {
+    FlowCounts counts(Flow flow) {
         return counters.counts(flow);
     }
 
     // ---- budgets
 
-    private Usual sizeEstimate(String className) {
-        Usual known = sizeEstimates.get(className);
+    private SizeEstimate sizeEstimate(String className) {
+        SizeEstimate known = sizeEstimates.get(className);
         if (known == null) {
-            known = sizeEstimates.size() < MAX_CLASSES ? sizeEstimates.computeIfAbsent(className, any -> new Usual()) : new Usual();
+            known = sizeEstimates.size() < MAX_CLASSES ? sizeEstimates.computeIfAbsent(className, any -> new SizeEstimate()) : new SizeEstimate();
         }
         return known;
     }
 
-    private double cost(Limit limit, String toZone, double bytesSent, double bytesReceived) {
-        return switch (limit.unit()) {
+    private double cost(CrossingBudget budget, String toZone, double bytesSent, double bytesReceived) {
+        return switch (budget.unit()) {
             case BYTES -> bytesSent + bytesReceived;
             case REQUESTS -> 1;
-            case MONEY -> Snapshot.cost(settings.prices(), zone, toZone, (long) bytesSent, (long) bytesReceived, 1);
+            case MONEY -> ZoneSnapshot.cost(settings.prices(), zone, toZone, (long) bytesSent, (long) bytesReceived, 1);
         };
     }
 
     /** How easily a crossing fits all budgets that cover it, 0 to 1; with {@code hardOnly}, those that service doesn't go before. */
     double admissionFraction(long now, String toZone, String className, String tenant, String pool, boolean hardOnly) {
         double fraction = 1;
-        Usual estimate = sizeEstimate(className);
-        for (Account account : accountByBudget.values()) {
-            Limit limit = account.budget();
-            if (limit.covers(toZone, className, tenant, pool) && (limit.hard() || !hardOnly)) {
+        SizeEstimate estimate = sizeEstimate(className);
+        for (CrossingAccount account : accountByBudget.values()) {
+            CrossingBudget budget = account.budget();
+            if (budget.covers(toZone, className, tenant, pool) && (budget.hard() || !hardOnly)) {
                 account.advance(clock.wallMillis(now));
-                fraction = Math.min(fraction, account.admissionFraction(cost(limit, toZone, estimate.bytesSent, estimate.bytesReceived)));
+                fraction = Math.min(fraction, account.admissionFraction(cost(budget, toZone, estimate.bytesSent, estimate.bytesReceived)));
             }
         }
         return fraction;
@@ -143,27 +143,27 @@
 
     /** A crossing that a budget held back. */
     void recordDenied(String toZone, String className, String tenant, String pool) {
-        Usual estimate = sizeEstimate(className);
+        SizeEstimate estimate = sizeEstimate(className);
         accountByBudget.values().stream().filter(account -> account.budget().covers(toZone, className, tenant, pool))
                 .forEach(account -> account.recordDenied(cost(account.budget(), toZone, estimate.bytesSent, estimate.bytesReceived)));
     }
 
     /** What a crossing holds until it ends. */
-    final class Reserve {
+    final class CrossingReservation {
         private final String toZone;
         private final String className;
-        private final List<Hold> reservations = new ArrayList<>(2);
+        private final List<BudgetReservation> reservations = new ArrayList<>(2);
 
-        Reserve(long now, String toZone, String className, String tenant, String pool) {
+        CrossingReservation(long now, String toZone, String className, String tenant, String pool) {
             this.toZone = toZone;
             this.className = className;
-            Usual estimate = sizeEstimate(className);
-            for (Account account : accountByBudget.values()) {
+            SizeEstimate estimate = sizeEstimate(className);
+            for (CrossingAccount account : accountByBudget.values()) {
                 if (account.budget().covers(toZone, className, tenant, pool)) {
                     account.advance(clock.wallMillis(now));
                     double cost = cost(account.budget(), toZone, estimate.bytesSent, estimate.bytesReceived);
                     account.reserve(cost);
-                    reservations.add(new Hold(account, cost));
+                    reservations.add(new BudgetReservation(account, cost));
                 }
             }
         }
@@ -174,7 +174,7 @@
             if (anySent) {
                 sizeEstimate(className).update(bytesSent, bytesReceived);
             }
-            for (Hold reservation : reservations) {
+            for (BudgetReservation reservation : reservations) {
                 reservation.account.advance(clock.wallMillis(now));
                 reservation.account.settle(reservation.cost, anySent ? cost(reservation.account.budget(), toZone, bytesSent, bytesReceived) : 0);
             }
@@ -183,14 +183,14 @@
 
     /** Bytes that crossed without a crossing that had asked: probes, and what belongs to no attempt. No budget holds them back, and all are charged. */
     void charge(long now, String toZone, String pool, long bytesSent, long bytesReceived, int attempts) {
-        for (Account account : accountByBudget.values()) {
-            Limit limit = account.budget();
-            if (limit.covers(toZone, Flow.NO_CLASS, "", pool)) {
+        for (CrossingAccount account : accountByBudget.values()) {
+            CrossingBudget budget = account.budget();
+            if (budget.covers(toZone, Flow.NO_CLASS, "", pool)) {
                 account.advance(clock.wallMillis(now));
-                account.settle(0, switch (limit.unit()) {
+                account.settle(0, switch (budget.unit()) {
                     case BYTES -> bytesSent + bytesReceived;
                     case REQUESTS -> attempts;
-                    case MONEY -> Snapshot.cost(settings.prices(), zone, toZone, bytesSent, bytesReceived, attempts);
+                    case MONEY -> ZoneSnapshot.cost(settings.prices(), zone, toZone, bytesSent, bytesReceived, attempts);
                 });
             }
         }
@@ -199,14 +199,14 @@
     // ---- other gateways, and a restart
 
     /** Another gateway's word; returns whether it was taken. */
-    public boolean receive(Escrow.Word announcement) {
+    public boolean receive(Escrow.Announcement announcement) {
         return escrow.receive(announcement);
     }
 
     /** What an earlier process of this name said last; counts for budgets that nothing was restored for. */
-    public void restoreTransfers(Escrow.Word earlier) {
+    public void restoreTransfers(Escrow.Announcement earlier) {
         earlier.budgets().forEach((name, budget) -> {
-            Account account = accountByBudget.get(name);
+            CrossingAccount account = accountByBudget.get(name);
             if (account != null && earlier.gateway().equals(gateway)) {
                 account.restoreTransfers(budget.windowStartMillis(), budget.transferredOut());
             }
@@ -214,17 +214,17 @@
     }
 
     /** Its own word for the others. */
-    public Escrow.Word announcement(long now) {
+    public Escrow.Announcement announcement(long now) {
         return escrow.announcement(clock.wallMillis(now), accountByBudget.values());
     }
 
     /** What it knows at this moment. */
-    public Snapshot snapshot(long now) {
+    public ZoneSnapshot snapshot(long now) {
         long wallMillis = clock.wallMillis(now);
-        List<Snapshot.Budget> budgets = new ArrayList<>();
-        for (Account account : accountByBudget.values()) {
+        List<ZoneSnapshot.BudgetStatus> budgets = new ArrayList<>();
+        for (CrossingAccount account : accountByBudget.values()) {
             account.advance(wallMillis);
-            budgets.add(new Snapshot.Budget(account.budget(), account.windowEndMillis(), account.forecast(), account.state()));
+            budgets.add(new ZoneSnapshot.BudgetStatus(account.budget(), account.windowEndMillis(), account.forecast(), account.state()));
         }
         Map<String, List<String>> overridingClasses = new TreeMap<>();
         pools.forEach((name, pool) -> {
@@ -232,26 +232,26 @@
                 overridingClasses.put(name, List.copyOf(pool.budgetOverride().overridingClasses()));
             }
         });
-        return new Snapshot(gateway, zone, wallMillis, counters.copy(), budgets, settings.prices(), overridingClasses);
+        return new ZoneSnapshot(gateway, zone, wallMillis, counters.copy(), budgets, settings.prices(), overridingClasses);
     }
 
     /** Goes on from what an earlier process of the same name had written; {@code unsaved} milliseconds are the longest between two writes. To be
         called before anything is counted. Throws IllegalArgumentException, with nothing changed, for another gateway's or zone's. */
-    public void restore(Snapshot earlier, long maxUnsavedMillis) {
+    public void restore(ZoneSnapshot earlier, long maxUnsavedMillis) {
         if (!earlier.gateway().equals(gateway) || !earlier.zone().equals(zone)) {
             throw new IllegalArgumentException("expected the state of gateway " + gateway + " in " + zone + ", found that of "
                     + earlier.gateway() + " in " + earlier.zone());
         }
         counters.add(earlier.flows());
-        for (Snapshot.Budget budget : earlier.budgets()) {
-            Account account = accountByBudget.get(budget.budget().name());
-            if (account != null && account.budget().window() == budget.budget().window()
-                    && account.budget().unit() == budget.budget().unit()) {
-                Kept saved = budget.account();
-                Limit configuredLimit = account.budget();
-                account.updateBudget(budget.budget(), gatewayCount);  // what was granted was by the amount of then
+        for (ZoneSnapshot.BudgetStatus budget : earlier.budgets()) {
+            CrossingAccount account = accountByBudget.get(budget.configured().name());
+            if (account != null && account.budget().window() == budget.configured().window()
+                    && account.budget().unit() == budget.configured().unit()) {
+                AccountState saved = budget.account();
+                CrossingBudget configured = account.budget();
+                account.updateBudget(budget.configured(), gatewayCount);  // what was granted was by the amount of then
                 account.restore(saved, maxUnsavedMillis);
-                account.updateBudget(configuredLimit, gatewayCount);
+                account.updateBudget(configured, gatewayCount);
             }
         }
     }
--- a/src/main/java/mastdrift/zones/ZoneSettings.java
+++ b/src/main/java/mastdrift/zones/ZoneSettings.java
@@ -14,7 +14,7 @@
  * @param stateFolder where counts and budgets outlive the process, or null
  * @param sharedFolder where gateways read one another's words, or null
  */
-public record ZoneSettings(List<Limit> budgets, List<Price> prices, List<Networks.Network> networks, List<String> overrideClasses, long recoveryDelayMicros,
+public record ZoneSettings(List<CrossingBudget> budgets, List<Price> prices, List<ClientNetworks.Network> networks, List<String> overrideClasses, long recoveryDelayMicros,
         String reportFile, String stateFolder, String sharedFolder) {
 
     /** Whether what is bound at the start is the same: the files. */
--- a/src/main/java/mastdrift/zones/Snapshot.java
+++ b/src/main/java/mastdrift/zones/ZoneSnapshot.java
@@ -14,7 +14,7 @@
  * @param prices by which money is reckoned
  * @param overridingClasses classes that give way, by pool; only pools where any does
  */
-public record Snapshot(String gateway, String zone, long timeMillis, Map<Flow, Counts> flows, List<Budget> budgets, List<Price> prices,
+public record ZoneSnapshot(String gateway, String zone, long timeMillis, Map<Flow, FlowCounts> flows, List<BudgetStatus> budgets, List<Price> prices,
         Map<String, List<String>> overridingClasses) {
 
     /**
@@ -25,7 +25,7 @@
      * @param forecast what it will have used at the window's end, as it goes
      * @param kept the rest, as an account goes on from it
      */
-    public record Budget(Limit budget, long endMillis, double forecast, Kept account) {
+    public record BudgetStatus(CrossingBudget configured, long endMillis, double forecast, AccountState account) {
 
         /** The beginning of the window, in milliseconds since 1970. */
         public long startMillis() {
@@ -54,7 +54,7 @@
     }
 
     /** What a flow costs by the prices, both ways; 0 where none is given. */
-    public double cost(Flow flow, Counts counts) {
+    public double cost(Flow flow, FlowCounts counts) {
         return flow.crosses() ? cost(prices, flow.fromZone(), flow.toZone(), counts.bytesSent(), counts.bytesReceived(), counts.attempts()) : 0;
     }
 
--- a/src/main/java/mastdrift/zones/edge/ZoneFiles.java
+++ b/src/main/java/mastdrift/zones/edge/ZoneFileStore.java
@@ -18,30 +18,30 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
 import mastdrift.zones.Escrow;
-import mastdrift.zones.Snapshot;
+import mastdrift.zones.ZoneSnapshot;
 import mastdrift.zones.ZoneSettings;
 
 /** Writes and reads the files of one gateway, on a thread of its own. Each is replaced whole, and the state is on the disk before it is
     in place. While a write is under way the newest that came meanwhile waits, and no other. */
-public final class ZoneFiles implements AutoCloseable {
+public final class ZoneFileStore implements AutoCloseable {
 
     /** A state that isn't read. */
     private static final long MAX_STATE_BYTES = 64 << 20;
     private static final long MAX_ANNOUNCEMENT_BYTES = 1 << 20;
     private static final String ANNOUNCEMENT_GLOB = "budgets-*.json";
 
-    private record PendingWrite(Snapshot snapshot, Escrow.Word announcement) { }
+    private record PendingWrite(ZoneSnapshot snapshot, Escrow.Announcement announcement) { }
 
     private final Path stateFile;
     private final Path reportFile;
     private final Path sharedFolder;
     private final String gateway;
-    private final Consumer<Escrow.Word> announcementListener;
+    private final Consumer<Escrow.Announcement> announcementListener;
     private final Consumer<String> log;
     private final ExecutorService executor = Executors.newSingleThreadExecutor(task -> {
-        Thread made = new Thread(task, "zone-files");
-        made.setDaemon(true);
-        return made;
+        Thread thread = new Thread(task, "zone-files");
+        thread.setDaemon(true);
+        return thread;
     });
     private final AtomicReference<PendingWrite> pendingWrite = new AtomicReference<>();
     private String lastLogged = "";
@@ -49,7 +49,7 @@
     private FileLock fileLock;
 
     /** Paths beside the gateway's file where they are relative. {@code announcementListener} gets other gateways' words, on the thread of the files. */
-    public ZoneFiles(Path gatewayFile, String gateway, ZoneSettings settings, Consumer<Escrow.Word> announcementListener, Consumer<String> log) {
+    public ZoneFileStore(Path gatewayFile, String gateway, ZoneSettings settings, Consumer<Escrow.Announcement> announcementListener, Consumer<String> log) {
         this.gateway = gateway;
         this.announcementListener = announcementListener;
         this.log = log;
@@ -83,12 +83,12 @@
     }
 
     /** What an earlier process wrote, or null where there is nothing, or nothing to rely on, which is said. Waits for the disk. */
-    public Snapshot readSnapshot() {
+    public ZoneSnapshot readSnapshot() {
         if (stateFile == null || !Files.exists(stateFile)) {
             return null;
         }
         try {
-            return ZoneTexts.snapshot(ZoneTexts.unwrap(ZoneTexts.STATE_FORMAT, read(stateFile, MAX_STATE_BYTES)));
+            return ZoneStateCodec.snapshot(ZoneStateCodec.unwrap(ZoneStateCodec.STATE_FORMAT, read(stateFile, MAX_STATE_BYTES)));
         } catch (IOException e) {
             logOnce(stateFile + " is not used: " + e.getMessage());
             return null;
@@ -96,13 +96,13 @@
     }
 
     /** What an earlier process of this name told the others last, or null; for who keeps no state. Waits for the disk. */
-    public Escrow.Word readOwnAnnouncement() {
+    public Escrow.Announcement readOwnAnnouncement() {
         Path own = sharedFolder == null ? null : sharedFolder.resolve("budgets-" + gateway + ".json");
         if (own == null || !Files.exists(own)) {
             return null;
         }
         try {
-            return ZoneTexts.announcement(ZoneTexts.unwrap(ZoneTexts.ANNOUNCEMENT_FORMAT, read(own, MAX_ANNOUNCEMENT_BYTES)));
+            return ZoneStateCodec.announcement(ZoneStateCodec.unwrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT, read(own, MAX_ANNOUNCEMENT_BYTES)));
         } catch (IOException e) {
             logOnce(own + " is not used: " + e.getMessage());
             return null;
@@ -118,20 +118,20 @@
     }
 
     /** Writes all files soon, and reads the words of others. Returns at once. */
-    public void write(Snapshot snapshot, Escrow.Word announcement) {
+    public void write(ZoneSnapshot snapshot, Escrow.Announcement announcement) {
         if (pendingWrite.getAndSet(new PendingWrite(snapshot, announcement)) == null) {
             executor.execute(() -> writeAll(pendingWrite.getAndSet(null)));
         }
     }
 
     private void writeAll(PendingWrite write) {
-        boolean stateSaved = stateFile == null || save(stateFile, () -> ZoneTexts.wrap(ZoneTexts.STATE_FORMAT, ZoneTexts.toMap(write.snapshot)), true);
+        boolean stateSaved = stateFile == null || save(stateFile, () -> ZoneStateCodec.wrap(ZoneStateCodec.STATE_FORMAT, ZoneStateCodec.toMap(write.snapshot)), true);
         if (sharedFolder != null && stateSaved) {  // only after the state: who forgets what it gave would spend it too
-            save(sharedFolder.resolve("budgets-" + gateway + ".json"), () -> ZoneTexts.wrap(ZoneTexts.ANNOUNCEMENT_FORMAT, ZoneTexts.toMap(write.announcement)), false);
+            save(sharedFolder.resolve("budgets-" + gateway + ".json"), () -> ZoneStateCodec.wrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT, ZoneStateCodec.toMap(write.announcement)), false);
             readAnnouncements();
         }
         if (reportFile != null) {
-            save(reportFile, () -> JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asBytes(ZoneTexts.toMap(write.snapshot)), false);
+            save(reportFile, () -> JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asBytes(ZoneStateCodec.toMap(write.snapshot)), false);
         }
     }
 
@@ -173,7 +173,7 @@
                     continue;
                 }
                 try {
-                    announcementListener.accept(ZoneTexts.announcement(ZoneTexts.unwrap(ZoneTexts.ANNOUNCEMENT_FORMAT, read(file, MAX_ANNOUNCEMENT_BYTES))));
+                    announcementListener.accept(ZoneStateCodec.announcement(ZoneStateCodec.unwrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT, read(file, MAX_ANNOUNCEMENT_BYTES))));
                 } catch (IOException e) {
                     logOnce(file + " is not used: " + e.getMessage());
                 }
--- a/src/main/java/mastdrift/zones/edge/ZoneReports.java
+++ b/src/main/java/mastdrift/zones/edge/ZoneReports.java
@@ -13,11 +13,11 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import mastdrift.zones.Cause;
-import mastdrift.zones.Counts;
+import mastdrift.zones.CrossingCause;
+import mastdrift.zones.FlowCounts;
 import mastdrift.zones.Flow;
-import mastdrift.zones.Limit;
-import mastdrift.zones.Snapshot;
+import mastdrift.zones.CrossingBudget;
+import mastdrift.zones.ZoneSnapshot;
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 
@@ -29,7 +29,7 @@
     private ZoneReports() { }
 
     /** Reads a report or a state; an IOException names what was expected and found. */
-    public static Snapshot read(Path file) throws IOException {
+    public static ZoneSnapshot read(Path file) throws IOException {
         if (!Files.isRegularFile(file) || Files.size(file) > MAX_FILE_BYTES) {
             throw new IOException(file + ": expected a report or a state of at most 64 MiB, found "
                     + (Files.isRegularFile(file) ? "a larger file" : "no file"));
@@ -37,45 +37,45 @@
         byte[] bytes = Files.readAllBytes(file);
         try {
             String header = new String(bytes, 0, Math.min(bytes.length, 200), StandardCharsets.UTF_8);
-            boolean isState = header.contains("\"" + ZoneTexts.STATE_FORMAT + "\"");
-            return ZoneTexts.snapshot(isState ? ZoneTexts.unwrap(ZoneTexts.STATE_FORMAT, bytes) : JSON.std.mapFrom(bytes));
+            boolean isState = header.contains("\"" + ZoneStateCodec.STATE_FORMAT + "\"");
+            return ZoneStateCodec.snapshot(isState ? ZoneStateCodec.unwrap(ZoneStateCodec.STATE_FORMAT, bytes) : JSON.std.mapFrom(bytes));
         } catch (IOException e) {
             throw new IOException(file + ": " + e.getMessage(), e);
         }
     }
 
     /** All gateways' flows together; budgets aren't added, for each gateway has its part. */
-    public static Map<Flow, Counts> sum(List<Snapshot> snapshots) {
-        Map<Flow, Counts> sum = new LinkedHashMap<>();
-        snapshots.forEach(snapshot -> snapshot.flows().forEach((flow, counts) -> sum.computeIfAbsent(flow, any -> new Counts()).add(counts)));
+    public static Map<Flow, FlowCounts> sum(List<ZoneSnapshot> snapshots) {
+        Map<Flow, FlowCounts> sum = new LinkedHashMap<>();
+        snapshots.forEach(snapshot -> snapshot.flows().forEach((flow, counts) -> sum.computeIfAbsent(flow, any -> new FlowCounts()).add(counts)));
         return sum;
     }
 
     /** One JSON text. */
-    public static String json(List<Snapshot> snapshots) throws IOException {
+    public static String json(List<ZoneSnapshot> snapshots) throws IOException {
         List<Object> gateways = new ArrayList<>();
-        snapshots.forEach(snapshot -> gateways.add(ZoneTexts.toMap(snapshot)));
+        snapshots.forEach(snapshot -> gateways.add(ZoneStateCodec.toMap(snapshot)));
         return JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asString(Map.of("gateways", gateways)) + "\n";
     }
 
     /** A line a flow and gateway, with a head. */
-    public static String csv(List<Snapshot> snapshots) throws IOException {
+    public static String csv(List<ZoneSnapshot> snapshots) throws IOException {
         List<String> header = new ArrayList<>(List.of("gateway", "at", "from", "to", "client", "class", "pool", "tenant", "requests", "attempts",
                 "probes", "failed", "sent", "received", "money"));
-        for (Cause cause : Cause.values()) {
+        for (CrossingCause cause : CrossingCause.values()) {
             header.add(cause.reportName() + "_attempts");
             header.add(cause.reportName() + "_bytes");
         }
         StringBuilder text = new StringBuilder();
         try (CSVPrinter printer = new CSVPrinter(text, CSVFormat.RFC4180.builder().setHeader(header.toArray(new String[0])).get())) {
-            for (Snapshot snapshot : snapshots) {
-                for (Map.Entry<Flow, Counts> entry : snapshot.flows().entrySet()) {
+            for (ZoneSnapshot snapshot : snapshots) {
+                for (Map.Entry<Flow, FlowCounts> entry : snapshot.flows().entrySet()) {
                     Flow flow = entry.getKey();
-                    Counts counts = entry.getValue();
+                    FlowCounts counts = entry.getValue();
                     List<Object> row = new ArrayList<>(List.of(snapshot.gateway(), Instant.ofEpochMilli(snapshot.timeMillis()), flow.fromZone(), flow.toZone(),
                             flow.clientZone(), flow.className(), flow.pool(), flow.tenant(), counts.requests(), counts.attempts(), counts.probes(),
                             counts.failed(), counts.bytesSent(), counts.bytesReceived(), snapshot.cost(flow, counts)));
-                    for (Cause cause : Cause.values()) {
+                    for (CrossingCause cause : CrossingCause.values()) {
                         row.add(counts.attempts(cause));
                         row.add(counts.bytes(cause));
                     }
@@ -89,18 +89,18 @@
     // ---- for a person
 
     /** What crossed, by class and pair of zones; why; and the budgets of each gateway. */
-    public static List<String> textLines(List<Snapshot> snapshots) {
+    public static List<String> textLines(List<ZoneSnapshot> snapshots) {
         List<String> lines = new ArrayList<>();
-        Map<Flow, Counts> byClass = new TreeMap<>((one, other) -> (one.fromZone() + " " + one.toZone() + " " + one.className())
+        Map<Flow, FlowCounts> byClass = new TreeMap<>((one, other) -> (one.fromZone() + " " + one.toZone() + " " + one.className())
                 .compareTo(other.fromZone() + " " + other.toZone() + " " + other.className()));
         Map<Flow, Double> costs = new HashMap<>();
-        Counts total = new Counts();
-        for (Snapshot snapshot : snapshots) {
+        FlowCounts total = new FlowCounts();
+        for (ZoneSnapshot snapshot : snapshots) {
             snapshot.flows().forEach((flow, counts) -> {
                 total.add(counts);
                 if (flow.crosses()) {
                     Flow key = new Flow(flow.fromZone(), flow.toZone(), "", flow.className(), "", "");
-                    byClass.computeIfAbsent(key, any -> new Counts()).add(counts);
+                    byClass.computeIfAbsent(key, any -> new FlowCounts()).add(counts);
                     costs.merge(key, snapshot.cost(flow, counts), Double::sum);
                 }
             });
@@ -109,7 +109,7 @@
         }
         lines.add("");
         lines.add(formatRow("crossing", "class", "requests", "attempts", "failed", "sent", "received", "money"));
-        Counts crossed = new Counts();
+        FlowCounts crossed = new FlowCounts();
         byClass.forEach((flow, counts) -> {
             crossed.add(counts);
             lines.add(formatRow(flow.fromZone() + " > " + flow.toZone(), flow.className(), "" + counts.requests(), "" + counts.attempts(), "" + counts.failed(),
@@ -119,28 +119,28 @@
                 100.0 * crossed.attempts() / Math.max(1, total.attempts()), formatBytes(crossed.bytesSent() + crossed.bytesReceived()),
                 formatBytes(total.bytesSent() + total.bytesReceived())));
         lines.add("");
-        for (Cause cause : Cause.values()) {
+        for (CrossingCause cause : CrossingCause.values()) {
             if (crossed.attempts(cause) > 0 || crossed.bytes(cause) > 0) {
                 lines.add(formatRow("because of", cause.reportName(), "", "" + crossed.attempts(cause), "", formatBytes(crossed.bytes(cause)), "", ""));
             }
         }
-        for (Snapshot snapshot : snapshots) {
+        for (ZoneSnapshot snapshot : snapshots) {
             snapshot.budgets().forEach(budget -> lines.add(budgetLine(snapshot.gateway(), budget)));
         }
         return lines;
     }
 
-    private static String budgetLine(String gateway, Snapshot.Budget budget) {
-        Limit limit = budget.budget();
-        return gateway + ", budget " + limit.name() + " until " + Instant.ofEpochMilli(budget.endMillis()) + ": part " + formatAmount(limit, budget.granted())
-                + ", used " + formatAmount(limit, budget.spent()) + ", left " + formatAmount(limit, budget.remaining()) + ", by its end "
-                + formatAmount(limit, budget.forecast()) + (budget.owed() > 0 ? ", owed later " + formatAmount(limit, budget.owed()) : "")
+    private static String budgetLine(String gateway, ZoneSnapshot.BudgetStatus budget) {
+        CrossingBudget configured = budget.configured();
+        return gateway + ", budget " + configured.name() + " until " + Instant.ofEpochMilli(budget.endMillis()) + ": part " + formatAmount(configured, budget.granted())
+                + ", used " + formatAmount(configured, budget.spent()) + ", left " + formatAmount(configured, budget.remaining()) + ", by its end "
+                + formatAmount(configured, budget.forecast()) + (budget.owed() > 0 ? ", owed later " + formatAmount(configured, budget.owed()) : "")
                 + (budget.account().transferredOut().isEmpty() ? "" : ", gave " + budget.account().transferredOut())
                 + (budget.account().transferredIn().isEmpty() ? "" : ", got " + budget.account().transferredIn());
     }
 
-    private static String formatAmount(Limit limit, double amount) {
-        return switch (limit.unit()) {
+    private static String formatAmount(CrossingBudget budget, double amount) {
+        return switch (budget.unit()) {
             case BYTES -> amount < 0 ? "-" + formatBytes(Math.round(-amount)) : formatBytes(Math.round(amount));
             case REQUESTS -> String.format(Locale.ROOT, "%.0f requests", amount);
             case MONEY -> String.format(Locale.ROOT, "%.4f", amount);
--- a/src/main/java/mastdrift/zones/edge/ZoneTexts.java
+++ b/src/main/java/mastdrift/zones/edge/ZoneStateCodec.java
@@ -12,19 +12,19 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.zip.CRC32C;
-import mastdrift.zones.Cause;
-import mastdrift.zones.Counts;
+import mastdrift.zones.CrossingCause;
+import mastdrift.zones.FlowCounts;
 import mastdrift.zones.Escrow;
 import mastdrift.zones.Flow;
-import mastdrift.zones.Kept;
-import mastdrift.zones.Limit;
+import mastdrift.zones.AccountState;
+import mastdrift.zones.CrossingBudget;
 import mastdrift.zones.Price;
-import mastdrift.zones.Snapshot;
-import mastdrift.zones.Window;
+import mastdrift.zones.ZoneSnapshot;
+import mastdrift.zones.BudgetWindow;
 
 /** Snapshots and words as JSON, and the seal around what has to be whole: a first line that names format, version, length and CRC-32C of
     the rest (RFC 3720, appendix B.4). Whatever is not as it should be is an IOException that says what was expected and found. */
-public final class ZoneTexts {
+public final class ZoneStateCodec {
 
     /** The format of a state. */
     public static final String STATE_FORMAT = "pewterlead-zones-state";
@@ -34,7 +34,7 @@
     private static final int MAX_HEADER_BYTES = 200;
     private static final int MAX_LIST_ENTRIES = 1 << 16;
 
-    private ZoneTexts() { }
+    private ZoneStateCodec() { }
 
     // ---- the seal
 
@@ -89,7 +89,7 @@
     // ---- snapshots
 
     /** As the report and the state have it: what can be read back, and what a person wants beside it. */
-    public static Map<String, Object> toMap(Snapshot snapshot) {
+    public static Map<String, Object> toMap(ZoneSnapshot snapshot) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("gateway", snapshot.gateway());
         map.put("zone", snapshot.zone());
@@ -109,20 +109,20 @@
         return map;
     }
 
-    private static Map<String, Object> toMap(Snapshot.Budget budget) {
-        Limit limit = budget.budget();
-        Kept account = budget.account();
+    private static Map<String, Object> toMap(ZoneSnapshot.BudgetStatus budget) {
+        CrossingBudget configured = budget.configured();
+        AccountState account = budget.account();
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("name", limit.name());
-        map.put("window", limit.window().settingName());
-        map.put("unit", limit.unit().name().toLowerCase(Locale.ROOT));
-        map.put("amount", limit.amount());
-        map.put("to", limit.toZone());
-        map.put("class", limit.className());
-        map.put("tenant", limit.tenant());
-        map.put("pool", limit.pool());
-        map.put("carry_most", limit.maxCarryFraction());
-        map.put("hard", limit.hard());
+        map.put("name", configured.name());
+        map.put("window", configured.window().settingName());
+        map.put("unit", configured.unit().name().toLowerCase(Locale.ROOT));
+        map.put("amount", configured.amount());
+        map.put("to", configured.toZone());
+        map.put("class", configured.className());
+        map.put("tenant", configured.tenant());
+        map.put("pool", configured.pool());
+        map.put("carry_most", configured.maxCarryFraction());
+        map.put("hard", configured.hard());
         map.put("begin", Instant.ofEpochMilli(account.windowStartMillis()).toString());
         map.put("end", Instant.ofEpochMilli(budget.endMillis()).toString());
         map.put("saved", Instant.ofEpochMilli(account.savedAtMillis()).toString());
@@ -139,7 +139,7 @@
         return map;
     }
 
-    private static Map<String, Object> toMap(Snapshot snapshot, Flow flow, Counts counts) {
+    private static Map<String, Object> toMap(ZoneSnapshot snapshot, Flow flow, FlowCounts counts) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("from", flow.fromZone());
         map.put("to", flow.toZone());
@@ -154,7 +154,7 @@
         map.put("sent", counts.bytesSent());
         map.put("received", counts.bytesReceived());
         Map<String, Object> causes = new LinkedHashMap<>();
-        for (Cause cause : Cause.values()) {
+        for (CrossingCause cause : CrossingCause.values()) {
             if (counts.attempts(cause) > 0 || counts.bytes(cause) > 0) {
                 causes.put(cause.reportName(), Map.of("attempts", counts.attempts(cause), "bytes", counts.bytes(cause)));
             }
@@ -165,14 +165,14 @@
     }
 
     /** Reads {@link #toMap(Snapshot)}. */
-    public static Snapshot snapshot(Map<String, Object> map) throws IOException {
+    public static ZoneSnapshot snapshot(Map<String, Object> map) throws IOException {
         try {
-            Map<Flow, Counts> flows = new LinkedHashMap<>();
+            Map<Flow, FlowCounts> flows = new LinkedHashMap<>();
             for (Map<String, Object> flow : requireTables(map, "flows", MAX_LIST_ENTRIES)) {
                 flows.put(new Flow(requireString(flow, "from"), requireString(flow, "to"), requireString(flow, "client"), requireString(flow, "class"), requireString(flow, "pool"),
                         requireString(flow, "tenant")), counts(flow));
             }
-            List<Snapshot.Budget> budgets = new ArrayList<>();
+            List<ZoneSnapshot.BudgetStatus> budgets = new ArrayList<>();
             for (Map<String, Object> budget : requireTables(map, "budgets", MAX_LIST_ENTRIES)) {
                 budgets.add(budget(budget));
             }
@@ -183,14 +183,14 @@
             Map<String, List<String>> overridingClasses = new TreeMap<>();
             requireTable(map, "giving_way").forEach((pool, classes) -> overridingClasses.put(pool,
                     classes instanceof List<?> list ? list.stream().map(String::valueOf).toList() : List.of()));
-            return new Snapshot(requireString(map, "gateway"), requireString(map, "zone"), requireTimeMillis(map, "at"), flows, budgets, prices, overridingClasses);
+            return new ZoneSnapshot(requireString(map, "gateway"), requireString(map, "zone"), requireTimeMillis(map, "at"), flows, budgets, prices, overridingClasses);
         } catch (IllegalArgumentException | DateTimeException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
-    private static Counts counts(Map<String, Object> flow) throws IOException {
-        Cause[] causes = Cause.values();
+    private static FlowCounts counts(Map<String, Object> flow) throws IOException {
+        CrossingCause[] causes = CrossingCause.values();
         long[] values = new long[6 + 2 * causes.length];
         String[] totals = {"requests", "attempts", "probes", "failed", "sent", "received"};
         for (int i = 0; i < totals.length; i++) {
@@ -204,23 +204,23 @@
                 values[6 + causes.length + i] = requireLong(causeTable, "bytes");
             }
         }
-        return Counts.of(values);
+        return FlowCounts.of(values);
     }
 
-    private static Snapshot.Budget budget(Map<String, Object> map) throws IOException {
-        Limit limit = new Limit(requireString(map, "name"), Window.valueOf(requireString(map, "window").toUpperCase(Locale.ROOT)),
-                Limit.Unit.valueOf(requireString(map, "unit").toUpperCase(Locale.ROOT)), requireDouble(map, "amount"), (String) map.get("to"),
+    private static ZoneSnapshot.BudgetStatus budget(Map<String, Object> map) throws IOException {
+        CrossingBudget configured = new CrossingBudget(requireString(map, "name"), BudgetWindow.valueOf(requireString(map, "window").toUpperCase(Locale.ROOT)),
+                CrossingBudget.Unit.valueOf(requireString(map, "unit").toUpperCase(Locale.ROOT)), requireDouble(map, "amount"), (String) map.get("to"),
                 (String) map.get("class"), (String) map.get("tenant"), (String) map.get("pool"), requireDouble(map, "carry_most"),
                 Boolean.TRUE.equals(map.get("hard")));
-        Kept account = new Kept(requireTimeMillis(map, "begin"), requireTimeMillis(map, "saved"), requireDouble(map, "granted"), requireDouble(map, "spent"), requireDouble(map, "reserved"),
+        AccountState account = new AccountState(requireTimeMillis(map, "begin"), requireTimeMillis(map, "saved"), requireDouble(map, "granted"), requireDouble(map, "spent"), requireDouble(map, "reserved"),
                 requireDouble(map, "credit"), requireDouble(map, "denied"), requireDouble(map, "owed"), requireDoubles(map, "given"), requireDoubles(map, "got"));
-        return new Snapshot.Budget(limit, requireTimeMillis(map, "end"), requireDouble(map, "forecast"), account);
+        return new ZoneSnapshot.BudgetStatus(configured, requireTimeMillis(map, "end"), requireDouble(map, "forecast"), account);
     }
 
     // ---- words
 
     /** As a file has it. */
-    public static Map<String, Object> toMap(Escrow.Word announcement) {
+    public static Map<String, Object> toMap(Escrow.Announcement announcement) {
         Map<String, Object> budgets = new TreeMap<>();
         announcement.budgets().forEach((name, budget) -> budgets.put(name, Map.of("begin", Instant.ofEpochMilli(budget.windowStartMillis()).toString(),
                 "wants", budget.expectedShortfall(), "given", budget.transferredOut())));
@@ -232,9 +232,9 @@
     }
 
     /** Reads {@link #toMap(Escrow.Word)}. */
-    public static Escrow.Word announcement(Map<String, Object> map) throws IOException {
+    public static Escrow.Announcement announcement(Map<String, Object> map) throws IOException {
         try {
-            Map<String, Escrow.Says> budgets = new TreeMap<>();
+            Map<String, Escrow.BudgetAnnouncement> budgets = new TreeMap<>();
             Map<String, Object> budgetsTable = requireTable(map, "budgets");
             for (String name : budgetsTable.keySet()) {
                 Map<String, Object> budgetTable = requireTable(budgetsTable, name);
@@ -242,9 +242,9 @@
                 if (transferredOut.values().stream().anyMatch(amount -> amount < 0)) {
                     throw new IOException("budgets." + name + ".given: expected 0 or more, found " + transferredOut);
                 }
-                budgets.put(name, new Escrow.Says(requireTimeMillis(budgetTable, "begin"), requireDouble(budgetTable, "wants"), transferredOut));
+                budgets.put(name, new Escrow.BudgetAnnouncement(requireTimeMillis(budgetTable, "begin"), requireDouble(budgetTable, "wants"), transferredOut));
             }
-            return new Escrow.Word(requireString(map, "gateway"), requireTimeMillis(map, "at"), budgets);
+            return new Escrow.Announcement(requireString(map, "gateway"), requireTimeMillis(map, "at"), budgets);
         } catch (DateTimeException e) {
             throw new IOException(e.getMessage(), e);
         }
--- a/src/test/java/mastdrift/cli/CommandsTest.java
+++ b/src/test/java/mastdrift/cli/CommandsTest.java
@@ -13,12 +13,12 @@
 import java.util.List;
 import mastdrift.Balancer;
 import mastdrift.config.Samples;
-import mastdrift.zones.Limit;
+import mastdrift.zones.CrossingBudget;
 import mastdrift.zones.Price;
-import mastdrift.zones.Window;
+import mastdrift.zones.BudgetWindow;
 import mastdrift.zones.ZoneSettings;
-import mastdrift.zones.Zoning;
-import mastdrift.zones.edge.ZoneTexts;
+import mastdrift.zones.ZoneBudgetManager;
+import mastdrift.zones.edge.ZoneStateCodec;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -87,13 +87,13 @@
     void zonesShowsWhatCrossed() throws IOException {
         String[] files = new String[2];
         for (int i = 0; i < files.length; i++) {
-            Zoning zoning = new Zoning("g" + i, "bilbao", 2, new ZoneSettings(List.of(new Limit("month", Window.MONTH, Limit.Unit.BYTES, 4096,
+            ZoneBudgetManager zoning = new ZoneBudgetManager("g" + i, "bilbao", 2, new ZoneSettings(List.of(new CrossingBudget("month", BudgetWindow.MONTH, CrossingBudget.Unit.BYTES, 4096,
                     null, null, null, null, 0, false)), List.of(new Price("bilbao", "oviedo", 1024, 0)), List.of(), List.of(), 1_000_000, null,
                     null, null), 0, 1_796_000_000_000L);
             zoning.pool("p").updateHosts(0, true, List.of(new Balancer.Host("o", "oviedo", 0, "k", 1, Balancer.Health.UP, 0)));
             zoning.pool("p").recordProbe(0, "o", Balancer.Outcome.DELIVERED, 1 << 20, 512);
             files[i] = folder.resolve("zones-" + i + ".json").toString();
-            Files.write(Path.of(files[i]), JSON.std.asBytes(ZoneTexts.toMap(zoning.snapshot(0))));
+            Files.write(Path.of(files[i]), JSON.std.asBytes(ZoneStateCodec.toMap(zoning.snapshot(0))));
         }
         assertEquals(0, run("zones", files[0], files[1], "--picture", folder.resolve("p.svg").toString()), () -> err);
         assertTrue(out.contains("bilbao > oviedo      (none)") && out.contains("2.00 MiB") && out.contains("1.00 KiB") && out.contains("2.0000"), out);
--- a/src/test/java/mastdrift/config/ZonesReaderTest.java
+++ b/src/test/java/mastdrift/config/ZonesReaderTest.java
@@ -7,10 +7,10 @@
 
 import java.util.List;
 import mastdrift.settings.AddressRange;
-import mastdrift.zones.Limit;
-import mastdrift.zones.Networks;
+import mastdrift.zones.CrossingBudget;
+import mastdrift.zones.ClientNetworks;
 import mastdrift.zones.Price;
-import mastdrift.zones.Window;
+import mastdrift.zones.BudgetWindow;
 import mastdrift.zones.ZoneSettings;
 import org.junit.jupiter.api.Test;
 
@@ -72,10 +72,10 @@
                 """);
         assertEquals(List.of(), result.problems());
         ZoneSettings zones = result.configuration().zones();
-        assertEquals(List.of(new Limit("month", Window.MONTH, Limit.Unit.BYTES, 1.5 * (1 << 30), "oviedo", "read", null, "main", 0.25, false),
-                new Limit("hard", Window.MINUTE, Limit.Unit.REQUESTS, 0, null, null, null, null, 0, true)), zones.budgets());
+        assertEquals(List.of(new CrossingBudget("month", BudgetWindow.MONTH, CrossingBudget.Unit.BYTES, 1.5 * (1 << 30), "oviedo", "read", null, "main", 0.25, false),
+                new CrossingBudget("hard", BudgetWindow.MINUTE, CrossingBudget.Unit.REQUESTS, 0, null, null, null, null, 0, true)), zones.budgets());
         assertEquals(List.of(new Price("bilbao", "oviedo", 0.02, 0)), zones.prices());
-        assertEquals(List.of(new Networks.Network(AddressRange.parse("10.1.0.0/16"), "oviedo")), zones.networks());
+        assertEquals(List.of(new ClientNetworks.Network(AddressRange.parse("10.1.0.0/16"), "oviedo")), zones.networks());
         assertEquals(10_000_000, zones.recoveryDelayMicros());
         assertNotNull(zones.reportFile());
     }
--- a/src/test/java/mastdrift/serve/ZoneServiceTest.java
+++ b/src/test/java/mastdrift/serve/ZoneServiceTest.java
@@ -29,9 +29,9 @@
 import mastdrift.standin.StandInHost;
 import mastdrift.standin.StandInHost.Manner;
 import mastdrift.standin.StandInRadiusServer;
-import mastdrift.zones.Cause;
-import mastdrift.zones.Counts;
-import mastdrift.zones.Snapshot;
+import mastdrift.zones.CrossingCause;
+import mastdrift.zones.FlowCounts;
+import mastdrift.zones.ZoneSnapshot;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -74,8 +74,8 @@
         rig.start();
     }
 
-    private static Counts over(Snapshot snapshot) {
-        Counts over = new Counts();
+    private static FlowCounts over(ZoneSnapshot snapshot) {
+        FlowCounts over = new FlowCounts();
         snapshot.flows().forEach((flow, counts) -> {
             if (flow.crosses()) {
                 over.add(counts);
@@ -97,7 +97,7 @@
     // ---- counts
 
     /** Bytes by zone as the gateway has them and as the stand-ins have them: the gateway's out are the hosts' in. */
-    private static Map<String, List<Long>> bytes(Snapshot snapshot) {
+    private static Map<String, List<Long>> bytes(ZoneSnapshot snapshot) {
         Map<String, List<Long>> bytes = new TreeMap<>();
         snapshot.flows().forEach((flow, counts) -> bytes.merge(flow.toZone(), List.of(counts.bytesSent(), counts.bytesReceived()),
                 (one, other) -> List.of(one.get(0) + other.get(0), one.get(1) + other.get(1))));
@@ -151,12 +151,12 @@
                 seen.put("leon", List.of(d.bytesIn(), d.bytesOut()));
                 return seen.equals(bytes(rig.service.crossed()));
             }, "counts alike: " + seen + " and " + bytes(rig.service.crossed()));
-            Snapshot snapshot = rig.service.crossed();
-            Counts over = over(snapshot);
-            assertTrue(over.attempts() > 20 && over.failed() > 0 && over.attempts(Cause.REPEAT) > 0, 
-                    "it crossed, and failed: " + over.attempts() + ", " + over.failed() + ", " + over.attempts(Cause.REPEAT));
+            ZoneSnapshot snapshot = rig.service.crossed();
+            FlowCounts over = over(snapshot);
+            assertTrue(over.attempts() > 20 && over.failed() > 0 && over.attempts(CrossingCause.REPEAT) > 0, 
+                    "it crossed, and failed: " + over.attempts() + ", " + over.failed() + ", " + over.attempts(CrossingCause.REPEAT));
             long byCause = 0;
-            for (Cause cause : Cause.values()) {
+            for (CrossingCause cause : CrossingCause.values()) {
                 byCause += over.bytes(cause);
             }
             assertEquals(over.bytesSent() + over.bytesReceived(), byCause);
@@ -171,7 +171,7 @@
         Files.createDirectory(folder.resolve("kept"));
         serve("[zones]\nstate_folder = \"kept\"\nreport_file = \"zones.json\"\n");
         statuses(60, null);
-        Snapshot before = rig.service.crossed();
+        ZoneSnapshot before = rig.service.crossed();
         rig.service.close();
         rig.start();
         assertEquals(over(before).attempts(), over(rig.service.crossed()).attempts());
@@ -200,8 +200,8 @@
         rig.await(() -> statuses(1, null)[200] == 1 && c.served() > 0, "the other zone has it");
         assertEquals(100, statuses(100, null)[200]);
         assertEquals(20, statuses(20, "out-")[200]);
-        Snapshot out = rig.service.crossed();
-        assertTrue(over(out).attempts(Cause.ZONE_OUT) >= 120, "for the zone that is out");
+        ZoneSnapshot out = rig.service.crossed();
+        assertTrue(over(out).attempts(CrossingCause.ZONE_OUT) >= 120, "for the zone that is out");
         assertTrue(out.budgets().get(0).remaining() <= -120, "and it is owed");
         nodes("", "");
         rig.await(() -> {
@@ -283,8 +283,8 @@
             served += client.get(Rig.WAIT_SECONDS, TimeUnit.SECONDS);
         }
         assertEquals(800, served);
-        Snapshot snapshot = rig.service.crossed();
-        assertTrue(over(snapshot).attempts() - over(snapshot).attempts(Cause.REPEAT) <= 60, "crossed: " + over(snapshot).attempts());
+        ZoneSnapshot snapshot = rig.service.crossed();
+        assertTrue(over(snapshot).attempts() - over(snapshot).attempts(CrossingCause.REPEAT) <= 60, "crossed: " + over(snapshot).attempts());
     }
 
     /** The operator changes a budget while it runs, and takes the files away, which needs another start. By a budget of a minute, whose pace no
@@ -313,8 +313,8 @@
         try (Service idle = Service.start(folder.resolve("idle.toml"), new PrintStream(rig.log, true, StandardCharsets.UTF_8))) {
             rig.await(() -> {
                 assertEquals(30, statuses(30, null)[200]);
-                Snapshot.Budget own = rig.service.crossed().budgets().get(0);
-                Snapshot.Budget other = idle.crossed().budgets().get(0);
+                ZoneSnapshot.BudgetStatus own = rig.service.crossed().budgets().get(0);
+                ZoneSnapshot.BudgetStatus other = idle.crossed().budgets().get(0);
                 assertTrue(own.startMillis() != other.startMillis() || own.granted() + other.granted() <= 40 + 1e-9, "no more than all");
                 return own.account().transferredIn().getOrDefault("idle", 0.0) > 1;
             }, "the idle one gives of its part");
--- a/src/test/java/mastdrift/zones/ReliefTest.java
+++ b/src/test/java/mastdrift/zones/BudgetOverrideTest.java
@@ -9,16 +9,16 @@
 import org.junit.jupiter.api.Test;
 
 /** When service goes before budgets, for whom, and until when. */
-class ReliefTest {
+class BudgetOverrideTest {
 
     private static final long SECOND_MICROS = 1_000_000;
     private static final Set<String> THREE_HOSTS = Set.of("a", "b", "c");
 
-    private final Relief budgetOverride = new Relief(List.of("start", "read"), 5 * SECOND_MICROS);
+    private final BudgetOverride budgetOverride = new BudgetOverride(List.of("start", "read"), 5 * SECOND_MICROS);
     private long now = SECOND_MICROS;
     private long overridingMicros;
 
-    ReliefTest() {
+    BudgetOverrideTest() {
         budgetOverride.updateHosts(now, THREE_HOSTS);
     }
 
--- a/src/test/java/mastdrift/zones/AccountTest.java
+++ b/src/test/java/mastdrift/zones/CrossingAccountTest.java
@@ -17,19 +17,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** One budget: paced, never above its part, whatever the clock and the process do; and parts that gateways give one another. */
-class AccountTest {
+class CrossingAccountTest {
 
     private static final long MINUTE_MILLIS = 60_000;
     private static final long START_MILLIS = Instant.parse("2026-12-01T10:00:00Z").toEpochMilli();
 
-    private static Limit limit(Window window, double amount, double carry) {
-        return new Limit("b", window, Limit.Unit.BYTES, amount, null, null, null, null, carry, false);
+    private static CrossingBudget budget(BudgetWindow window, double amount, double carry) {
+        return new CrossingBudget("b", window, CrossingBudget.Unit.BYTES, amount, null, null, null, null, carry, false);
     }
 
     /** Spends whatever fits until a time, every so many milliseconds; returns what that was. */
-    private static double spendGreedily(Account account, long from, long until, long every, double cost) {
+    private static double spendGreedily(CrossingAccount account, long from, long until, long intervalMillis, double cost) {
         double spent = 0;
-        for (long at = from; at < until; at += every) {
+        for (long at = from; at < until; at += intervalMillis) {
             account.advance(at);
             if (account.admissionFraction(cost) > 0) {
                 account.reserve(cost);
@@ -45,7 +45,7 @@
     void spendingIsPacedAndNeverExceedsTheBudget(@ForAll long seed, @ForAll @IntRange(min = 20, max = 2_000) int crossings) {
         SplittableRandom random = new SplittableRandom(seed);
         double cost = 1_000;
-        Account account = new Account(limit(Window.MINUTE, crossings * cost, 0), 1, START_MILLIS);
+        CrossingAccount account = new CrossingAccount(budget(BudgetWindow.MINUTE, crossings * cost, 0), 1, START_MILLIS);
         double spent = 0;
         List<Double> reservations = new ArrayList<>();
         for (long at = START_MILLIS; at < START_MILLIS + MINUTE_MILLIS; at += 1 + random.nextInt(5)) {
@@ -62,7 +62,7 @@
             double elapsedFraction = (double) (at - START_MILLIS) / MINUTE_MILLIS;
             assertTrue(spent + reservations.size() * cost <= crossings * cost + 1e-6, "beyond at " + elapsedFraction);
             if (elapsedFraction < 0.5) {  // later the rate may have risen for what was not used
-                assertTrue(spent + reservations.size() * cost <= crossings * cost * (2 * elapsedFraction + Account.BUCKET_WINDOW_FRACTION) + cost + 1e-6, "too soon at " + elapsedFraction);
+                assertTrue(spent + reservations.size() * cost <= crossings * cost * (2 * elapsedFraction + CrossingAccount.BUCKET_WINDOW_FRACTION) + cost + 1e-6, "too soon at " + elapsedFraction);
             }
         }
         assertEquals(spent, account.spent(), 1e-6);
@@ -71,7 +71,7 @@
     @Test
     void greedyClientGetsNearlyTheWholeBudgetHoweverLateItStarts() {
         for (int late = 0; late <= 45; late += 15) {
-            Account account = new Account(limit(Window.MINUTE, 600_000, 0), 1, START_MILLIS);
+            CrossingAccount account = new CrossingAccount(budget(BudgetWindow.MINUTE, 600_000, 0), 1, START_MILLIS);
             double spent = spendGreedily(account, START_MILLIS + late * 1_000, START_MILLIS + MINUTE_MILLIS, 2, 1_000);
             assertTrue(spent >= 0.97 * 600_000 && spent <= 600_000, "from " + late + " s: " + spent);
         }
@@ -85,9 +85,9 @@
             {0.0, 40.0, 100.0, 0.0}, {0.25, 40.0, 125.0, 0.0}, {0.25, 90.0, 110.0, 0.0}, {0.0, 130.0, 70.0, 0.0}, {0.0, 250.0, 50.0, 100.0},
             {1.0, 100.0, 100.0, 0.0}};
         for (Object[] row : table) {
-            Account account = new Account(limit(Window.MONTH, 100, (double) row[0]), 1, Window.MONTH.startMillis(START_MILLIS));
+            CrossingAccount account = new CrossingAccount(budget(BudgetWindow.MONTH, 100, (double) row[0]), 1, BudgetWindow.MONTH.startMillis(START_MILLIS));
             account.settle(0, (double) row[1]);
-            account.advance(Window.MONTH.endMillis(START_MILLIS) + 5);
+            account.advance(BudgetWindow.MONTH.endMillis(START_MILLIS) + 5);
             assertEquals((double) row[2], account.granted(), 1e-9, "part after " + row[1]);
             assertEquals((double) row[3], account.owed(), 1e-9, "owed after " + row[1]);
             assertEquals(Instant.parse("2027-01-01T00:00:00Z").toEpochMilli(), account.windowStartMillis());
@@ -97,7 +97,7 @@
     /** Under load over a month's end: what is out is charged once, in the window in which it ends. */
     @Test
     void crossingUnderWayAtWindowEndIsChargedToTheNextWindow() {
-        Account account = new Account(limit(Window.MINUTE, 6_000, 0), 1, START_MILLIS);
+        CrossingAccount account = new CrossingAccount(budget(BudgetWindow.MINUTE, 6_000, 0), 1, START_MILLIS);
         account.advance(START_MILLIS + 59_000);
         assertTrue(account.admissionFraction(50) > 0);
         account.reserve(50);
@@ -110,10 +110,10 @@
 
     @Test
     void clockJumpAdmitsNoMoreThanABucket() {
-        Account account = new Account(limit(Window.HOUR, 3_600_000, 0), 1, START_MILLIS);
+        CrossingAccount account = new CrossingAccount(budget(BudgetWindow.HOUR, 3_600_000, 0), 1, START_MILLIS);
         account.advance(START_MILLIS + 50 * MINUTE_MILLIS);
         double spent = spendGreedily(account, START_MILLIS + 50 * MINUTE_MILLIS, START_MILLIS + 50 * MINUTE_MILLIS + 100, 1, 100);
-        assertTrue(spent <= 3_600_000 * Account.BUCKET_WINDOW_FRACTION + 100 * 600 + 1, "a bucket and the pace: " + spent);
+        assertTrue(spent <= 3_600_000 * CrossingAccount.BUCKET_WINDOW_FRACTION + 100 * 600 + 1, "a bucket and the pace: " + spent);
         account.advance(START_MILLIS);
         assertEquals(START_MILLIS, account.windowStartMillis());
         assertTrue(account.remaining() >= 0);
@@ -121,11 +121,11 @@
 
     @Test
     void zeroAndExhaustedBudgetsAdmitNothing() {
-        Account empty = new Account(limit(Window.MONTH, 0, 0), 1, START_MILLIS);
+        CrossingAccount empty = new CrossingAccount(budget(BudgetWindow.MONTH, 0, 0), 1, START_MILLIS);
         empty.advance(START_MILLIS + 86_400_000);
         assertEquals(0, empty.admissionFraction(1));
         assertEquals(0, empty.admissionFraction(0), "not even what costs nothing");
-        Account used = new Account(limit(Window.MONTH, 1_000, 0), 1, Window.MONTH.startMillis(START_MILLIS));
+        CrossingAccount used = new CrossingAccount(budget(BudgetWindow.MONTH, 1_000, 0), 1, BudgetWindow.MONTH.startMillis(START_MILLIS));
         used.advance(used.windowStartMillis() + 1_000);
         used.settle(0, 1_000);
         used.advance(used.windowEndMillis() - 1);
@@ -137,13 +137,13 @@
     /** The operator halves it in mid-window: nothing crosses until what was spent fits again. */
     @Test
     void changedAmountAppliesAtOnce() {
-        Account account = new Account(limit(Window.MINUTE, 1_000, 0), 1, START_MILLIS);
+        CrossingAccount account = new CrossingAccount(budget(BudgetWindow.MINUTE, 1_000, 0), 1, START_MILLIS);
         spendGreedily(account, START_MILLIS, START_MILLIS + 30_000, 10, 10);
         double before = account.spent();
-        account.updateBudget(limit(Window.MINUTE, 400, 0), 1);
+        account.updateBudget(budget(BudgetWindow.MINUTE, 400, 0), 1);
         assertEquals(before, account.spent());
         assertEquals(0, account.admissionFraction(10));
-        account.updateBudget(limit(Window.MINUTE, 2_000, 0), 1);
+        account.updateBudget(budget(BudgetWindow.MINUTE, 2_000, 0), 1);
         account.advance(START_MILLIS + 31_000);
         assertTrue(account.admissionFraction(10) > 0);
     }
@@ -152,10 +152,10 @@
     @Property(tries = 300)
     void restartsInMidWindowNeverExceedTheBudget(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Limit limit = limit(Window.MINUTE, 600_000, 0);
-        Account account = new Account(limit, 1, START_MILLIS);
+        CrossingBudget budget = budget(BudgetWindow.MINUTE, 600_000, 0);
+        CrossingAccount account = new CrossingAccount(budget, 1, START_MILLIS);
         double spent = 0;
-        Kept saved = account.state();
+        AccountState saved = account.state();
         long at = START_MILLIS;
         while (at < START_MILLIS + MINUTE_MILLIS) {
             long until = Math.min(START_MILLIS + MINUTE_MILLIS, at + 200 + random.nextInt(15_000));
@@ -171,22 +171,22 @@
                 }
             }
             at += random.nextInt(3_000);
-            account = new Account(limit, 1, Math.min(at, START_MILLIS + MINUTE_MILLIS - 1));
+            account = new CrossingAccount(budget, 1, Math.min(at, START_MILLIS + MINUTE_MILLIS - 1));
             if (random.nextBoolean()) {
                 account.restore(saved, 10_000);
             }
             saved = account.state();
         }
-        assertTrue(spent <= 600_000 * (1 + Account.BUCKET_WINDOW_FRACTION) + 1, "spent " + spent);
+        assertTrue(spent <= 600_000 * (1 + CrossingAccount.BUCKET_WINDOW_FRACTION) + 1, "spent " + spent);
     }
 
     @Test
     void stateOfAnEarlierWindowIsCarriedOverAndOfALaterOneIgnored() {
-        Kept saved = new Kept(START_MILLIS, START_MILLIS + 30_000, 1_000, 1_500, 0, 0, 0, 0, Map.of(), Map.of());
-        Account next = new Account(limit(Window.MINUTE, 1_000, 0), 1, START_MILLIS + MINUTE_MILLIS + 1);
+        AccountState saved = new AccountState(START_MILLIS, START_MILLIS + 30_000, 1_000, 1_500, 0, 0, 0, 0, Map.of(), Map.of());
+        CrossingAccount next = new CrossingAccount(budget(BudgetWindow.MINUTE, 1_000, 0), 1, START_MILLIS + MINUTE_MILLIS + 1);
         next.restore(saved, 10_000);
         assertEquals(500, next.granted(), 1e-9);
-        Account before = new Account(limit(Window.MINUTE, 1_000, 0), 1, START_MILLIS - MINUTE_MILLIS);
+        CrossingAccount before = new CrossingAccount(budget(BudgetWindow.MINUTE, 1_000, 0), 1, START_MILLIS - MINUTE_MILLIS);
         before.restore(saved, 10_000);
         assertEquals(0, before.spent());
     }
@@ -198,14 +198,14 @@
     @Property(tries = 150)
     void transferredBudgetIsNeverSpentTwice(@ForAll long seed, @ForAll @IntRange(min = 2, max = 5) int gatewayCount) {
         SplittableRandom random = new SplittableRandom(seed);
-        Limit limit = limit(Window.MINUTE, 600_000, 0);
-        Account[] accounts = new Account[gatewayCount];
+        CrossingBudget budget = budget(BudgetWindow.MINUTE, 600_000, 0);
+        CrossingAccount[] accounts = new CrossingAccount[gatewayCount];
         Escrow[] escrows = new Escrow[gatewayCount];
         for (int i = 0; i < gatewayCount; i++) {
-            accounts[i] = new Account(limit, gatewayCount, START_MILLIS);
+            accounts[i] = new CrossingAccount(budget, gatewayCount, START_MILLIS);
             escrows[i] = new Escrow("g" + i);
         }
-        TreeMap<Long, List<Escrow.Word>> inFlight = new TreeMap<>();
+        TreeMap<Long, List<Escrow.Announcement>> inFlight = new TreeMap<>();
         double spent = 0;
         for (long at = START_MILLIS; at < START_MILLIS + MINUTE_MILLIS; at += 100) {
             for (int i = 0; i < gatewayCount; i++) {
@@ -221,13 +221,13 @@
                     }
                 }
                 if (at % 1_000 == 0) {
-                    Escrow.Word announcement = escrows[i].announcement(at, List.of(accounts[i]));
+                    Escrow.Announcement announcement = escrows[i].announcement(at, List.of(accounts[i]));
                     for (int copies = random.nextInt(3); copies > 0; copies--) {
                         inFlight.computeIfAbsent(at + random.nextInt(4_000), any -> new ArrayList<>()).add(announcement);
                     }
                     if (random.nextInt(200) == 0) {  // dies, and comes back with what it had written
-                        Kept saved = accounts[i].state();
-                        accounts[i] = new Account(limit, gatewayCount, at);
+                        AccountState saved = accounts[i].state();
+                        accounts[i] = new CrossingAccount(budget, gatewayCount, at);
                         accounts[i].restore(saved, 10_000);
                         escrows[i] = new Escrow("g" + i);
                     }
@@ -235,14 +235,14 @@
                 }
             }
             while (!inFlight.isEmpty() && inFlight.firstKey() <= at) {
-                for (Escrow.Word announcement : inFlight.pollFirstEntry().getValue()) {
+                for (Escrow.Announcement announcement : inFlight.pollFirstEntry().getValue()) {
                     for (Escrow escrow : escrows) {
                         escrow.receive(announcement);
                     }
                 }
             }
             double granted = 0;
-            for (Account account : accounts) {
+            for (CrossingAccount account : accounts) {
                 granted += account.granted();
                 assertTrue(account.remaining() >= -1e-6, "above its own part");
             }
@@ -254,11 +254,11 @@
     @Test
     void surplusOfPeersIsTransferredToTheBusyGateway() {
         for (int alive = 2; alive <= 3; alive++) {
-            Limit limit = limit(Window.MINUTE, 600_000, 0);
-            List<Account> accounts = new ArrayList<>();
+            CrossingBudget budget = budget(BudgetWindow.MINUTE, 600_000, 0);
+            List<CrossingAccount> accounts = new ArrayList<>();
             List<Escrow> escrows = new ArrayList<>();
             for (int i = 0; i < alive; i++) {
-                accounts.add(new Account(limit, 3, START_MILLIS));
+                accounts.add(new CrossingAccount(budget, 3, START_MILLIS));
                 escrows.add(new Escrow("g" + i));
             }
             double spent = 0;
@@ -273,7 +273,7 @@
                 }
                 for (int i = 0; i < alive && at % 1_000 == 0; i++) {
                     accounts.get(i).advance(at);
-                    Escrow.Word announcement = escrows.get(i).announcement(at, List.of(accounts.get(i)));
+                    Escrow.Announcement announcement = escrows.get(i).announcement(at, List.of(accounts.get(i)));
                     escrows.forEach(escrow -> escrow.receive(announcement));
                     escrows.get(i).rebalance(at, List.of(accounts.get(i)));
                 }
@@ -284,7 +284,7 @@
 
     @Test
     void transfersOfAnotherWindowAreIgnored() {
-        Account account = new Account(limit(Window.MINUTE, 1_000, 0), 1, START_MILLIS);
+        CrossingAccount account = new CrossingAccount(budget(BudgetWindow.MINUTE, 1_000, 0), 1, START_MILLIS);
         account.receiveTransfer("peer", START_MILLIS - MINUTE_MILLIS, 500);
         account.receiveTransfer("peer", START_MILLIS + MINUTE_MILLIS, 500);
         assertEquals(1_000, account.granted());
@@ -300,7 +300,7 @@
     void clockStepIsAdoptedOnlyAfterItPersists() {
         long[][] table = {{1_500, 1, 1_500}, {3_600_000, 20, 0}, {-3_600_000, 20, 0}, {3_600_000, 40, 3_600_000}, {-3_600_000, 40, -3_600_000}};
         for (long[] row : table) {
-            SteadyClock clock = new SteadyClock(0, START_MILLIS);
+            StepFilteredClock clock = new StepFilteredClock(0, START_MILLIS);
             long seconds = row[1];
             for (long now = 0; now <= seconds * 1_000_000; now += 100_000) {
                 clock.tick(now, START_MILLIS + now / 1_000 + row[0]);
@@ -315,8 +315,8 @@
             {"DAY", "2026-12-01T00:00:00Z", "2026-12-02T00:00:00Z"}, {"MONTH", "2026-12-01T00:00:00Z", "2027-01-01T00:00:00Z"}};
         long at = Instant.parse("2026-12-01T10:59:31.500Z").toEpochMilli();
         for (String[] row : table) {
-            assertEquals(Instant.parse(row[1]).toEpochMilli(), Window.valueOf(row[0]).startMillis(at), row[0]);
-            assertEquals(Instant.parse(row[2]).toEpochMilli(), Window.valueOf(row[0]).endMillis(at), row[0]);
+            assertEquals(Instant.parse(row[1]).toEpochMilli(), BudgetWindow.valueOf(row[0]).startMillis(at), row[0]);
+            assertEquals(Instant.parse(row[2]).toEpochMilli(), BudgetWindow.valueOf(row[0]).endMillis(at), row[0]);
         }
     }
 
@@ -324,10 +324,10 @@
         whole would hold many times as much, and rounds of twenty with a pause of 10 ms between never all fit. */
     @ParameterizedTest
     @CsvSource({"HOUR, 0, 1, false", "HOUR, 0.1, 1, false", "HOUR, 0, 5, true", "HOUR, 0.99, 1, true", "MINUTE, 0, 1, true", "MINUTE, 0.9, 1, true"})
-    void raisedBudgetIsSpentAtTheRefillRate(Window window, double elapsedFraction, long everyMillis, boolean allFit) {
+    void raisedBudgetIsSpentAtTheRefillRate(BudgetWindow window, double elapsedFraction, long everyMillis, boolean allFit) {
         long now = START_MILLIS + (long) (elapsedFraction * (window.endMillis(START_MILLIS) - window.startMillis(START_MILLIS)));
-        Account account = new Account(limit(window, 0, 0), 1, now);
-        account.updateBudget(limit(window, 1_000_000, 0), 1);
+        CrossingAccount account = new CrossingAccount(budget(window, 0, 0), 1, now);
+        account.updateBudget(budget(window, 1_000_000, 0), 1);
         double most = 0;
         for (int round = 0; round < 100; round++) {
             now += 10;
--- a/src/test/java/mastdrift/zones/ZoningTest.java
+++ b/src/test/java/mastdrift/zones/ZoneBudgetManagerTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What may cross, what is counted of it, and which zone a key belongs to. */
-class ZoningTest {
+class ZoneBudgetManagerTest {
 
     private static final long WALL_MILLIS = Instant.parse("2026-12-01T10:00:00Z").toEpochMilli();
     private static final long SECOND_MICROS = 1_000_000;
@@ -38,30 +38,30 @@
         return new Host(uid, uid.startsWith("b") ? "bilbao" : "oviedo", 0, "k", 1, health, 0);
     }
 
-    private static Limit limit(String name, Limit.Unit unit, double amount, String className, boolean hard) {
-        return new Limit(name, Window.MINUTE, unit, amount, null, className, null, null, 0, hard);
+    private static CrossingBudget budget(String name, CrossingBudget.Unit unit, double amount, String className, boolean hard) {
+        return new CrossingBudget(name, BudgetWindow.MINUTE, unit, amount, null, className, null, null, 0, hard);
     }
 
-    private static ZoneSettings settings(Limit... limits) {
-        return new ZoneSettings(List.of(limits), List.of(new Price("bilbao", "oviedo", 2, 0), new Price("oviedo", "bilbao", 1, 0)),
+    private static ZoneSettings settings(CrossingBudget... budgets) {
+        return new ZoneSettings(List.of(budgets), List.of(new Price("bilbao", "oviedo", 2, 0), new Price("oviedo", "bilbao", 1, 0)),
                 List.of(), List.of("start", "read"), 5 * SECOND_MICROS, null, null, null);
     }
 
-    private Zoning manager(Limit... limits) {
-        Zoning manager = new Zoning("g", "bilbao", 1, settings(limits), now, WALL_MILLIS);
+    private ZoneBudgetManager manager(CrossingBudget... budgets) {
+        ZoneBudgetManager manager = new ZoneBudgetManager("g", "bilbao", 1, settings(budgets), now, WALL_MILLIS);
         pool(manager).updateHosts(now, true, List.of(host("b1", Health.UP), host("b2", Health.UP), host("o1", Health.UP)));
         return manager;
     }
 
-    private static PoolZones pool(Zoning manager) {
+    private static PoolCrossings pool(ZoneBudgetManager manager) {
         return manager.pool("p");
     }
 
-    private PoolZones.Pass startRequest(Zoning manager, RequestClass type, Long key) {
-        return pool(manager).startRequest(now, type, "t", "", key);
+    private PoolCrossings.RequestCrossing startRequest(ZoneBudgetManager manager, RequestClass requestClass, Long key) {
+        return pool(manager).startRequest(now, requestClass, "t", "", key);
     }
 
-    private void advance(Zoning manager, long micros) {
+    private void advance(ZoneBudgetManager manager, long micros) {
         now += micros;
         manager.tick(now, WALL_MILLIS + now / 1_000);
     }
@@ -70,14 +70,14 @@
     @Property(tries = 5)
     void everyReportedByteAndAttemptIsCountedOnce(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Zoning manager = manager(limit("all", Limit.Unit.BYTES, 1e15, null, false), limit("read", Limit.Unit.REQUESTS, 1e12, "read", false));
-        List<PoolZones.Leg> underWay = new ArrayList<>();
+        ZoneBudgetManager manager = manager(budget("all", CrossingBudget.Unit.BYTES, 1e15, null, false), budget("read", CrossingBudget.Unit.REQUESTS, 1e12, "read", false));
+        List<PoolCrossings.TrackedAttempt> underWay = new ArrayList<>();
         long sent = 0;
         long received = 0;
         long crossed = 0;
         long crossedReads = 0;
         long attempts = 0;
-        Map<PoolZones.Leg, long[]> hostAndClass = new HashMap<>();
+        Map<PoolCrossings.TrackedAttempt, long[]> hostAndClass = new HashMap<>();
         String[] uids = {"b1", "b2", "o1"};
         for (int i = 0; i < 100_000; i++) {
             now += random.nextInt(200);
@@ -98,14 +98,14 @@
                 }
                 case 2, 3, 4, 5 -> {
                     boolean read = random.nextBoolean();
-                    PoolZones.Pass request = pool(manager).startRequest(now, read ? READ : START, "t" + random.nextInt(5_000), "", (long) i);
-                    PoolZones.Leg attempt = request.startAttempt(now, uids[uid], random.nextInt(2));
+                    PoolCrossings.RequestCrossing request = pool(manager).startRequest(now, read ? READ : START, "t" + random.nextInt(5_000), "", (long) i);
+                    PoolCrossings.TrackedAttempt attempt = request.startAttempt(now, uids[uid], random.nextInt(2));
                     underWay.add(attempt);
                     hostAndClass.put(attempt, new long[] {uid, read ? 1 : 0});
                 }
                 default -> {
                     if (!underWay.isEmpty()) {
-                        PoolZones.Leg attempt = underWay.remove(random.nextInt(underWay.size()));
+                        PoolCrossings.TrackedAttempt attempt = underWay.remove(random.nextInt(underWay.size()));
                         long[] of = hostAndClass.remove(attempt);
                         attempt.end(now, random.nextBoolean() ? Outcome.DELIVERED : Outcome.DROPPED, outBytes, inBytes);
                         sent += outBytes;
@@ -117,9 +117,9 @@
                 }
             }
         }
-        Snapshot snapshot = manager.snapshot(now);
-        Counts all = new Counts();
-        Counts crossings = new Counts();
+        ZoneSnapshot snapshot = manager.snapshot(now);
+        FlowCounts all = new FlowCounts();
+        FlowCounts crossings = new FlowCounts();
         snapshot.flows().forEach((flow, counts) -> {
             all.add(counts);
             if (flow.crosses()) {
@@ -131,41 +131,41 @@
         assertEquals(attempts, all.attempts());
         assertEquals(crossed, crossings.bytesSent() + crossings.bytesReceived());
         long byCause = 0;
-        for (Cause cause : Cause.values()) {
+        for (CrossingCause cause : CrossingCause.values()) {
             byCause += crossings.bytes(cause);
         }
         assertEquals(crossed, byCause);
-        assertTrue(snapshot.flows().size() <= Book.MAX_FLOWS + 4, "flows " + snapshot.flows().size());
+        assertTrue(snapshot.flows().size() <= FlowCounters.MAX_FLOWS + 4, "flows " + snapshot.flows().size());
         assertEquals(crossedReads, snapshot.budgets().get(1).spent(), 0.5);
     }
 
     @Test
     void crossingCountsAgainstEveryBudgetThatCoversIt() {
-        Zoning manager = manager(limit("all", Limit.Unit.REQUESTS, 6_000, null, false), limit("reads", Limit.Unit.REQUESTS, 0, "read", false));
+        ZoneBudgetManager manager = manager(budget("all", CrossingBudget.Unit.REQUESTS, 6_000, null, false), budget("reads", CrossingBudget.Unit.REQUESTS, 0, "read", false));
         advance(manager, SECOND_MICROS);
         assertEquals(0, startRequest(manager, READ, null).part(now, "oviedo"));
         assertEquals(1, startRequest(manager, READ, null).part(now, "bilbao"));
-        PoolZones.Pass start = startRequest(manager, START, 1L);
+        PoolCrossings.RequestCrossing start = startRequest(manager, START, 1L);
         assertTrue(start.part(now, "oviedo") > 0);
         start.startAttempt(now, "o1", 0).end(now, Outcome.DELIVERED, 100, 100);
-        assertEquals(List.of(1.0, 0.0), manager.snapshot(now).budgets().stream().map(Snapshot.Budget::spent).toList());
+        assertEquals(List.of(1.0, 0.0), manager.snapshot(now).budgets().stream().map(ZoneSnapshot.BudgetStatus::spent).toList());
     }
 
     @Test
     void budgetCoversOnlyWhatItsSelectorsName() {
-        Limit limit = new Limit("l", Window.DAY, Limit.Unit.REQUESTS, 1, "oviedo", "read", "t", "p", 0, false);
+        CrossingBudget budget = new CrossingBudget("l", BudgetWindow.DAY, CrossingBudget.Unit.REQUESTS, 1, "oviedo", "read", "t", "p", 0, false);
         Object[][] table = {{"oviedo", "read", "t", "p", true}, {"leon", "read", "t", "p", false}, {"oviedo", "start", "t", "p", false},
             {"oviedo", "read", "u", "p", false}, {"oviedo", "read", "t", "q", false}};
         for (Object[] row : table) {
-            assertEquals(row[4], limit.covers((String) row[0], (String) row[1], (String) row[2], (String) row[3]));
+            assertEquals(row[4], budget.covers((String) row[0], (String) row[1], (String) row[2], (String) row[3]));
         }
     }
 
     /** What is out has its part already: crossings that take two seconds each, asked for each 10 ms, don't overrun a window. */
     @Test
     void crossingsUnderWayAreReserved() {
-        Zoning manager = manager(limit("r", Limit.Unit.REQUESTS, 60, null, false));
-        List<PoolZones.Leg> underWay = new ArrayList<>();
+        ZoneBudgetManager manager = manager(budget("r", CrossingBudget.Unit.REQUESTS, 60, null, false));
+        List<PoolCrossings.TrackedAttempt> underWay = new ArrayList<>();
         List<Long> ends = new ArrayList<>();
         long started = 0;
         for (long end = now + 60 * SECOND_MICROS; now < end; advance(manager, 10_000)) {
@@ -173,7 +173,7 @@
                 underWay.remove(0).end(now, Outcome.DELIVERED, 100, 100);
                 ends.remove(0);
             }
-            PoolZones.Pass request = startRequest(manager, READ, null);
+            PoolCrossings.RequestCrossing request = startRequest(manager, READ, null);
             if (request.part(now, "oviedo") > 0) {
                 underWay.add(request.startAttempt(now, "o1", 0));
                 ends.add(now + 2 * SECOND_MICROS);
@@ -186,16 +186,16 @@
     /** 2 and 1 a GiB, 2^29 bytes out and 2^30 in: 2 in all, and the budget of money says the same. */
     @Test
     void costIsComputedFromThePricesOfBothDirections() {
-        Zoning manager = manager(limit("m", Limit.Unit.MONEY, 100, null, false));
+        ZoneBudgetManager manager = manager(budget("m", CrossingBudget.Unit.MONEY, 100, null, false));
         startRequest(manager, READ, null).startAttempt(now, "o1", 0).end(now, Outcome.DELIVERED, 1L << 29, 1L << 30);
-        Snapshot snapshot = manager.snapshot(now);
+        ZoneSnapshot snapshot = manager.snapshot(now);
         assertEquals(2, snapshot.flows().entrySet().stream().mapToDouble(e -> snapshot.cost(e.getKey(), e.getValue())).sum(), 1e-9);
         assertEquals(2, snapshot.budgets().get(0).spent(), 1e-9);
     }
 
     @Test
     void attemptThatWasNeverSentCostsNothing() {
-        Zoning manager = manager(limit("r", Limit.Unit.REQUESTS, 60, null, false));
+        ZoneBudgetManager manager = manager(budget("r", CrossingBudget.Unit.REQUESTS, 60, null, false));
         advance(manager, 2 * SECOND_MICROS);
         startRequest(manager, READ, null).startAttempt(now, "o1", 0).end(now, Outcome.UNUSED, 0, 0);
         assertEquals(0, manager.snapshot(now).budgets().get(0).spent());
@@ -205,8 +205,8 @@
     /** A key keeps the zone that it may have run in, for its window: when the budget is gone, and when that zone is out. */
     @Test
     void keyKeepsItsZoneWhileItsWindowIsOpen() {
-        Zoning manager = manager(limit("none", Limit.Unit.REQUESTS, 0, null, false));
-        PoolZones.Leg inOwnZone = startRequest(manager, START, 7L).startAttempt(now, "b1", 0);
+        ZoneBudgetManager manager = manager(budget("none", CrossingBudget.Unit.REQUESTS, 0, null, false));
+        PoolCrossings.TrackedAttempt inOwnZone = startRequest(manager, START, 7L).startAttempt(now, "b1", 0);
         pool(manager).updateHosts(now, true, List.of(host("o1", Health.UP)));
         assertEquals(1, startRequest(manager, START, 8L).part(now, "oviedo"), "the zone is out: another key may go");
         assertEquals(0, startRequest(manager, START, 7L).part(now, "oviedo"), "this one may have run");
@@ -223,9 +223,9 @@
 
     @Test
     void keyIsReleasedWhenItIsProvedNotToHaveRun() {
-        Zoning manager = manager();
-        PoolZones.Leg one = startRequest(manager, START, 7L).startAttempt(now, "o1", 0);
-        PoolZones.Leg two = startRequest(manager, START, 7L).startAttempt(now, "o1", 0);
+        ZoneBudgetManager manager = manager();
+        PoolCrossings.TrackedAttempt one = startRequest(manager, START, 7L).startAttempt(now, "o1", 0);
+        PoolCrossings.TrackedAttempt two = startRequest(manager, START, 7L).startAttempt(now, "o1", 0);
         one.end(now, Outcome.SHED, 100, 10);
         assertEquals(0, startRequest(manager, START, 7L).part(now, "bilbao"), "the other may have run");
         two.end(now, Outcome.DIAL_FAILED, 0, 0);
@@ -235,15 +235,15 @@
     /** At the bound new keys stay at home, and known ones keep their zone. */
     @Test
     void keysBeyondTheBoundStayInTheOwnZone() {
-        KeyZones keys = new KeyZones(2);
+        KeyZoneTable keys = new KeyZoneTable(2);
         keys.recordSent(0, 1, "oviedo", 100);
         keys.recordSent(0, 2, "bilbao", 200);
         keys.recordSent(0, 3, "oviedo", 300);
         assertNull(keys.zone(1, 3));
         assertEquals("oviedo", keys.zone(1, 1));
         assertTrue(!keys.hasRoom(99) && keys.hasRoom(100) && keys.size() == 1);
-        Zoning manager = manager();
-        for (long key = 0; key < KeyZones.MAX_KEYS; key++) {
+        ZoneBudgetManager manager = manager();
+        for (long key = 0; key < KeyZoneTable.MAX_KEYS; key++) {
             manager.keyZones().recordSent(now, key, "bilbao", now + SECOND_MICROS);
         }
         assertEquals(0, startRequest(manager, START, -1L).part(now, "oviedo"));
@@ -253,34 +253,34 @@
     /** Why it crossed: the first cause that holds. */
     @Test
     void firstCauseThatAppliesIsRecorded() {
-        Zoning manager = manager();
-        cross(manager, READ, null, 0, Cause.WEIGHTS);
-        cross(manager, READ, null, 1, Cause.REPEAT);
-        cross(manager, START, 5L, 0, Cause.WEIGHTS);
-        cross(manager, START, 5L, 0, Cause.KEY);
+        ZoneBudgetManager manager = manager();
+        cross(manager, READ, null, 0, CrossingCause.WEIGHTS);
+        cross(manager, READ, null, 1, CrossingCause.REPEAT);
+        cross(manager, START, 5L, 0, CrossingCause.WEIGHTS);
+        cross(manager, START, 5L, 0, CrossingCause.KEY);
         pool(manager).updateHosts(now, false, List.of(host("b1", Health.LEAVING)));
-        cross(manager, READ, null, 0, Cause.DRAIN);
+        cross(manager, READ, null, 0, CrossingCause.DRAIN);
         pool(manager).updateHosts(now, false, List.of(host("b2", Health.GONE)));
-        cross(manager, READ, null, 0, Cause.ZONE_OUT);
+        cross(manager, READ, null, 0, CrossingCause.ZONE_OUT);
         pool(manager).recordProbe(now, "o1", Outcome.DELIVERED, 10, 10);
-        assertEquals(1, crossingCounts(manager).attempts(Cause.PROBE));
-        Zoning overloaded = manager(limit("none", Limit.Unit.REQUESTS, 0, null, false));
+        assertEquals(1, crossingCounts(manager).attempts(CrossingCause.PROBE));
+        ZoneBudgetManager overloaded = manager(budget("none", CrossingBudget.Unit.REQUESTS, 0, null, false));
         for (int i = 0; i < 300; i++, now += 10_000) {
-            PoolZones.Pass request = startRequest(overloaded, READ, null);
+            PoolCrossings.RequestCrossing request = startRequest(overloaded, READ, null);
             request.part(now, "oviedo");
             request.recordRefusal(now, Why.HOSTS);
         }
-        cross(overloaded, READ, null, 0, Cause.NO_CAPACITY);
+        cross(overloaded, READ, null, 0, CrossingCause.NO_CAPACITY);
     }
 
-    private void cross(Zoning manager, RequestClass type, Long key, int number, Cause cause) {
+    private void cross(ZoneBudgetManager manager, RequestClass requestClass, Long key, int number, CrossingCause cause) {
         long before = crossingCounts(manager).attempts(cause);
-        startRequest(manager, type, key).startAttempt(now, "o1", number).end(now, Outcome.DELIVERED, 10, 10);
+        startRequest(manager, requestClass, key).startAttempt(now, "o1", number).end(now, Outcome.DELIVERED, 10, 10);
         assertEquals(before + 1, crossingCounts(manager).attempts(cause), cause.reportName());
     }
 
-    private Counts crossingCounts(Zoning manager) {
-        Counts crossings = new Counts();
+    private FlowCounts crossingCounts(ZoneBudgetManager manager) {
+        FlowCounts crossings = new FlowCounts();
         manager.snapshot(now).flows().forEach((flow, counts) -> {
             if (flow.crosses()) {
                 crossings.add(counts);
@@ -292,7 +292,7 @@
     /** Before its first list a pool has no zone that could be out. */
     @Test
     void poolWithoutAHostListKeepsToItsBudgets() {
-        Zoning manager = new Zoning("g", "bilbao", 1, settings(limit("l", Limit.Unit.REQUESTS, 0, null, false)), now, WALL_MILLIS);
+        ZoneBudgetManager manager = new ZoneBudgetManager("g", "bilbao", 1, settings(budget("l", CrossingBudget.Unit.REQUESTS, 0, null, false)), now, WALL_MILLIS);
         pool(manager).updateHosts(now, true, List.of());
         pool(manager).updateHosts(now, true, List.of(host("b1", Health.UP), host("o1", Health.UP)));
         assertEquals(0, startRequest(manager, READ, null).part(now, "oviedo"));
@@ -301,9 +301,9 @@
     /** What a hard budget holds back is no overload that a soft one beside it could give way to. */
     @Test
     void refusalsByAHardBudgetAreNoOverload() {
-        Zoning manager = manager(limit("soft", Limit.Unit.REQUESTS, 0, null, false), limit("hard", Limit.Unit.REQUESTS, 0, "read", true));
+        ZoneBudgetManager manager = manager(budget("soft", CrossingBudget.Unit.REQUESTS, 0, null, false), budget("hard", CrossingBudget.Unit.REQUESTS, 0, "read", true));
         for (int i = 0; i < 600; i++, now += 10_000) {
-            PoolZones.Pass request = startRequest(manager, READ, null);
+            PoolCrossings.RequestCrossing request = startRequest(manager, READ, null);
             assertEquals(0, request.part(now, "oviedo"));
             request.recordRefusal(now, Why.ZONES);
             assertEquals(List.of(), pool(manager).budgetOverride().overridingClasses());
@@ -314,10 +314,10 @@
     @Test
     void onlySoftBudgetsMayBeExceeded() {
         for (boolean hard : new boolean[] {false, true}) {
-            Zoning manager = manager(limit("l", Limit.Unit.REQUESTS, 0, null, hard));
+            ZoneBudgetManager manager = manager(budget("l", CrossingBudget.Unit.REQUESTS, 0, null, hard));
             assertEquals(0, startRequest(manager, READ, null).part(now, "oviedo"));
             pool(manager).updateHosts(now, true, List.of(host("o1", Health.UP)));
-            PoolZones.Pass request = startRequest(manager, READ, null);
+            PoolCrossings.RequestCrossing request = startRequest(manager, READ, null);
             assertEquals(hard ? 0 : 1, request.part(now, "oviedo"));
             assertEquals(hard, request.heldBack());
             if (!hard) {
@@ -329,23 +329,23 @@
 
     @Test
     void restartContinuesOnlyItsOwnCountsAndBudgets() {
-        Zoning manager = manager(limit("l", Limit.Unit.REQUESTS, 600, null, false));
+        ZoneBudgetManager manager = manager(budget("l", CrossingBudget.Unit.REQUESTS, 600, null, false));
         advance(manager, 10 * SECOND_MICROS);
         startRequest(manager, READ, null).startAttempt(now, "o1", 0).end(now, Outcome.DELIVERED, 10, 20);
-        Snapshot snapshot = manager.snapshot(now);
-        Zoning next = manager(limit("l", Limit.Unit.REQUESTS, 600, null, false));
+        ZoneSnapshot snapshot = manager.snapshot(now);
+        ZoneBudgetManager next = manager(budget("l", CrossingBudget.Unit.REQUESTS, 600, null, false));
         next.restore(snapshot, 0);
         assertEquals(30, crossingCounts(next).bytesSent() + crossingCounts(next).bytesReceived());
         assertTrue(next.snapshot(now).budgets().get(0).spent() >= 1);
-        Zoning other = new Zoning("other", "bilbao", 1, settings(), now, WALL_MILLIS);
+        ZoneBudgetManager other = new ZoneBudgetManager("other", "bilbao", 1, settings(), now, WALL_MILLIS);
         assertThrows(IllegalArgumentException.class, () -> other.restore(snapshot, 0));
         assertEquals(Map.of(), other.snapshot(now).flows());
     }
 
     @Test
     void longestMatchingNetworkDecides() {
-        Networks networks = new Networks(List.of(new Networks.Network(AddressRange.parse("10.0.0.0/8"), "bilbao"),
-                new Networks.Network(AddressRange.parse("10.1.64.0/18"), "oviedo")));
+        ClientNetworks networks = new ClientNetworks(List.of(new ClientNetworks.Network(AddressRange.parse("10.0.0.0/8"), "bilbao"),
+                new ClientNetworks.Network(AddressRange.parse("10.1.64.0/18"), "oviedo")));
         Object[][] table = {{10, 1, 64, 1, "oviedo"}, {10, 1, 127, 1, "oviedo"}, {10, 1, 128, 1, "bilbao"}, {11, 1, 64, 1, ""}};
         for (Object[] row : table) {
             assertEquals(row[4], networks.zone(new byte[] {((Integer) row[0]).byteValue(), ((Integer) row[1]).byteValue(),
--- a/src/test/java/mastdrift/zones/edge/ZoneFilesTest.java
+++ b/src/test/java/mastdrift/zones/edge/ZoneFileStoreTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import mastdrift.zones.Escrow;
-import mastdrift.zones.Snapshot;
+import mastdrift.zones.ZoneSnapshot;
 import mastdrift.zones.ZoneSettings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Writes to the folder of a gateway's state that fail for a while. */
-class ZoneFilesTest {
+class ZoneFileStoreTest {
 
     private static final int WAIT_SECONDS = 30;
     private static final String STATE_FILE = "zones-g.state";
@@ -32,17 +32,17 @@
 
     private final BlockingQueue<String> log = new LinkedBlockingQueue<>();
 
-    private ZoneFiles open() {
+    private ZoneFileStore open() {
         ZoneSettings settings = new ZoneSettings(List.of(), List.of(), List.of(), List.of(), 1, null, ".", ".");
-        return new ZoneFiles(folder.resolve("gateway.toml"), "g", settings, word -> { }, log::add);
+        return new ZoneFileStore(folder.resolve("gateway.toml"), "g", settings, word -> { }, log::add);
     }
 
-    private static Snapshot snapshot(long at) {
-        return new Snapshot("g", "bilbao", at, Map.of(), List.of(), List.of(), Map.of());
+    private static ZoneSnapshot snapshot(long at) {
+        return new ZoneSnapshot("g", "bilbao", at, Map.of(), List.of(), List.of(), Map.of());
     }
 
-    private static Escrow.Word announcement(long at) {
-        return new Escrow.Word("g", at, Map.of());
+    private static Escrow.Announcement announcement(long at) {
+        return new Escrow.Announcement("g", at, Map.of());
     }
 
     private void awaitFile(String name) throws InterruptedException {
@@ -57,7 +57,7 @@
     void unwrittenStateIsNotAnnouncedAndIsWrittenLater(String blocked) throws Exception {
         Path blockingDirectory = Files.createDirectory(folder.resolve(blocked));
         Path fileInDirectory = Files.createFile(blockingDirectory.resolve("x"));  // or a file could take its place
-        try (ZoneFiles files = open()) {
+        try (ZoneFileStore files = open()) {
             files.write(snapshot(1), announcement(1));
             String logged = log.poll(WAIT_SECONDS, TimeUnit.SECONDS);
             assertNotNull(logged);
@@ -69,7 +69,7 @@
             awaitFile(ANNOUNCEMENT_FILE);
             assertTrue(Files.isRegularFile(folder.resolve(STATE_FILE)));
         }
-        try (ZoneFiles files = open()) {
+        try (ZoneFileStore files = open()) {
             assertEquals(2, files.readSnapshot().timeMillis());
         }
     }
@@ -77,16 +77,16 @@
     /** A kill while the new file is written leaves the old one in force. */
     @Test
     void partlyWrittenTemporaryFileIsIgnored() throws Exception {
-        try (ZoneFiles files = open()) {
+        try (ZoneFileStore files = open()) {
             files.write(snapshot(1), announcement(1));
             awaitFile(ANNOUNCEMENT_FILE);
         }
         Files.write(folder.resolve("." + STATE_FILE + ".new"), new byte[] {'{', '"'});
-        try (ZoneFiles files = open()) {
+        try (ZoneFileStore files = open()) {
             assertEquals(1, files.readSnapshot().timeMillis());
             files.write(snapshot(2), announcement(2));
         }
-        try (ZoneFiles files = open()) {
+        try (ZoneFileStore files = open()) {
             assertEquals(2, files.readSnapshot().timeMillis());
         }
     }
--- a/src/test/java/mastdrift/zones/edge/ZoneTextsTest.java
+++ b/src/test/java/mastdrift/zones/edge/ZoneStateCodecTest.java
@@ -17,61 +17,61 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import mastdrift.zones.Counts;
+import mastdrift.zones.FlowCounts;
 import mastdrift.zones.Escrow;
 import mastdrift.zones.Flow;
-import mastdrift.zones.Kept;
-import mastdrift.zones.Limit;
+import mastdrift.zones.AccountState;
+import mastdrift.zones.CrossingBudget;
 import mastdrift.zones.Price;
-import mastdrift.zones.Snapshot;
-import mastdrift.zones.Window;
+import mastdrift.zones.ZoneSnapshot;
+import mastdrift.zones.BudgetWindow;
 import mastdrift.zones.ZoneSettings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** What is written is read back as it was, and what is not whole is not used. */
-class ZoneTextsTest {
+class ZoneStateCodecTest {
 
     @TempDir
     private Path folder;
     private final List<String> log = new ArrayList<>();
 
-    private static Snapshot snapshot(long seed) {
+    private static ZoneSnapshot snapshot(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Map<Flow, Counts> flows = new LinkedHashMap<>();
+        Map<Flow, FlowCounts> flows = new LinkedHashMap<>();
         for (int i = 0; i < 5; i++) {
-            long[] values = new long[new Counts().values().length];
+            long[] values = new long[new FlowCounts().values().length];
             Arrays.setAll(values, n -> random.nextLong(1L << 60));
-            flows.put(new Flow("bilbao", i % 2 == 0 ? "oviedo" : "bilbao", "", "c" + i, "p", "t\"ö"), Counts.of(values));
+            flows.put(new Flow("bilbao", i % 2 == 0 ? "oviedo" : "bilbao", "", "c" + i, "p", "t\"ö"), FlowCounts.of(values));
         }
-        Limit limit = new Limit("m", Window.MONTH, Limit.Unit.MONEY, random.nextDouble() * 1e6, "oviedo", null, "t", null, 0.25, true);
+        CrossingBudget budget = new CrossingBudget("m", BudgetWindow.MONTH, CrossingBudget.Unit.MONEY, random.nextDouble() * 1e6, "oviedo", null, "t", null, 0.25, true);
         long at = 1_796_000_000_000L + random.nextInt(1_000_000);
-        Kept saved = new Kept(Window.MONTH.startMillis(at), at, random.nextDouble(), random.nextDouble(), 0, -random.nextDouble(), 1, 2,
+        AccountState saved = new AccountState(BudgetWindow.MONTH.startMillis(at), at, random.nextDouble(), random.nextDouble(), 0, -random.nextDouble(), 1, 2,
                 Map.of("g2", random.nextDouble()), Map.of());
-        return new Snapshot("g", "bilbao", at, flows, List.of(new Snapshot.Budget(limit, Window.MONTH.endMillis(at), 3.5, saved)),
+        return new ZoneSnapshot("g", "bilbao", at, flows, List.of(new ZoneSnapshot.BudgetStatus(budget, BudgetWindow.MONTH.endMillis(at), 3.5, saved)),
                 List.of(new Price("bilbao", "oviedo", 0.02, 0.4)), Map.of("p", List.of("c1")));
     }
 
-    private static byte[] encode(Snapshot snapshot) throws IOException {
-        return ZoneTexts.wrap(ZoneTexts.STATE_FORMAT, ZoneTexts.toMap(snapshot));
+    private static byte[] encode(ZoneSnapshot snapshot) throws IOException {
+        return ZoneStateCodec.wrap(ZoneStateCodec.STATE_FORMAT, ZoneStateCodec.toMap(snapshot));
     }
 
-    private static Snapshot decode(byte[] bytes) throws IOException {
-        return ZoneTexts.snapshot(ZoneTexts.unwrap(ZoneTexts.STATE_FORMAT, bytes));
+    private static ZoneSnapshot decode(byte[] bytes) throws IOException {
+        return ZoneStateCodec.snapshot(ZoneStateCodec.unwrap(ZoneStateCodec.STATE_FORMAT, bytes));
     }
 
     @Test
     void encodedDataIsReadBackUnchanged() throws IOException {
         for (long seed = 0; seed < 50; seed++) {
-            Snapshot one = snapshot(seed);
-            Snapshot other = decode(encode(one));
+            ZoneSnapshot one = snapshot(seed);
+            ZoneSnapshot other = decode(encode(one));
             assertEquals(one.budgets(), other.budgets());
             assertEquals(one.prices(), other.prices());
             assertEquals(one.overridingClasses(), other.overridingClasses());
             assertEquals(one.flows().keySet(), other.flows().keySet());
             one.flows().forEach((flow, counts) -> assertArrayEquals(counts.values(), other.flows().get(flow).values()));
-            Escrow.Word announcement = new Escrow.Word("g", one.timeMillis(), Map.of("m", new Escrow.Says(one.timeMillis(), -3.25, Map.of("h", 0.1))));
-            assertEquals(announcement, ZoneTexts.announcement(ZoneTexts.unwrap(ZoneTexts.ANNOUNCEMENT_FORMAT, ZoneTexts.wrap(ZoneTexts.ANNOUNCEMENT_FORMAT, ZoneTexts.toMap(announcement)))));
+            Escrow.Announcement announcement = new Escrow.Announcement("g", one.timeMillis(), Map.of("m", new Escrow.BudgetAnnouncement(one.timeMillis(), -3.25, Map.of("h", 0.1))));
+            assertEquals(announcement, ZoneStateCodec.announcement(ZoneStateCodec.unwrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT, ZoneStateCodec.wrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT, ZoneStateCodec.toMap(announcement)))));
         }
     }
 
@@ -110,9 +110,9 @@
         Object[][] table = {{"flows", 3, "flows"}, {"at", "yesterday", "yesterday"}, {"gateway", null, "gateway"}, {"budgets", List.of(1), "budgets"},
             {"flows", List.of(Map.of("from", "a")), "to"}};
         for (Object[] row : table) {
-            Map<String, Object> map = ZoneTexts.toMap(snapshot(1));
+            Map<String, Object> map = ZoneStateCodec.toMap(snapshot(1));
             map.put((String) row[0], row[1]);
-            byte[] bytes = ZoneTexts.wrap(ZoneTexts.STATE_FORMAT, map);
+            byte[] bytes = ZoneStateCodec.wrap(ZoneStateCodec.STATE_FORMAT, map);
             IOException e = assertThrows(IOException.class, () -> decode(bytes));
             assertTrue(e.getMessage().contains((String) row[2]), e.getMessage());
         }
@@ -123,29 +123,29 @@
 
     // ---- files
 
-    private ZoneFiles files(String gateway, List<Escrow.Word> announcements) {
+    private ZoneFileStore files(String gateway, List<Escrow.Announcement> announcements) {
         ZoneSettings settings = new ZoneSettings(List.of(), List.of(), List.of(), List.of(), 1, "report.json", ".", ".");
-        return new ZoneFiles(folder.resolve("gateway.toml"), gateway, settings, announcements::add, log::add);
+        return new ZoneFileStore(folder.resolve("gateway.toml"), gateway, settings, announcements::add, log::add);
     }
 
-    private static Escrow.Word announcement(String gateway) {
-        return new Escrow.Word(gateway, 1, Map.of());
+    private static Escrow.Announcement announcement(String gateway) {
+        return new Escrow.Announcement(gateway, 1, Map.of());
     }
 
     @Test
     void stateSurvivesARestartAndAnnouncementsReachPeers() throws IOException {
-        List<Escrow.Word> announcements = new ArrayList<>();
-        try (ZoneFiles files = files("other", new ArrayList<>())) {
+        List<Escrow.Announcement> announcements = new ArrayList<>();
+        try (ZoneFileStore files = files("other", new ArrayList<>())) {
             files.write(snapshot(1), announcement("other"));
         }
-        try (ZoneFiles files = files("g", announcements)) {
+        try (ZoneFileStore files = files("g", announcements)) {
             assertNull(files.readSnapshot());
             assertNull(files.readOwnAnnouncement());
             files.write(snapshot(2), announcement("g"));
         }
         assertEquals(List.of(announcement("other")), announcements);
         assertTrue(Files.readString(folder.resolve("report.json")).contains("\"gateway\""));
-        try (ZoneFiles files = files("g", announcements); ZoneFiles second = files("g", announcements)) {
+        try (ZoneFileStore files = files("g", announcements); ZoneFileStore second = files("g", announcements)) {
             assertEquals(snapshot(2).budgets(), files.readSnapshot().budgets());
             assertEquals(announcement("g"), files.readOwnAnnouncement());
             assertNull(second.readSnapshot(), "one process a folder and name");
@@ -153,9 +153,9 @@
         assertEquals(1, log.size(), log.toString());
         Files.writeString(folder.resolve("zones-g.state"), "half");
         Files.delete(folder.resolve("budgets-other.json"));
-        Files.write(folder.resolve("elsewhere"), ZoneTexts.wrap(ZoneTexts.ANNOUNCEMENT_FORMAT, ZoneTexts.toMap(announcement("other"))));
+        Files.write(folder.resolve("elsewhere"), ZoneStateCodec.wrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT, ZoneStateCodec.toMap(announcement("other"))));
         Files.createSymbolicLink(folder.resolve("budgets-other.json"), folder.resolve("elsewhere"));
-        try (ZoneFiles files = files("g", announcements)) {
+        try (ZoneFileStore files = files("g", announcements)) {
             assertNull(files.readSnapshot());
             assertTrue(log.get(1).contains("zones-g.state is not used: expected a first line"), log.toString());
             announcements.clear();
@@ -167,7 +167,7 @@
     @Test
     void missingFolderIsLoggedAndTheRestGoesOn() throws IOException {
         ZoneSettings settings = new ZoneSettings(List.of(), List.of(), List.of(), List.of(), 1, "report.json", "none", "none");
-        try (ZoneFiles files = new ZoneFiles(folder.resolve("gateway.toml"), "g", settings, word -> { }, log::add)) {
+        try (ZoneFileStore files = new ZoneFileStore(folder.resolve("gateway.toml"), "g", settings, word -> { }, log::add)) {
             assertNull(files.readSnapshot());
             files.write(snapshot(1), announcement("g"));
         }
