--- a/src/main/java/mastdrift/zones/BudgetWindow.java
+++ b/src/main/java/mastdrift/zones/BudgetWindow.java
@@ -6,15 +6,15 @@
 import java.time.temporal.ChronoUnit;
 import java.util.Locale;
 
-/** The windows that budgets are for, in UTC. */
+/** The period that a budget applies to, by the calendar in UTC. */
 public enum BudgetWindow {
-    /** From a full minute to the next. */
+    /** One minute, from second 0. */
     MINUTE(ChronoUnit.MINUTES),
-    /** Likewise. */
+    /** One hour, from minute 0. */
     HOUR(ChronoUnit.HOURS),
-    /** From midnight to midnight. */
+    /** One day, from midnight. */
     DAY(ChronoUnit.DAYS),
-    /** A calendar month. */
+    /** One calendar month. */
     MONTH(ChronoUnit.MONTHS);
 
     private final ChronoUnit unit;
@@ -23,17 +23,17 @@
         this.unit = unit;
     }
 
-    /** As files write it. */
+    /** The window's name in settings and files: the constant's name in lower case. */
     public String settingName() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** The beginning of the window that holds a time; milliseconds since 1970. */
+    /** The start of the window that contains a time, both in milliseconds since 1970. */
     public long startMillis(long millis) {
         return start(millis).toInstant().toEpochMilli();
     }
 
-    /** Its end, which is the next one's beginning. */
+    /** The end of the window that contains a time, which is the start of the next one. */
     public long endMillis(long millis) {
         return start(millis).plus(1, unit).toInstant().toEpochMilli();
     }
--- a/src/main/java/mastdrift/zones/ClientNetworks.java
+++ b/src/main/java/mastdrift/zones/ClientNetworks.java
@@ -5,24 +5,24 @@
 import java.util.List;
 import mastdrift.settings.AddressRange;
 
-/** The zones of clients, by their addresses; the longest network that holds an address decides. */
+/** Maps client addresses to zones by longest prefix match. */
 public final class ClientNetworks {
 
-    /** Networks at most. */
+    /** Largest number of networks. */
     public static final int MAX_NETWORKS = 256;
 
-    /** A network and the zone of its clients. */
+    /** An address range and the zone of the clients in it. */
     public record Network(AddressRange range, String zone) { }
 
     private final List<Network> networks;
 
-    /** In any order. */
+    /** The networks may be in any order. */
     public ClientNetworks(List<Network> networks) {
         this.networks = new ArrayList<>(networks);
         this.networks.sort(Comparator.comparingInt((Network network) -> network.range.prefix()).reversed());
     }
 
-    /** The zone of an address of 4 or 16 bytes; empty where no network holds it. */
+    /** The zone of an address of 4 or 16 bytes; empty if no network contains it. */
     public String zone(byte[] address) {
         for (Network network : networks) {
             if (network.range.holds(address)) {
--- a/src/main/java/mastdrift/zones/CrossingAccount.java
+++ b/src/main/java/mastdrift/zones/CrossingAccount.java
@@ -4,19 +4,22 @@
 import java.util.TreeMap;
 
 /**
- * This gateway's part of one budget, in the window that is open: a bucket that fills at what is left over the time that is left. What a
- * quiet time leaves raises the rate of the rest; a bucket holds no more than a sixtieth of the window's amount, so that neither a
- * jump of the clock nor the end of a quiet hour lets much go at once. Crossings reserve ahead and settle afterwards.
+ * This gateway's account of one budget in the current window: a token bucket that refills at the amount that remains
+ * divided by the time that remains. What is not used early in the window raises the rate of the rest. The bucket holds
+ * at most a sixtieth of the amount granted for the window (or one crossing, if that costs more), so that neither a jump
+ * of the clock nor the end of an idle hour admits a large burst. Crossings reserve an estimated cost when they start
+ * and settle the real cost when they end.
  *
- * <p>Parts given away are taken off first (see {@link Escrow}). All amounts in the limit's unit, times in milliseconds of the wall.
+ * <p>Amounts transferred to other gateways are subtracted before they are announced (see {@link Escrow}). All amounts
+ * are in the budget's unit, all times in milliseconds of the wall clock since 1970.
  */
 final class CrossingAccount {
 
-    /** A bucket holds the pace of so much of a window. */
+    /** Bucket capacity as a fraction of the amount granted for the window. */
     static final double BUCKET_WINDOW_FRACTION = 1.0 / 60;
-    /** Of a window's part, what may go into paying debts. */
+    /** Largest fraction of a window's allotment that repays debt of earlier windows. */
     static final double MAX_REPAYMENT_FRACTION = 0.5;
-    // A rate over a shorter time would be none.
+    // Over a shorter time a rate can't be extrapolated.
     private static final long MIN_FORECAST_SPAN_MILLIS = 1_000;
 
     private CrossingBudget budget;
@@ -35,7 +38,7 @@
     private final Map<String, Double> transferredOut = new TreeMap<>();
     private final Map<String, Double> transferredIn = new TreeMap<>();
 
-    /** Opens in the middle of a window, of which the past part is taken for spent. */
+    /** Starts in the middle of a window; the allotment of the time that has passed is assumed spent. */
     CrossingAccount(CrossingBudget budget, int gatewayCount, long millis) {
         this.budget = budget;
         allotment = budget.amount() / gatewayCount;
@@ -50,7 +53,10 @@
         return budget;
     }
 
-    /** The operator has changed it: what was spent stays spent, and the window's part grows or shrinks at once. */
+    /**
+     * Applies a changed budget: what was spent stays spent, and the grant of the current window grows or shrinks at
+     * once.
+     */
     void updateBudget(CrossingBudget newBudget, int gatewayCount) {
         double previousAllotment = allotment;
         allotment = newBudget.amount() / gatewayCount;
@@ -59,7 +65,10 @@
         credit = Math.min(credit, Math.max(0, remaining()));
     }
 
-    /** A clock that runs back changes nothing. */
+    /**
+     * Refills the bucket up to this time and starts the next window when this one has ended. A time before the last one
+     * changes nothing.
+     */
     void advance(long millis) {
         if (millis >= windowEndMillis) {
             startNextWindow(millis);
@@ -68,7 +77,9 @@
             double capacity = Math.min(granted, Math.max(granted * BUCKET_WINDOW_FRACTION, recentMaxCost));
             double available = remaining() - reserved - Math.max(0, credit);
             if (credit < capacity && available > 0) {
-                credit = Math.min(capacity, credit + available * Math.min(1, (double) (millis - currentMillis) / (windowEndMillis - currentMillis)));
+                credit = Math.min(capacity,
+                        credit + available
+                                * Math.min(1, (double) (millis - currentMillis) / (windowEndMillis - currentMillis)));
             }
             currentMillis = millis;
         }
@@ -87,18 +98,22 @@
         usageSinceMillis = windowStartMillis;
         spent = 0;
         denied = 0;
-        credit = -reserved;  // what is out is settled on this window
+        credit = -reserved;  // crossings under way settle in the new window
         transferredOut.clear();
         transferredIn.clear();
     }
 
-    /** What this window's part has left, without what is reserved; below 0 for what is owed. */
+    /** What remains of the grant, reservations not subtracted; below 0 where more was spent than granted. */
     double remaining() {
         return granted - spent;
     }
 
-    /** How easily a crossing of a cost fits: 0 not at all, 1 from half a bucket on. */
+    /**
+     * The fraction of crossings of this cost to admit: 0 if it does not fit, rising to 1 when the bucket is half full.
+     * Also records the cost, from which the bucket's capacity is sized.
+     */
     double admissionFraction(double cost) {
+        // Largest recent cost: decays by 1 % a call, so that the bucket can hold one crossing of this size.
         recentMaxCost = Math.max(cost, 0.99 * recentMaxCost);
         double capacity = Math.min(granted, Math.max(granted * BUCKET_WINDOW_FRACTION, cost));
         if (cost > credit || credit <= 0 || remaining() - reserved < cost) {
@@ -112,27 +127,27 @@
         credit -= cost;
     }
 
-    /** Ends a reserve with what it really cost. */
+    /** Replaces a reservation by the real cost. */
     void settle(double reservedCost, double realCost) {
         reserved = Math.max(0, reserved - reservedCost);
         credit += reservedCost - realCost;
         spent += realCost;
     }
 
-    /** A crossing that would have been made with more room. */
+    /** Counts a crossing that the budget held back as demand. */
     void recordDenied(double cost) {
         denied += cost;
     }
 
-    /** What the window will have used at its end, as it goes. */
+    /** What the window will have used at its end, extrapolated from the usage so far. */
     double forecast() {
         long elapsed = currentMillis - usageSinceMillis;
         return elapsed < MIN_FORECAST_SPAN_MILLIS ? spent : spent + spent / elapsed * (windowEndMillis - currentMillis);
     }
 
-    // ---- parts of other gateways
+    // ---- transfers between gateways
 
-    /** What it would use of the rest of the window beyond what it has; 0 or less for what it has too much of. */
+    /** What it expects to use in the rest of the window beyond what it has; 0 or less is a surplus. */
     double expectedShortfall() {
         long elapsed = Math.max(MIN_FORECAST_SPAN_MILLIS, currentMillis - usageSinceMillis);
         return (spent + denied) / elapsed * (windowEndMillis - currentMillis) - (remaining() - reserved);
@@ -166,13 +181,16 @@
         return transferredOut;
     }
 
-    /** Takes it off at once: only then may it be told. */
+    /** Subtracts the amount before the peer is told of it, so that it can't be spent twice. */
     void transferOut(String peer, double amount) {
         granted -= amount;
         transferredOut.merge(peer, amount, Double::sum);
     }
 
-    /** A peer has given so much in all in the window that begins then; other windows' and what was taken before don't count. */
+    /**
+     * Adds what a peer has transferred in total in the window that starts at windowStart. Ignores other windows and the
+     * part of the total that was added before.
+     */
     void receiveTransfer(String peer, long windowStart, double total) {
         double increase = total - transferredIn.getOrDefault(peer, 0.0);
         if (windowStart == windowStartMillis && increase > 0) {
@@ -181,9 +199,12 @@
         }
     }
 
-    // ---- over a restart
+    // ---- restart
 
-    /** What an earlier process gave away in the window that begins then, where nothing else is known of it. */
+    /**
+     * Subtracts what an earlier process transferred to peers in the window that starts at windowStart, unless transfers
+     * are already known.
+     */
     void restoreTransfers(long windowStart, Map<String, Double> transfers) {
         if (windowStart == windowStartMillis && transferredOut.isEmpty()) {
             transfers.forEach(this::transferOut);
@@ -191,15 +212,19 @@
     }
 
     AccountState state() {
-        return new AccountState(windowStartMillis, currentMillis, granted, spent, reserved, credit, denied, owed, Map.copyOf(transferredOut), Map.copyOf(transferredIn));
+        return new AccountState(windowStartMillis, currentMillis, granted, spent, reserved, credit, denied, owed,
+                Map.copyOf(transferredOut), Map.copyOf(transferredIn));
     }
 
-    /** Goes on from what was kept, less what may have been spent since: what was out, a bucket, and the pace of at most {@code unsaved} milliseconds.
-        Of an earlier window only what is owed counts, and what it has left. */
+    /**
+     * Continues from a saved state, less what may have been spent since it was saved: the open reservations, the
+     * bucket's content, and the refill of at most {@code maxUnsavedMillis}. Of an earlier window only debt and
+     * carry-over count.
+     */
     void restore(AccountState saved, long maxUnsavedMillis) {
         long now = currentMillis;
         if (saved.windowStartMillis() > windowStartMillis) {
-            return;  // from a later window than this: a clock that was wrong, then or now
+            return;  // from a later window than the current one: the clock was wrong then or is wrong now
         }
         windowStartMillis = budget.window().startMillis(saved.windowStartMillis());
         windowEndMillis = budget.window().endMillis(saved.windowStartMillis());
@@ -212,7 +237,8 @@
         usageSinceMillis = windowStartMillis;
         currentMillis = Math.max(windowStartMillis, Math.min(saved.savedAtMillis(), windowEndMillis - 1));
         double refillRate = Math.max(0, remaining()) / (windowEndMillis - currentMillis);
-        spent += Math.min(Math.max(0, remaining()), Math.max(0, saved.credit()) + refillRate * Math.max(0, Math.min(maxUnsavedMillis, now - currentMillis)));
+        spent += Math.min(Math.max(0, remaining()), Math.max(0, saved.credit())
+                + refillRate * Math.max(0, Math.min(maxUnsavedMillis, now - currentMillis)));
         credit = 0;
         if (now >= windowEndMillis) {
             startNextWindow(now);
--- a/src/main/java/mastdrift/zones/CrossingBudget.java
+++ b/src/main/java/mastdrift/zones/CrossingBudget.java
@@ -1,39 +1,43 @@
 package mastdrift.zones;
 
 /**
- * A budget of the operator's. What is null covers all.
+ * A configured budget for traffic to other zones. A selector (toZone, className, tenant, pool) that is null matches
+ * all.
  *
- * @param name for reports
- * @param window for which the amount is
- * @param unit of the amount
- * @param amount of all gateways together
- * @param toZone the zone that is crossed to
- * @param className of this class alone
- * @param tenant of this tenant alone
- * @param pool of this pool alone
- * @param maxCarryFraction what a window may leave to the next, as a part of the amount, 0 to 1
- * @param hard whether service doesn't go before it
+ * @param name name in reports
+ * @param window period that the amount applies to
+ * @param unit unit of the amount
+ * @param amount amount per window of all gateways together
+ * @param toZone destination zone that the budget applies to
+ * @param className class that the budget applies to
+ * @param tenant tenant that the budget applies to
+ * @param pool pool that the budget applies to
+ * @param maxCarryFraction largest fraction of a gateway's allotment that carries over to the next window, 0 to 1
+ * @param hard whether the budget holds also when the own zone is out or overloaded
  */
-public record CrossingBudget(String name, BudgetWindow window, Unit unit, double amount, String toZone, String className, String tenant, String pool,
+public record CrossingBudget(String name, BudgetWindow window, Unit unit, double amount, String toZone,
+        String className, String tenant, String pool,
         double maxCarryFraction, boolean hard) {
 
-    /** What an amount counts. */
+    /** Unit of a budget's amount. */
     public enum Unit {
-        /** Of both directions. */
+        /** Bytes of both directions. */
         BYTES,
-        /** Attempts, for each of them crosses. */
+        /** Attempts that cross. */
         REQUESTS,
-        /** By the prices. */
+        /** Cost by the configured prices. */
         MONEY
     }
 
-    /** The same for so many times the amount. */
+    /** This budget with its amount multiplied by a factor. */
     public CrossingBudget scaledBy(double factor) {
-        return new CrossingBudget(name, window, unit, amount * factor, toZone, className, tenant, pool, maxCarryFraction, hard);
+        return new CrossingBudget(name, window, unit, amount * factor, toZone, className, tenant, pool,
+                maxCarryFraction, hard);
     }
 
     boolean covers(String destinationZone, String requestClass, String requestTenant, String requestPool) {
-        return (toZone == null || toZone.equals(destinationZone)) && (className == null || className.equals(requestClass))
+        return (toZone == null || toZone.equals(destinationZone))
+                && (className == null || className.equals(requestClass))
                 && (tenant == null || tenant.equals(requestTenant)) && (pool == null || pool.equals(requestPool));
     }
 }
--- a/src/main/java/mastdrift/zones/CrossingCause.java
+++ b/src/main/java/mastdrift/zones/CrossingCause.java
@@ -2,24 +2,26 @@
 
 import java.util.Locale;
 
-/** Why an attempt left its gateway's zone. The first that holds, in this order. */
+/** Why an attempt left its gateway's zone. Where several apply, the first in this order is recorded. */
 public enum CrossingCause {
-    /** Nobody's attempt: a probe. */
+    /** Health probe; belongs to no request. */
     PROBE,
-    /** Its key was first sent to that zone, and its window is open. */
+    /**
+     * An earlier attempt with the same key may have run in that zone, and the key's deduplication window is still open.
+     */
     KEY,
-    /** An attempt of the same request went before. */
+    /** Another attempt of the same request was made before. */
     REPEAT,
-    /** The own zone is out. */
+    /** The gateway's own zone is out of service. */
     ZONE_OUT,
-    /** The own zone can't do all that comes. */
+    /** The gateway's own zone can't take all requests. */
     NO_CAPACITY,
-    /** Hosts of the own zone are draining. */
+    /** Hosts of the gateway's own zone are draining. */
     DRAIN,
-    /** The draw of the module's shares, within the budget. */
+    /** The module's weighted choice picked the zone within the budget. */
     WEIGHTS;
 
-    /** As reports write it. */
+    /** The cause's name in reports: the constant's name in lower case. */
     public String reportName() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/mastdrift/zones/FlowCounters.java
+++ b/src/main/java/mastdrift/zones/FlowCounters.java
@@ -3,17 +3,19 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** All counts by flow, since the book was begun. Bounded: flows beyond are counted together by their pair of zones, so that sums
-    stay exact. */
+/**
+ * Traffic counters by flow since the counters were first created, restarts included. Memory is bounded: flows beyond
+ * the bound are counted together by their pair of zones, so that sums stay exact.
+ */
 public final class FlowCounters {
 
-    /** Flows that are told apart. */
+    /** Number of flows that are counted separately. */
     public static final int MAX_FLOWS = 4_096;
 
     private final int maxFlows;
     private final Map<Flow, FlowCounts> flows = new LinkedHashMap<>();
 
-    /** An empty book. */
+    /** Creates empty counters. */
     public FlowCounters() {
         this(MAX_FLOWS);
     }
@@ -22,7 +24,7 @@
         this.maxFlows = maxFlows;
     }
 
-    /** The counts of a flow, which go on counting. */
+    /** The live counts of a flow; created when missing. */
     FlowCounts counts(Flow flow) {
         FlowCounts counts = flows.get(flow);
         if (counts == null) {
@@ -32,12 +34,12 @@
         return counts;
     }
 
-    /** Adds what was counted earlier. */
+    /** Adds counts of an earlier process. */
     void add(Map<Flow, FlowCounts> earlier) {
         earlier.forEach((flow, counts) -> counts(flow).add(counts));
     }
 
-    /** A copy, which counts no further. */
+    /** A copy that is independent of further counting. */
     Map<Flow, FlowCounts> copy() {
         Map<Flow, FlowCounts> copy = new LinkedHashMap<>();
         flows.forEach((flow, counts) -> {
--- a/src/main/java/mastdrift/zones/FlowCounts.java
+++ b/src/main/java/mastdrift/zones/FlowCounts.java
@@ -1,6 +1,6 @@
 package mastdrift.zones;
 
-/** What went over a flow. Bytes as the socket took and gave them; attempts of which not a byte was sent are not among them. */
+/** Traffic counts of one flow. Bytes are counted at the socket; attempts of which no byte was sent are not counted. */
 public final class FlowCounts {
 
     private static final int CAUSE_COUNT = CrossingCause.values().length;
@@ -14,32 +14,32 @@
     private final long[] attemptsByCause = new long[CAUSE_COUNT];
     private final long[] bytesByCause = new long[CAUSE_COUNT];
 
-    /** Requests whose first attempt this flow took. */
+    /** Requests whose first attempt went over this flow. */
     public long requests() {
         return requests;
     }
 
-    /** Attempts, repeats among them, without probes. */
+    /** Attempts, retries included, probes excluded. */
     public long attempts() {
         return attempts;
     }
 
-    /** Probes. */
+    /** Health probes sent over this flow. */
     public long probes() {
         return probes;
     }
 
-    /** Attempts that ended without a host's good answer. */
+    /** Attempts that did not end in {@code DELIVERED}. */
     public long failed() {
         return failed;
     }
 
-    /** Bytes from the gateway to hosts. */
+    /** Bytes sent by the gateway to hosts. */
     public long bytesSent() {
         return bytesSent;
     }
 
-    /** Bytes from hosts to the gateway. */
+    /** Bytes received by the gateway from hosts. */
     public long bytesReceived() {
         return bytesReceived;
     }
@@ -49,7 +49,7 @@
         return attemptsByCause[cause.ordinal()];
     }
 
-    /** Bytes of both directions that did. */
+    /** Bytes, both directions, that left the zone for this cause. */
     public long bytes(CrossingCause cause) {
         return bytesByCause[cause.ordinal()];
     }
@@ -77,7 +77,7 @@
         bytesByCause[cause.ordinal()] += addedBytes;
     }
 
-    /** Adds another's. */
+    /** Adds another flow's counts to these. */
     public void add(FlowCounts other) {
         requests += other.requests;
         attempts += other.attempts;
@@ -91,7 +91,10 @@
         }
     }
 
-    /** As numbers in a fixed order: those above, then attempts and bytes by cause. */
+    /**
+     * The counts in a fixed order: requests, attempts, probes, failed, sent, received, then attempts by cause and bytes
+     * by cause.
+     */
     public long[] values() {
         long[] values = new long[6 + 2 * CAUSE_COUNT];
         long[] totals = {requests, attempts, probes, failed, bytesSent, bytesReceived};
@@ -101,7 +104,7 @@
         return values;
     }
 
-    /** Reads {@link #values}; throws IllegalArgumentException for other lengths and for numbers below 0. */
+    /** Inverse of {@link #values}. Throws IllegalArgumentException for another length and for negative numbers. */
     public static FlowCounts of(long[] values) {
         if (values.length != 6 + 2 * CAUSE_COUNT) {
             throw new IllegalArgumentException("expected " + (6 + 2 * CAUSE_COUNT) + " counts, found " + values.length);
--- a/src/main/java/mastdrift/zones/KeyZoneTable.java
+++ b/src/main/java/mastdrift/zones/KeyZoneTable.java
@@ -4,11 +4,14 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The zone that a key's effect belongs to while its window is open: the one in which it may have run. Bounded; at the bound nothing more
-    is taken in until the eldest window closes, and keys that couldn't be stay where they need not be remembered, in the own zone. */
+/**
+ * Remembers the zone in which a key's request may have run while its deduplication window is open, so that retries
+ * don't run it in a second zone. Size is bounded: at the bound no new key is added until the oldest entry expires, and
+ * requests with new keys stay in the gateway's own zone.
+ */
 final class KeyZoneTable {
 
-    /** Keys. */
+    /** Largest number of keys that are remembered. */
     static final int MAX_KEYS = 1 << 16;
 
     private static final class Entry {
@@ -28,7 +31,7 @@
         this.maxKeys = maxKeys;
     }
 
-    /** Null where it belongs to none. */
+    /** The zone in which the key may have run, or null if there is none. */
     String zone(long now, long key) {
         Entry entry = entries.get(key);
         if (entry != null && entry.expiresAt <= now) {
@@ -38,7 +41,7 @@
         return entry == null ? null : entry.zone;
     }
 
-    /** Whether another key can be remembered. */
+    /** Whether another key can be added; evicts the oldest entry if it has expired. */
     boolean hasRoom(long now) {
         if (entries.size() < maxKeys) {
             return true;
@@ -50,7 +53,7 @@
         return entries.size() < maxKeys;
     }
 
-    /** An attempt goes to a zone; its window is open until then. */
+    /** Records an attempt sent to a zone; {@code expiresAt} is the end of its deduplication window. */
     void recordSent(long now, long key, String zone, long expiresAt) {
         String knownZone = zone(now, key);
         if (knownZone == null && !hasRoom(now)) {
@@ -63,7 +66,7 @@
         }
     }
 
-    /** An attempt there is proved not to have run. */
+    /** Withdraws an attempt that is proved not to have run; the key is forgotten when none remains. */
     void recordNeverRan(long key, String zone) {
         Entry entry = entries.get(key);
         if (entry != null && entry.zone.equals(zone) && --entry.possiblyRunAttempts <= 0) {
--- a/src/main/java/mastdrift/zones/PoolCrossings.java
+++ b/src/main/java/mastdrift/zones/PoolCrossings.java
@@ -14,7 +14,10 @@
 import mastdrift.Balancer.RequestClass;
 import mastdrift.Balancer.Why;
 
-/** One pool's traffic across zones: where its hosts are, which of its requests may cross, what did and why. */
+/**
+ * Traffic of one pool across zones: tracks the zones of its hosts, decides which requests may cross, and counts what
+ * crossed and why.
+ */
 public final class PoolCrossings {
 
     private final ZoneBudgetManager manager;
@@ -35,7 +38,10 @@
         return budgetOverride;
     }
 
-    /** Hosts, all of them or those that changed. */
+    /**
+     * Updates the hosts; with {@code all} the list replaces the previous one, otherwise it holds only the hosts that
+     * changed.
+     */
     public void updateHosts(long now, boolean all, List<Host> hosts) {
         if (all) {
             zoneByRemovedHost.clear();
@@ -55,7 +61,8 @@
             setMember(ownZoneHostsUp, host, inOwnZone && host.health() == Health.UP);
             setMember(ownZoneHostsDraining, host, inOwnZone && host.health() == Health.LEAVING);
         }
-        if (!zoneByHost.isEmpty()) {  // or a pool that hasn't heard its list yet would begin with its zone out
+        // before the first host list arrives, an empty pool must not count as an outage of the zone
+        if (!zoneByHost.isEmpty()) {
             budgetOverride.updateHosts(now, ownZoneHostsUp);
         }
     }
@@ -68,20 +75,26 @@
         }
     }
 
-    /** What is on its way may end after its host left the list. */
+    /** Also finds hosts that have left the list, since attempts may end after their host is gone. */
     private String zoneOf(String hostAddress) {
         String zone = zoneByHost.get(hostAddress);
         return zone != null ? zone : zoneByRemovedHost.getOrDefault(hostAddress, "");
     }
 
-    /** A request comes; {@code client} is its client's zone, empty where it isn't told, and {@code effect} stands for what repeats of it share, or is null. */
-    public RequestCrossing startRequest(long now, RequestClass requestClass, String tenant, String clientZone, Long effectKey) {
+    /**
+     * Starts a request. {@code clientZone} is empty if unknown; {@code effectKey} identifies the effect that the
+     * request and its retries share, or is null.
+     */
+    public RequestCrossing startRequest(long now, RequestClass requestClass, String tenant, String clientZone,
+            Long effectKey) {
         budgetOverride.recordRequest(now);
-        boolean boundToZone = effectKey != null && requestClass.repeat() == Repeat.KEYED && requestClass.group() != Group.ALL;
-        return new RequestCrossing(requestClass, tenant == null ? "" : tenant, clientZone, boundToZone ? effectKey * 31 + requestClass.name().hashCode() : null);
+        boolean boundToZone = effectKey != null && requestClass.repeat() == Repeat.KEYED
+                && requestClass.group() != Group.ALL;
+        return new RequestCrossing(requestClass, tenant == null ? "" : tenant, clientZone,
+                boundToZone ? effectKey * 31 + requestClass.name().hashCode() : null);
     }
 
-    /** What one request may cross for, for as long as it lives. */
+    /** Decides whether one request may cross zones, over all its attempts. */
     public final class RequestCrossing implements Crossing {
 
         private final RequestClass requestClass;
@@ -89,7 +102,7 @@
         private final String clientZone;
         private final Long key;
         private String heldBackZone;
-        private boolean heldBackBySoftBudget;  // a budget that could give way held it back
+        private boolean heldBackBySoftBudget;  // a soft budget is one that is not hard
         private boolean denialRecorded;
         private long cachedAt = Long.MIN_VALUE;
         private String cachedZone;
@@ -102,14 +115,15 @@
             this.key = key;
         }
 
-        /** Itself where any budget says what may cross; null where all is counted and nothing bounded. */
+        /** This object if any budget is configured; null if traffic is only counted. */
         public Crossing asCrossing() {
             return manager.hasBudgets() ? this : null;
         }
 
         @Override
         public double part(long now, String toZone) {
-            if (now != cachedAt || !toZone.equals(cachedZone)) {  // draws ask the same many times over
+            // cached, since one choice of a host asks for the same zone many times
+            if (now != cachedAt || !toZone.equals(cachedZone)) {
                 cachedFraction = admissionFraction(now, toZone);
                 cachedAt = now;
                 cachedZone = toZone;
@@ -128,11 +142,14 @@
             if (boundZone == null && key != null && !manager.keyZones().hasRoom(now)) {
                 return 0;
             }
-            boolean mayOverride = boundZone != null || budgetOverride.mayExceedBudgets(requestClass.name());  // service, before budgets that aren't hard
-            double fraction = manager.admissionFraction(now, toZone, requestClass.name(), tenant, poolName, mayOverride);
+            // retries of a key and overriding classes may exceed budgets that are not hard
+            boolean mayOverride = boundZone != null || budgetOverride.mayExceedBudgets(requestClass.name());
+            double fraction = manager.admissionFraction(now, toZone, requestClass.name(), tenant, poolName,
+                    mayOverride);
             if (fraction == 0) {
                 heldBackZone = toZone;
-                heldBackBySoftBudget |= !mayOverride && manager.admissionFraction(now, toZone, requestClass.name(), tenant, poolName, true) > 0;
+                heldBackBySoftBudget |= !mayOverride && manager.admissionFraction(now, toZone, requestClass.name(),
+                        tenant, poolName, true) > 0;
             }
             return mayOverride && fraction > 0 ? 1 : fraction;
         }
@@ -142,7 +159,7 @@
             return heldBackZone != null;
         }
 
-        /** Tells the budgets once that they held it back. */
+        /** Reports the held-back demand to the budgets, once a request. */
         private void recordDenial() {
             if (heldBackZone != null && !denialRecorded) {
                 denialRecorded = true;
@@ -150,7 +167,7 @@
             }
         }
 
-        /** It was refused. */
+        /** Records that the request was refused; only refusals for hosts or zones count as overload. */
         public void recordRefusal(long now, Why why) {
             recordDenial();
             if (why == Why.HOSTS || why == Why.ZONES) {
@@ -158,7 +175,7 @@
             }
         }
 
-        /** An attempt goes out, numbered from 0. */
+        /** Records that an attempt was sent; {@code attemptNumber} counts from 0. */
         public TrackedAttempt startAttempt(long now, String hostAddress, int attemptNumber) {
             recordDenial();
             return new TrackedAttempt(this, now, hostAddress, attemptNumber);
@@ -166,11 +183,13 @@
     }
 
     private CrossingCause cause(RequestCrossing request, boolean keyBound, int attemptNumber) {
-        return keyBound ? CrossingCause.KEY : attemptNumber > 0 ? CrossingCause.REPEAT : budgetOverride.isZoneOut() ? CrossingCause.ZONE_OUT
-                : budgetOverride.mayExceedBudgets(request.requestClass.name()) ? CrossingCause.NO_CAPACITY : !ownZoneHostsDraining.isEmpty() ? CrossingCause.DRAIN : CrossingCause.WEIGHTS;
+        return keyBound ? CrossingCause.KEY : attemptNumber > 0 ? CrossingCause.REPEAT
+                : budgetOverride.isZoneOut() ? CrossingCause.ZONE_OUT
+                : budgetOverride.mayExceedBudgets(request.requestClass.name()) ? CrossingCause.NO_CAPACITY
+                : !ownZoneHostsDraining.isEmpty() ? CrossingCause.DRAIN : CrossingCause.WEIGHTS;
     }
 
-    /** One attempt, until it ends. */
+    /** Tracks one attempt until it ends. */
     public final class TrackedAttempt {
 
         private final RequestCrossing request;
@@ -189,15 +208,17 @@
             crosses = !toZone.equals(manager.zone());
             boolean keyBound = request.key != null && toZone.equals(manager.keyZones().zone(now, request.key));
             cause = cause(request, keyBound, attemptNumber);
-            reservation = crosses ? manager.new CrossingReservation(now, toZone, request.requestClass.name(), request.tenant, poolName) : null;
+            reservation = crosses ? manager.new CrossingReservation(now, toZone, request.requestClass.name(),
+                    request.tenant, poolName) : null;
             if (request.key != null) {
                 manager.keyZones().recordSent(now, request.key, toZone, now + request.requestClass.dedupWindow());
             }
         }
 
-        /** It ended, with so many bytes sent and received. */
+        /** Records the end of the attempt, with its bytes in both directions. */
         public void end(long now, Outcome outcome, long bytesSent, long bytesReceived) {
-            FlowCounts counts = manager.counts(new Flow(manager.zone(), toZone, request.clientZone, request.requestClass.name(), poolName, request.tenant));
+            FlowCounts counts = manager.counts(new Flow(manager.zone(), toZone, request.clientZone,
+                    request.requestClass.name(), poolName, request.tenant));
             if (bytesSent > 0) {
                 counts.addAttempt(attemptNumber == 0);
                 if (outcome != Outcome.DELIVERED) {
@@ -218,17 +239,18 @@
 
     private void recordOutcome(long now, String hostAddress, Outcome outcome) {
         if (outcome != Outcome.REVOKED && outcome != Outcome.UNUSED) {
-            budgetOverride.recordOutcome(now, hostAddress, outcome == Outcome.DELIVERED || outcome == Outcome.ERROR || outcome == Outcome.SHED);
+            budgetOverride.recordOutcome(now, hostAddress, outcome == Outcome.DELIVERED || outcome == Outcome.ERROR
+                    || outcome == Outcome.SHED);
         }
     }
 
-    /** A probe ended, with so many bytes sent and received. */
+    /** Records the end of a probe, with its bytes in both directions. */
     public void recordProbe(long now, String hostAddress, Outcome outcome, long bytesSent, long bytesReceived) {
         addUnrequested(now, hostAddress, bytesSent, bytesReceived, bytesSent > 0);
         recordOutcome(now, hostAddress, outcome);
     }
 
-    /** Bytes that belong to no attempt. */
+    /** Records bytes that belong to no attempt. */
     public void recordUnattributedBytes(long now, String hostAddress, long bytesSent, long bytesReceived) {
         addUnrequested(now, hostAddress, bytesSent, bytesReceived, false);
     }
--- a/src/main/java/mastdrift/zones/Price.java
+++ b/src/main/java/mastdrift/zones/Price.java
@@ -1,11 +1,13 @@
 package mastdrift.zones;
 
-/** What goes from one zone to another costs, in any one currency.
+/**
+ * Price of traffic from one zone to another, in any one currency.
  *
- * @param fromZone the zone that bytes leave
- * @param toZone the zone that they reach
- * @param perGib for 2^30 bytes
- * @param perMillionRequests for a million requests */
+ * @param fromZone the zone that sends
+ * @param toZone the zone that receives
+ * @param perGib price of 2^30 bytes
+ * @param perMillionRequests price of a million requests
+ */
 public record Price(String fromZone, String toZone, double perGib, double perMillionRequests) {
 
     private static final double BYTES_PER_GIB = 1 << 30;
--- a/src/main/java/mastdrift/zones/ZoneBudgetManager.java
+++ b/src/main/java/mastdrift/zones/ZoneBudgetManager.java
@@ -8,14 +8,15 @@
 import java.util.TreeMap;
 
 /**
- * One gateway's traffic across zones: the book, the budgets, and what pools ask of them. A crossing goes by every budget that covers it.
- * Times in microseconds of the gateway's clock where nothing else is said; one thread.
+ * One gateway's traffic across zones: counters, budgets, and the per-pool views. A crossing counts against every budget
+ * that covers it. Times are in microseconds of the gateway's clock unless stated otherwise. Not thread-safe.
  */
 public final class ZoneBudgetManager {
 
-    // What a crossing is thought to move before any of its class has: more than small requests do.
+    // Estimated bytes in each direction before the first crossing of a class; more than small requests move.
     private static final double INITIAL_SIZE_BYTES = 4_096;
-    // The largest of late counts: it falls by this part of the way a crossing.
+    // Decay per crossing of the estimate, which is the largest recent size: the fraction of its distance to the current
+    // size.
     private static final double SIZE_DECAY_FRACTION = 0.02;
     private static final int MAX_CLASSES = 256;
 
@@ -25,11 +26,12 @@
 
         void update(long actualBytesSent, long actualBytesReceived) {
             bytesSent = Math.max(actualBytesSent, bytesSent + SIZE_DECAY_FRACTION * (actualBytesSent - bytesSent));
-            bytesReceived = Math.max(actualBytesReceived, bytesReceived + SIZE_DECAY_FRACTION * (actualBytesReceived - bytesReceived));
+            bytesReceived = Math.max(actualBytesReceived,
+                    bytesReceived + SIZE_DECAY_FRACTION * (actualBytesReceived - bytesReceived));
         }
     }
 
-    /** What one crossing holds of one budget. */
+    /** One crossing's reservation in one budget. */
     private record BudgetReservation(CrossingAccount account, double cost) { }
 
     private final String gateway;
@@ -45,8 +47,12 @@
     private ZoneSettings settings;
     private long lastNowMicros;
 
-    /** {@code gateway} is its name among {@code gatewayCount}, {@code millis} the wall clock's since 1970. */
-    public ZoneBudgetManager(String gateway, String zone, int gatewayCount, ZoneSettings settings, long now, long wallMillis) {
+    /**
+     * {@code gateway} is this gateway's name, {@code gatewayCount} the number of gateways that share the budgets,
+     * {@code wallMillis} the wall clock in milliseconds since 1970.
+     */
+    public ZoneBudgetManager(String gateway, String zone, int gatewayCount, ZoneSettings settings, long now,
+            long wallMillis) {
         this.gateway = gateway;
         this.zone = zone;
         this.gatewayCount = gatewayCount;
@@ -56,7 +62,10 @@
         configure(settings);
     }
 
-    /** Other budgets, prices or orders: what was counted and spent stays. Budgets go on by name, window and unit. */
+    /**
+     * Applies changed budgets, prices or class orders; counts and what was spent stay. A budget continues if its name,
+     * window and unit are unchanged.
+     */
     public void configure(ZoneSettings newSettings) {
         Map<String, CrossingAccount> previousAccounts = new LinkedHashMap<>(accountByBudget);
         accountByBudget.clear();
@@ -66,14 +75,16 @@
                 known.updateBudget(budget, gatewayCount);
                 accountByBudget.put(budget.name(), known);
             } else {
-                accountByBudget.put(budget.name(), new CrossingAccount(budget, gatewayCount, clock.wallMillis(lastNowMicros)));
+                accountByBudget.put(budget.name(), new CrossingAccount(budget, gatewayCount,
+                        clock.wallMillis(lastNowMicros)));
             }
         }
         settings = newSettings;
-        pools.values().forEach(pool -> pool.budgetOverride().configure(newSettings.overrideClasses(), newSettings.recoveryDelayMicros()));
+        pools.values().forEach(pool -> pool.budgetOverride()
+                .configure(newSettings.overrideClasses(), newSettings.recoveryDelayMicros()));
     }
 
-    /** The wall clock's milliseconds; to be told several times a second. */
+    /** Advances to the given time; {@code wallMillis} is the wall clock. Must be called several times a second. */
     public void tick(long now, long wallMillis) {
         lastNowMicros = Math.max(lastNowMicros, now);
         clock.tick(now, wallMillis);
@@ -83,12 +94,13 @@
         pools.values().forEach(pool -> pool.budgetOverride().advance(now));
     }
 
-    /** The view of one pool, the same for the same name. */
+    /** The view of a pool; the same object for the same name. */
     public PoolCrossings pool(String name) {
-        return pools.computeIfAbsent(name, any -> new PoolCrossings(this, name, new BudgetOverride(settings.overrideClasses(), settings.recoveryDelayMicros())));
+        return pools.computeIfAbsent(name, any -> new PoolCrossings(this, name,
+                new BudgetOverride(settings.overrideClasses(), settings.recoveryDelayMicros())));
     }
 
-    /** A pool is gone; its counts stay. */
+    /** Removes a pool; its counts stay. */
     public void removePool(String name) {
         pools.remove(name);
     }
@@ -114,7 +126,8 @@
     private SizeEstimate sizeEstimate(String className) {
         SizeEstimate known = sizeEstimates.get(className);
         if (known == null) {
-            known = sizeEstimates.size() < MAX_CLASSES ? sizeEstimates.computeIfAbsent(className, any -> new SizeEstimate()) : new SizeEstimate();
+            known = sizeEstimates.size() < MAX_CLASSES
+                    ? sizeEstimates.computeIfAbsent(className, any -> new SizeEstimate()) : new SizeEstimate();
         }
         return known;
     }
@@ -127,7 +140,10 @@
         };
     }
 
-    /** How easily a crossing fits all budgets that cover it, 0 to 1; with {@code hardOnly}, those that service doesn't go before. */
+    /**
+     * The fraction of crossings to admit by all budgets that cover them, 0 to 1; with {@code hardOnly}, only hard
+     * budgets are considered.
+     */
     double admissionFraction(long now, String toZone, String className, String tenant, String pool, boolean hardOnly) {
         double fraction = 1;
         SizeEstimate estimate = sizeEstimate(className);
@@ -135,20 +151,22 @@
             CrossingBudget budget = account.budget();
             if (budget.covers(toZone, className, tenant, pool) && (budget.hard() || !hardOnly)) {
                 account.advance(clock.wallMillis(now));
-                fraction = Math.min(fraction, account.admissionFraction(cost(budget, toZone, estimate.bytesSent, estimate.bytesReceived)));
+                fraction = Math.min(fraction, account.admissionFraction(cost(budget, toZone, estimate.bytesSent,
+                        estimate.bytesReceived)));
             }
         }
         return fraction;
     }
 
-    /** A crossing that a budget held back. */
+    /** Counts a crossing that a budget held back as demand. */
     void recordDenied(String toZone, String className, String tenant, String pool) {
         SizeEstimate estimate = sizeEstimate(className);
         accountByBudget.values().stream().filter(account -> account.budget().covers(toZone, className, tenant, pool))
-                .forEach(account -> account.recordDenied(cost(account.budget(), toZone, estimate.bytesSent, estimate.bytesReceived)));
+                .forEach(account -> account.recordDenied(cost(account.budget(), toZone, estimate.bytesSent,
+                        estimate.bytesReceived)));
     }
 
-    /** What a crossing holds until it ends. */
+    /** One crossing's reservations in all budgets that cover it. */
     final class CrossingReservation {
         private final String toZone;
         private final String className;
@@ -168,7 +186,7 @@
             }
         }
 
-        /** With nothing sent it costs nothing. */
+        /** Replaces the reservations by the real cost, which is 0 if nothing was sent. */
         void settle(long now, long bytesSent, long bytesReceived) {
             boolean anySent = bytesSent > 0;
             if (anySent) {
@@ -176,12 +194,16 @@
             }
             for (BudgetReservation reservation : reservations) {
                 reservation.account.advance(clock.wallMillis(now));
-                reservation.account.settle(reservation.cost, anySent ? cost(reservation.account.budget(), toZone, bytesSent, bytesReceived) : 0);
+                reservation.account.settle(reservation.cost, anySent
+                        ? cost(reservation.account.budget(), toZone, bytesSent, bytesReceived) : 0);
             }
         }
     }
 
-    /** Bytes that crossed without a crossing that had asked: probes, and what belongs to no attempt. No budget holds them back, and all are charged. */
+    /**
+     * Charges bytes that no request reserved for: probes and bytes that belong to no attempt. No budget holds them
+     * back.
+     */
     void charge(long now, String toZone, String pool, long bytesSent, long bytesReceived, int attempts) {
         for (CrossingAccount account : accountByBudget.values()) {
             CrossingBudget budget = account.budget();
@@ -190,20 +212,23 @@
                 account.settle(0, switch (budget.unit()) {
                     case BYTES -> bytesSent + bytesReceived;
                     case REQUESTS -> attempts;
-                    case MONEY -> ZoneSnapshot.cost(settings.prices(), zone, toZone, bytesSent, bytesReceived, attempts);
+                    case MONEY -> ZoneSnapshot.cost(settings.prices(), zone, toZone, bytesSent, bytesReceived,
+                            attempts);
                 });
             }
         }
     }
 
-    // ---- other gateways, and a restart
+    // ---- other gateways, and restart
 
-    /** Another gateway's word; returns whether it was taken. */
+    /** Takes another gateway's announcement; returns whether it was stored. */
     public boolean receive(Escrow.Announcement announcement) {
         return escrow.receive(announcement);
     }
 
-    /** What an earlier process of this name said last; counts for budgets that nothing was restored for. */
+    /**
+     * Applies the last announcement of an earlier process of this gateway to budgets for which no transfers are known.
+     */
     public void restoreTransfers(Escrow.Announcement earlier) {
         earlier.budgets().forEach((name, budget) -> {
             CrossingAccount account = accountByBudget.get(name);
@@ -213,18 +238,19 @@
         });
     }
 
-    /** Its own word for the others. */
+    /** This gateway's own announcement. */
     public Escrow.Announcement announcement(long now) {
         return escrow.announcement(clock.wallMillis(now), accountByBudget.values());
     }
 
-    /** What it knows at this moment. */
+    /** A snapshot of counts and budgets at this moment. */
     public ZoneSnapshot snapshot(long now) {
         long wallMillis = clock.wallMillis(now);
         List<ZoneSnapshot.BudgetStatus> budgets = new ArrayList<>();
         for (CrossingAccount account : accountByBudget.values()) {
             account.advance(wallMillis);
-            budgets.add(new ZoneSnapshot.BudgetStatus(account.budget(), account.windowEndMillis(), account.forecast(), account.state()));
+            budgets.add(new ZoneSnapshot.BudgetStatus(account.budget(), account.windowEndMillis(), account.forecast(),
+                    account.state()));
         }
         Map<String, List<String>> overridingClasses = new TreeMap<>();
         pools.forEach((name, pool) -> {
@@ -232,14 +258,19 @@
                 overridingClasses.put(name, List.copyOf(pool.budgetOverride().overridingClasses()));
             }
         });
-        return new ZoneSnapshot(gateway, zone, wallMillis, counters.copy(), budgets, settings.prices(), overridingClasses);
+        return new ZoneSnapshot(gateway, zone, wallMillis, counters.copy(), budgets, settings.prices(),
+                overridingClasses);
     }
 
-    /** Goes on from what an earlier process of the same name had written; {@code unsaved} milliseconds are the longest between two writes. To be
-        called before anything is counted. Throws IllegalArgumentException, with nothing changed, for another gateway's or zone's. */
+    /**
+     * Continues from the snapshot of an earlier process of the same gateway; {@code maxUnsavedMillis} is the longest
+     * time between two saves. Must be called before anything is counted. Throws IllegalArgumentException, with nothing
+     * changed, for a snapshot of another gateway or zone.
+     */
     public void restore(ZoneSnapshot earlier, long maxUnsavedMillis) {
         if (!earlier.gateway().equals(gateway) || !earlier.zone().equals(zone)) {
-            throw new IllegalArgumentException("expected the state of gateway " + gateway + " in " + zone + ", found that of "
+            throw new IllegalArgumentException("expected the state of gateway " + gateway + " in " + zone
+                    + ", found that of "
                     + earlier.gateway() + " in " + earlier.zone());
         }
         counters.add(earlier.flows());
@@ -249,7 +280,8 @@
                     && account.budget().unit() == budget.configured().unit()) {
                 AccountState saved = budget.account();
                 CrossingBudget configured = account.budget();
-                account.updateBudget(budget.configured(), gatewayCount);  // what was granted was by the amount of then
+                // the saved grant was computed from the amount at that time
+                account.updateBudget(budget.configured(), gatewayCount);
                 account.restore(saved, maxUnsavedMillis);
                 account.updateBudget(configured, gatewayCount);
             }
--- a/src/main/java/mastdrift/zones/ZoneSettings.java
+++ b/src/main/java/mastdrift/zones/ZoneSettings.java
@@ -3,21 +3,22 @@
 import java.util.List;
 
 /**
- * What the operator says of zones.
+ * Settings of traffic across zones.
  *
- * @param budgets budgets, by their names each once
- * @param prices by pair of zones
- * @param networks zones of clients
- * @param overrideClasses classes for which service goes before budgets, the first one first
- * @param recoveryDelayMicros microseconds without trouble before a class is held again
- * @param reportFile where the report is written, or null
- * @param stateFolder where counts and budgets outlive the process, or null
- * @param sharedFolder where gateways read one another's words, or null
+ * @param budgets budgets; each name occurs once
+ * @param prices prices by pair of zones
+ * @param networks zones of clients by address
+ * @param overrideClasses classes that may exceed budgets when the own zone is out or overloaded, in this order
+ * @param recoveryDelayMicros microseconds without trouble before a class is held to its budgets again
+ * @param reportFile path of the report, or null
+ * @param stateFolder directory in which counts and budgets are saved over a restart, or null
+ * @param sharedFolder directory in which gateways exchange announcements, or null
  */
-public record ZoneSettings(List<CrossingBudget> budgets, List<Price> prices, List<ClientNetworks.Network> networks, List<String> overrideClasses, long recoveryDelayMicros,
+public record ZoneSettings(List<CrossingBudget> budgets, List<Price> prices, List<ClientNetworks.Network> networks,
+        List<String> overrideClasses, long recoveryDelayMicros,
         String reportFile, String stateFolder, String sharedFolder) {
 
-    /** Whether what is bound at the start is the same: the files. */
+    /** Whether the settings that can't change while the process runs, the paths, are equal. */
     public boolean samePaths(ZoneSettings other) {
         return String.valueOf(reportFile).equals(String.valueOf(other.reportFile))
                 && String.valueOf(stateFolder).equals(String.valueOf(other.stateFolder))
--- a/src/main/java/mastdrift/zones/ZoneSnapshot.java
+++ b/src/main/java/mastdrift/zones/ZoneSnapshot.java
@@ -4,61 +4,65 @@
 import java.util.Map;
 
 /**
- * What one gateway knows of its traffic across zones at one moment: for the report, and to go on from after a restart.
+ * One gateway's counts and budgets of traffic across zones at one moment: the content of the report, and the state that
+ * is restored after a restart.
  *
- * @param gateway its name
- * @param zone its zone
- * @param timeMillis milliseconds since 1970
- * @param flows counts since the book was begun
- * @param budgets of this window
- * @param prices by which money is reckoned
- * @param overridingClasses classes that give way, by pool; only pools where any does
+ * @param gateway the gateway's name
+ * @param zone the gateway's zone
+ * @param timeMillis time of the snapshot, in milliseconds since 1970
+ * @param flows counts since the counters were first created
+ * @param budgets the budgets in their current windows
+ * @param prices prices by which cost is computed
+ * @param overridingClasses classes that may exceed budgets, by pool; pools without any are left out
  */
-public record ZoneSnapshot(String gateway, String zone, long timeMillis, Map<Flow, FlowCounts> flows, List<BudgetStatus> budgets, List<Price> prices,
+public record ZoneSnapshot(String gateway, String zone, long timeMillis, Map<Flow, FlowCounts> flows,
+        List<BudgetStatus> budgets, List<Price> prices,
         Map<String, List<String>> overridingClasses) {
 
     /**
-     * A budget as it stands.
+     * Status of one budget.
      *
-     * @param limit the operator's
-     * @param end of the window, in milliseconds since 1970
-     * @param forecast what it will have used at the window's end, as it goes
-     * @param kept the rest, as an account goes on from it
+     * @param configured the configured budget
+     * @param endMillis end of the window, in milliseconds since 1970
+     * @param forecast what it will have used at the window's end, extrapolated from the usage so far
+     * @param account state of its account, which a restart continues from
      */
     public record BudgetStatus(CrossingBudget configured, long endMillis, double forecast, AccountState account) {
 
-        /** The beginning of the window, in milliseconds since 1970. */
+        /** Start of the window, in milliseconds since 1970. */
         public long startMillis() {
             return account.windowStartMillis();
         }
 
-        /** This gateway's part of it, with what others gave and without what it gave. */
+        /** What this gateway may use in the window, transfers between gateways included. */
         public double granted() {
             return account.granted();
         }
 
-        /** Of that, used. */
+        /** What it has used of the grant. */
         public double spent() {
             return account.spent();
         }
 
-        /** What later windows pay for. */
+        /** Debt that later windows repay. */
         public double owed() {
             return account.owed();
         }
 
-        /** What was left of the part; below 0 where service went before the budget. */
+        /** What remains of the grant; negative where requests exceeded the budget. */
         public double remaining() {
             return account.granted() - account.spent();
         }
     }
 
-    /** What a flow costs by the prices, both ways; 0 where none is given. */
+    /** Cost of a flow by the configured prices, both directions; 0 where no price is configured. */
     public double cost(Flow flow, FlowCounts counts) {
-        return flow.crosses() ? cost(prices, flow.fromZone(), flow.toZone(), counts.bytesSent(), counts.bytesReceived(), counts.attempts()) : 0;
+        return flow.crosses() ? cost(prices, flow.fromZone(), flow.toZone(), counts.bytesSent(), counts.bytesReceived(),
+                counts.attempts()) : 0;
     }
 
-    static double cost(List<Price> prices, String fromZone, String toZone, long bytesSent, long bytesReceived, long attempts) {
+    static double cost(List<Price> prices, String fromZone, String toZone, long bytesSent, long bytesReceived,
+            long attempts) {
         double cost = 0;
         for (Price price : prices) {
             if (price.fromZone().equals(fromZone) && price.toZone().equals(toZone)) {
