--- a/src/main/java/mastdrift/zones/edge/ZoneFileStore.java
+++ b/src/main/java/mastdrift/zones/edge/ZoneFileStore.java
@@ -21,11 +21,13 @@
 import mastdrift.zones.ZoneSnapshot;
 import mastdrift.zones.ZoneSettings;
 
-/** Writes and reads the files of one gateway, on a thread of its own. Each is replaced whole, and the state is on the disk before it is
-    in place. While a write is under way the newest that came meanwhile waits, and no other. */
+/**
+ * Reads and writes one gateway's zone files on a thread of its own. Each file is replaced atomically; the state is
+ * flushed to disk before it replaces the old one. While a write is in progress, only the latest pending write is kept.
+ */
 public final class ZoneFileStore implements AutoCloseable {
 
-    /** A state that isn't read. */
+    /** Size above which a state file is not read. */
     private static final long MAX_STATE_BYTES = 64 << 20;
     private static final long MAX_ANNOUNCEMENT_BYTES = 1 << 20;
     private static final String ANNOUNCEMENT_GLOB = "budgets-*.json";
@@ -48,8 +50,12 @@
     private FileChannel lockChannel;
     private FileLock fileLock;
 
-    /** Paths beside the gateway's file where they are relative. {@code announcementListener} gets other gateways' words, on the thread of the files. */
-    public ZoneFileStore(Path gatewayFile, String gateway, ZoneSettings settings, Consumer<Escrow.Announcement> announcementListener, Consumer<String> log) {
+    /**
+     * Relative paths are resolved against the directory of the gateway's configuration file. {@code
+     * announcementListener} receives other gateways' announcements, on the file thread.
+     */
+    public ZoneFileStore(Path gatewayFile, String gateway, ZoneSettings settings,
+            Consumer<Escrow.Announcement> announcementListener, Consumer<String> log) {
         this.gateway = gateway;
         this.announcementListener = announcementListener;
         this.log = log;
@@ -57,59 +63,69 @@
         reportFile = settings.reportFile() == null ? null : folder.resolve(settings.reportFile());
         sharedFolder = settings.sharedFolder() == null ? null : folder.resolve(settings.sharedFolder());
         Path stateFolder = settings.stateFolder() == null ? null : folder.resolve(settings.stateFolder());
-        stateFile = stateFolder != null && acquireLock(stateFolder) ? stateFolder.resolve("zones-" + gateway + ".state") : null;
+        stateFile = stateFolder != null && acquireLock(stateFolder) ? stateFolder.resolve("zones-" + gateway + ".state")
+                : null;
     }
 
-    /** One process a folder and name: another one runs without a state. */
+    /** One process per directory and gateway name: another one runs without a state file. */
     private boolean acquireLock(Path folder) {
         try {
-            lockChannel = FileChannel.open(folder.resolve("zones-" + gateway + ".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            lockChannel = FileChannel.open(folder.resolve("zones-" + gateway + ".lock"), StandardOpenOption.CREATE,
+                    StandardOpenOption.WRITE);
             fileLock = lockChannel.tryLock();
         } catch (IOException | OverlappingFileLockException e) {
             logOnce("no state is kept in " + folder + ": " + e);
             return false;
         }
         if (fileLock == null) {
-            logOnce("no state is kept in " + folder + ": another process of this name has it");
+            logOnce("no state is kept in " + folder + ": another process of this gateway name holds the lock");
         }
         return fileLock != null;
     }
 
     private void logOnce(String line) {
-        if (!line.equals(lastLogged)) {  // once, and not every second
+        if (!line.equals(lastLogged)) {  // a repeated message is logged once, not every second
             lastLogged = line;
             log.accept(line);
         }
     }
 
-    /** What an earlier process wrote, or null where there is nothing, or nothing to rely on, which is said. Waits for the disk. */
+    /**
+     * The snapshot that an earlier process saved, or null if there is none or it can't be used, which is logged. Blocks
+     * on the disk.
+     */
     public ZoneSnapshot readSnapshot() {
         if (stateFile == null || !Files.exists(stateFile)) {
             return null;
         }
         try {
-            return ZoneStateCodec.snapshot(ZoneStateCodec.unwrap(ZoneStateCodec.STATE_FORMAT, read(stateFile, MAX_STATE_BYTES)));
+            return ZoneStateCodec.snapshot(ZoneStateCodec.unwrap(ZoneStateCodec.STATE_FORMAT,
+                    read(stateFile, MAX_STATE_BYTES)));
         } catch (IOException e) {
             logOnce(stateFile + " is not used: " + e.getMessage());
             return null;
         }
     }
 
-    /** What an earlier process of this name told the others last, or null; for who keeps no state. Waits for the disk. */
+    /**
+     * The last announcement of an earlier process of this gateway, or null; for gateways that save no state. Blocks on
+     * the disk.
+     */
     public Escrow.Announcement readOwnAnnouncement() {
         Path own = sharedFolder == null ? null : sharedFolder.resolve("budgets-" + gateway + ".json");
         if (own == null || !Files.exists(own)) {
             return null;
         }
         try {
-            return ZoneStateCodec.announcement(ZoneStateCodec.unwrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT, read(own, MAX_ANNOUNCEMENT_BYTES)));
+            return ZoneStateCodec.announcement(ZoneStateCodec.unwrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT,
+                    read(own, MAX_ANNOUNCEMENT_BYTES)));
         } catch (IOException e) {
             logOnce(own + " is not used: " + e.getMessage());
             return null;
         }
     }
 
-    /** Links are not followed: in a folder that others write to, they may lead anywhere. */
+    /** Symbolic links are not followed: the shared directory is writable by others, so a link may lead anywhere. */
     private static byte[] read(Path file, long maxBytes) throws IOException {
         if (!Files.isRegularFile(file, LinkOption.NOFOLLOW_LINKS) || Files.size(file) > maxBytes) {
             throw new IOException("expected a file of at most " + maxBytes + " bytes");
@@ -117,7 +133,7 @@
         return Files.readAllBytes(file);
     }
 
-    /** Writes all files soon, and reads the words of others. Returns at once. */
+    /** Schedules a write of all files and a read of other gateways' announcements. Returns at once. */
     public void write(ZoneSnapshot snapshot, Escrow.Announcement announcement) {
         if (pendingWrite.getAndSet(new PendingWrite(snapshot, announcement)) == null) {
             executor.execute(() -> writeAll(pendingWrite.getAndSet(null)));
@@ -125,13 +141,18 @@
     }
 
     private void writeAll(PendingWrite write) {
-        boolean stateSaved = stateFile == null || save(stateFile, () -> ZoneStateCodec.wrap(ZoneStateCodec.STATE_FORMAT, ZoneStateCodec.toMap(write.snapshot)), true);
-        if (sharedFolder != null && stateSaved) {  // only after the state: who forgets what it gave would spend it too
-            save(sharedFolder.resolve("budgets-" + gateway + ".json"), () -> ZoneStateCodec.wrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT, ZoneStateCodec.toMap(write.announcement)), false);
+        boolean stateSaved = stateFile == null || save(stateFile,
+                () -> ZoneStateCodec.wrap(ZoneStateCodec.STATE_FORMAT, ZoneStateCodec.toMap(write.snapshot)), true);
+        // only after the state is saved: a gateway that forgets a transfer would spend it too
+        if (sharedFolder != null && stateSaved) {
+            save(sharedFolder.resolve("budgets-" + gateway + ".json"),
+                    () -> ZoneStateCodec.wrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT,
+                    ZoneStateCodec.toMap(write.announcement)), false);
             readAnnouncements();
         }
         if (reportFile != null) {
-            save(reportFile, () -> JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asBytes(ZoneStateCodec.toMap(write.snapshot)), false);
+            save(reportFile, () -> JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT)
+                    .asBytes(ZoneStateCodec.toMap(write.snapshot)), false);
         }
     }
 
@@ -142,7 +163,8 @@
     private boolean save(Path file, ContentEncoder content, boolean durable) {
         Path temporary = file.resolveSibling("." + file.getFileName() + ".new");
         try {
-            try (FileChannel out = FileChannel.open(temporary, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
+            try (FileChannel out = FileChannel.open(temporary, StandardOpenOption.CREATE,
+                    StandardOpenOption.TRUNCATE_EXISTING,
                     StandardOpenOption.WRITE)) {
                 ByteBuffer buffer = ByteBuffer.wrap(content.encode());
                 while (buffer.hasRemaining()) {
@@ -169,21 +191,24 @@
         int readCount = 0;
         try (DirectoryStream<Path> files = Files.newDirectoryStream(sharedFolder, ANNOUNCEMENT_GLOB)) {
             for (Path file : files) {
-                if (file.getFileName().toString().equals("budgets-" + gateway + ".json") || ++readCount > Escrow.MAX_PEERS) {
+                if (file.getFileName().toString().equals("budgets-" + gateway + ".json")
+                        || ++readCount > Escrow.MAX_PEERS) {
                     continue;
                 }
                 try {
-                    announcementListener.accept(ZoneStateCodec.announcement(ZoneStateCodec.unwrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT, read(file, MAX_ANNOUNCEMENT_BYTES))));
+                    announcementListener.accept(ZoneStateCodec.announcement(
+                            ZoneStateCodec.unwrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT,
+                                    read(file, MAX_ANNOUNCEMENT_BYTES))));
                 } catch (IOException e) {
                     logOnce(file + " is not used: " + e.getMessage());
                 }
             }
         } catch (IOException e) {
-            logOnce("no words of others in " + sharedFolder + ": " + e);
+            logOnce("cannot read other gateways' announcements in " + sharedFolder + ": " + e);
         }
     }
 
-    /** Writes what waits, and ends; waits for that, at most two seconds. */
+    /** Writes what is pending and stops; waits for that at most two seconds. */
     @Override
     public void close() {
         executor.shutdown();
--- a/src/main/java/mastdrift/zones/edge/ZoneStateCodec.java
+++ b/src/main/java/mastdrift/zones/edge/ZoneStateCodec.java
@@ -22,13 +22,16 @@
 import mastdrift.zones.ZoneSnapshot;
 import mastdrift.zones.BudgetWindow;
 
-/** Snapshots and words as JSON, and the seal around what has to be whole: a first line that names format, version, length and CRC-32C of
-    the rest (RFC 3720, appendix B.4). Whatever is not as it should be is an IOException that says what was expected and found. */
+/**
+ * Encodes snapshots and announcements as JSON, in an envelope where integrity matters: a header line that names format,
+ * version, length and CRC-32C of the rest (RFC 3720, appendix B.4). Invalid input is an IOException that says what was
+ * expected and found.
+ */
 public final class ZoneStateCodec {
 
-    /** The format of a state. */
+    /** Format name of a state file. */
     public static final String STATE_FORMAT = "pewterlead-zones-state";
-    /** The format of a word. */
+    /** Format name of an announcement file. */
     public static final String ANNOUNCEMENT_FORMAT = "pewterlead-zones-word";
     private static final int VERSION = 1;
     private static final int MAX_HEADER_BYTES = 200;
@@ -36,9 +39,9 @@
 
     private ZoneStateCodec() { }
 
-    // ---- the seal
+    // ---- envelope
 
-    /** A payload with its seal. */
+    /** Encodes a payload with its header line. */
     public static byte[] wrap(String format, Map<String, Object> payload) throws IOException {
         byte[] body = JSON.std.asBytes(payload);
         Map<String, Object> header = new LinkedHashMap<>();
@@ -59,7 +62,7 @@
         return crc.getValue();
     }
 
-    /** The payload of what was sealed. */
+    /** Checks the header line and returns the payload. */
     public static Map<String, Object> unwrap(String format, byte[] file) throws IOException {
         int headerLength = 0;
         while (headerLength < file.length && headerLength < MAX_HEADER_BYTES && file[headerLength] != '\n') {
@@ -73,7 +76,7 @@
         expect("format", format, header.get("format"));
         if (!(header.get("version") instanceof Integer version) || version > VERSION || version < 1) {
             throw new IOException("expected a version from 1 to " + VERSION + ", found " + header.get("version")
-                    + "; it may be of a newer program");
+                    + "; it may have been written by a newer program");
         }
         expect("bytes", String.valueOf(bodyLength), header.get("bytes"));
         expect("crc32c", String.valueOf(crc(file, headerLength + 1)), header.get("crc32c"));
@@ -88,7 +91,10 @@
 
     // ---- snapshots
 
-    /** As the report and the state have it: what can be read back, and what a person wants beside it. */
+    /**
+     * JSON fields of a snapshot, for the report and the state: those that {@link #snapshot} reads back, and derived
+     * values for the reader.
+     */
     public static Map<String, Object> toMap(ZoneSnapshot snapshot) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("gateway", snapshot.gateway());
@@ -97,7 +103,8 @@
         map.put("giving_way", snapshot.overridingClasses());
         List<Object> prices = new ArrayList<>();
         for (Price price : snapshot.prices()) {
-            prices.add(Map.of("from", price.fromZone(), "to", price.toZone(), "per_gib", price.perGib(), "per_million_requests", price.perMillionRequests()));
+            prices.add(Map.of("from", price.fromZone(), "to", price.toZone(), "per_gib", price.perGib(),
+                    "per_million_requests", price.perMillionRequests()));
         }
         map.put("prices", prices);
         List<Object> budgets = new ArrayList<>();
@@ -156,7 +163,8 @@
         Map<String, Object> causes = new LinkedHashMap<>();
         for (CrossingCause cause : CrossingCause.values()) {
             if (counts.attempts(cause) > 0 || counts.bytes(cause) > 0) {
-                causes.put(cause.reportName(), Map.of("attempts", counts.attempts(cause), "bytes", counts.bytes(cause)));
+                causes.put(cause.reportName(), Map.of(
+                        "attempts", counts.attempts(cause), "bytes", counts.bytes(cause)));
             }
         }
         map.put("why", causes);
@@ -164,12 +172,13 @@
         return map;
     }
 
-    /** Reads {@link #toMap(Snapshot)}. */
+    /** Inverse of {@link #toMap(ZoneSnapshot)}. */
     public static ZoneSnapshot snapshot(Map<String, Object> map) throws IOException {
         try {
             Map<Flow, FlowCounts> flows = new LinkedHashMap<>();
             for (Map<String, Object> flow : requireTables(map, "flows", MAX_LIST_ENTRIES)) {
-                flows.put(new Flow(requireString(flow, "from"), requireString(flow, "to"), requireString(flow, "client"), requireString(flow, "class"), requireString(flow, "pool"),
+                flows.put(new Flow(requireString(flow, "from"), requireString(flow, "to"),
+                        requireString(flow, "client"), requireString(flow, "class"), requireString(flow, "pool"),
                         requireString(flow, "tenant")), counts(flow));
             }
             List<ZoneSnapshot.BudgetStatus> budgets = new ArrayList<>();
@@ -178,12 +187,14 @@
             }
             List<Price> prices = new ArrayList<>();
             for (Map<String, Object> price : requireTables(map, "prices", MAX_LIST_ENTRIES)) {
-                prices.add(new Price(requireString(price, "from"), requireString(price, "to"), requireDouble(price, "per_gib"), requireDouble(price, "per_million_requests")));
+                prices.add(new Price(requireString(price, "from"), requireString(price, "to"),
+                        requireDouble(price, "per_gib"), requireDouble(price, "per_million_requests")));
             }
             Map<String, List<String>> overridingClasses = new TreeMap<>();
             requireTable(map, "giving_way").forEach((pool, classes) -> overridingClasses.put(pool,
                     classes instanceof List<?> list ? list.stream().map(String::valueOf).toList() : List.of()));
-            return new ZoneSnapshot(requireString(map, "gateway"), requireString(map, "zone"), requireTimeMillis(map, "at"), flows, budgets, prices, overridingClasses);
+            return new ZoneSnapshot(requireString(map, "gateway"), requireString(map, "zone"),
+                    requireTimeMillis(map, "at"), flows, budgets, prices, overridingClasses);
         } catch (IllegalArgumentException | DateTimeException e) {
             throw new IOException(e.getMessage(), e);
         }
@@ -208,21 +219,28 @@
     }
 
     private static ZoneSnapshot.BudgetStatus budget(Map<String, Object> map) throws IOException {
-        CrossingBudget configured = new CrossingBudget(requireString(map, "name"), BudgetWindow.valueOf(requireString(map, "window").toUpperCase(Locale.ROOT)),
-                CrossingBudget.Unit.valueOf(requireString(map, "unit").toUpperCase(Locale.ROOT)), requireDouble(map, "amount"), (String) map.get("to"),
-                (String) map.get("class"), (String) map.get("tenant"), (String) map.get("pool"), requireDouble(map, "carry_most"),
+        CrossingBudget configured = new CrossingBudget(requireString(map, "name"),
+                BudgetWindow.valueOf(requireString(map, "window").toUpperCase(Locale.ROOT)),
+                CrossingBudget.Unit.valueOf(requireString(map, "unit").toUpperCase(Locale.ROOT)),
+                requireDouble(map, "amount"), (String) map.get("to"),
+                (String) map.get("class"), (String) map.get("tenant"), (String) map.get("pool"),
+                requireDouble(map, "carry_most"),
                 Boolean.TRUE.equals(map.get("hard")));
-        AccountState account = new AccountState(requireTimeMillis(map, "begin"), requireTimeMillis(map, "saved"), requireDouble(map, "granted"), requireDouble(map, "spent"), requireDouble(map, "reserved"),
-                requireDouble(map, "credit"), requireDouble(map, "denied"), requireDouble(map, "owed"), requireDoubles(map, "given"), requireDoubles(map, "got"));
-        return new ZoneSnapshot.BudgetStatus(configured, requireTimeMillis(map, "end"), requireDouble(map, "forecast"), account);
+        AccountState account = new AccountState(requireTimeMillis(map, "begin"), requireTimeMillis(map, "saved"),
+                requireDouble(map, "granted"), requireDouble(map, "spent"), requireDouble(map, "reserved"),
+                requireDouble(map, "credit"), requireDouble(map, "denied"), requireDouble(map, "owed"),
+                requireDoubles(map, "given"), requireDoubles(map, "got"));
+        return new ZoneSnapshot.BudgetStatus(configured, requireTimeMillis(map, "end"), requireDouble(map, "forecast"),
+                account);
     }
 
-    // ---- words
+    // ---- announcements
 
-    /** As a file has it. */
+    /** JSON fields of an announcement. */
     public static Map<String, Object> toMap(Escrow.Announcement announcement) {
         Map<String, Object> budgets = new TreeMap<>();
-        announcement.budgets().forEach((name, budget) -> budgets.put(name, Map.of("begin", Instant.ofEpochMilli(budget.windowStartMillis()).toString(),
+        announcement.budgets().forEach((name, budget) -> budgets.put(name, Map.of(
+                "begin", Instant.ofEpochMilli(budget.windowStartMillis()).toString(),
                 "wants", budget.expectedShortfall(), "given", budget.transferredOut())));
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("gateway", announcement.gateway());
@@ -231,7 +249,7 @@
         return map;
     }
 
-    /** Reads {@link #toMap(Escrow.Word)}. */
+    /** Inverse of {@link #toMap(Escrow.Announcement)}. */
     public static Escrow.Announcement announcement(Map<String, Object> map) throws IOException {
         try {
             Map<String, Escrow.BudgetAnnouncement> budgets = new TreeMap<>();
@@ -242,7 +260,8 @@
                 if (transferredOut.values().stream().anyMatch(amount -> amount < 0)) {
                     throw new IOException("budgets." + name + ".given: expected 0 or more, found " + transferredOut);
                 }
-                budgets.put(name, new Escrow.BudgetAnnouncement(requireTimeMillis(budgetTable, "begin"), requireDouble(budgetTable, "wants"), transferredOut));
+                budgets.put(name, new Escrow.BudgetAnnouncement(requireTimeMillis(budgetTable, "begin"),
+                        requireDouble(budgetTable, "wants"), transferredOut));
             }
             return new Escrow.Announcement(requireString(map, "gateway"), requireTimeMillis(map, "at"), budgets);
         } catch (DateTimeException e) {
@@ -300,9 +319,11 @@
         return numbers;
     }
 
-    private static List<Map<String, Object>> requireTables(Map<String, Object> map, String key, int maxEntries) throws IOException {
+    private static List<Map<String, Object>> requireTables(Map<String, Object> map, String key, int maxEntries)
+            throws IOException {
         if (!(map.get(key) instanceof List<?> list) || list.size() > maxEntries) {
-            throw unexpectedValue(key, "a list of at most " + maxEntries, map.get(key) instanceof List<?> longer ? longer.size() : map.get(key));
+            throw unexpectedValue(key, "a list of at most " + maxEntries,
+                    map.get(key) instanceof List<?> longer ? longer.size() : map.get(key));
         }
         List<Map<String, Object>> tables = new ArrayList<>();
         for (Object each : list) {
