--- a/src/test/java/mastdrift/zones/BudgetOverrideTest.java
+++ b/src/test/java/mastdrift/zones/BudgetOverrideTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** When service goes before budgets, for whom, and until when. */
+/** When, for which classes and how long budgets may be exceeded. */
 class BudgetOverrideTest {
 
     private static final long SECOND_MICROS = 1_000_000;
@@ -22,13 +22,16 @@
         budgetOverride.updateHosts(now, THREE_HOSTS);
     }
 
-    /** So many seconds at 100 requests a second, of which a part is refused, held back by a budget for classes that don't give way. */
+    /**
+     * Runs for a number of seconds at 100 requests a second, a fraction of which is refused; refusals of classes that
+     * are held to budgets count as held back by a budget.
+     */
     private void runLoad(double seconds, double refusedFraction) {
         long until = now + (long) (seconds * SECOND_MICROS);
         for (int i = 0; now < until; i++, now += 10_000) {
             budgetOverride.recordRequest(now);
             String type = i % 2 == 0 ? "start" : "read";
-            if (i / 2 * 7 % 100 < 100 * refusedFraction) {  // spread evenly, over both classes
+            if (i / 2 * 7 % 100 < 100 * refusedFraction) {  // spread evenly over both classes
                 budgetOverride.recordRefusal(now, !budgetOverride.mayExceedBudgets(type));
             }
             overridingMicros += budgetOverride.mayExceedBudgets("read") ? 10_000 : 0;
@@ -49,10 +52,11 @@
         fail("b", 2);
         budgetOverride.recordOutcome(now, "b", true);
         fail("b", 2);
-        assertFalse(budgetOverride.isZoneOut(), "it answered in between");
+        assertFalse(budgetOverride.isZoneOut(), "host b answered in between");
         fail("b", 4);
         assertTrue(budgetOverride.isZoneOut());
-        assertTrue(budgetOverride.mayExceedBudgets("start") && budgetOverride.mayExceedBudgets("read") && !budgetOverride.mayExceedBudgets("report"), "those of the order, and no other");
+        assertTrue(budgetOverride.mayExceedBudgets("start") && budgetOverride.mayExceedBudgets("read")
+                && !budgetOverride.mayExceedBudgets("report"), "the classes of the configured order, and no others");
     }
 
     @Test
@@ -62,15 +66,15 @@
         now += SECOND_MICROS;
         budgetOverride.updateHosts(now, THREE_HOSTS);
         runLoad(4, 0);
-        assertTrue(budgetOverride.isZoneOut(), "it may go again");
+        assertTrue(budgetOverride.isZoneOut(), "still out during the recovery delay");
         runLoad(2, 0);
         assertFalse(budgetOverride.isZoneOut());
-        assertTrue(budgetOverride.mayExceedBudgets("read"), "it is cold: back a class at a time");
+        assertTrue(budgetOverride.mayExceedBudgets("read"), "cold hosts: classes return one at a time");
         runLoad(30, 0);
         assertEquals(List.of(), budgetOverride.overridingClasses());
     }
 
-    /** One class a second, the first of the order first; then held again, the last one first. */
+    /** One class more a second, the first of the order first; then fewer again, the last one first. */
     @Test
     void overloadLetsClassesExceedBudgetsOneByOne() {
         runLoad(1.2, 0.3);
@@ -83,14 +87,17 @@
         assertEquals(List.of(), budgetOverride.overridingClasses());
     }
 
-    /** Fewer than 2%, or too few to tell, are no overload. */
+    /** Fewer than 2 % refused, or too few requests to tell, is no overload. */
     @Test
     void fewRefusalsAreNoOverload() {
         runLoad(20, 0.01);
         assertEquals(List.of(), budgetOverride.overridingClasses());
     }
 
-    /** Each step that has to be taken back makes the next wait longer: over ten minutes of a load that overloads whoever is held, ever less change. */
+    /**
+     * A step down that must be reversed lengthens the wait before the next one: over ten minutes of load that overloads
+     * the zone whenever no class may exceed budgets, changes become rarer.
+     */
     @Test
     void reversedStepsLengthenTheNextDelay() {
         int changes = 0;
@@ -106,7 +113,7 @@
         assertTrue(changes <= 60, changes + " changes");
     }
 
-    /** Both zones overloaded: crossing buys nothing, and is given up for a while. */
+    /** Both zones are overloaded: crossing doesn't reduce refusals and is suspended for a while. */
     @Test
     void overrideThatDoesNotReduceRefusalsIsSuspended() {
         runLoad(3, 0.4);
@@ -120,7 +127,7 @@
         assertTrue(overridingMicros > 0, "tried again");
     }
 
-    /** Up and away for 10 s each, for two minutes: out while away, and not a word more than one change a turn. */
+    /** The zone is up and down for 10 s each, for two minutes: out while it is down, back while it is up. */
     @Test
     void flappingZoneIsOutOnlyWhileItIsDown() {
         for (int cycle = 0; cycle < 6; cycle++) {
--- a/src/test/java/mastdrift/zones/CrossingAccountTest.java
+++ b/src/test/java/mastdrift/zones/CrossingAccountTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** One budget: paced, never above its part, whatever the clock and the process do; and parts that gateways give one another. */
+/** Pacing of one budget, which is never exceeded whatever the clock and restarts do, and transfers between gateways. */
 class CrossingAccountTest {
 
     private static final long MINUTE_MILLIS = 60_000;
@@ -26,8 +26,9 @@
         return new CrossingBudget("b", window, CrossingBudget.Unit.BYTES, amount, null, null, null, null, carry, false);
     }
 
-    /** Spends whatever fits until a time, every so many milliseconds; returns what that was. */
-    private static double spendGreedily(CrossingAccount account, long from, long until, long intervalMillis, double cost) {
+    /** Spends whatever is admitted until a time, trying at a fixed interval; returns the sum. */
+    private static double spendGreedily(CrossingAccount account, long from, long until, long intervalMillis,
+            double cost) {
         double spent = 0;
         for (long at = from; at < until; at += intervalMillis) {
             account.advance(at);
@@ -40,12 +41,17 @@
         return spent;
     }
 
-    /** A greedy user gets nearly all of a window, at an even pace, and nothing beyond; with estimates above, below and at what is real. */
+    /**
+     * A greedy client gets nearly all of a window, at an even pace, and nothing beyond; with estimates above, below and
+     * at the real cost.
+     */
     @Property(tries = 200)
-    void spendingIsPacedAndNeverExceedsTheBudget(@ForAll long seed, @ForAll @IntRange(min = 20, max = 2_000) int crossings) {
+    void spendingIsPacedAndNeverExceedsTheBudget(@ForAll long seed,
+            @ForAll @IntRange(min = 20, max = 2_000) int crossings) {
         SplittableRandom random = new SplittableRandom(seed);
         double cost = 1_000;
-        CrossingAccount account = new CrossingAccount(budget(BudgetWindow.MINUTE, crossings * cost, 0), 1, START_MILLIS);
+        CrossingAccount account = new CrossingAccount(budget(BudgetWindow.MINUTE, crossings * cost, 0), 1,
+                START_MILLIS);
         double spent = 0;
         List<Double> reservations = new ArrayList<>();
         for (long at = START_MILLIS; at < START_MILLIS + MINUTE_MILLIS; at += 1 + random.nextInt(5)) {
@@ -60,9 +66,12 @@
                 spent += real;
             }
             double elapsedFraction = (double) (at - START_MILLIS) / MINUTE_MILLIS;
-            assertTrue(spent + reservations.size() * cost <= crossings * cost + 1e-6, "beyond at " + elapsedFraction);
-            if (elapsedFraction < 0.5) {  // later the rate may have risen for what was not used
-                assertTrue(spent + reservations.size() * cost <= crossings * cost * (2 * elapsedFraction + CrossingAccount.BUCKET_WINDOW_FRACTION) + cost + 1e-6, "too soon at " + elapsedFraction);
+            assertTrue(spent + reservations.size() * cost <= crossings * cost + 1e-6, "above the budget at "
+                    + elapsedFraction);
+            if (elapsedFraction < 0.5) {  // later the rate may have risen because of unused budget
+                assertTrue(spent + reservations.size() * cost <= crossings * cost
+                * (2 * elapsedFraction + CrossingAccount.BUCKET_WINDOW_FRACTION) + cost + 1e-6, "ahead of the pace at "
+                + elapsedFraction);
             }
         }
         assertEquals(spent, account.spent(), 1e-6);
@@ -77,24 +86,26 @@
         }
     }
 
-    /** Window, amount, what is spent before the end, and the next window's part. */
+    /** Carry limit, what is spent before the window's end, and the next window's grant and debt. */
     @Test
     void unusedBudgetIsCarriedOverAndDebtIsRepaid() {
         Object[][] table = {
-            // carry, spent, next part, owed then
-            {0.0, 40.0, 100.0, 0.0}, {0.25, 40.0, 125.0, 0.0}, {0.25, 90.0, 110.0, 0.0}, {0.0, 130.0, 70.0, 0.0}, {0.0, 250.0, 50.0, 100.0},
+            // carry, spent, next grant, debt
+            {0.0, 40.0, 100.0, 0.0}, {0.25, 40.0, 125.0, 0.0}, {0.25, 90.0, 110.0, 0.0}, {0.0, 130.0, 70.0, 0.0},
+                    {0.0, 250.0, 50.0, 100.0},
             {1.0, 100.0, 100.0, 0.0}};
         for (Object[] row : table) {
-            CrossingAccount account = new CrossingAccount(budget(BudgetWindow.MONTH, 100, (double) row[0]), 1, BudgetWindow.MONTH.startMillis(START_MILLIS));
+            CrossingAccount account = new CrossingAccount(budget(BudgetWindow.MONTH, 100, (double) row[0]), 1,
+                    BudgetWindow.MONTH.startMillis(START_MILLIS));
             account.settle(0, (double) row[1]);
             account.advance(BudgetWindow.MONTH.endMillis(START_MILLIS) + 5);
-            assertEquals((double) row[2], account.granted(), 1e-9, "part after " + row[1]);
+            assertEquals((double) row[2], account.granted(), 1e-9, "grant after " + row[1]);
             assertEquals((double) row[3], account.owed(), 1e-9, "owed after " + row[1]);
             assertEquals(Instant.parse("2027-01-01T00:00:00Z").toEpochMilli(), account.windowStartMillis());
         }
     }
 
-    /** Under load over a month's end: what is out is charged once, in the window in which it ends. */
+    /** A crossing that is under way at a month's end is charged once, in the window in which it ends. */
     @Test
     void crossingUnderWayAtWindowEndIsChargedToTheNextWindow() {
         CrossingAccount account = new CrossingAccount(budget(BudgetWindow.MINUTE, 6_000, 0), 1, START_MILLIS);
@@ -112,8 +123,10 @@
     void clockJumpAdmitsNoMoreThanABucket() {
         CrossingAccount account = new CrossingAccount(budget(BudgetWindow.HOUR, 3_600_000, 0), 1, START_MILLIS);
         account.advance(START_MILLIS + 50 * MINUTE_MILLIS);
-        double spent = spendGreedily(account, START_MILLIS + 50 * MINUTE_MILLIS, START_MILLIS + 50 * MINUTE_MILLIS + 100, 1, 100);
-        assertTrue(spent <= 3_600_000 * CrossingAccount.BUCKET_WINDOW_FRACTION + 100 * 600 + 1, "a bucket and the pace: " + spent);
+        double spent = spendGreedily(account, START_MILLIS + 50 * MINUTE_MILLIS, START_MILLIS + 50 * MINUTE_MILLIS
+                + 100, 1, 100);
+        assertTrue(spent <= 3_600_000 * CrossingAccount.BUCKET_WINDOW_FRACTION + 100 * 600 + 1,
+                "more than a bucket and the refill: " + spent);
         account.advance(START_MILLIS);
         assertEquals(START_MILLIS, account.windowStartMillis());
         assertTrue(account.remaining() >= 0);
@@ -125,7 +138,8 @@
         empty.advance(START_MILLIS + 86_400_000);
         assertEquals(0, empty.admissionFraction(1));
         assertEquals(0, empty.admissionFraction(0), "not even what costs nothing");
-        CrossingAccount used = new CrossingAccount(budget(BudgetWindow.MONTH, 1_000, 0), 1, BudgetWindow.MONTH.startMillis(START_MILLIS));
+        CrossingAccount used = new CrossingAccount(budget(BudgetWindow.MONTH, 1_000, 0), 1,
+                BudgetWindow.MONTH.startMillis(START_MILLIS));
         used.advance(used.windowStartMillis() + 1_000);
         used.settle(0, 1_000);
         used.advance(used.windowEndMillis() - 1);
@@ -134,7 +148,7 @@
         assertTrue(used.admissionFraction(1) > 0, "a new month");
     }
 
-    /** The operator halves it in mid-window: nothing crosses until what was spent fits again. */
+    /** The operator lowers the amount in mid-window: nothing crosses until what was spent fits again. */
     @Test
     void changedAmountAppliesAtOnce() {
         CrossingAccount account = new CrossingAccount(budget(BudgetWindow.MINUTE, 1_000, 0), 1, START_MILLIS);
@@ -148,7 +162,10 @@
         assertTrue(account.admissionFraction(10) > 0);
     }
 
-    /** Killed at random moments, with and without its file, with what was spent after the last write unknown: never beyond its part. */
+    /**
+     * Killed at random moments, with and without a state file, and with unknown spending after the last save: never
+     * more than its grant, but for a bucket.
+     */
     @Property(tries = 300)
     void restartsInMidWindowNeverExceedTheBudget(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -182,19 +199,24 @@
 
     @Test
     void stateOfAnEarlierWindowIsCarriedOverAndOfALaterOneIgnored() {
-        AccountState saved = new AccountState(START_MILLIS, START_MILLIS + 30_000, 1_000, 1_500, 0, 0, 0, 0, Map.of(), Map.of());
-        CrossingAccount next = new CrossingAccount(budget(BudgetWindow.MINUTE, 1_000, 0), 1, START_MILLIS + MINUTE_MILLIS + 1);
+        AccountState saved = new AccountState(START_MILLIS, START_MILLIS + 30_000, 1_000, 1_500, 0, 0, 0, 0, Map.of(),
+                Map.of());
+        CrossingAccount next = new CrossingAccount(budget(BudgetWindow.MINUTE, 1_000, 0), 1, START_MILLIS
+                + MINUTE_MILLIS + 1);
         next.restore(saved, 10_000);
         assertEquals(500, next.granted(), 1e-9);
-        CrossingAccount before = new CrossingAccount(budget(BudgetWindow.MINUTE, 1_000, 0), 1, START_MILLIS - MINUTE_MILLIS);
+        CrossingAccount before = new CrossingAccount(budget(BudgetWindow.MINUTE, 1_000, 0), 1, START_MILLIS
+                - MINUTE_MILLIS);
         before.restore(saved, 10_000);
         assertEquals(0, before.spent());
     }
 
-    // ---- parts of several gateways
+    // ---- transfers between gateways
 
-    /** Words that are late, lost, doubled and out of order, gateways that die and come back with and without their state: all parts together
-        are never above the amount, and none spends above its own. */
+    /**
+     * Announcements that are late, lost, duplicated and out of order, and gateways that die and come back: the grants
+     * of all together never exceed the amount, and none spends above its own grant.
+     */
     @Property(tries = 150)
     void transferredBudgetIsNeverSpentTwice(@ForAll long seed, @ForAll @IntRange(min = 2, max = 5) int gatewayCount) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -223,9 +245,10 @@
                 if (at % 1_000 == 0) {
                     Escrow.Announcement announcement = escrows[i].announcement(at, List.of(accounts[i]));
                     for (int copies = random.nextInt(3); copies > 0; copies--) {
-                        inFlight.computeIfAbsent(at + random.nextInt(4_000), any -> new ArrayList<>()).add(announcement);
+                        inFlight.computeIfAbsent(at + random.nextInt(4_000), any -> new ArrayList<>())
+                                .add(announcement);
                     }
-                    if (random.nextInt(200) == 0) {  // dies, and comes back with what it had written
+                    if (random.nextInt(200) == 0) {  // dies and restarts from its last saved state
                         AccountState saved = accounts[i].state();
                         accounts[i] = new CrossingAccount(budget, gatewayCount, at);
                         accounts[i].restore(saved, 10_000);
@@ -244,13 +267,16 @@
             double granted = 0;
             for (CrossingAccount account : accounts) {
                 granted += account.granted();
-                assertTrue(account.remaining() >= -1e-6, "above its own part");
+                assertTrue(account.remaining() >= -1e-6, "above its own grant");
             }
-            assertTrue(granted <= 600_000 + 1e-6 && spent <= 600_000 + 1e-6, "parts " + granted + ", spent " + spent);
+            assertTrue(granted <= 600_000 + 1e-6 && spent <= 600_000 + 1e-6, "grants " + granted + ", spent " + spent);
         }
     }
 
-    /** One of three has all the traffic: it uses most of what is for all, and one that is gone keeps its part. */
+    /**
+     * One of three gateways has all the traffic: it uses most of the grants of those alive, and the grant of one that
+     * is gone stays with it.
+     */
     @Test
     void surplusOfPeersIsTransferredToTheBusyGateway() {
         for (int alive = 2; alive <= 3; alive++) {
@@ -278,7 +304,8 @@
                     escrows.get(i).rebalance(at, List.of(accounts.get(i)));
                 }
             }
-            assertTrue(spent > 1.2 * 200_000 * (alive - 1) && spent <= 200_000 * alive, alive + " of 3 alive: " + spent);
+            assertTrue(spent > 1.2 * 200_000 * (alive - 1) && spent <= 200_000 * alive, alive + " of 3 alive: "
+                    + spent);
         }
     }
 
@@ -295,24 +322,28 @@
 
     // ---- time
 
-    /** Offset of the wall clock, for so many seconds, and what is believed at the end. */
+    /** Offset of the wall clock, for how many seconds, and the offset adopted at the end. */
     @Test
     void clockStepIsAdoptedOnlyAfterItPersists() {
-        long[][] table = {{1_500, 1, 1_500}, {3_600_000, 20, 0}, {-3_600_000, 20, 0}, {3_600_000, 40, 3_600_000}, {-3_600_000, 40, -3_600_000}};
+        long[][] table = {{1_500, 1, 1_500}, {3_600_000, 20, 0}, {-3_600_000, 20, 0}, {3_600_000, 40, 3_600_000},
+                {-3_600_000, 40, -3_600_000}};
         for (long[] row : table) {
             StepFilteredClock clock = new StepFilteredClock(0, START_MILLIS);
             long seconds = row[1];
             for (long now = 0; now <= seconds * 1_000_000; now += 100_000) {
                 clock.tick(now, START_MILLIS + now / 1_000 + row[0]);
             }
-            assertEquals(START_MILLIS + seconds * 1_000 + row[2], clock.wallMillis(seconds * 1_000_000), 1, row[0] + " for " + seconds);
+            assertEquals(START_MILLIS + seconds * 1_000 + row[2], clock.wallMillis(seconds * 1_000_000), 1, row[0]
+                    + " for " + seconds);
         }
     }
 
     @Test
     void windowsStartAndEndByTheCalendar() {
-        String[][] table = {{"MINUTE", "2026-12-01T10:59:00Z", "2026-12-01T11:00:00Z"}, {"HOUR", "2026-12-01T10:00:00Z", "2026-12-01T11:00:00Z"},
-            {"DAY", "2026-12-01T00:00:00Z", "2026-12-02T00:00:00Z"}, {"MONTH", "2026-12-01T00:00:00Z", "2027-01-01T00:00:00Z"}};
+        String[][] table = {{"MINUTE", "2026-12-01T10:59:00Z", "2026-12-01T11:00:00Z"},
+                {"HOUR", "2026-12-01T10:00:00Z", "2026-12-01T11:00:00Z"},
+            {"DAY", "2026-12-01T00:00:00Z", "2026-12-02T00:00:00Z"},
+            {"MONTH", "2026-12-01T00:00:00Z", "2027-01-01T00:00:00Z"}};
         long at = Instant.parse("2026-12-01T10:59:31.500Z").toEpochMilli();
         for (String[] row : table) {
             assertEquals(Instant.parse(row[1]).toEpochMilli(), BudgetWindow.valueOf(row[0]).startMillis(at), row[0]);
@@ -320,12 +351,18 @@
         }
     }
 
-    /** A budget that is raised from nothing is spent from at the pace of what is left of its window: who asks faster than that crosses in part, also where the
-        whole would hold many times as much, and rounds of twenty with a pause of 10 ms between never all fit. */
+    /**
+     * A budget raised from zero refills at the amount that remains over the time that remains: a client that asks
+     * faster than that crosses only in part, even where the whole window's amount is many times as much, so that rounds
+     * of twenty with pauses of 10 ms never fit entirely.
+     */
     @ParameterizedTest
-    @CsvSource({"HOUR, 0, 1, false", "HOUR, 0.1, 1, false", "HOUR, 0, 5, true", "HOUR, 0.99, 1, true", "MINUTE, 0, 1, true", "MINUTE, 0.9, 1, true"})
-    void raisedBudgetIsSpentAtTheRefillRate(BudgetWindow window, double elapsedFraction, long everyMillis, boolean allFit) {
-        long now = START_MILLIS + (long) (elapsedFraction * (window.endMillis(START_MILLIS) - window.startMillis(START_MILLIS)));
+    @CsvSource({"HOUR, 0, 1, false", "HOUR, 0.1, 1, false", "HOUR, 0, 5, true", "HOUR, 0.99, 1, true",
+            "MINUTE, 0, 1, true", "MINUTE, 0.9, 1, true"})
+    void raisedBudgetIsSpentAtTheRefillRate(BudgetWindow window, double elapsedFraction, long everyMillis,
+            boolean allFit) {
+        long now = START_MILLIS + (long) (elapsedFraction
+                * (window.endMillis(START_MILLIS) - window.startMillis(START_MILLIS)));
         CrossingAccount account = new CrossingAccount(budget(window, 0, 0), 1, now);
         account.updateBudget(budget(window, 1_000_000, 0), 1);
         double most = 0;
@@ -334,6 +371,6 @@
             most = Math.max(most, spendGreedily(account, now, now + 20 * everyMillis, everyMillis, 1));
             now += 20 * everyMillis;
         }
-        assertEquals(allFit, most == 20, "crossed in the best round: " + most);
+        assertEquals(allFit, most == 20, "crossings in the largest round: " + most);
     }
 }
--- a/src/test/java/mastdrift/zones/ZoneBudgetManagerTest.java
+++ b/src/test/java/mastdrift/zones/ZoneBudgetManagerTest.java
@@ -23,13 +23,15 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** What may cross, what is counted of it, and which zone a key belongs to. */
+/** Which requests may cross, what is counted of them, and which zone a key is bound to. */
 class ZoneBudgetManagerTest {
 
     private static final long WALL_MILLIS = Instant.parse("2026-12-01T10:00:00Z").toEpochMilli();
     private static final long SECOND_MICROS = 1_000_000;
-    private static final RequestClass READ = new RequestClass("read", SECOND_MICROS, 0, SECOND_MICROS, 1, 0, Repeat.SAFE, Group.ALL, 0, false);
-    private static final RequestClass START = new RequestClass("start", SECOND_MICROS, 0, SECOND_MICROS, 1, 0, Repeat.KEYED, Group.ZONE, 2 * SECOND_MICROS,
+    private static final RequestClass READ = new RequestClass("read", SECOND_MICROS, 0, SECOND_MICROS, 1, 0,
+            Repeat.SAFE, Group.ALL, 0, false);
+    private static final RequestClass START = new RequestClass("start", SECOND_MICROS, 0, SECOND_MICROS, 1, 0,
+            Repeat.KEYED, Group.ZONE, 2 * SECOND_MICROS,
             false);
 
     private long now = SECOND_MICROS;
@@ -38,18 +40,21 @@
         return new Host(uid, uid.startsWith("b") ? "bilbao" : "oviedo", 0, "k", 1, health, 0);
     }
 
-    private static CrossingBudget budget(String name, CrossingBudget.Unit unit, double amount, String className, boolean hard) {
+    private static CrossingBudget budget(String name, CrossingBudget.Unit unit, double amount, String className,
+            boolean hard) {
         return new CrossingBudget(name, BudgetWindow.MINUTE, unit, amount, null, className, null, null, 0, hard);
     }
 
     private static ZoneSettings settings(CrossingBudget... budgets) {
-        return new ZoneSettings(List.of(budgets), List.of(new Price("bilbao", "oviedo", 2, 0), new Price("oviedo", "bilbao", 1, 0)),
+        return new ZoneSettings(List.of(budgets), List.of(new Price("bilbao", "oviedo", 2, 0),
+                new Price("oviedo", "bilbao", 1, 0)),
                 List.of(), List.of("start", "read"), 5 * SECOND_MICROS, null, null, null);
     }
 
     private ZoneBudgetManager manager(CrossingBudget... budgets) {
         ZoneBudgetManager manager = new ZoneBudgetManager("g", "bilbao", 1, settings(budgets), now, WALL_MILLIS);
-        pool(manager).updateHosts(now, true, List.of(host("b1", Health.UP), host("b2", Health.UP), host("o1", Health.UP)));
+        pool(manager).updateHosts(now, true, List.of(host("b1", Health.UP), host("b2", Health.UP),
+                host("o1", Health.UP)));
         return manager;
     }
 
@@ -66,11 +71,15 @@
         manager.tick(now, WALL_MILLIS + now / 1_000);
     }
 
-    /** Sums over a seeded hundred thousand steps equal what was told, by flow, by cause and by budget, beyond the bound on flows too. */
+    /**
+     * Over a hundred thousand random steps, the sums by flow, by cause and by budget equal what was reported, also
+     * beyond the bound on the number of flows.
+     */
     @Property(tries = 5)
     void everyReportedByteAndAttemptIsCountedOnce(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        ZoneBudgetManager manager = manager(budget("all", CrossingBudget.Unit.BYTES, 1e15, null, false), budget("read", CrossingBudget.Unit.REQUESTS, 1e12, "read", false));
+        ZoneBudgetManager manager = manager(budget("all", CrossingBudget.Unit.BYTES, 1e15, null, false),
+                budget("read", CrossingBudget.Unit.REQUESTS, 1e12, "read", false));
         List<PoolCrossings.TrackedAttempt> underWay = new ArrayList<>();
         long sent = 0;
         long received = 0;
@@ -98,7 +107,8 @@
                 }
                 case 2, 3, 4, 5 -> {
                     boolean read = random.nextBoolean();
-                    PoolCrossings.RequestCrossing request = pool(manager).startRequest(now, read ? READ : START, "t" + random.nextInt(5_000), "", (long) i);
+                    PoolCrossings.RequestCrossing request = pool(manager)
+                            .startRequest(now, read ? READ : START, "t" + random.nextInt(5_000), "", (long) i);
                     PoolCrossings.TrackedAttempt attempt = request.startAttempt(now, uids[uid], random.nextInt(2));
                     underWay.add(attempt);
                     hostAndClass.put(attempt, new long[] {uid, read ? 1 : 0});
@@ -141,27 +151,34 @@
 
     @Test
     void crossingCountsAgainstEveryBudgetThatCoversIt() {
-        ZoneBudgetManager manager = manager(budget("all", CrossingBudget.Unit.REQUESTS, 6_000, null, false), budget("reads", CrossingBudget.Unit.REQUESTS, 0, "read", false));
+        ZoneBudgetManager manager = manager(budget("all", CrossingBudget.Unit.REQUESTS, 6_000, null, false),
+                budget("reads", CrossingBudget.Unit.REQUESTS, 0, "read", false));
         advance(manager, SECOND_MICROS);
         assertEquals(0, startRequest(manager, READ, null).part(now, "oviedo"));
         assertEquals(1, startRequest(manager, READ, null).part(now, "bilbao"));
         PoolCrossings.RequestCrossing start = startRequest(manager, START, 1L);
         assertTrue(start.part(now, "oviedo") > 0);
         start.startAttempt(now, "o1", 0).end(now, Outcome.DELIVERED, 100, 100);
-        assertEquals(List.of(1.0, 0.0), manager.snapshot(now).budgets().stream().map(ZoneSnapshot.BudgetStatus::spent).toList());
+        assertEquals(List.of(1.0, 0.0), manager.snapshot(now).budgets().stream().map(ZoneSnapshot.BudgetStatus::spent)
+                .toList());
     }
 
     @Test
     void budgetCoversOnlyWhatItsSelectorsName() {
-        CrossingBudget budget = new CrossingBudget("l", BudgetWindow.DAY, CrossingBudget.Unit.REQUESTS, 1, "oviedo", "read", "t", "p", 0, false);
-        Object[][] table = {{"oviedo", "read", "t", "p", true}, {"leon", "read", "t", "p", false}, {"oviedo", "start", "t", "p", false},
+        CrossingBudget budget = new CrossingBudget("l", BudgetWindow.DAY, CrossingBudget.Unit.REQUESTS, 1, "oviedo",
+                "read", "t", "p", 0, false);
+        Object[][] table = {{"oviedo", "read", "t", "p", true}, {"leon", "read", "t", "p", false},
+                {"oviedo", "start", "t", "p", false},
             {"oviedo", "read", "u", "p", false}, {"oviedo", "read", "t", "q", false}};
         for (Object[] row : table) {
             assertEquals(row[4], budget.covers((String) row[0], (String) row[1], (String) row[2], (String) row[3]));
         }
     }
 
-    /** What is out has its part already: crossings that take two seconds each, asked for each 10 ms, don't overrun a window. */
+    /**
+     * Crossings under way are reserved: crossings that take two seconds each, asked for every 10 ms, don't overrun a
+     * window.
+     */
     @Test
     void crossingsUnderWayAreReserved() {
         ZoneBudgetManager manager = manager(budget("r", CrossingBudget.Unit.REQUESTS, 60, null, false));
@@ -180,16 +197,19 @@
                 started++;
             }
         }
-        assertTrue(started >= 55 && started <= 61, "begun " + started);
+        assertTrue(started >= 55 && started <= 61, "started " + started);
     }
 
-    /** 2 and 1 a GiB, 2^29 bytes out and 2^30 in: 2 in all, and the budget of money says the same. */
+    /**
+     * Prices of 2 and 1 per GiB, 2^29 bytes out and 2^30 in: a cost of 2 in all, and the budget in money says the same.
+     */
     @Test
     void costIsComputedFromThePricesOfBothDirections() {
         ZoneBudgetManager manager = manager(budget("m", CrossingBudget.Unit.MONEY, 100, null, false));
         startRequest(manager, READ, null).startAttempt(now, "o1", 0).end(now, Outcome.DELIVERED, 1L << 29, 1L << 30);
         ZoneSnapshot snapshot = manager.snapshot(now);
-        assertEquals(2, snapshot.flows().entrySet().stream().mapToDouble(e -> snapshot.cost(e.getKey(), e.getValue())).sum(), 1e-9);
+        assertEquals(2, snapshot.flows().entrySet().stream().mapToDouble(e -> snapshot.cost(e.getKey(), e.getValue()))
+                .sum(), 1e-9);
         assertEquals(2, snapshot.budgets().get(0).spent(), 1e-9);
     }
 
@@ -202,23 +222,27 @@
         assertTrue(startRequest(manager, READ, null).part(now, "oviedo") > 0);
     }
 
-    /** A key keeps the zone that it may have run in, for its window: when the budget is gone, and when that zone is out. */
+    /**
+     * A key stays in the zone in which its request may have run, for its window: also without budget, and when that
+     * zone is out.
+     */
     @Test
     void keyKeepsItsZoneWhileItsWindowIsOpen() {
         ZoneBudgetManager manager = manager(budget("none", CrossingBudget.Unit.REQUESTS, 0, null, false));
         PoolCrossings.TrackedAttempt inOwnZone = startRequest(manager, START, 7L).startAttempt(now, "b1", 0);
         pool(manager).updateHosts(now, true, List.of(host("o1", Health.UP)));
-        assertEquals(1, startRequest(manager, START, 8L).part(now, "oviedo"), "the zone is out: another key may go");
-        assertEquals(0, startRequest(manager, START, 7L).part(now, "oviedo"), "this one may have run");
+        assertEquals(1, startRequest(manager, START, 8L).part(now, "oviedo"), "the zone is out: another key may cross");
+        assertEquals(0, startRequest(manager, START, 7L).part(now, "oviedo"), "this key's request may have run");
         inOwnZone.end(now, Outcome.DROPPED, 100, 0);
-        assertEquals(0, startRequest(manager, START, 7L).part(now, "oviedo"), "it still may have");
+        assertEquals(0, startRequest(manager, START, 7L).part(now, "oviedo"), "it still may have run");
         startRequest(manager, START, 9L).startAttempt(now, "o1", 0);
         pool(manager).updateHosts(now, true, List.of(host("b1", Health.UP), host("o1", Health.UP)));
-        assertEquals(0, startRequest(manager, START, 9L).part(now, "bilbao"), "nor back");
-        assertEquals(1, startRequest(manager, START, 9L).part(now, "oviedo"), "whatever the budget");
-        assertEquals(1, startRequest(manager, READ, 9L).part(now, "bilbao"), "another class's key is another");
+        assertEquals(0, startRequest(manager, START, 9L).part(now, "bilbao"), "nor back to the own zone");
+        assertEquals(1, startRequest(manager, START, 9L).part(now, "oviedo"), "whatever the budget allows");
+        assertEquals(1, startRequest(manager, READ, 9L).part(now, "bilbao"),
+                "keys of different classes are independent");
         now += 2 * SECOND_MICROS;
-        assertEquals(1, startRequest(manager, START, 9L).part(now, "bilbao"), "its window is over");
+        assertEquals(1, startRequest(manager, START, 9L).part(now, "bilbao"), "its deduplication window is over");
     }
 
     @Test
@@ -227,12 +251,12 @@
         PoolCrossings.TrackedAttempt one = startRequest(manager, START, 7L).startAttempt(now, "o1", 0);
         PoolCrossings.TrackedAttempt two = startRequest(manager, START, 7L).startAttempt(now, "o1", 0);
         one.end(now, Outcome.SHED, 100, 10);
-        assertEquals(0, startRequest(manager, START, 7L).part(now, "bilbao"), "the other may have run");
+        assertEquals(0, startRequest(manager, START, 7L).part(now, "bilbao"), "the other attempt may have run");
         two.end(now, Outcome.DIAL_FAILED, 0, 0);
         assertEquals(1, startRequest(manager, START, 7L).part(now, "bilbao"));
     }
 
-    /** At the bound new keys stay at home, and known ones keep their zone. */
+    /** At the bound, requests with new keys stay in the own zone, and known keys keep theirs. */
     @Test
     void keysBeyondTheBoundStayInTheOwnZone() {
         KeyZoneTable keys = new KeyZoneTable(2);
@@ -250,7 +274,7 @@
         assertEquals(1, startRequest(manager, START, -1L).part(now, "bilbao"));
     }
 
-    /** Why it crossed: the first cause that holds. */
+    /** The first cause that applies is recorded. */
     @Test
     void firstCauseThatAppliesIsRecorded() {
         ZoneBudgetManager manager = manager();
@@ -273,7 +297,8 @@
         cross(overloaded, READ, null, 0, CrossingCause.NO_CAPACITY);
     }
 
-    private void cross(ZoneBudgetManager manager, RequestClass requestClass, Long key, int number, CrossingCause cause) {
+    private void cross(ZoneBudgetManager manager, RequestClass requestClass, Long key, int number,
+            CrossingCause cause) {
         long before = crossingCounts(manager).attempts(cause);
         startRequest(manager, requestClass, key).startAttempt(now, "o1", number).end(now, Outcome.DELIVERED, 10, 10);
         assertEquals(before + 1, crossingCounts(manager).attempts(cause), cause.reportName());
@@ -289,19 +314,21 @@
         return crossings;
     }
 
-    /** Before its first list a pool has no zone that could be out. */
+    /** A pool that has not received a host list has no zone that could be out. */
     @Test
     void poolWithoutAHostListKeepsToItsBudgets() {
-        ZoneBudgetManager manager = new ZoneBudgetManager("g", "bilbao", 1, settings(budget("l", CrossingBudget.Unit.REQUESTS, 0, null, false)), now, WALL_MILLIS);
+        ZoneBudgetManager manager = new ZoneBudgetManager("g", "bilbao", 1,
+                settings(budget("l", CrossingBudget.Unit.REQUESTS, 0, null, false)), now, WALL_MILLIS);
         pool(manager).updateHosts(now, true, List.of());
         pool(manager).updateHosts(now, true, List.of(host("b1", Health.UP), host("o1", Health.UP)));
         assertEquals(0, startRequest(manager, READ, null).part(now, "oviedo"));
     }
 
-    /** What a hard budget holds back is no overload that a soft one beside it could give way to. */
+    /** Refusals caused by a hard budget are not an overload for which a soft budget beside it may be exceeded. */
     @Test
     void refusalsByAHardBudgetAreNoOverload() {
-        ZoneBudgetManager manager = manager(budget("soft", CrossingBudget.Unit.REQUESTS, 0, null, false), budget("hard", CrossingBudget.Unit.REQUESTS, 0, "read", true));
+        ZoneBudgetManager manager = manager(budget("soft", CrossingBudget.Unit.REQUESTS, 0, null, false),
+                budget("hard", CrossingBudget.Unit.REQUESTS, 0, "read", true));
         for (int i = 0; i < 600; i++, now += 10_000) {
             PoolCrossings.RequestCrossing request = startRequest(manager, READ, null);
             assertEquals(0, request.part(now, "oviedo"));
@@ -310,7 +337,9 @@
         }
     }
 
-    /** Service goes before a soft budget and not before a hard one, and what it took is owed. */
+    /**
+     * Soft budgets may be exceeded when the own zone is out, hard ones not; the excess shows as a negative remainder.
+     */
     @Test
     void onlySoftBudgetsMayBeExceeded() {
         for (boolean hard : new boolean[] {false, true}) {
@@ -344,11 +373,14 @@
 
     @Test
     void longestMatchingNetworkDecides() {
-        ClientNetworks networks = new ClientNetworks(List.of(new ClientNetworks.Network(AddressRange.parse("10.0.0.0/8"), "bilbao"),
+        ClientNetworks networks =
+                new ClientNetworks(List.of(new ClientNetworks.Network(AddressRange.parse("10.0.0.0/8"), "bilbao"),
                 new ClientNetworks.Network(AddressRange.parse("10.1.64.0/18"), "oviedo")));
-        Object[][] table = {{10, 1, 64, 1, "oviedo"}, {10, 1, 127, 1, "oviedo"}, {10, 1, 128, 1, "bilbao"}, {11, 1, 64, 1, ""}};
+        Object[][] table = {{10, 1, 64, 1, "oviedo"}, {10, 1, 127, 1, "oviedo"}, {10, 1, 128, 1, "bilbao"},
+                {11, 1, 64, 1, ""}};
         for (Object[] row : table) {
-            assertEquals(row[4], networks.zone(new byte[] {((Integer) row[0]).byteValue(), ((Integer) row[1]).byteValue(),
+            assertEquals(row[4], networks.zone(new byte[] {((Integer) row[0]).byteValue(),
+                ((Integer) row[1]).byteValue(),
                 ((Integer) row[2]).byteValue(), ((Integer) row[3]).byteValue()}));
         }
         assertEquals("", networks.zone(new byte[16]));
--- a/src/test/java/mastdrift/zones/edge/ZoneFileStoreTest.java
+++ b/src/test/java/mastdrift/zones/edge/ZoneFileStoreTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Writes to the folder of a gateway's state that fail for a while. */
+/** Writes to the state directory that fail for a while. */
 class ZoneFileStoreTest {
 
     private static final int WAIT_SECONDS = 30;
@@ -46,23 +46,28 @@
     }
 
     private void awaitFile(String name) throws InterruptedException {
-        for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS); !Files.exists(folder.resolve(name)); Thread.sleep(10)) {
+        for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
+                !Files.exists(folder.resolve(name)); Thread.sleep(10)) {
             assertTrue(System.nanoTime() < until, "no " + name + ": " + log);
         }
     }
 
-    /** Opening the new file fails, or the renaming: neither is the state written nor are the others told what rests on it, which is said; afterwards both are, without a restart. */
+    /**
+     * Opening the new file fails, or the rename: the state is not written, peers are not told what depends on it, and
+     * it is logged; later writes succeed without a restart.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"." + STATE_FILE + ".new", STATE_FILE})
     void unwrittenStateIsNotAnnouncedAndIsWrittenLater(String blocked) throws Exception {
         Path blockingDirectory = Files.createDirectory(folder.resolve(blocked));
-        Path fileInDirectory = Files.createFile(blockingDirectory.resolve("x"));  // or a file could take its place
+        // the directory must not be empty, or a file could replace it
+        Path fileInDirectory = Files.createFile(blockingDirectory.resolve("x"));
         try (ZoneFileStore files = open()) {
             files.write(snapshot(1), announcement(1));
             String logged = log.poll(WAIT_SECONDS, TimeUnit.SECONDS);
             assertNotNull(logged);
             assertTrue(logged.contains(STATE_FILE + " was not written"), logged);
-            assertFalse(Files.exists(folder.resolve(ANNOUNCEMENT_FILE)), "told the others what is not on disk");
+            assertFalse(Files.exists(folder.resolve(ANNOUNCEMENT_FILE)), "announced to peers what is not on disk");
             Files.delete(fileInDirectory);
             Files.delete(blockingDirectory);
             files.write(snapshot(2), announcement(2));
@@ -74,7 +79,7 @@
         }
     }
 
-    /** A kill while the new file is written leaves the old one in force. */
+    /** A process that is killed while it writes the new file leaves the old one in force. */
     @Test
     void partlyWrittenTemporaryFileIsIgnored() throws Exception {
         try (ZoneFileStore files = open()) {
--- a/src/test/java/mastdrift/zones/edge/ZoneStateCodecTest.java
+++ b/src/test/java/mastdrift/zones/edge/ZoneStateCodecTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is written is read back as it was, and what is not whole is not used. */
+/** Encoded data is read back unchanged, and damaged data is rejected. */
 class ZoneStateCodecTest {
 
     @TempDir
@@ -42,13 +42,17 @@
         for (int i = 0; i < 5; i++) {
             long[] values = new long[new FlowCounts().values().length];
             Arrays.setAll(values, n -> random.nextLong(1L << 60));
-            flows.put(new Flow("bilbao", i % 2 == 0 ? "oviedo" : "bilbao", "", "c" + i, "p", "t\"ö"), FlowCounts.of(values));
+            flows.put(new Flow("bilbao", i % 2 == 0 ? "oviedo" : "bilbao", "", "c" + i, "p", "t\"ö"),
+                    FlowCounts.of(values));
         }
-        CrossingBudget budget = new CrossingBudget("m", BudgetWindow.MONTH, CrossingBudget.Unit.MONEY, random.nextDouble() * 1e6, "oviedo", null, "t", null, 0.25, true);
+        CrossingBudget budget = new CrossingBudget("m", BudgetWindow.MONTH, CrossingBudget.Unit.MONEY,
+                random.nextDouble() * 1e6, "oviedo", null, "t", null, 0.25, true);
         long at = 1_796_000_000_000L + random.nextInt(1_000_000);
-        AccountState saved = new AccountState(BudgetWindow.MONTH.startMillis(at), at, random.nextDouble(), random.nextDouble(), 0, -random.nextDouble(), 1, 2,
+        AccountState saved = new AccountState(BudgetWindow.MONTH.startMillis(at), at, random.nextDouble(),
+                random.nextDouble(), 0, -random.nextDouble(), 1, 2,
                 Map.of("g2", random.nextDouble()), Map.of());
-        return new ZoneSnapshot("g", "bilbao", at, flows, List.of(new ZoneSnapshot.BudgetStatus(budget, BudgetWindow.MONTH.endMillis(at), 3.5, saved)),
+        return new ZoneSnapshot("g", "bilbao", at, flows,
+                List.of(new ZoneSnapshot.BudgetStatus(budget, BudgetWindow.MONTH.endMillis(at), 3.5, saved)),
                 List.of(new Price("bilbao", "oviedo", 0.02, 0.4)), Map.of("p", List.of("c1")));
     }
 
@@ -70,12 +74,17 @@
             assertEquals(one.overridingClasses(), other.overridingClasses());
             assertEquals(one.flows().keySet(), other.flows().keySet());
             one.flows().forEach((flow, counts) -> assertArrayEquals(counts.values(), other.flows().get(flow).values()));
-            Escrow.Announcement announcement = new Escrow.Announcement("g", one.timeMillis(), Map.of("m", new Escrow.BudgetAnnouncement(one.timeMillis(), -3.25, Map.of("h", 0.1))));
-            assertEquals(announcement, ZoneStateCodec.announcement(ZoneStateCodec.unwrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT, ZoneStateCodec.wrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT, ZoneStateCodec.toMap(announcement)))));
+            Escrow.Announcement announcement = new Escrow.Announcement("g", one.timeMillis(),
+                    Map.of("m", new Escrow.BudgetAnnouncement(one.timeMillis(), -3.25, Map.of("h", 0.1))));
+            assertEquals(announcement,
+                    ZoneStateCodec.announcement(ZoneStateCodec.unwrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT,
+                    ZoneStateCodec.wrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT, ZoneStateCodec.toMap(announcement)))));
         }
     }
 
-    /** Every bit flipped, every truncation, and random edits: refused, each by an IOException with a word. */
+    /**
+     * Every single-bit flip, every truncation, and random edits are rejected, each by an IOException with a message.
+     */
     @Test
     void damagedFileIsRejected() throws IOException {
         byte[] file = encode(snapshot(1));
@@ -100,14 +109,16 @@
     }
 
     private static void assertRejected(byte[] bytes) {
-        IOException e = assertThrows(IOException.class, () -> decode(bytes), () -> new String(bytes, StandardCharsets.ISO_8859_1));
+        IOException e = assertThrows(IOException.class, () -> decode(bytes),
+                () -> new String(bytes, StandardCharsets.ISO_8859_1));
         assertNotNull(e.getMessage());
     }
 
-    /** Rightly sealed, and still not to be used: each says where. */
+    /** A correct envelope with invalid content: the message names the field or value. */
     @Test
     void invalidContentIsRejectedWithItsPlace() throws IOException {
-        Object[][] table = {{"flows", 3, "flows"}, {"at", "yesterday", "yesterday"}, {"gateway", null, "gateway"}, {"budgets", List.of(1), "budgets"},
+        Object[][] table = {{"flows", 3, "flows"}, {"at", "yesterday", "yesterday"}, {"gateway", null, "gateway"},
+                {"budgets", List.of(1), "budgets"},
             {"flows", List.of(Map.of("from", "a")), "to"}};
         for (Object[] row : table) {
             Map<String, Object> map = ZoneStateCodec.toMap(snapshot(1));
@@ -116,7 +127,8 @@
             IOException e = assertThrows(IOException.class, () -> decode(bytes));
             assertTrue(e.getMessage().contains((String) row[2]), e.getMessage());
         }
-        String newer = new String(encode(snapshot(1)), StandardCharsets.UTF_8).replace("\"version\":1", "\"version\":2");
+        String newer = new String(encode(snapshot(1)), StandardCharsets.UTF_8)
+                .replace("\"version\":1", "\"version\":2");
         IOException e = assertThrows(IOException.class, () -> decode(newer.getBytes(StandardCharsets.UTF_8)));
         assertTrue(e.getMessage().contains("newer program"), e.getMessage());
     }
@@ -124,7 +136,8 @@
     // ---- files
 
     private ZoneFileStore files(String gateway, List<Escrow.Announcement> announcements) {
-        ZoneSettings settings = new ZoneSettings(List.of(), List.of(), List.of(), List.of(), 1, "report.json", ".", ".");
+        ZoneSettings settings = new ZoneSettings(List.of(), List.of(), List.of(), List.of(), 1, "report.json", ".",
+                ".");
         return new ZoneFileStore(folder.resolve("gateway.toml"), gateway, settings, announcements::add, log::add);
     }
 
@@ -148,12 +161,13 @@
         try (ZoneFileStore files = files("g", announcements); ZoneFileStore second = files("g", announcements)) {
             assertEquals(snapshot(2).budgets(), files.readSnapshot().budgets());
             assertEquals(announcement("g"), files.readOwnAnnouncement());
-            assertNull(second.readSnapshot(), "one process a folder and name");
+            assertNull(second.readSnapshot(), "one process per directory and gateway name");
         }
         assertEquals(1, log.size(), log.toString());
         Files.writeString(folder.resolve("zones-g.state"), "half");
         Files.delete(folder.resolve("budgets-other.json"));
-        Files.write(folder.resolve("elsewhere"), ZoneStateCodec.wrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT, ZoneStateCodec.toMap(announcement("other"))));
+        Files.write(folder.resolve("elsewhere"), ZoneStateCodec.wrap(ZoneStateCodec.ANNOUNCEMENT_FORMAT,
+                ZoneStateCodec.toMap(announcement("other"))));
         Files.createSymbolicLink(folder.resolve("budgets-other.json"), folder.resolve("elsewhere"));
         try (ZoneFileStore files = files("g", announcements)) {
             assertNull(files.readSnapshot());
@@ -161,13 +175,15 @@
             announcements.clear();
             files.write(snapshot(2), announcement("g"));
         }
-        assertEquals(List.of(), announcements, "a link is not followed");
+        assertEquals(List.of(), announcements, "a symbolic link is not followed");
     }
 
     @Test
     void missingFolderIsLoggedAndTheRestGoesOn() throws IOException {
-        ZoneSettings settings = new ZoneSettings(List.of(), List.of(), List.of(), List.of(), 1, "report.json", "none", "none");
-        try (ZoneFileStore files = new ZoneFileStore(folder.resolve("gateway.toml"), "g", settings, word -> { }, log::add)) {
+        ZoneSettings settings = new ZoneSettings(List.of(), List.of(), List.of(), List.of(), 1, "report.json", "none",
+                "none");
+        try (ZoneFileStore files = new ZoneFileStore(folder.resolve("gateway.toml"), "g", settings, word -> { },
+                log::add)) {
             assertNull(files.readSnapshot());
             files.write(snapshot(1), announcement("g"));
         }
