--- a/src/main/java/mastdrift/zones/edge/package-info.java
+++ b/src/main/java/mastdrift/zones/edge/package-info.java
@@ -1,3 +1,5 @@
-/** The files of what crosses zones: the state that outlives a process, the report, and the words that gateways leave one another in a
-    folder. Decides nothing; a thread of its own, with at most one write waiting. */
+/**
+ * File I/O for traffic across zones: the state saved over a restart, the report, and the announcements that gateways
+ * exchange through a shared directory. Makes no decisions; runs on a thread of its own, with at most one write pending.
+ */
 package mastdrift.zones.edge;
