--- a/src/main/java/mastdrift/engine/Exchange.java
+++ b/src/main/java/mastdrift/engine/Exchange.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import mastdrift.zones.PoolZones;
+import mastdrift.zones.PoolCrossings;
 
 /** A request from its acceptance until it and all its attempts have ended. It belongs to one pool. */
 public final class Exchange {
@@ -13,7 +13,7 @@
     final RequestMessage message;
     final String className;
     final List<Transport.Attempt> attempts = new ArrayList<>(2);
-    PoolZones.Pass crossing;  // null if zone crossings aren't counted
+    PoolCrossings.RequestCrossing crossing;  // null if zone crossings aren't counted
     Timers.Timer deadlineTimer;
     long hostDeadlineMicros;  // a host's response after that would reach the client too late
     int attemptsInFlight;
--- a/src/main/java/mastdrift/engine/Pool.java
+++ b/src/main/java/mastdrift/engine/Pool.java
@@ -11,7 +11,7 @@
 import mastdrift.Balancer.Settings;
 import mastdrift.Balancer.Why;
 import mastdrift.peers.OwnWork;
-import mastdrift.zones.PoolZones;
+import mastdrift.zones.PoolCrossings;
 
 /**
  * A host list, the decision module that chooses among the hosts, and the transport to them. Drives the module: passes
@@ -33,7 +33,7 @@
     private final Settings settings;
     private final Transport transport;
     private final EndpointGate gate = new EndpointGate(this::isHostListValid);
-    private PoolZones zones;
+    private PoolCrossings zones;
     private OwnWork ownWork;
     private HostListSource hostListSource = HostListSource.PUSH_ONLY;
     private int liveExchanges;
@@ -49,10 +49,10 @@
     }
 
     /** Counts and bounds the traffic that crosses zones from now on. Called before {@link #start}. */
-    public void setZones(PoolZones poolZones) {
+    public void setZones(PoolCrossings poolZones) {
         zones = poolZones;
         transport.countBytes((uid, sentBytes, receivedBytes) ->
-                poolZones.stray(requestTracker.now(), uid, sentBytes, receivedBytes));
+                poolZones.recordUnattributedBytes(requestTracker.now(), uid, sentBytes, receivedBytes));
     }
 
     /**
@@ -64,13 +64,13 @@
         module.elsewhere(peerWork);
     }
 
-    PoolZones.Pass newCrossing(RequestAttributes attributes) {
+    PoolCrossings.RequestCrossing newCrossing(RequestAttributes attributes) {
         if (zones == null) {
             return null;
         }
         for (RequestClass requestClass : settings.classes()) {
             if (requestClass.name().equals(attributes.className())) {
-                return zones.pass(requestTracker.now(), requestClass, attributes.tenant(), attributes.clientZone(),
+                return zones.startRequest(requestTracker.now(), requestClass, attributes.tenant(), attributes.clientZone(),
                         attributes.idempotencyKey());
             }
         }
@@ -170,7 +170,7 @@
         transport.update(form != ListForm.DELTA, members);
         List<Host> hosts = members.stream().map(Member::host).toList();
         if (zones != null) {
-            zones.hosts(requestTracker.now(), form != ListForm.DELTA, hosts);
+            zones.updateHosts(requestTracker.now(), form != ListForm.DELTA, hosts);
         }
         requestTracker.submitEvent(null, now -> module.hosts(now, form, hosts));
     }
@@ -202,7 +202,7 @@
         private final int attemptNumber;
         private final String uid;
         private final long sentAt = requestTracker.now();
-        private final PoolZones.Leg attemptTraffic;
+        private final PoolCrossings.TrackedAttempt attemptTraffic;
         private long ownLatenessMicros;
         private long sentBytes;
         private long receivedBytes;
@@ -211,7 +211,7 @@
             this.exchange = exchange;
             this.uid = uid;
             attemptNumber = exchange.attempts.size();
-            attemptTraffic = exchange.crossing == null ? null : exchange.crossing.sent(sentAt, uid, attemptNumber);
+            attemptTraffic = exchange.crossing == null ? null : exchange.crossing.startAttempt(sentAt, uid, attemptNumber);
             if (ownWork != null) {
                 ownWork.sent(uid);
             }
@@ -255,7 +255,7 @@
             Outcome reportedOutcome = ownLatenessMicros > MAX_HARMLESS_LATENESS_MICROS
                     && 2 * ownLatenessMicros > totalMicros ? inconclusive(outcome) : outcome;
             if (attemptTraffic != null) {
-                attemptTraffic.ended(now, reportedOutcome, sentBytes, receivedBytes);
+                attemptTraffic.end(now, reportedOutcome, sentBytes, receivedBytes);
             }
             requestTracker.submitEvent(exchange, eventTime -> {
                 exchange.attemptsInFlight--;
@@ -354,7 +354,7 @@
             @Override
             public void probed(Outcome outcome, LoadReport report) {
                 if (zones != null) {
-                    zones.probed(requestTracker.now(), uid, outcome, sentBytes, receivedBytes);
+                    zones.recordProbe(requestTracker.now(), uid, outcome, sentBytes, receivedBytes);
                 }
                 long totalMicros = requestTracker.now() - sentAt;
                 long hostMicros = Math.max(totalMicros - requestTracker.lateness().queuedMicros(requestTracker.now()),
--- a/src/main/java/mastdrift/engine/RequestTracker.java
+++ b/src/main/java/mastdrift/engine/RequestTracker.java
@@ -192,7 +192,7 @@
             pool.module().request(eventTime, new Balancer.Request(exchange.id, attributes.className(),
                     attributes.tenant(), attributes.key(), remainingMicros, attributes.estimatedWorkMicros(),
                     attributes.repeated(), attributes.write(), exchange.crossing == null ? null
-                    : exchange.crossing.bounds()));
+                    : exchange.crossing.asCrossing()));
         });
         return exchange.ended ? null : exchange;
     }
@@ -313,7 +313,7 @@
         finish(exchange, RequestListener.Result.REFUSED, reason);
         serviceCount.countRefused(exchange.className, reason);
         if (exchange.crossing != null) {
-            exchange.crossing.refused(now(), reason);
+            exchange.crossing.recordRefusal(now(), reason);
         }
         exchange.responder.sendRefusal(retryAfterMicros);
     }
--- a/src/main/java/mastdrift/lab/report/ZonePicture.java
+++ b/src/main/java/mastdrift/lab/report/ZonePicture.java
@@ -2,8 +2,8 @@
 
 import java.awt.Color;
 import java.util.Map;
-import mastdrift.zones.Cause;
-import mastdrift.zones.Counts;
+import mastdrift.zones.CrossingCause;
+import mastdrift.zones.FlowCounts;
 import mastdrift.zones.Flow;
 import org.jfree.chart.axis.CategoryAxis;
 import org.jfree.chart.axis.NumberAxis;
@@ -20,15 +20,15 @@
     private ZonePicture() { }
 
     /** As SVG. */
-    public static String svg(Map<Flow, Counts> flows) {
+    public static String svg(Map<Flow, FlowCounts> flows) {
         DefaultCategoryDataset data = new DefaultCategoryDataset();
-        for (Cause cause : Cause.values()) {
+        for (CrossingCause cause : CrossingCause.values()) {
             flows.forEach((flow, counts) -> {
                 if (flow.crosses() && counts.bytes(cause) > 0) {
-                    String bar = flow.className() + ", " + flow.from() + " to " + flow.to();
-                    double before = data.getRowIndex(cause.word()) >= 0 && data.getColumnIndex(bar) >= 0
-                            && data.getValue(cause.word(), bar) != null ? data.getValue(cause.word(), bar).doubleValue() : 0;
-                    data.setValue(before + counts.bytes(cause) / MIB, cause.word(), bar);
+                    String bar = flow.className() + ", " + flow.fromZone() + " to " + flow.toZone();
+                    double before = data.getRowIndex(cause.reportName()) >= 0 && data.getColumnIndex(bar) >= 0
+                            && data.getValue(cause.reportName(), bar) != null ? data.getValue(cause.reportName(), bar).doubleValue() : 0;
+                    data.setValue(before + counts.bytes(cause) / MIB, cause.reportName(), bar);
                 }
             });
         }
--- a/src/main/java/mastdrift/serve/ZoneService.java
+++ b/src/main/java/mastdrift/serve/ZoneService.java
@@ -8,12 +8,12 @@
 import java.util.function.LongSupplier;
 import mastdrift.config.Configuration;
 import mastdrift.config.GatewaySettings;
-import mastdrift.zones.Networks;
-import mastdrift.zones.PoolZones;
-import mastdrift.zones.Snapshot;
+import mastdrift.zones.ClientNetworks;
+import mastdrift.zones.PoolCrossings;
+import mastdrift.zones.ZoneSnapshot;
 import mastdrift.zones.ZoneSettings;
-import mastdrift.zones.Zoning;
-import mastdrift.zones.edge.ZoneFiles;
+import mastdrift.zones.ZoneBudgetManager;
+import mastdrift.zones.edge.ZoneFileStore;
 
 /** What crosses zones, in a gateway from files: one decider on the loop, told the time, and its files. */
 final class ZoneService {
@@ -24,18 +24,18 @@
     private static final long UNSAVED_MILLIS = 10_000;
 
     private final LongSupplier now;
-    private final Zoning zoning;
-    private final ZoneFiles files;
-    private volatile Networks networks;
+    private final ZoneBudgetManager zoning;
+    private final ZoneFileStore files;
+    private volatile ClientNetworks networks;
     private int ticks;
 
     /** Reads what an earlier process left; before the gateway serves, since it waits for the disk. On the loop's thread. */
     ZoneService(Path file, EventLoop loop, LongSupplier now, GatewaySettings gateway, ZoneSettings settings, Consumer<String> log) {
         this.now = now;
-        zoning = new Zoning(gateway.name(), gateway.zone(), gateway.gateways(), settings, now.getAsLong(), System.currentTimeMillis());
-        networks = new Networks(settings.networks());
-        files = new ZoneFiles(file, gateway.name(), settings, word -> loop.execute(() -> zoning.heard(word)), log);
-        Snapshot earlier = files.earlier();
+        zoning = new ZoneBudgetManager(gateway.name(), gateway.zone(), gateway.gateways(), settings, now.getAsLong(), System.currentTimeMillis());
+        networks = new ClientNetworks(settings.networks());
+        files = new ZoneFileStore(file, gateway.name(), settings, word -> loop.execute(() -> zoning.receive(word)), log);
+        ZoneSnapshot earlier = files.readSnapshot();
         if (earlier != null) {
             try {
                 zoning.restore(earlier, UNSAVED_MILLIS);
@@ -43,8 +43,8 @@
                 log.accept("the state of zones is not used: " + e.getMessage());
             }
         }
-        if (files.told() != null) {
-            zoning.told(files.told());
+        if (files.readOwnAnnouncement() != null) {
+            zoning.restoreTransfers(files.readOwnAnnouncement());
         }
         loop.scheduleWithFixedDelay(() -> tick(log), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -62,28 +62,28 @@
 
     /** Soon, by the thread of the files; on the loop's thread. */
     void write() {
-        files.write(zoning.snapshot(now.getAsLong()), zoning.word(now.getAsLong()));
+        files.write(zoning.snapshot(now.getAsLong()), zoning.announcement(now.getAsLong()));
     }
 
     /** The operator's file has changed. */
     void configure(Configuration next) {
-        networks = new Networks(next.zones().networks());
+        networks = new ClientNetworks(next.zones().networks());
         zoning.configure(next.zones());
     }
 
-    PoolZones pool(String name) {
+    PoolCrossings pool(String name) {
         return zoning.pool(name);
     }
 
     void closed(String name) {
-        zoning.closed(name);
+        zoning.removePool(name);
     }
 
     String zone(InetAddress client) {
         return networks.zone(client.getAddress());
     }
 
-    Snapshot snapshot() {
+    ZoneSnapshot snapshot() {
         return zoning.snapshot(now.getAsLong());
     }
 
--- a/src/main/java/mastdrift/zones/Flow.java
+++ b/src/main/java/mastdrift/zones/Flow.java
@@ -1,28 +1,30 @@
 package mastdrift.zones;
 
 /**
- * What is counted together.
+ * The labels that traffic is counted by.
  *
- * @param from the gateway's zone
- * @param to the host's
- * @param client the client's zone, empty where it isn't told
- * @param className the class; {@link #NONE} for probes and for bytes that belong to no attempt, {@link #OTHER} beyond the bound
+ * @param fromZone the gateway's zone
+ * @param toZone the host's zone
+ * @param clientZone the client's zone, empty if unknown
+ * @param className the request class; {@link #NO_CLASS} for probes and for bytes that belong to no attempt, {@link
+ * #OTHER} for flows beyond the bound
  * @param pool the pool
  * @param tenant the tenant, empty for none
  */
-public record Flow(String from, String to, String client, String className, String pool, String tenant) {
+public record Flow(String fromZone, String toZone, String clientZone, String className, String pool, String tenant) {
 
-    /** Nobody's class. */
-    public static final String NONE = "(none)";
-    /** Classes, pools and tenants beyond the bound. */
+    /** Class name of traffic that belongs to no request. */
+    public static final String NO_CLASS = "(none)";
+    /** Stands for all classes and pools of flows beyond the bound. */
     public static final String OTHER = "(other)";
 
-    /** Whether it leaves the zone. */
+    /** Whether the traffic leaves the gateway's zone. */
     public boolean crosses() {
-        return !from.equals(to);
+        return !fromZone.equals(toZone);
     }
 
-    Flow folded() {
-        return new Flow(from, to, "", OTHER, OTHER, "");
+    /** The flow under which this one is counted when no more flows can be told apart: only the zones are kept. */
+    Flow aggregated() {
+        return new Flow(fromZone, toZone, "", OTHER, OTHER, "");
     }
 }
--- a/src/test/java/mastdrift/ArchitectureTest.java
+++ b/src/test/java/mastdrift/ArchitectureTest.java
@@ -84,7 +84,7 @@
         Set<String> allowed = Set.of(
                 // once, as the Unix time of the start; from then on advanced by the monotonic clock
                 "mastdrift.engine.Clock",
-                "mastdrift.serve.ZoneService",            // budget windows, by zones.SteadyClock, which smooths jumps
+                "mastdrift.serve.ZoneService",            // budget windows, by zones.StepFilteredClock, which smooths jumps
                 // the number of a start, kept from going backwards by a file; times in the status
                 "mastdrift.serve.PeerService",
                 "mastdrift.serve.DistributionService",    // times in the status
