--- a/src/main/java/mastdrift/Balance.java
+++ b/src/main/java/mastdrift/Balance.java
@@ -335,7 +335,7 @@
     public void request(long now, Request request) {
         Integer classIndex = classes.get(request.className());
         if (classIndex == null || pendingRequests.containsKey(request.id())) {
-            throw new IllegalArgumentException("unknown request class or duplicate request id: " + request);
+            throw new IllegalArgumentException("unknown class or repeated id: " + request);
         }
         long key = request.key() == null ? random.nextLong() : request.key();
         PendingRequest pending = new PendingRequest(request, settings.classes().get(classIndex), classIndex,
