--- a/src/main/java/mastdrift/lab/model/ModelGateway.java
+++ b/src/main/java/mastdrift/lab/model/ModelGateway.java
@@ -26,7 +26,7 @@
 import mastdrift.peers.PeerView;
 import mastdrift.routing.RouteTable;
 import mastdrift.routing.Router;
-import mastdrift.routing.Traits;
+import mastdrift.routing.RouteCriteria;
 import mastdrift.zones.Escrow;
 import mastdrift.zones.Snapshot;
 import mastdrift.zones.Zoning;
@@ -151,7 +151,7 @@
 
         private Exchange take(Try given) {
             Ask ask = given.ask();
-            Traits traits = new Traits(ask.className(), ask.tenant(), "/api", zone, ask.key(), name -> List.of());
+            RouteCriteria traits = new RouteCriteria(ask.className(), ask.tenant(), "/api", zone, ask.key(), name -> List.of());
             String name = poolNames.size() == 1 && scenario.routes().isEmpty() ? poolNames.get(0)
                     : given.type().repeat() == Repeat.KEYED
                     ? router.keyed(time.now(), traits, time.now() + given.type().deadline() + given.type().dedupWindow(),
--- a/src/main/java/mastdrift/measure/RadiusMeasurement.java
+++ b/src/main/java/mastdrift/measure/RadiusMeasurement.java
@@ -27,7 +27,7 @@
 import mastdrift.radius.Authenticators;
 import mastdrift.radius.Code;
 import mastdrift.radius.Packet;
-import mastdrift.radius.Resends;
+import mastdrift.radius.DuplicateCache;
 import mastdrift.serve.Service;
 import mastdrift.standin.Effects;
 import mastdrift.standin.GatewayFiles;
@@ -168,12 +168,12 @@
     }
 
     private static void kept() throws InterruptedException {
-        Resends resends = new Resends(Long.MAX_VALUE / 2, KEPT * 4, 1 << 30);
+        DuplicateCache resends = new DuplicateCache(Long.MAX_VALUE / 2, KEPT * 4, 1 << 30);
         long before = Heap.used();
         for (int i = 0; i < KEPT; i++) {
             byte[] authenticator = ByteBuffer.allocate(16).putInt(i).array();
             byte[] address = {10, 0, (byte) (i >> 8), (byte) i};
-            Resends.Met met = resends.met(i, new Resends.Source(address, 1812), new Packet(Code.ACCESS_REQUEST, i & 255,
+            DuplicateCache.LookupResult met = resends.met(i, new DuplicateCache.Source(address, 1812), new Packet(Code.ACCESS_REQUEST, i & 255,
                     authenticator, List.of()));
             resends.answered(met.entry(), met.entry().waiting().get(0), new byte[60]);
         }
--- a/src/main/java/mastdrift/measure/TablesMeasurement.java
+++ b/src/main/java/mastdrift/measure/TablesMeasurement.java
@@ -12,7 +12,7 @@
 import mastdrift.routing.Route;
 import mastdrift.routing.Route.Target;
 import mastdrift.routing.RouteTable;
-import mastdrift.routing.Traits;
+import mastdrift.routing.RouteCriteria;
 import mastdrift.standin.GatewayFiles;
 import org.HdrHistogram.Histogram;
 
@@ -39,7 +39,7 @@
 
     /** A way to find a route. */
     private interface Finder {
-        Route find(Traits request);
+        Route find(RouteCriteria request);
     }
 
     /** Prints a line for each size and run, or writes files. */
@@ -93,7 +93,7 @@
         RouteTable table = new RouteTable(routes);
         long built = System.nanoTime() - since;
         long indexed = Heap.used();
-        List<Traits> requests = requests(random, routes);
+        List<RouteCriteria> requests = requests(random, routes);
         Histogram index = lookUps(table::route, requests, Long.MAX_VALUE);
         Histogram linear = lookUps(request -> linear(routes, request), requests, LINEAR_NANOS);
         System.out.printf(Locale.ROOT, "run %d, %d routes: built in %.1f ms, heap a route %.0f bytes and %.0f of the index; look-up mean %.0f, p50 %d, "
@@ -117,7 +117,7 @@
             int at = random.nextInt(ordered.size());
             OrderedRoute old = ordered.get(at);
             Match match = old.route().match();
-            OrderedRoute changed = new OrderedRoute.Numbered(at, new Route(old.route().name(), new Match(match.className(), match.tenant(), match.pathPrefix() + "-" + i,
+            OrderedRoute changed = new OrderedRoute.SimpleOrderedRoute(at, new Route(old.route().name(), new Match(match.className(), match.tenant(), match.pathPrefix() + "-" + i,
                     match.headerName(), match.headerValue(), match.zone()), old.route().targets(), null));
             long since = System.nanoTime();
             next = next.changed(List.of(old), List.of(changed));
@@ -155,13 +155,13 @@
     }
 
     /** Nine in ten are what a random route is for, and half of these have further segments; the tenth is for none. */
-    private static List<Traits> requests(SplittableRandom random, List<Route> routes) {
-        List<Traits> requests = new ArrayList<>(REQUESTS);
+    private static List<RouteCriteria> requests(SplittableRandom random, List<Route> routes) {
+        List<RouteCriteria> requests = new ArrayList<>(REQUESTS);
         for (int i = 0; i < REQUESTS; i++) {
             Match match = routes.get(random.nextInt(routes.size())).match();
             String path = match.pathPrefix() + (random.nextBoolean() ? "/items/" + random.nextInt(1_000_000) : "");
             List<String> canary = match.headerValue() == null ? List.of() : List.of(match.headerValue());
-            requests.add(new Traits(match.className() != null ? match.className() : CLASSES.get(random.nextInt(3)),
+            requests.add(new RouteCriteria(match.className() != null ? match.className() : CLASSES.get(random.nextInt(3)),
                     match.tenant() != null ? match.tenant() : "tenant-" + random.nextInt(TENANTS_A_ROUTE * routes.size()),
                     random.nextInt(10) > 0 ? path : path.replace("/resource-", "/none-"), ZONES.get(random.nextInt(3)), i,
                     name -> canary));
@@ -170,7 +170,7 @@
     }
 
     /** What the index took the place of. */
-    private static Route linear(List<Route> routes, Traits request) {
+    private static Route linear(List<Route> routes, RouteCriteria request) {
         for (Route route : routes) {
             if (route.match().fits(request)) {
                 return route;
@@ -180,7 +180,7 @@
     }
 
     /** Times of one look-up for each request in turn, in nanoseconds, after some that aren't counted; as many as fit the time. */
-    private static Histogram lookUps(Finder finder, List<Traits> requests, long mostNanos) {
+    private static Histogram lookUps(Finder finder, List<RouteCriteria> requests, long mostNanos) {
         long begun = System.nanoTime();
         int found = 0;
         for (int i = 0; i < WARM && System.nanoTime() - begun < mostNanos / 4; i++) {
--- a/src/main/java/mastdrift/radius/Effect.java
+++ b/src/main/java/mastdrift/radius/AccountingEvent.java
@@ -10,7 +10,7 @@
  * by Acct-Session-Time; one without it, and Accounting-On and Off, which have no session, by all else that they hold but the
  * delay, the authenticators and Proxy-State.
  */
-public final class Effect {
+public final class AccountingEvent {
 
     private static final int START = 1;
     private static final int STOP = 2;
@@ -19,13 +19,13 @@
     private final byte[] content;
     private final int hash;
 
-    private Effect(byte[] content) {
+    private AccountingEvent(byte[] content) {
         this.content = content;
         hash = Arrays.hashCode(content);
     }
 
     /** Of an accounting request from a client, by its address: two clients may name themselves alike. */
-    public static Effect of(byte[] client, Packet request) {
+    public static AccountingEvent of(byte[] client, Packet request) {
         byte[] content = with(new byte[0], 0, client);
         byte[] status = request.first(Attribute.ACCT_STATUS_TYPE);
         byte[] session = request.first(Attribute.ACCT_SESSION_ID);
@@ -44,7 +44,7 @@
                 content = with(content, attribute.type(), attribute.value());
             }
         }
-        return new Effect(content);
+        return new AccountingEvent(content);
     }
 
     /** The content so far, with one attribute more: its type and length ahead, so that no two contents look alike. */
@@ -67,7 +67,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Effect effect && Arrays.equals(content, effect.content);
+        return other instanceof AccountingEvent effect && Arrays.equals(content, effect.content);
     }
 
     @Override
--- a/src/main/java/mastdrift/radius/Conversations.java
+++ b/src/main/java/mastdrift/radius/ConversationTable.java
@@ -6,10 +6,10 @@
 
 /** Which server holds a conversation: the State of its last Access-Challenge names it (RFC 2865, 5.24; RFC 5080, 2.1.1). The
     charger's next Access-Request brings that State, and no other server could make anything of it. */
-public final class Conversations {
+public final class ConversationTable {
 
     /** A conversation's server, by uid, and the key that its first request had. */
-    public record Held(String uid, long key) { }
+    public record Conversation(String uid, long key) { }
 
     private record State(byte[] value) {
 
@@ -24,7 +24,7 @@
         }
     }
 
-    private record Entry(Held held, long until) { }
+    private record Entry(Conversation held, long until) { }
 
     private final int most;
     private final long kept;
@@ -32,13 +32,13 @@
 
     /** So many at most, each for so many microseconds after its last challenge; beyond that the eldest is forgotten, and its
         next request goes to any server. */
-    public Conversations(int most, long kept) {
+    public ConversationTable(int most, long kept) {
         this.most = most;
         this.kept = kept;
     }
 
     /** A server has challenged with this State. */
-    public void challenged(long now, byte[] state, Held held) {
+    public void challenged(long now, byte[] state, Conversation held) {
         entries.remove(new State(state));
         entries.put(new State(state), new Entry(held, now + kept));
         for (Iterator<Entry> eldest = entries.values().iterator(); eldest.hasNext(); ) {
@@ -50,7 +50,7 @@
     }
 
     /** Who holds it; null where nobody is known to. */
-    public Held held(long now, byte[] state) {
+    public Conversation held(long now, byte[] state) {
         Entry entry = entries.get(new State(state));
         return entry == null || entry.until <= now ? null : entry.held;
     }
--- a/src/main/java/mastdrift/radius/Resends.java
+++ b/src/main/java/mastdrift/radius/DuplicateCache.java
@@ -17,7 +17,7 @@
  * the eldest are the first to expire; a client address at its part loses its own eldest, so that a flood of new identifiers
  * takes nothing from the others.
  */
-public final class Resends {
+public final class DuplicateCache {
 
     /** Where a request came from. */
     public record Source(byte[] address, int port) {
@@ -33,11 +33,11 @@
         }
     }
 
-    private record Identity(Source source, Code code, int identifier, byte[] authenticator) {
+    private record RequestIdentity(Source source, Code code, int identifier, byte[] authenticator) {
 
         @Override
         public boolean equals(Object other) {
-            return other instanceof Identity identity && identifier == identity.identifier && code == identity.code
+            return other instanceof RequestIdentity identity && identifier == identity.identifier && code == identity.code
                     && source.equals(identity.source) && Arrays.equals(authenticator, identity.authenticator);
         }
 
@@ -48,43 +48,43 @@
     }
 
     /** A packet that waits for the answer to a request, its own or one of the same effect. */
-    public record Waiting(Source source, Packet request) { }
+    public record WaitingPacket(Source source, Packet request) { }
 
     /** A request under way or answered. */
     public static final class Entry {
         private final long until;
-        private final Effect effect;
-        private final Client client;
-        private final List<Identity> identities = new ArrayList<>(1);
-        private final Map<Identity, byte[]> answers = new HashMap<>(2);
-        private final List<Waiting> waiting = new ArrayList<>(1);
+        private final AccountingEvent effect;
+        private final ClientEntries client;
+        private final List<RequestIdentity> identities = new ArrayList<>(1);
+        private final Map<RequestIdentity, byte[]> answers = new HashMap<>(2);
+        private final List<WaitingPacket> waiting = new ArrayList<>(1);
         private boolean over;
         private int bytes;
 
-        private Entry(long until, Effect effect, Client client) {
+        private Entry(long until, AccountingEvent effect, ClientEntries client) {
             this.until = until;
             this.effect = effect;
             this.client = client;
         }
 
         /** Those that wait for the answer, each to be answered once: the first is the one that was passed on. */
-        public List<Waiting> waiting() {
+        public List<WaitingPacket> waiting() {
             return List.copyOf(waiting);
         }
     }
 
     /** What one client address holds, its eldest first. */
-    private static final class Client {
+    private static final class ClientEntries {
         private final Source address;
         private final LinkedHashSet<Entry> entries = new LinkedHashSet<>();
 
-        Client(Source address) {
+        ClientEntries(Source address) {
             this.address = address;
         }
     }
 
     /** What to do with a packet. */
-    public enum What {
+    public enum Disposition {
         /** New: pass it on, with the entry that came with this word. */
         PASS_ON,
         /** Joined to one that is out: nothing to do. */
@@ -96,7 +96,7 @@
     }
 
     /** The word on one packet; the bytes are there for KEPT alone. */
-    public record Met(What what, Entry entry, byte[] answer) { }
+    public record LookupResult(Disposition what, Entry entry, byte[] answer) { }
 
     private static final int WAITING_MOST = 16;
 
@@ -104,15 +104,15 @@
     private final int most;
     private final int clientMost;
     private final int bytesMost;
-    private final Map<Identity, Entry> byIdentity = new HashMap<>();
-    private final Map<Effect, Entry> byEffect = new HashMap<>();
-    private final Map<Source, Client> clients = new HashMap<>();
+    private final Map<RequestIdentity, Entry> byIdentity = new HashMap<>();
+    private final Map<AccountingEvent, Entry> byEffect = new HashMap<>();
+    private final Map<Source, ClientEntries> clients = new HashMap<>();
     private final LinkedHashSet<Entry> entries = new LinkedHashSet<>();
     private int bytes;
 
     /** Keeps an entry for {@code kept} microseconds from its beginning, {@code most} of them, a quarter of these for one
         address, and {@code bytesMost} bytes of answers. */
-    public Resends(long kept, int most, int bytesMost) {
+    public DuplicateCache(long kept, int most, int bytesMost) {
         this.kept = kept;
         this.most = most;
         this.bytesMost = bytesMost;
@@ -120,35 +120,35 @@
     }
 
     /** A packet has come, and its authenticators are right. */
-    public Met met(long now, Source source, Packet request) {
+    public LookupResult met(long now, Source source, Packet request) {
         expire(now);
-        Identity identity = new Identity(source, request.code(), request.identifier(), request.authenticator());
+        RequestIdentity identity = new RequestIdentity(source, request.code(), request.identifier(), request.authenticator());
         Entry same = byIdentity.get(identity);
         if (same != null) {
             byte[] answer = same.answers.get(identity);
-            return answer != null ? new Met(What.KEPT, same, answer) : new Met(What.JOINED, same, null);
+            return answer != null ? new LookupResult(Disposition.KEPT, same, answer) : new LookupResult(Disposition.JOINED, same, null);
         }
-        Effect effect = request.code() == Code.ACCOUNTING_REQUEST ? Effect.of(source.address, request) : null;
+        AccountingEvent effect = request.code() == Code.ACCOUNTING_REQUEST ? AccountingEvent.of(source.address, request) : null;
         Entry like = effect == null ? null : byEffect.get(effect);
         if (like != null) {
             join(like, identity, source, request);
-            return new Met(like.over ? What.REPEATED : What.JOINED, like, null);
+            return new LookupResult(like.over ? Disposition.REPEATED : Disposition.JOINED, like, null);
         }
         Entry entry = begin(now, source, effect);
         join(entry, identity, source, request);
-        return new Met(What.PASS_ON, entry, null);
+        return new LookupResult(Disposition.PASS_ON, entry, null);
     }
 
-    private Entry begin(long now, Source source, Effect effect) {
+    private Entry begin(long now, Source source, AccountingEvent effect) {
         Source address = new Source(source.address, 0);
-        Client own = clients.get(address);
+        ClientEntries own = clients.get(address);
         if (own != null && own.entries.size() >= clientMost) {
             remove(own.entries.iterator().next());
         }
         if (entries.size() >= most) {
             remove(entries.iterator().next());
         }
-        Client client = clients.computeIfAbsent(address, Client::new);
+        ClientEntries client = clients.computeIfAbsent(address, ClientEntries::new);
         Entry entry = new Entry(now + kept, effect, client);
         entries.add(entry);
         client.entries.add(entry);
@@ -159,21 +159,21 @@
     }
 
     /** Beyond a bound a further identity of one effect is forgotten at once: its resend joins again. */
-    private void join(Entry entry, Identity identity, Source source, Packet request) {
+    private void join(Entry entry, RequestIdentity identity, Source source, Packet request) {
         if (entry.waiting.size() < WAITING_MOST) {
             entry.identities.add(identity);
-            entry.waiting.add(new Waiting(source, request));
+            entry.waiting.add(new WaitingPacket(source, request));
             byIdentity.put(identity, entry);
         }
     }
 
     /** The bytes that went to one of those that waited: they are kept for its resends. */
-    public void answered(Entry entry, Waiting to, byte[] answer) {
+    public void answered(Entry entry, WaitingPacket to, byte[] answer) {
         entry.over = true;
         if (!entries.contains(entry)) {
             return;  // it had to go while it was out
         }
-        Identity identity = new Identity(to.source, to.request.code(), to.request.identifier(), to.request.authenticator());
+        RequestIdentity identity = new RequestIdentity(to.source, to.request.code(), to.request.identifier(), to.request.authenticator());
         if (entry.answers.putIfAbsent(identity, answer) == null) {
             entry.bytes += answer.length;
             bytes += answer.length;
--- a/src/main/java/mastdrift/radius/Hidden.java
+++ b/src/main/java/mastdrift/radius/HiddenAttributes.java
@@ -10,7 +10,7 @@
  * places. All three are a keystream of MD5 digests, each block's from the one before, so that hiding anew needs no more than
  * both secrets and authenticators; what is hidden isn't looked into.
  */
-public final class Hidden {
+public final class HiddenAttributes {
 
     private static final int BLOCK = 16;
     private static final int SALT = 2;
@@ -19,7 +19,7 @@
     private static final int MPPE_RECV_KEY = 17;
     private static final int VENDOR_HEAD = 6;  // the vendor's number, its type and its length
 
-    private Hidden() { }
+    private HiddenAttributes() { }
 
     /** One hop: its secret, and the Request Authenticator of the request on it. */
     public record Hop(Authenticators secret, byte[] authenticator) { }
--- a/src/main/java/mastdrift/radius/Identifiers.java
+++ b/src/main/java/mastdrift/radius/IdentifierPool.java
@@ -13,24 +13,24 @@
  * <p>Free identifiers wait in the order in which they were given back, so that one is used again as late as can be. Ports are
  * taken into use as needed. Every step takes constant time.
  */
-public final class Identifiers {
+public final class IdentifierPool {
 
     /** A port by its number from 0, and an identifier on it. */
     public record Slot(int port, int identifier) { }
 
-    private record Resting(Slot slot, long until) { }
+    private record QuarantinedSlot(Slot slot, long until) { }
 
     private static final int EACH = 256;
 
     private final int portsMost;
     private final long rest;
     private final Queue<Slot> free = new ArrayDeque<>();
-    private final Queue<Resting> resting = new ArrayDeque<>();
+    private final Queue<QuarantinedSlot> resting = new ArrayDeque<>();
     private final List<boolean[]> out = new ArrayList<>();
     private int taken;
 
     /** On so many ports at most, 1 to 1024; given up ones rest for so many microseconds. */
-    public Identifiers(int portsMost, long rest) {
+    public IdentifierPool(int portsMost, long rest) {
         if (portsMost < 1 || portsMost > 1024) {
             throw new IllegalArgumentException("expected 1 to 1024 ports, found " + portsMost);
         }
@@ -40,7 +40,7 @@
 
     /** One that no answer may come to any more, or null where there is none: nothing may be sent then. */
     public Slot take(long now) {
-        for (Resting eldest = resting.peek(); eldest != null && eldest.until <= now; eldest = resting.peek()) {
+        for (QuarantinedSlot eldest = resting.peek(); eldest != null && eldest.until <= now; eldest = resting.peek()) {
             free.add(resting.poll().slot);
         }
         if (free.isEmpty() && out.size() < portsMost) {
@@ -67,7 +67,7 @@
     /** It was given up: it rests. */
     public void givenUp(long now, Slot slot) {
         giveBack(slot);
-        resting.add(new Resting(slot, now + rest));
+        resting.add(new QuarantinedSlot(slot, now + rest));
     }
 
     private void giveBack(Slot slot) {
--- a/src/main/java/mastdrift/radius/edge/Drops.java
+++ b/src/main/java/mastdrift/radius/edge/DropCounters.java
@@ -7,7 +7,7 @@
 
 /** Packets that were dropped, by cause, with a log line for each cause at most once a second: floods are counted, not
     written. */
-public final class Drops {
+public final class DropCounters {
 
     /** Why a packet was dropped. */
     public enum Cause {
@@ -39,7 +39,7 @@
     private final Map<Cause, Long> loggedAt = new EnumMap<>(Cause.class);
 
     /** The clock is in microseconds. */
-    public Drops(LongSupplier clock, Consumer<String> log) {
+    public DropCounters(LongSupplier clock, Consumer<String> log) {
         this.clock = clock;
         this.log = log;
     }
--- a/src/main/java/mastdrift/radius/edge/RadiusFront.java
+++ b/src/main/java/mastdrift/radius/edge/RadiusFront.java
@@ -27,15 +27,15 @@
 import mastdrift.radius.Attribute;
 import mastdrift.radius.Authenticators;
 import mastdrift.radius.Code;
-import mastdrift.radius.Conversations;
-import mastdrift.radius.Effect;
-import mastdrift.radius.Hidden;
+import mastdrift.radius.ConversationTable;
+import mastdrift.radius.AccountingEvent;
+import mastdrift.radius.HiddenAttributes;
 import mastdrift.radius.MalformedPacketException;
 import mastdrift.radius.Packet;
-import mastdrift.radius.Resends;
-import mastdrift.radius.Resends.Met;
-import mastdrift.radius.Resends.Source;
-import mastdrift.radius.Resends.Waiting;
+import mastdrift.radius.DuplicateCache;
+import mastdrift.radius.DuplicateCache.LookupResult;
+import mastdrift.radius.DuplicateCache.Source;
+import mastdrift.radius.DuplicateCache.WaitingPacket;
 
 /** One UDP port that chargers send requests to. Proves each packet, tells resends from requests, gives requests to the ledger
     and sends the one answer of each, byte for byte the same again on a resend. A refusal and a failure are silence: RADIUS has
@@ -61,15 +61,15 @@
     private final Router router;
     private final RadiusClients clients;
     private final Classes classes;
-    private final Resends resends;
-    private final Conversations conversations = new Conversations(CONVERSATIONS_MOST, CONVERSATION_KEPT);
-    private final Drops drops;
+    private final DuplicateCache resends;
+    private final ConversationTable conversations = new ConversationTable(CONVERSATIONS_MOST, CONVERSATION_KEPT);
+    private final DropCounters drops;
     private Function<InetAddress, String> zones = address -> "";
     private Channel channel;
 
     /** All on the loop's thread. */
-    public RadiusFront(EventLoop loop, Ledger ledger, Router router, RadiusClients clients, Classes classes, Resends resends,
-            Drops drops) {
+    public RadiusFront(EventLoop loop, Ledger ledger, Router router, RadiusClients clients, Classes classes, DuplicateCache resends,
+            DropCounters drops) {
         this.loop = loop;
         this.ledger = ledger;
         this.router = router;
@@ -84,7 +84,7 @@
         ChannelFuture bound = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
                 .option(ChannelOption.SO_RCVBUF, RECEIVE_BYTES)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Packet.MOST + 1))
-                .handler(new Datagrams()).bind(at);
+                .handler(new DatagramHandler()).bind(at);
         channel = bound.channel();
         return bound;
     }
@@ -104,7 +104,7 @@
         channel.close();
     }
 
-    private final class Datagrams extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket datagram) {
@@ -114,27 +114,27 @@
         /** One datagram's fault is not the port's end. */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            drops.drop(Drops.Cause.MALFORMED, "?", cause.toString());
+            drops.drop(DropCounters.Cause.MALFORMED, "?", cause.toString());
         }
     }
 
     private void come(InetSocketAddress from, byte[] bytes) {
         RadiusClients.Client client = clients.of(from.getAddress());
         if (client == null) {
-            drops.drop(Drops.Cause.UNKNOWN_CLIENT, from, "no client has this address");
+            drops.drop(DropCounters.Cause.UNKNOWN_CLIENT, from, "no client has this address");
             return;
         }
         Packet request;
         try {
             request = Packet.read(bytes);
         } catch (MalformedPacketException e) {
-            drops.drop(Drops.Cause.MALFORMED, from, e.getMessage());
+            drops.drop(DropCounters.Cause.MALFORMED, from, e.getMessage());
             return;
         }
         if (!request.code().asks()) {
-            drops.drop(Drops.Cause.WRONG_CODE, from, "expected a request, found " + request.code());
+            drops.drop(DropCounters.Cause.WRONG_CODE, from, "expected a request, found " + request.code());
         } else if (!client.secret().signed(request, client.signed())) {
-            drops.drop(Drops.Cause.NOT_SIGNED, from, "an authenticator is wrong or missing");
+            drops.drop(DropCounters.Cause.NOT_SIGNED, from, "an authenticator is wrong or missing");
         } else if (request.code() == Code.STATUS_SERVER) {
             // RFC 5997, 3: answered by who is asked, never passed on.
             send(from, client.secret().signAnswer(answer(Code.ACCESS_ACCEPT, request, List.of()), request.authenticator(),
@@ -145,12 +145,12 @@
     }
 
     private void met(InetSocketAddress from, RadiusClients.Client client, Packet request) {
-        Met met = resends.met(ledger.now(), new Source(from.getAddress().getAddress(), from.getPort()), request);
+        LookupResult met = resends.met(ledger.now(), new Source(from.getAddress().getAddress(), from.getPort()), request);
         switch (met.what()) {
             case KEPT -> send(from, met.answer());
             case REPEATED -> {
-                Reply reply = new Reply(met.entry(), client, 0);
-                reply.answer(new Waiting(new Source(from.getAddress().getAddress(), from.getPort()), request),
+                ResponseSender reply = new ResponseSender(met.entry(), client, 0);
+                reply.answer(new WaitingPacket(new Source(from.getAddress().getAddress(), from.getPort()), request),
                         Code.ACCOUNTING_RESPONSE, List.of());
             }
             case PASS_ON -> passOn(from, client, request, met);
@@ -158,23 +158,23 @@
         }
     }
 
-    private void passOn(InetSocketAddress from, RadiusClients.Client client, Packet request, Met met) {
+    private void passOn(InetSocketAddress from, RadiusClients.Client client, Packet request, LookupResult met) {
         boolean accounting = request.code() == Code.ACCOUNTING_REQUEST;
         byte[] state = request.first(Attribute.STATE);
         boolean conversation = !accounting && (state != null || request.count(Attribute.EAP_MESSAGE) > 0);
-        Conversations.Held held = conversation && state != null ? conversations.held(ledger.now(), state) : null;
+        ConversationTable.Conversation held = conversation && state != null ? conversations.held(ledger.now(), state) : null;
         byte[] address = from.getAddress().getAddress();
-        long key = accounting ? Effect.of(address, request).key() : held != null ? held.key()
+        long key = accounting ? AccountingEvent.of(address, request).key() : held != null ? held.key()
                 : 31L * Arrays.hashCode(state != null ? state : request.authenticator()) + Arrays.hashCode(address);
         String className = accounting ? classes.accounting : conversation ? classes.conversation : classes.access;
-        Reply reply = new Reply(met.entry(), client, key);
+        ResponseSender reply = new ResponseSender(met.entry(), client, key);
         Pool pool = router.pool(className, client.tenant(), key);
         if (pool == null) {
-            drops.drop(Drops.Cause.NO_ROUTE, from, "no route for " + className);
+            drops.drop(DropCounters.Cause.NO_ROUTE, from, "no route for " + className);
             reply.failed(false);
             return;
         }
-        ledger.take(pool, reply, new RadiusCall(request, client.secret(),
+        ledger.take(pool, reply, new RadiusRequestMessage(request, client.secret(),
                 held == null ? null : held.uid()), new Ask(className, client.tenant(), key,
                 (accounting ? classes.accountingTime : classes.accessTime) - (ledger.now() - ledger.arrived()), false, accounting, 0,
                 zones.apply(from.getAddress()), accounting ? key : null));
@@ -200,13 +200,13 @@
     }
 
     /** Where the final answer of a request goes: to every packet that waits for it. */
-    private final class Reply implements Client {
+    private final class ResponseSender implements Client {
 
-        private final Resends.Entry entry;
+        private final DuplicateCache.Entry entry;
         private final RadiusClients.Client client;
         private final long key;
 
-        Reply(Resends.Entry entry, RadiusClients.Client client, long key) {
+        ResponseSender(DuplicateCache.Entry entry, RadiusClients.Client client, long key) {
             this.entry = entry;
             this.client = client;
             this.key = key;
@@ -214,26 +214,26 @@
 
         @Override
         public void served(Answer answer) {
-            RadiusAnswer given = (RadiusAnswer) answer;
+            RadiusResponseMessage given = (RadiusResponseMessage) answer;
             if (given.code() == Code.ACCESS_CHALLENGE) {
                 given.attributes().stream().filter(a -> a.type() == Attribute.STATE).forEach(state -> conversations.challenged(
-                        ledger.now(), state.value(), new Conversations.Held(given.uid(), key)));
+                        ledger.now(), state.value(), new ConversationTable.Conversation(given.uid(), key)));
             }
-            for (Waiting waiting : entry.waiting()) {
-                List<Attribute> anew = Hidden.anew(given.attributes(), given.hop(),
-                        new Hidden.Hop(client.secret(), waiting.request().authenticator()));
+            for (WaitingPacket waiting : entry.waiting()) {
+                List<Attribute> anew = HiddenAttributes.anew(given.attributes(), given.hop(),
+                        new HiddenAttributes.Hop(client.secret(), waiting.request().authenticator()));
                 if (anew == null) {
-                    drops.drop(Drops.Cause.HIDDEN, client.name(), "a server's answer holds what can't be hidden");
+                    drops.drop(DropCounters.Cause.HIDDEN, client.name(), "a server's answer holds what can't be hidden");
                 } else {
                     answer(waiting, given.code(), anew);
                 }
             }
         }
 
-        void answer(Waiting to, Code code, List<Attribute> attributes) {
+        void answer(WaitingPacket to, Code code, List<Attribute> attributes) {
             Packet packet = RadiusFront.answer(code, to.request(), attributes);
             if (packet.length() + Authenticators.MESSAGE_BYTES > Packet.MOST) {
-                drops.drop(Drops.Cause.TOO_LONG, client.name(), "an answer with its Proxy-States is too long");
+                drops.drop(DropCounters.Cause.TOO_LONG, client.name(), "an answer with its Proxy-States is too long");
                 return;
             }
             byte[] bytes = client.secret().signAnswer(packet, to.request().authenticator(),
--- a/src/main/java/mastdrift/radius/edge/RadiusCall.java
+++ b/src/main/java/mastdrift/radius/edge/RadiusRequestMessage.java
@@ -6,7 +6,7 @@
 
 /** A client's request as it came, with the secret of its hop; {@code onlyAt} is the uid of the server that holds its
     conversation, or null. */
-record RadiusCall(Packet request, Authenticators secret, String onlyAt) implements Call {
+record RadiusRequestMessage(Packet request, Authenticators secret, String onlyAt) implements Call {
 
     @Override
     public void release() { }
--- a/src/main/java/mastdrift/radius/edge/RadiusTransport.java
+++ b/src/main/java/mastdrift/radius/edge/RadiusTransport.java
@@ -36,9 +36,9 @@
 import mastdrift.radius.Attribute;
 import mastdrift.radius.Authenticators;
 import mastdrift.radius.Code;
-import mastdrift.radius.Hidden;
-import mastdrift.radius.Identifiers;
-import mastdrift.radius.Identifiers.Slot;
+import mastdrift.radius.HiddenAttributes;
+import mastdrift.radius.IdentifierPool;
+import mastdrift.radius.IdentifierPool.Slot;
 import mastdrift.radius.MalformedPacketException;
 import mastdrift.radius.Packet;
 
@@ -58,22 +58,22 @@
     private final EventLoop loop;
     private final LongSupplier clock;
     private final Function<String, byte[]> secrets;
-    private final Drops drops;
+    private final DropCounters drops;
     private final SecureRandom random = new SecureRandom();
-    private final Map<String, Peer> peers = new HashMap<>();
+    private final Map<String, Server> peers = new HashMap<>();
     private Strays strays = (uid, sent, received) -> { };
 
     /** One server: its identifiers, the ports that they are on, and what is out on each. */
-    private final class Peer {
+    private final class Server {
         private final String uid;
         private final Authenticators secret;
-        private final Identifiers identifiers = new Identifiers(PORTS_MOST, REST);
+        private final IdentifierPool identifiers = new IdentifierPool(PORTS_MOST, REST);
         private final List<ChannelFuture> ports = new ArrayList<>();
-        private final Map<Slot, Sent> out = new HashMap<>();
+        private final Map<Slot, UdpAttempt> out = new HashMap<>();
         private final InetSocketAddress at;
         private final long born;
 
-        Peer(byte[] secret, Member member) {
+        Server(byte[] secret, Member member) {
             uid = member.host().address();
             this.secret = new Authenticators(secret);
             at = member.at();
@@ -91,7 +91,7 @@
             if (number == ports.size()) {
                 ports.add(new Bootstrap().group(loop).channel(NioDatagramChannel.class)
                         .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Packet.MOST + 1))
-                        .handler(new Answers(this, number)).connect(at));
+                        .handler(new ResponseHandler(this, number)).connect(at));
             }
             return ports.get(number);
         }
@@ -102,7 +102,7 @@
     }
 
     /** Secrets by uid, null for a server that has none. */
-    public RadiusTransport(EventLoop loop, LongSupplier clock, Function<String, byte[]> secrets, Drops drops) {
+    public RadiusTransport(EventLoop loop, LongSupplier clock, Function<String, byte[]> secrets, DropCounters drops) {
         this.loop = loop;
         this.clock = clock;
         this.secrets = secrets;
@@ -120,14 +120,14 @@
         for (Member member : members) {
             String uid = member.host().address();
             named.add(uid);
-            Peer peer = peers.get(uid);
+            Server peer = peers.get(uid);
             if (peer != null && !peer.same(member)) {
                 remove(uid);
                 peer = null;
             }
             byte[] secret = peer == null ? secrets.apply(uid) : null;
             if (peer == null && secret != null) {
-                peer = new Peer(secret, member);
+                peer = new Server(secret, member);
                 peers.put(uid, peer);
             }
             if (member.host().health() == Health.GONE) {
@@ -141,7 +141,7 @@
 
     /** What is out may still be answered; its ports close once nothing is. */
     private void remove(String uid) {
-        Peer peer = peers.remove(uid);
+        Server peer = peers.remove(uid);
         if (peer != null) {
             if (peer.out.isEmpty()) {
                 peer.close();
@@ -151,7 +151,7 @@
 
     @Override
     public Attempt send(Endpoint to, Call call, long timeout, long leaveWithin, Ended ended) {  // leaves at once
-        RadiusCall given = (RadiusCall) call;
+        RadiusRequestMessage given = (RadiusRequestMessage) call;
         Packet request = given.request();
         if (given.onlyAt() != null && !given.onlyAt().equals(to.uid())) {
             // No other server could make anything of its State, and a reject would be one of the gateway's making.
@@ -161,8 +161,8 @@
         return send(to, timeout, (peer, slot) -> {
             byte[] authenticator = new byte[Packet.AUTHENTICATOR];
             random.nextBytes(authenticator);
-            List<Attribute> attributes = Hidden.anew(request.attributes(),
-                    new Hidden.Hop(given.secret(), request.authenticator()), new Hidden.Hop(peer.secret, authenticator));
+            List<Attribute> attributes = HiddenAttributes.anew(request.attributes(),
+                    new HiddenAttributes.Hop(given.secret(), request.authenticator()), new HiddenAttributes.Hop(peer.secret, authenticator));
             if (attributes == null) {
                 return null;
             }
@@ -176,13 +176,13 @@
     }
 
     /** Makes the packet for a slot of a server; null where the request can be none. */
-    private interface Making {
-        Packet make(Peer peer, Slot slot);
+    private interface PacketFactory {
+        Packet make(Server peer, Slot slot);
     }
 
-    private Attempt send(Endpoint to, long timeout, Making making, Ended ended) {
+    private Attempt send(Endpoint to, long timeout, PacketFactory making, Ended ended) {
         String uid = to.uid();
-        Peer peer = peers.get(uid);
+        Server peer = peers.get(uid);
         if (peer == null || timeout <= 0 || !ended.wanted() || !to.maySend()) {
             ended.ended(Outcome.UNUSED, null, LoadReport.NONE);
             return () -> { };
@@ -198,13 +198,13 @@
         int own = 2 + PROXY_STATE_BYTES + Authenticators.MESSAGE_BYTES;
         if (packet == null || packet.length() + own > Packet.MOST) {
             peer.identifiers.answered(slot);
-            drops.drop(packet == null ? Drops.Cause.HIDDEN : Drops.Cause.TOO_LONG, uid, "a request that can't go on");
+            drops.drop(packet == null ? DropCounters.Cause.HIDDEN : DropCounters.Cause.TOO_LONG, uid, "a request that can't go on");
             ended.ended(Outcome.UNUSED, null, LoadReport.NONE);
             return () -> { };
         }
         List<Attribute> attributes = new ArrayList<>(packet.attributes());
         attributes.add(new Attribute(Attribute.PROXY_STATE, mark));
-        Sent sent = new Sent(to, peer, slot, peer.secret.signRequest(packet.with(attributes)), mark, ended);
+        UdpAttempt sent = new UdpAttempt(to, peer, slot, peer.secret.signRequest(packet.with(attributes)), mark, ended);
         peer.out.put(slot, sent);
         sent.begin(timeout);
         return sent;
@@ -240,10 +240,10 @@
     }
 
     /** One packet that is out. */
-    private final class Sent implements Attempt {
+    private final class UdpAttempt implements Attempt {
 
         private final Endpoint endpoint;
-        private final Peer peer;
+        private final Server peer;
         private final Slot slot;
         private final Packet packet;
         private final byte[] bytes;
@@ -256,7 +256,7 @@
         private long received;
         private boolean over;
 
-        Sent(Endpoint endpoint, Peer peer, Slot slot, Packet packet, byte[] mark, Ended ended) {
+        UdpAttempt(Endpoint endpoint, Server peer, Slot slot, Packet packet, byte[] mark, Ended ended) {
             this.endpoint = endpoint;
             this.peer = peer;
             this.slot = slot;
@@ -305,7 +305,7 @@
             end(Outcome.REVOKED, null);
         }
 
-        private void end(Outcome outcome, RadiusAnswer answer) {
+        private void end(Outcome outcome, RadiusResponseMessage answer) {
             if (over) {
                 return;
             }
@@ -329,9 +329,9 @@
 
         private void come(InetSocketAddress from, Packet answer) {
             if (!answer.code().answers(packet.code())) {
-                drops.drop(Drops.Cause.WRONG_CODE, from, "expected an answer to " + packet.code() + ", found " + answer.code());
+                drops.drop(DropCounters.Cause.WRONG_CODE, from, "expected an answer to " + packet.code() + ", found " + answer.code());
             } else if (!peer.secret.answers(answer, packet.authenticator(), false)) {
-                drops.drop(Drops.Cause.NOT_SIGNED, from, "an answer whose authenticator is wrong");
+                drops.drop(DropCounters.Cause.NOT_SIGNED, from, "an answer whose authenticator is wrong");
             } else {
                 List<Attribute> attributes = new ArrayList<>(answer.attributes());
                 int last = attributes.size() - 1;
@@ -339,24 +339,24 @@
                     last--;
                 }
                 if (last < 0 || !Arrays.equals(attributes.get(last).value(), mark)) {
-                    drops.drop(Drops.Cause.NO_PROXY_STATE, from, "an answer without the last Proxy-State");
+                    drops.drop(DropCounters.Cause.NO_PROXY_STATE, from, "an answer without the last Proxy-State");
                     return;
                 }
                 // Those of others are the client's own, and the front gives them back by its request.
                 attributes.removeIf(a -> a.type() == Attribute.PROXY_STATE || a.type() == Attribute.MESSAGE_AUTHENTICATOR);
-                end(Outcome.DELIVERED, new RadiusAnswer(endpoint.uid(), answer.code(), attributes,
-                        new Hidden.Hop(peer.secret, packet.authenticator())));
+                end(Outcome.DELIVERED, new RadiusResponseMessage(endpoint.uid(), answer.code(), attributes,
+                        new HiddenAttributes.Hop(peer.secret, packet.authenticator())));
             }
         }
     }
 
     /** What comes on one port. */
-    private final class Answers extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<DatagramPacket> {
 
-        private final Peer peer;
+        private final Server peer;
         private final int port;
 
-        Answers(Peer peer, int port) {
+        ResponseHandler(Server peer, int port) {
             this.peer = peer;
             this.port = port;
         }
@@ -368,14 +368,14 @@
             try {
                 answer = Packet.read(ByteBufUtil.getBytes(datagram.content()));
             } catch (MalformedPacketException e) {
-                drops.drop(Drops.Cause.MALFORMED, datagram.sender(), e.getMessage());
+                drops.drop(DropCounters.Cause.MALFORMED, datagram.sender(), e.getMessage());
                 strays.stray(peer.uid, 0, bytes);
                 return;
             }
-            Sent sent = peer.out.get(new Slot(port, answer.identifier()));
+            UdpAttempt sent = peer.out.get(new Slot(port, answer.identifier()));
             if (sent == null) {
                 strays.stray(peer.uid, 0, bytes);
-                drops.drop(Drops.Cause.NOT_ASKED, datagram.sender(), "an answer to nothing that is out");
+                drops.drop(DropCounters.Cause.NOT_ASKED, datagram.sender(), "an answer to nothing that is out");
             } else {
                 sent.received += bytes;
                 sent.come(datagram.sender(), answer);
@@ -385,7 +385,7 @@
         /** A port that nobody listens on tells so here; the attempt ends by its time. */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            drops.drop(Drops.Cause.MALFORMED, peer.at, cause.toString());
+            drops.drop(DropCounters.Cause.MALFORMED, peer.at, cause.toString());
         }
     }
 }
--- a/src/main/java/mastdrift/routing/Match.java
+++ b/src/main/java/mastdrift/routing/Match.java
@@ -17,7 +17,7 @@
     public static final Match ANY = new Match(null, null, null, null, null, null);
 
     /** Whether a request is all of this; a path that is compared is not null. */
-    public boolean fits(Traits request) {
+    public boolean fits(RouteCriteria request) {
         return is(className, request.className()) && is(tenant, request.tenant()) && is(zone, request.zone())
                 && (pathPrefix == null || under(pathPrefix, request.path()))
                 && (headerName == null || request.headers().values(headerName).stream()
--- a/src/main/java/mastdrift/routing/OrderedRoute.java
+++ b/src/main/java/mastdrift/routing/OrderedRoute.java
@@ -21,11 +21,11 @@
     static List<OrderedRoute> ofList(List<Route> routes) {
         List<OrderedRoute> ordered = new ArrayList<>(routes.size());
         for (Route each : routes) {
-            ordered.add(new Numbered(ordered.size(), each));
+            ordered.add(new SimpleOrderedRoute(ordered.size(), each));
         }
         return ordered;
     }
 
     /** One of a list. */
-    record Numbered(long order, Route route) implements OrderedRoute { }
+    record SimpleOrderedRoute(long order, Route route) implements OrderedRoute { }
 }
--- a/src/main/java/mastdrift/routing/Pins.java
+++ b/src/main/java/mastdrift/routing/PinTable.java
@@ -11,7 +11,7 @@
  * <p>An access-ordered map by the time of the last pin. Spans differ by class, so the eldest need not be the first to
  * expire: what has expired is passed over on look-up, and leaves once it is the eldest or the bound is reached.
  */
-public final class Pins {
+public final class PinTable {
 
     private final int most;
     private final LinkedHashMap<Long, Pin> pins = new LinkedHashMap<>(64, 0.75f, true);
@@ -19,7 +19,7 @@
     private record Pin(String pool, long until) { }
 
     /** Holds {@code most} keys; beyond that the eldest goes, and its key follows the routes of the moment. */
-    public Pins(int most) {
+    public PinTable(int most) {
         this.most = most;
     }
 
--- a/src/main/java/mastdrift/routing/Traits.java
+++ b/src/main/java/mastdrift/routing/RouteCriteria.java
@@ -12,7 +12,7 @@
  * @param key seeds the weighted choice: the same in repeats of a request
  * @param headers its headers
  */
-public record Traits(String className, String tenant, String path, String zone, long key, Headers headers) {
+public record RouteCriteria(String className, String tenant, String path, String zone, long key, Headers headers) {
 
     /** Looks headers up, whatever their case. */
     public interface Headers {
--- a/src/main/java/mastdrift/routing/RouteIndex.java
+++ b/src/main/java/mastdrift/routing/RouteIndex.java
@@ -80,7 +80,7 @@
     // ---- look-ups
 
     /** The first route that matches, or null. */
-    Route first(Traits request) {
+    Route first(RouteCriteria request) {
         Node[] active = new Node[ACTIVE_MOST];
         int open = start(request, active);
         OrderedRoute best = null;
@@ -101,7 +101,7 @@
     }
 
     /** Puts the nodes at which a request begins into {@code active}; returns how many they are. */
-    private int start(Traits request, Node[] active) {
+    private int start(RouteCriteria request, Node[] active) {
         int open = 0;
         for (Node of : new Node[] {child(root, null), request.className() == null ? null : child(root, request.className())}) {
             if (of != null) {
@@ -134,7 +134,7 @@
     }
 
     /** The first candidate of a node that fits, if it comes before {@code best}; else that. */
-    private static OrderedRoute candidate(Node node, Traits request, OrderedRoute best) {
+    private static OrderedRoute candidate(Node node, RouteCriteria request, OrderedRoute best) {
         for (OrderedRoute each : node.candidates) {
             if (best != null && OrderedRoute.compare(each, best) >= 0) {
                 return best;
--- a/src/main/java/mastdrift/routing/RouteTable.java
+++ b/src/main/java/mastdrift/routing/RouteTable.java
@@ -124,11 +124,11 @@
     }
 
     /** The first route that matches, or null. */
-    public Route route(Traits request) {
+    public Route route(RouteCriteria request) {
         return index != null ? index.first(request) : linear(request);
     }
 
-    private Route linear(Traits request) {
+    private Route linear(RouteCriteria request) {
         for (OrderedRoute each : ordered) {
             if (each.route().match().fits(request)) {
                 return each.route();
@@ -139,7 +139,7 @@
 
     /** The pool for a request, or null where no route matches. {@code somebody} tells whether a pool has a host that may be
         sent to; where neither the chosen pool nor the fallback has one, it is the chosen one, to refuse the request. */
-    public String pool(Traits request, Predicate<String> somebody) {
+    public String pool(RouteCriteria request, Predicate<String> somebody) {
         Route route = route(request);
         if (route == null) {
             return null;
--- a/src/main/java/mastdrift/routing/Router.java
+++ b/src/main/java/mastdrift/routing/Router.java
@@ -9,12 +9,12 @@
     /** Keys that are remembered at once: at 40 bytes an entry and some more for the map, about 8 MB. */
     public static final int PINS_MOST = 1 << 16;
 
-    private final Pins pins;
+    private final PinTable pins;
     private RouteTable table = new RouteTable(List.of());
 
     /** Pins at most this many keys. */
     public Router(int pinsMost) {
-        pins = new Pins(pinsMost);
+        pins = new PinTable(pinsMost);
     }
 
     /** Puts other routes in force; pins stay. */
@@ -23,13 +23,13 @@
     }
 
     /** The pool for a request that is safe to repeat, or that must never be: see {@link RouteTable#pool}. */
-    public String pool(Traits request, Predicate<String> somebody) {
+    public String pool(RouteCriteria request, Predicate<String> somebody) {
         return table.pool(request, somebody);
     }
 
     /** The pool for a keyed request: where the key went before, while a repeat may meet the window; else by the routes.
         {@code until} ends the time in which it, or what it sent, may still be dropped as a repeat. */
-    public String keyed(long now, Traits request, long until, Predicate<String> somebody) {
+    public String keyed(long now, RouteCriteria request, long until, Predicate<String> somebody) {
         long key = Hashing.mix(request.key() ^ Hashing.text(request.className()));
         String pinned = pins.pool(now, key);
         String pool = pinned != null ? pinned : table.pool(request, somebody);
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -53,15 +53,15 @@
 import mastdrift.net.Rehearsal;
 import mastdrift.net.TimedLoop;
 import mastdrift.radius.Authenticators;
-import mastdrift.radius.Resends;
-import mastdrift.radius.edge.Drops;
+import mastdrift.radius.DuplicateCache;
+import mastdrift.radius.edge.DropCounters;
 import mastdrift.radius.edge.RadiusClients;
 import mastdrift.radius.edge.RadiusFront;
 import mastdrift.radius.edge.RadiusTransport;
 import mastdrift.routing.Hashing;
 import mastdrift.routing.RouteTable;
 import mastdrift.routing.Router;
-import mastdrift.routing.Traits;
+import mastdrift.routing.RouteCriteria;
 import mastdrift.zones.Snapshot;
 
 /** A gateway that serves as its files say, and goes on doing so as they change. */
@@ -121,7 +121,7 @@
     private volatile StatusFile status;
     private ClientSide clients;
     private final List<RadiusFront> radius = new ArrayList<>();
-    private final Drops drops = new Drops(clock::now, this::dropped);
+    private final DropCounters drops = new DropCounters(clock::now, this::dropped);
 
     private Service(Path file, Events events) {
         this.file = file;
@@ -452,7 +452,7 @@
         String uri = message.uri();
         int query = uri.indexOf('?');
         long seed = key != null ? key : Hashing.text(message.headers().get("X-Trace-Id"));
-        Traits traits = new Traits(type.name(), tenant, query < 0 ? uri : uri.substring(0, query), gateway.zone(), seed,
+        RouteCriteria traits = new RouteCriteria(type.name(), tenant, query < 0 ? uri : uri.substring(0, query), gateway.zone(), seed,
                 message.headers()::getAll);
         return pool(type, traits, false);
     }
@@ -466,15 +466,15 @@
         return new RadiusFront(loop, ledger, (className, tenant, key) -> radiusPool(types.get(className), tenant, key), chargers,
                 new RadiusFront.Classes(settings.accessClass(), settings.conversationClass(), settings.accountingClass(),
                         types.get(settings.accessClass()).deadline(), types.get(settings.accountingClass()).deadline()),
-                new Resends(settings.kept(), settings.keptMost(), settings.keptMost() * KEPT_BYTES), drops);
+                new DuplicateCache(settings.kept(), settings.keptMost(), settings.keptMost() * KEPT_BYTES), drops);
     }
 
     private Pool radiusPool(RequestClass type, String tenant, long key) {
-        return pool(type, new Traits(type.name(), tenant, "/", gateway.zone(), key, name -> List.of()), true);
+        return pool(type, new RouteCriteria(type.name(), tenant, "/", gateway.zone(), key, name -> List.of()), true);
     }
 
     /** Null where no route fits, or one that leads to a pool of another protocol. */
-    private Pool pool(RequestClass type, Traits traits, boolean asRadius) {
+    private Pool pool(RequestClass type, RouteCriteria traits, boolean asRadius) {
         long now = clock.now();
         String name = type.repeat() == Repeat.KEYED
                 ? router.keyed(now, traits, now + type.deadline() + type.dedupWindow(), this::somebody)
--- a/src/test/java/mastdrift/radius/RadiusTest.java
+++ b/src/test/java/mastdrift/radius/RadiusTest.java
@@ -147,8 +147,8 @@
                 Packet packet = Packet.read(bytes);
                 assertArrayEquals(Arrays.copyOf(bytes, packet.length()), packet.write());
                 own.signed(packet, true);
-                Hidden.anew(packet.attributes(), new Hidden.Hop(own, packet.authenticator()),
-                        new Hidden.Hop(own, packet.authenticator()));
+                HiddenAttributes.anew(packet.attributes(), new HiddenAttributes.Hop(own, packet.authenticator()),
+                        new HiddenAttributes.Hop(own, packet.authenticator()));
                 read++;
             } catch (MalformedPacketException e) {
                 assertNull(e.getCause());
@@ -261,8 +261,8 @@
         Packet came = Packet.read(PEER.encodeRequest(new AccessRequest(List.of(new UserPassword(new StringData(bytes)))),
                 SECRET, one));
         Authenticators next = new Authenticators(OTHER);
-        Packet onward = new Packet(Code.ACCESS_REQUEST, 3, other, Hidden.anew(came.attributes(), new Hidden.Hop(own, one),
-                new Hidden.Hop(next, other)));
+        Packet onward = new Packet(Code.ACCESS_REQUEST, 3, other, HiddenAttributes.anew(came.attributes(), new HiddenAttributes.Hop(own, one),
+                new HiddenAttributes.Hop(next, other)));
         assertArrayEquals(bytes, PEER.decodeRequest(next.signRequest(onward).write(), OTHER).getAttribute(UserPassword.class)
                 .orElseThrow().getData().getValue());
     }
@@ -282,8 +282,8 @@
             }
             there[3 + i] = (byte) (plain[i] ^ key[i % 16]);
         }
-        byte[] back = Hidden.anew(List.of(new Attribute(Attribute.TUNNEL_PASSWORD, there)),
-                new Hidden.Hop(new Authenticators(OTHER), other), new Hidden.Hop(own, one)).get(0).value();
+        byte[] back = HiddenAttributes.anew(List.of(new Attribute(Attribute.TUNNEL_PASSWORD, there)),
+                new HiddenAttributes.Hop(new Authenticators(OTHER), other), new HiddenAttributes.Hop(own, one)).get(0).value();
         assertArrayEquals(hex("01 8007"), Arrays.copyOf(back, 3), "tag and salt stay");
         byte[] read = new byte[plain.length];
         for (int i = 0; i < plain.length; i++) {
@@ -308,20 +308,20 @@
         List<Attribute> attributes = List.of(new Attribute(1, new byte[3]), new Attribute(Attribute.VENDOR_SPECIFIC, key),
                 new Attribute(Attribute.VENDOR_SPECIFIC, hex("00000009 01 04 0102")), new Attribute(241, new byte[] {1, 2}),
                 new Attribute(Attribute.PROXY_STATE, new byte[] {9}), new Attribute(Attribute.PROXY_STATE, new byte[] {8}));
-        Hidden.Hop one = new Hidden.Hop(own, hex("000102030405060708090a0b0c0d0e0f"));
-        Hidden.Hop other = new Hidden.Hop(new Authenticators(OTHER), hex("f0e1d2c3b4a5968778695a4b3c2d1e0f"));
-        List<Attribute> there = Hidden.anew(attributes, one, other);
+        HiddenAttributes.Hop one = new HiddenAttributes.Hop(own, hex("000102030405060708090a0b0c0d0e0f"));
+        HiddenAttributes.Hop other = new HiddenAttributes.Hop(new Authenticators(OTHER), hex("f0e1d2c3b4a5968778695a4b3c2d1e0f"));
+        List<Attribute> there = HiddenAttributes.anew(attributes, one, other);
         assertNotEquals(attributes.get(1), there.get(1), "a key of MS-MPPE is hidden anew");
         for (int i : new int[] {0, 2, 3, 4, 5}) {
             assertEquals(attributes.get(i), there.get(i));
         }
-        assertEquals(attributes, Hidden.anew(there, other, one));
+        assertEquals(attributes, HiddenAttributes.anew(there, other, one));
     }
 
     @ParameterizedTest
     @CsvSource({"2, 15", "2, 17", "2, 144", "2, 0", "69, 2", "69, 18", "69, 20"})
     void aHiddenValueOfNoPossibleLengthIsRefused(int type, int length) {
-        Hidden.Hop hop = new Hidden.Hop(own, new byte[16]);
-        assertNull(Hidden.anew(List.of(new Attribute(type, new byte[length])), hop, hop));
+        HiddenAttributes.Hop hop = new HiddenAttributes.Hop(own, new byte[16]);
+        assertNull(HiddenAttributes.anew(List.of(new Attribute(type, new byte[length])), hop, hop));
     }
 }
--- a/src/test/java/mastdrift/radius/edge/RadiusEdgeTest.java
+++ b/src/test/java/mastdrift/radius/edge/RadiusEdgeTest.java
@@ -55,7 +55,7 @@
 import mastdrift.settings.AddressRange;
 import mastdrift.radius.Code;
 import mastdrift.radius.Packet;
-import mastdrift.radius.Resends;
+import mastdrift.radius.DuplicateCache;
 import mastdrift.standin.Effects;
 import mastdrift.standin.LossyRelay;
 import mastdrift.standin.StandInCharger;
@@ -97,13 +97,13 @@
     private final Authenticators charger = new Authenticators(CHARGER);
     private Ledger ledger;
     private Pool pool;
-    private Drops drops;
+    private DropCounters drops;
     private RadiusFront front;
 
     @BeforeEach
     void start() throws Exception {
         onLoop(() -> {
-            drops = new Drops(clock::now, line -> { });
+            drops = new DropCounters(clock::now, line -> { });
             ledger = new Ledger(Timers.of(loop), clock, 1000, line -> { });
             pool = new Pool("radius", ledger, new Balance(), settings(), new RadiusTransport(loop, clock::now,
                     uid -> SERVER, drops));
@@ -112,7 +112,7 @@
                     AddressRange.parse("127.0.0.0/30"), new Authenticators(CHARGER), null, true)));
             front = new RadiusFront(loop, ledger, (name, tenant, key) -> pool, clients,
                     new RadiusFront.Classes("access", "conversation", "accounting", 4_000_000, 4_000_000),
-                    new Resends(30_000_000, 1 << 16, 16 << 20), drops);
+                    new DuplicateCache(30_000_000, 1 << 16, 16 << 20), drops);
             return front.listen(new InetSocketAddress("127.0.0.1", 0));
         }).sync();
     }
@@ -235,7 +235,7 @@
         }, "it fails in time");
     }
 
-    private long dropped(Drops.Cause cause) throws Exception {
+    private long dropped(DropCounters.Cause cause) throws Exception {
         return onLoop(() -> drops.count(cause));
     }
 
@@ -427,17 +427,17 @@
             Code code = answered(socket, request).code();
             assertEquals(request.code() == Code.ACCESS_REQUEST ? Code.ACCESS_ACCEPT : Code.ACCOUNTING_RESPONSE, code);
         }
-        assertEquals(1, dropped(Drops.Cause.NOT_SIGNED), "of the access request; of the other it is the wrong code first");
-        assertEquals(1, dropped(Drops.Cause.NO_PROXY_STATE));
-        assertEquals(4, dropped(Drops.Cause.WRONG_CODE));
-        assertEquals(2, dropped(Drops.Cause.MALFORMED));
+        assertEquals(1, dropped(DropCounters.Cause.NOT_SIGNED), "of the access request; of the other it is the wrong code first");
+        assertEquals(1, dropped(DropCounters.Cause.NO_PROXY_STATE));
+        assertEquals(4, dropped(DropCounters.Cause.WRONG_CODE));
+        assertEquals(2, dropped(DropCounters.Cause.MALFORMED));
         server.manner(Manner.TWICE);
         Packet request = access(3);
         send(socket, request.write());
         answered(socket, request);
         await(() -> {
             try {
-                return dropped(Drops.Cause.NOT_ASKED) == 1;
+                return dropped(DropCounters.Cause.NOT_ASKED) == 1;
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
@@ -465,10 +465,10 @@
         Packet status = charger.signRequest(new Packet(Code.STATUS_SERVER, 7, authenticator(7), List.of()));
         send(socket, status.write());
         assertEquals(Code.ACCESS_ACCEPT, answered(socket, status).code(), "asked whether it is there, the front answers itself");
-        assertEquals(3, dropped(Drops.Cause.NOT_SIGNED));
-        assertEquals(2, dropped(Drops.Cause.MALFORMED));
-        assertEquals(1, dropped(Drops.Cause.WRONG_CODE));
-        assertEquals(1, dropped(Drops.Cause.UNKNOWN_CLIENT));
+        assertEquals(3, dropped(DropCounters.Cause.NOT_SIGNED));
+        assertEquals(2, dropped(DropCounters.Cause.MALFORMED));
+        assertEquals(1, dropped(DropCounters.Cause.WRONG_CODE));
+        assertEquals(1, dropped(DropCounters.Cause.UNKNOWN_CLIENT));
         assertEquals(0, server.requests().size());
         nothingMore(socket);
     }
--- a/src/test/java/mastdrift/routing/RouteIndexTest.java
+++ b/src/test/java/mastdrift/routing/RouteIndexTest.java
@@ -36,7 +36,7 @@
     private static final List<String> ZONES = List.of("bilbao", "oviedo", "read");
 
     /** What the index stands for. */
-    private static Route linear(List<Route> routes, Traits request) {
+    private static Route linear(List<Route> routes, RouteCriteria request) {
         for (Route route : routes) {
             if (route.match().fits(request)) {
                 return route;
@@ -90,10 +90,10 @@
         return routes;
     }
 
-    private static Traits request(SplittableRandom random) {
+    private static RouteCriteria request(SplittableRandom random) {
         List<String> canary = random.nextBoolean() ? List.of() : List.of(one(random, VALUES), one(random, VALUES));
         List<String> other = random.nextBoolean() ? List.of() : List.of("1");
-        return new Traits(one(random, WORDS, 0.1), one(random, WORDS, 0.1), path(random, 7), one(random, ZONES), 1,
+        return new RouteCriteria(one(random, WORDS, 0.1), one(random, WORDS, 0.1), path(random, 7), one(random, ZONES), 1,
                 name -> name.equals("X-Canary") ? canary : name.equals("X-Other") ? other : List.of());
     }
 
@@ -105,7 +105,7 @@
         RouteTable table = new RouteTable(routes);
         RouteIndex index = index(routes);  // also of few, for which a table has none
         for (int i = 0; i < 40; i++) {
-            Traits request = request(random);
+            RouteCriteria request = request(random);
             assertSame(linear(routes, request), index.first(request), () -> request + " among " + routes);
             assertSame(linear(routes, request), table.route(request), () -> request + " among " + routes);
         }
@@ -131,7 +131,7 @@
                     gone.put(name, had);
                 }
                 if (random.nextInt(3) > 0) {
-                    come.put(name, new OrderedRoute.Numbered(random.nextInt(20), new Route(name, of.match(), of.targets(), null)));
+                    come.put(name, new OrderedRoute.SimpleOrderedRoute(random.nextInt(20), new Route(name, of.match(), of.targets(), null)));
                 } else {
                     come.remove(name);
                 }
@@ -154,7 +154,7 @@
             assertEquals(list, table.routes());
             assertEquals(listBefore, before.routes());
             for (int i = 0; i < 10; i++) {
-                Traits request = request(random);
+                RouteCriteria request = request(random);
                 assertSame(linear(list, request), index.first(request), () -> request + " among " + list);
                 assertSame(linear(list, request), table.route(request), () -> request + " among " + list);
                 assertSame(linear(listBefore, request), indexBefore.first(request), () -> request + " among " + listBefore);
@@ -186,7 +186,7 @@
                 there.add(each);
             }
             for (OrderedRoute one : all) {
-                Route found = index.first(new Traits("read", null, one.route().match().pathPrefix(), "bilbao", 1, name -> List.of()));
+                Route found = index.first(new RouteCriteria("read", null, one.route().match().pathPrefix(), "bilbao", 1, name -> List.of()));
                 assertSame(there.contains(one) ? one.route() : null, found, () -> one + " at " + there);
             }
         }
@@ -199,20 +199,20 @@
         List<OrderedRoute> all = OrderedRoute.ofList(IntStream.range(0, 3 * RouteTable.LINEAR_MOST).mapToObj(i -> route(i, new Match(null, null, "/a" + i, null, null, null))).toList());
         for (int i = 0; i < all.size(); i++) {
             table = table.changed(List.of(), List.of(all.get(i)));
-            assertSame(all.get(i).route(), table.route(new Traits("read", null, "/a" + i, "bilbao", 1, name -> List.of())));
+            assertSame(all.get(i).route(), table.route(new RouteCriteria("read", null, "/a" + i, "bilbao", 1, name -> List.of())));
         }
         for (int i = 0; i < all.size(); i++) {
             table = table.changed(List.of(all.get(i)), List.of());
-            assertNull(table.route(new Traits("read", null, "/a" + i, "bilbao", 1, name -> List.of())));
+            assertNull(table.route(new RouteCriteria("read", null, "/a" + i, "bilbao", 1, name -> List.of())));
             assertEquals(all.size() - i - 1, table.routes().size());
         }
     }
 
     @Test
     void whatIsNotThereCannotGoAndNoTwoHaveOnePlace() {
-        OrderedRoute one = new OrderedRoute.Numbered(1, route(1, Match.ANY));
-        OrderedRoute same = new OrderedRoute.Numbered(1, route(1, new Match("read", null, null, null, null, null)));
-        OrderedRoute other = new OrderedRoute.Numbered(2, route(2, Match.ANY));
+        OrderedRoute one = new OrderedRoute.SimpleOrderedRoute(1, route(1, Match.ANY));
+        OrderedRoute same = new OrderedRoute.SimpleOrderedRoute(1, route(1, new Match("read", null, null, null, null, null)));
+        OrderedRoute other = new OrderedRoute.SimpleOrderedRoute(2, route(2, Match.ANY));
         RouteTable table = new RouteTable(List.of()).changed(List.of(), List.of(one));
         assertEquals("route r2: expected it in its place, found none", assertThrows(IllegalArgumentException.class, () -> table.changed(List.of(other), List.of())).getMessage());
         assertThrows(IllegalArgumentException.class, () -> table.changed(List.of(one, one), List.of()));
@@ -223,7 +223,7 @@
         assertThrows(IllegalArgumentException.class, () -> RouteIndex.EMPTY.with(one).with(one));
         assertThrows(IllegalArgumentException.class, () -> RouteIndex.EMPTY.without(one));
         assertEquals("expected at most 56000 routes, found 56001", assertThrows(IllegalArgumentException.class,
-                () -> new RouteTable(Collections.nCopies(RouteTable.ROUTES_MOST, route(1, Match.ANY))).changed(List.of(), List.of(new OrderedRoute.Numbered(RouteTable.ROUTES_MOST, one.route()))))
+                () -> new RouteTable(Collections.nCopies(RouteTable.ROUTES_MOST, route(1, Match.ANY))).changed(List.of(), List.of(new OrderedRoute.SimpleOrderedRoute(RouteTable.ROUTES_MOST, one.route()))))
                 .getMessage());
     }
 
@@ -239,7 +239,7 @@
         RouteTable table = new RouteTable(routes);
         Set<Route> met = new HashSet<>();
         for (int i = 0; i < 5_000; i++) {
-            Traits request = new Traits(one(random, WORDS), one(random, WORDS, 0.1),
+            RouteCriteria request = new RouteCriteria(one(random, WORDS), one(random, WORDS, 0.1),
                     "/api/v" + random.nextInt(3) + "/t" + random.nextInt(2_000) + one(random, List.of("", "/", "/x")), "bilbao", 1,
                     name -> List.of());
             Route route = table.route(request);
@@ -258,7 +258,7 @@
         "/a, //a, false", "/a, '', false", "/%61, /a, false", "*, *, true"})
     void oddPrefixesKeepTheirMeaning(String prefix, String path, boolean fits) {
         List<Route> routes = List.of(route(1, new Match(null, null, prefix, null, null, null)));
-        Traits request = new Traits("read", null, path, "bilbao", 1, name -> List.of());
+        RouteCriteria request = new RouteCriteria("read", null, path, "bilbao", 1, name -> List.of());
         assertEquals(fits, linear(routes, request) != null, "one by one");
         assertEquals(fits, index(routes).first(request) != null, "by the index");
     }
@@ -272,7 +272,7 @@
         }
         RouteTable table = new RouteTable(routes);
         int[] asked = new int[1];
-        Traits request = new Traits("read", null, "/t7/x", "bilbao", 1, name -> {
+        RouteCriteria request = new RouteCriteria("read", null, "/t7/x", "bilbao", 1, name -> {
             asked[0]++;
             return List.of("5007");
         });
@@ -284,8 +284,8 @@
     @Test
     void aPathOfManySegmentsIsWalkedNoFurtherThanTheTable() {
         RouteIndex index = index(List.of(route(1, new Match(null, null, "////a", null, null, null))));
-        assertNull(index.first(new Traits("read", null, "/".repeat(100_000), "bilbao", 1, name -> List.of())));
-        assertEquals("r1", index.first(new Traits("read", null, "////a" + "/".repeat(100_000), "bilbao", 1, name -> List.of())).name());
+        assertNull(index.first(new RouteCriteria("read", null, "/".repeat(100_000), "bilbao", 1, name -> List.of())));
+        assertEquals("r1", index.first(new RouteCriteria("read", null, "////a" + "/".repeat(100_000), "bilbao", 1, name -> List.of())).name());
     }
 
     @Test
@@ -298,7 +298,7 @@
         List<Route> routes = new ArrayList<>(Collections.nCopies(count, route(1, Match.ANY)));
         RouteTable table = new RouteTable(routes);
         routes.set(0, route(2, Match.ANY));
-        assertEquals("r1", table.route(new Traits("read", null, "/", "bilbao", 1, name -> List.of())).name());
+        assertEquals("r1", table.route(new RouteCriteria("read", null, "/", "bilbao", 1, name -> List.of())).name());
     }
 
     @Test
--- a/src/test/java/mastdrift/routing/RoutingTest.java
+++ b/src/test/java/mastdrift/routing/RoutingTest.java
@@ -24,12 +24,12 @@
 
     private static final int KEYS = 20_000;
 
-    private static Traits traits(String className, String tenant, String path, String zone, long key) {
-        return new Traits(className, tenant, path, zone, key,
+    private static RouteCriteria traits(String className, String tenant, String path, String zone, long key) {
+        return new RouteCriteria(className, tenant, path, zone, key,
                 name -> name.equalsIgnoreCase("X-Canary") ? List.of("0", "1") : List.of());
     }
 
-    private static Traits keyed(long key) {
+    private static RouteCriteria keyed(long key) {
         return traits("start", "acme", "/api", "bilbao", key);
     }
 
@@ -138,7 +138,7 @@
 
     @Test
     void beyondItsBoundTheEldestPinGoes() {
-        Pins pins = new Pins(3);
+        PinTable pins = new PinTable(3);
         for (int key = 0; key < 3; key++) {
             pins.pin(key, key, "a", 1000);
         }
@@ -151,7 +151,7 @@
 
     @Test
     void expiredPinsLeave() {
-        Pins pins = new Pins(1000);
+        PinTable pins = new PinTable(1000);
         for (int key = 0; key < 100; key++) {
             pins.pin(key, key, "a", key + 10);
         }
