--- a/src/main/java/mastdrift/config/ResourceRoutes.java
+++ b/src/main/java/mastdrift/config/ResourceRoutes.java
@@ -20,7 +20,7 @@
  * server, more routes than a table holds) is held back whole: what its resources were before stays, and the next changes are taken all the same. What is held back is taken once a later change, or other pools
  * of the gateway, mend it.
  *
- * <p>A change of a few routes costs their parsing and {@linkplain RouteTable#changed their part} of the table; 28,000 routes are parsed at a start and after a snapshot alone. Not safe
+ * <p>A change of a few routes costs their parsing and {@linkplain RouteTable#withChanges their part} of the table; 28,000 routes are parsed at a start and after a snapshot alone. Not safe
  * for use by several threads.
  */
 public final class ResourceRoutes {
@@ -157,8 +157,8 @@
     }
 
     private String wrong() {
-        if (inOrder.size() > RouteTable.ROUTES_MOST) {
-            return "expected at most " + RouteTable.ROUTES_MOST + " routes, found " + inOrder.size();
+        if (inOrder.size() > RouteTable.MAX_ROUTES) {
+            return "expected at most " + RouteTable.MAX_ROUTES + " routes, found " + inOrder.size();
         }
         if (!checks.crossRoutes()) {
             return null;
@@ -213,6 +213,6 @@
             }
         });
         listed.clear();
-        table = table.changed(gone, come);
+        table = table.withChanges(gone, come);
     }
 }
--- a/src/main/java/mastdrift/lab/model/ModelGateway.java
+++ b/src/main/java/mastdrift/lab/model/ModelGateway.java
@@ -58,7 +58,7 @@
     /** One life of it. */
     private final class Life {
         private final Ledger ledger;
-        private final Router router = new Router(Router.PINS_MOST);
+        private final Router router = new Router(Router.MAX_PINS);
         private final Map<String, Pool> pools = new LinkedHashMap<>();
         private final Membership membership;
         private final Map<String, Boolean> somebody = new HashMap<>();
@@ -75,7 +75,7 @@
                 }
             });
             ledger = new Ledger(timers, time, OPEN_MOST, line -> { });
-            router.swap(new RouteTable(scenario.routes()));
+            router.setRoutes(new RouteTable(scenario.routes()));
             membership = scenario.site().membership() ? new Membership() : null;
             zoning = scenario.zones() == null ? null : new Zoning("gateway-" + ModelGateway.this.number, zone, scenario.site().gateways(),
                     scenario.zones().settings(), time.now(), wall());
@@ -154,9 +154,9 @@
             RouteCriteria traits = new RouteCriteria(ask.className(), ask.tenant(), "/api", zone, ask.key(), name -> List.of());
             String name = poolNames.size() == 1 && scenario.routes().isEmpty() ? poolNames.get(0)
                     : given.type().repeat() == Repeat.KEYED
-                    ? router.keyed(time.now(), traits, time.now() + given.type().deadline() + given.type().dedupWindow(),
+                    ? router.selectPoolForKey(time.now(), traits, time.now() + given.type().deadline() + given.type().dedupWindow(),
                             this::somebody)
-                    : router.pool(traits, this::somebody);
+                    : router.selectPool(traits, this::somebody);
             Pool pool = name == null ? null : pools.get(name);
             if (pool == null) {
                 given.failed(false);
--- a/src/main/java/mastdrift/measure/TablesMeasurement.java
+++ b/src/main/java/mastdrift/measure/TablesMeasurement.java
@@ -94,7 +94,7 @@
         long built = System.nanoTime() - since;
         long indexed = Heap.used();
         List<RouteCriteria> requests = requests(random, routes);
-        Histogram index = lookUps(table::route, requests, Long.MAX_VALUE);
+        Histogram index = lookUps(table::firstMatch, requests, Long.MAX_VALUE);
         Histogram linear = lookUps(request -> linear(routes, request), requests, LINEAR_NANOS);
         System.out.printf(Locale.ROOT, "run %d, %d routes: built in %.1f ms, heap a route %.0f bytes and %.0f of the index; look-up mean %.0f, p50 %d, "
                 + "p99 %d ns; one by one mean %.0f, p50 %d, p99 %d ns (%d look-ups), %.2f times the index's mean%n", run, size, built / 1e6,
@@ -110,7 +110,7 @@
     /** A route gets another path, in its place: the table changed by that, and another one made of the whole list. */
     private static void changes(int run, List<Route> routes, RouteTable table) {
         SplittableRandom random = new SplittableRandom(run);
-        List<OrderedRoute> ordered = OrderedRoute.ofList(routes);
+        List<OrderedRoute> ordered = OrderedRoute.fromList(routes);
         Histogram parts = new Histogram(3);
         RouteTable next = table;
         for (int i = 0; i < CHANGES; i++) {
@@ -120,7 +120,7 @@
             OrderedRoute changed = new OrderedRoute.SimpleOrderedRoute(at, new Route(old.route().name(), new Match(match.className(), match.tenant(), match.pathPrefix() + "-" + i,
                     match.headerName(), match.headerValue(), match.zone()), old.route().targets(), null));
             long since = System.nanoTime();
-            next = next.changed(List.of(old), List.of(changed));
+            next = next.withChanges(List.of(old), List.of(changed));
             parts.recordValue(System.nanoTime() - since);
             ordered.set(at, changed);
         }
@@ -172,7 +172,7 @@
     /** What the index took the place of. */
     private static Route linear(List<Route> routes, RouteCriteria request) {
         for (Route route : routes) {
-            if (route.match().fits(request)) {
+            if (route.match().matches(request)) {
                 return route;
             }
         }
--- a/src/main/java/mastdrift/routing/Match.java
+++ b/src/main/java/mastdrift/routing/Match.java
@@ -1,35 +1,37 @@
 package mastdrift.routing;
 
 /**
- * What a request has to be for a route; null in a component is any.
+ * Conditions that a request must meet for a route to apply. All non-null components must match; null matches any value.
  *
- * @param className its class
- * @param tenant its tenant
- * @param pathPrefix its path or the head of it, up to the end of a segment; compared as it was sent, undecoded
- * @param headerName a header that it has
- * @param headerValue the whole value of that header, in one of its lines
- * @param zone the zone of the gateway that took it
+ * @param className the request's class
+ * @param tenant the request's tenant
+ * @param pathPrefix the request's path or a prefix of it that ends at a segment boundary; compared as sent, without
+ *     percent-decoding
+ * @param headerName a header that the request must have
+ * @param headerValue the whole value of that header, in any one of its lines
+ * @param zone the zone of the gateway that received the request
  */
 public record Match(String className, String tenant, String pathPrefix, String headerName, String headerValue,
         String zone) {
 
-    /** Fits every request. */
+    /** Matches every request. */
     public static final Match ANY = new Match(null, null, null, null, null, null);
 
-    /** Whether a request is all of this; a path that is compared is not null. */
-    public boolean fits(RouteCriteria request) {
-        return is(className, request.className()) && is(tenant, request.tenant()) && is(zone, request.zone())
-                && (pathPrefix == null || under(pathPrefix, request.path()))
+    /** Whether a request meets all conditions. The request's path must not be null if there is a path prefix. */
+    public boolean matches(RouteCriteria request) {
+        return anyOrEqual(className, request.className()) && anyOrEqual(tenant, request.tenant())
+                && anyOrEqual(zone, request.zone())
+                && (pathPrefix == null || hasPathPrefix(pathPrefix, request.path()))
                 && (headerName == null || request.headers().values(headerName).stream()
-                        .anyMatch(value -> is(headerValue, value)));
+                        .anyMatch(value -> anyOrEqual(headerValue, value)));
     }
 
-    private static boolean is(String wanted, String given) {
-        return wanted == null || wanted.equals(given);
+    private static boolean anyOrEqual(String expected, String actual) {
+        return expected == null || expected.equals(actual);
     }
 
-    /** {@code /a} is the head of {@code /a} and {@code /a/b}, not of {@code /ab}. */
-    private static boolean under(String prefix, String path) {
+    /** Compares by whole segments: {@code /a} is a prefix of {@code /a} and {@code /a/b}, but not of {@code /ab}. */
+    private static boolean hasPathPrefix(String prefix, String path) {
         return path.startsWith(prefix) && (path.length() == prefix.length() || prefix.endsWith("/")
                 || path.charAt(prefix.length()) == '/');
     }
--- a/src/main/java/mastdrift/routing/OrderedRoute.java
+++ b/src/main/java/mastdrift/routing/OrderedRoute.java
@@ -3,22 +3,29 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A route with its place among those of a table: by its order, and where that is the same by the route's name. No two of a table have both alike. */
+/**
+ * A route with its position in a route table. Routes are sorted by {@link #order()}, then by the route's name; no two
+ * routes of a table have the same position.
+ */
 public interface OrderedRoute {
 
-    /** The least is tried first. */
+    /** Routes with a lower order are tried first. */
     long order();
 
-    /** What is tried. */
+    /** The route at this position. */
     Route route();
 
-    /** Below 0 where {@code one} is tried before {@code other}, 0 where both have one place, else above 0. */
+    /**
+     * Returns a negative number if {@code one} is tried before {@code other}, 0 if both have the same position, and a
+     * positive number otherwise.
+     */
     static int compare(OrderedRoute one, OrderedRoute other) {
-        return one.order() != other.order() ? Long.compare(one.order(), other.order()) : one.route().name().compareTo(other.route().name());
+        return one.order() != other.order() ? Long.compare(one.order(), other.order())
+                : one.route().name().compareTo(other.route().name());
     }
 
-    /** Routes by their places in a list. */
-    static List<OrderedRoute> ofList(List<Route> routes) {
+    /** Gives each route of a list its index in the list as its order. */
+    static List<OrderedRoute> fromList(List<Route> routes) {
         List<OrderedRoute> ordered = new ArrayList<>(routes.size());
         for (Route each : routes) {
             ordered.add(new SimpleOrderedRoute(ordered.size(), each));
@@ -26,6 +33,6 @@
         return ordered;
     }
 
-    /** One of a list. */
+    /** A route with a given order. */
     record SimpleOrderedRoute(long order, Route route) implements OrderedRoute { }
 }
--- a/src/main/java/mastdrift/routing/PinTable.java
+++ b/src/main/java/mastdrift/routing/PinTable.java
@@ -5,47 +5,54 @@
 import java.util.Map;
 
 /**
- * Where keyed requests went, for as long as a repeat of them may meet the window in which hosts drop repeats. A client's
- * repeat of a keyed request is to reach the pool that may have run the first try, whatever routes and weights say by then.
+ * Remembers which pool each keyed request was sent to (session affinity), for as long as a repeat of it can arrive
+ * within the window in which hosts suppress duplicates. A client's repeat of a keyed request must reach the pool that
+ * may already have executed the first attempt, even if routes or weights have changed meanwhile.
  *
- * <p>An access-ordered map by the time of the last pin. Spans differ by class, so the eldest need not be the first to
- * expire: what has expired is passed over on look-up, and leaves once it is the eldest or the bound is reached.
+ * <p>The map is ordered by the time of the last pin. Pin lifetimes differ by class, so the oldest pin need not be the
+ * first to expire: an expired pin is ignored on look-up, and is removed when it is the oldest or when the table is
+ * full.
  */
 public final class PinTable {
 
-    private final int most;
+    private final int maxPins;
     private final LinkedHashMap<Long, Pin> pins = new LinkedHashMap<>(64, 0.75f, true);
 
-    private record Pin(String pool, long until) { }
+    private record Pin(String pool, long expiresAtMicros) { }
 
-    /** Holds {@code most} keys; beyond that the eldest goes, and its key follows the routes of the moment. */
-    public PinTable(int most) {
-        this.most = most;
+    /**
+     * Holds up to {@code maxPins} keys. When the table is full the oldest pin is evicted, and its key is routed by the
+     * current routes again.
+     */
+    public PinTable(int maxPins) {
+        this.maxPins = maxPins;
     }
 
-    /** The pool of a key, or null where it has none any more; times in microseconds. */
-    public String pool(long now, long key) {
+    /** The pool that a key is pinned to, or null if it has no unexpired pin. Times are in microseconds. */
+    public String poolFor(long nowMicros, long key) {
         Pin pin = pins.get(key);
-        return pin == null || pin.until <= now ? null : pin.pool;
+        return pin == null || pin.expiresAtMicros <= nowMicros ? null : pin.pool;
     }
 
-    /** The key goes to this pool until then. */
-    public void pin(long now, long key, String pool, long until) {
-        Pin before = pins.get(key);
-        long last = before != null && before.pool.equals(pool) ? Math.max(before.until, until) : until;
-        pins.put(key, new Pin(pool, last));
-        Iterator<Map.Entry<Long, Pin>> eldest = pins.entrySet().iterator();
-        while (eldest.hasNext() && (eldest.next().getValue().until <= now || pins.size() > most)) {
-            eldest.remove();
+    /** Pins a key to a pool until the given time. A later expiry of an existing pin to the same pool is kept. */
+    public void pin(long nowMicros, long key, String pool, long expiresAtMicros) {
+        Pin previous = pins.get(key);
+        long expiryMicros = previous != null && previous.pool.equals(pool)
+                ? Math.max(previous.expiresAtMicros, expiresAtMicros) : expiresAtMicros;
+        pins.put(key, new Pin(pool, expiryMicros));
+        Iterator<Map.Entry<Long, Pin>> oldestFirst = pins.entrySet().iterator();
+        while (oldestFirst.hasNext()
+                && (oldestFirst.next().getValue().expiresAtMicros <= nowMicros || pins.size() > maxPins)) {
+            oldestFirst.remove();
         }
     }
 
-    /** Whether a key is still bound to this pool. */
-    public boolean holds(long now, String pool) {
-        return pins.values().stream().anyMatch(pin -> pin.until > now && pin.pool.equals(pool));
+    /** Whether any key has an unexpired pin to this pool. */
+    public boolean hasPinTo(long nowMicros, String pool) {
+        return pins.values().stream().anyMatch(pin -> pin.expiresAtMicros > nowMicros && pin.pool.equals(pool));
     }
 
-    /** Keys that are held, also those that have expired and not left. */
+    /** Number of pins held, including expired ones that have not been removed yet. */
     public int size() {
         return pins.size();
     }
--- a/src/main/java/mastdrift/routing/RouteCriteria.java
+++ b/src/main/java/mastdrift/routing/RouteCriteria.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * What routes can tell of a request.
+ * The properties of a request that routes can match on.
  *
- * @param className its class
- * @param tenant its tenant, or null
- * @param path its path as it was sent, without the query
- * @param zone the zone of the gateway that took it
- * @param key seeds the weighted choice: the same in repeats of a request
- * @param headers its headers
+ * @param className the request's class
+ * @param tenant the request's tenant, or null
+ * @param path the request's path as sent, without the query
+ * @param zone the zone of the gateway that received the request
+ * @param key seed of the weighted choice of a pool; the same for all repeats of a request
+ * @param headers the request's headers
  */
 public record RouteCriteria(String className, String tenant, String path, String zone, long key, Headers headers) {
 
-    /** Looks headers up, whatever their case. */
+    /** Looks up headers, case-insensitively. */
     public interface Headers {
-        /** The values of all lines of a header, none where there is none. */
+        /** The values of all lines of a header; empty if the request does not have it. */
         List<String> values(String name);
     }
 }
--- a/src/main/java/mastdrift/routing/RouteIndex.java
+++ b/src/main/java/mastdrift/routing/RouteIndex.java
@@ -5,61 +5,74 @@
 import java.util.List;
 
 /**
- * Finds the first of many routes that matches a request, without a look at all of them. Immutable: another route makes another index that shares with this one all but its own way.
+ * Finds the first of many routes that matches a request without testing all of them. Immutable and persistent: adding
+ * or removing a route returns a new index that shares all nodes with this one but those on the route's path.
  *
- * <p>A trie whose first two edges are class and tenant and whose others are the segments of the path prefix. A route that names no class, or no tenant, goes by an edge for any, so a look-up has at most four
- * active nodes (this class or any, with this tenant or any), each on its way down the request's segments. The four are the tuples of tuple space search (Srinivasan, Suri, Varghese, "Packet classification using
- * tuple space search", SIGCOMM 1999); within each the path is a trie, in place of one hash table for each length, since a trie ends where the request leaves the table: a path of a thousand slashes costs no more
- * than the longest prefix. A node knows the first route at or below it, so one is left as well where nothing can come before what was found. Header and zone are not in the trie: it gives candidates, by node in
- * their order, and {@link Match#fits} decides on each, so that what a match means is said in one place.
+ * <p>A trie whose first two levels are class and tenant and whose further levels are the segments of the path prefix. A
+ * route that names no class, or no tenant, is stored under a wildcard edge, so a look-up has at most four active nodes
+ * (this class or any, each with this tenant or any), each of which descends along the request's path segments. The four
+ * correspond to the tuples of tuple space search (Srinivasan, Suri, Varghese, "Packet classification using tuple space
+ * search", SIGCOMM 1999). Within each tuple the path is a trie rather than one hash table per prefix length, since a
+ * trie walk ends where the request leaves the table: a path of a thousand slashes costs no more than the longest
+ * prefix. Each node knows the first route in its subtree, so a subtree that cannot improve on the best match so far is
+ * abandoned. Headers and zones are not in the trie: the trie yields candidates, sorted within each node, and
+ * {@link Match#matches} decides on each, so that the meaning of a match is defined in one place.
  *
- * <p>The edges of a node are a hash array mapped trie (Bagwell, "Ideal hash trees", 2001) of 32 branches, whose parts know the first route below them, too. A change copies the path to what it touches: some six
- * nodes, and for each one to three arrays of at most 32 references. Flat tables of numbered nodes are smaller and have to be made anew for each change, 28,000 routes in a tenth of a second.
+ * <p>The edges of a node are a hash array mapped trie (Bagwell, "Ideal hash trees", 2001) with 32 branches a level,
+ * whose inner nodes also know the first route below them. A change copies the path to the changed node: about six
+ * nodes, and for each one to three arrays of at most 32 references. Flat tables of numbered nodes would be smaller but
+ * have to be rebuilt for each change, which takes a tenth of a second for 28,000 routes.
  *
- * <p>Cost: a look-up takes a substring for each segment, four looks into edges, and one {@code fits} for each candidate that comes before the answer; routes that differ in header or zone alone are candidates of
- * one node and are gone through one by one, as in a list, and copied when one of them changes. May be built on any thread and handed over. docs/measurements/tables.md has figures.
+ * <p>Cost: a look-up takes one substring for each segment, four edge look-ups, and one {@code matches} for each
+ * candidate that precedes the result. Routes that differ only in header or zone are candidates of one node; they are
+ * scanned linearly and copied when one of them changes. An index may be built on any thread and then handed over.
+ * docs/measurements/tables.md has figures.
  */
 final class RouteIndex {
 
-    private static final int ACTIVE_MOST = 4;
-    private static final int BITS = 5;
+    private static final int MAX_ACTIVE_NODES = 4;
+    private static final int BITS_PER_LEVEL = 5;
     private static final int HASH_BITS = 32;
-    private static final OrderedRoute[] NONE = {};
+    private static final OrderedRoute[] NO_CANDIDATES = {};
 
-    /** Of no routes. */
-    static final RouteIndex EMPTY = new RouteIndex(new Node(null, NONE, null));
+    /** The index without routes. */
+    static final RouteIndex EMPTY = new RouteIndex(new Node(null, NO_CANDIDATES, null));
 
-    /** Where a trie branches. {@code edges} is nothing, the one {@link Node} that there is, or a {@link Branch}. */
+    /** A trie node. {@code edges} is null, the only child {@link Node}, or a {@link Branch}. */
     private static final class Node {
 
-        private final String label;  // of the edge to it; null for any
+        private final String label;  // label of the edge to this node; null for the wildcard
         private final OrderedRoute[] candidates;
         private final Object edges;
-        private final OrderedRoute first;  // at or below it; null at an empty root alone
+        private final OrderedRoute firstRoute;  // first route in this subtree; null only at an empty root
 
         Node(String label, OrderedRoute[] candidates, Object edges) {
             this.label = label;
             this.candidates = candidates;
             this.edges = edges;
-            first = earlier(candidates.length == 0 ? null : candidates[0], edges == null ? null : first(edges));
+            firstRoute = earlierOf(candidates.length == 0 ? null : candidates[0], edges == null ? null
+                    : firstRoute(edges));
         }
     }
 
-    /** Of a map of edges: what is below it by five bits of their labels' hashes; all that there are where no bits are left. */
+    /**
+     * Inner node of an edge map: children indexed by five bits of their labels' hashes. Once all hash bits are used up,
+     * a list of all children with that hash.
+     */
     private static final class Branch {
 
-        private final int bits;
-        private final Object[] below;  // nodes and branches
-        private final OrderedRoute first;
+        private final int bitmap;
+        private final Object[] children;  // nodes and branches
+        private final OrderedRoute firstRoute;
 
-        Branch(int bits, Object[] below) {
-            this.bits = bits;
-            this.below = below;
-            OrderedRoute least = null;
-            for (Object each : below) {
-                least = earlier(least, first(each));
+        Branch(int bitmap, Object[] children) {
+            this.bitmap = bitmap;
+            this.children = children;
+            OrderedRoute earliest = null;
+            for (Object each : children) {
+                earliest = earlierOf(earliest, firstRoute(each));
             }
-            first = least;
+            firstRoute = earliest;
         }
     }
 
@@ -69,77 +82,83 @@
         this.root = root;
     }
 
-    private static OrderedRoute first(Object edges) {
-        return edges instanceof Branch branch ? branch.first : ((Node) edges).first;
+    private static OrderedRoute firstRoute(Object edges) {
+        return edges instanceof Branch branch ? branch.firstRoute : ((Node) edges).firstRoute;
     }
 
-    private static OrderedRoute earlier(OrderedRoute one, OrderedRoute other) {
+    private static OrderedRoute earlierOf(OrderedRoute one, OrderedRoute other) {
         return one == null || other != null && OrderedRoute.compare(other, one) < 0 ? other : one;
     }
 
     // ---- look-ups
 
     /** The first route that matches, or null. */
-    Route first(RouteCriteria request) {
-        Node[] active = new Node[ACTIVE_MOST];
-        int open = start(request, active);
+    Route firstRoute(RouteCriteria request) {
+        Node[] active = new Node[MAX_ACTIVE_NODES];
+        int activeCount = initialNodes(request, active);
         OrderedRoute best = null;
         String path = request.path();
-        for (int from = 0; open > 0; ) {
-            for (int i = 0; i < open; i++) {
-                best = candidate(active[i], request, best);
+        for (int segmentStart = 0; activeCount > 0; ) {
+            for (int i = 0; i < activeCount; i++) {
+                best = earlierMatch(active[i], request, best);
             }
-            if (from >= path.length()) {
-                break;  // an empty last segment leads to no node: a prefix that ends with / is at the node before it
+            if (segmentStart >= path.length()) {
+                // an empty last segment leads to no node: a prefix that ends with / is stored at the node before it
+                break;
             }
-            int slash = path.indexOf('/', from);
-            int to = slash < 0 ? path.length() : slash;
-            open = step(active, open, path.substring(from, to), best);
-            from = to + 1;
+            int slash = path.indexOf('/', segmentStart);
+            int segmentEnd = slash < 0 ? path.length() : slash;
+            activeCount = advance(active, activeCount, path.substring(segmentStart, segmentEnd), best);
+            segmentStart = segmentEnd + 1;
         }
         return best == null ? null : best.route();
     }
 
-    /** Puts the nodes at which a request begins into {@code active}; returns how many they are. */
-    private int start(RouteCriteria request, Node[] active) {
-        int open = 0;
-        for (Node of : new Node[] {child(root, null), request.className() == null ? null : child(root, request.className())}) {
-            if (of != null) {
-                open = add(active, open, child(of, null));
-                open = request.tenant() == null ? open : add(active, open, child(of, request.tenant()));
+    /** Stores the nodes at which a request's walk begins in {@code active}; returns their number. */
+    private int initialNodes(RouteCriteria request, Node[] active) {
+        int activeCount = 0;
+        for (Node classNode : new Node[] {child(root, null), request.className() == null ? null
+                : child(root, request.className())}) {
+            if (classNode != null) {
+                activeCount = addIfPresent(active, activeCount, child(classNode, null));
+                activeCount = request.tenant() == null ? activeCount
+                        : addIfPresent(active, activeCount, child(classNode, request.tenant()));
             }
         }
-        return open;
+        return activeCount;
     }
 
-    private static int add(Node[] active, int open, Node node) {
+    private static int addIfPresent(Node[] active, int activeCount, Node node) {
         if (node == null) {
-            return open;
+            return activeCount;
         }
-        active[open] = node;
-        return open + 1;
+        active[activeCount] = node;
+        return activeCount + 1;
     }
 
-    /** Takes each active node on by a segment; those that end, or have nothing before {@code best}, leave. */
-    private static int step(Node[] active, int open, String segment, OrderedRoute best) {
-        int still = 0;
+    /**
+     * Advances each active node by one segment. Nodes without such a child, or whose subtree has no route before
+     * {@code best}, are dropped.
+     */
+    private static int advance(Node[] active, int activeCount, String segment, OrderedRoute best) {
+        int remaining = 0;
         int hash = hash(segment);
-        for (int i = 0; i < open; i++) {
+        for (int i = 0; i < activeCount; i++) {
             Node node = child(active[i].edges, segment, hash);
-            if (node != null && (best == null || OrderedRoute.compare(node.first, best) < 0)) {
-                active[still++] = node;
+            if (node != null && (best == null || OrderedRoute.compare(node.firstRoute, best) < 0)) {
+                active[remaining++] = node;
             }
         }
-        return still;
+        return remaining;
     }
 
-    /** The first candidate of a node that fits, if it comes before {@code best}; else that. */
-    private static OrderedRoute candidate(Node node, RouteCriteria request, OrderedRoute best) {
+    /** The first matching candidate of a node if it precedes {@code best}, else {@code best}. */
+    private static OrderedRoute earlierMatch(Node node, RouteCriteria request, OrderedRoute best) {
         for (OrderedRoute each : node.candidates) {
             if (best != null && OrderedRoute.compare(each, best) >= 0) {
                 return best;
             }
-            if (each.route().match().fits(request)) {
+            if (each.route().match().matches(request)) {
                 return each;
             }
         }
@@ -152,24 +171,27 @@
         return child(node.edges, label, hash(label));
     }
 
-    /** The node at the end of an edge; null where there is none. */
+    /** The child node for a label, or null if there is none. */
     private static Node child(Object edges, String label, int hash) {
-        Object at = edges;
-        for (int shift = 0; at instanceof Branch branch; shift += BITS) {
+        Object current = edges;
+        for (int shift = 0; current instanceof Branch branch; shift += BITS_PER_LEVEL) {
             if (shift >= HASH_BITS) {
-                int alike = alike(branch, label);
-                return alike < 0 ? null : (Node) branch.below[alike];
+                int index = collisionIndex(branch, label);
+                return index < 0 ? null : (Node) branch.children[index];
             }
-            int bit = bit(hash, shift);
-            if ((branch.bits & bit) == 0) {
+            int bit = branchBit(hash, shift);
+            if ((branch.bitmap & bit) == 0) {
                 return null;
             }
-            at = branch.below[slot(branch, bit)];
+            current = branch.children[childIndex(branch, bit)];
         }
-        return at != null && same(((Node) at).label, label) ? (Node) at : null;
+        return current != null && labelsEqual(((Node) current).label, label) ? (Node) current : null;
     }
 
-    /** Spread, so that labels that differ in few characters differ in the lowest bits (the end of MurmurHash3); two are alike where the strings' are. */
+    /**
+     * The finalizer of MurmurHash3, so that labels that differ in few characters differ in the lowest bits. Hashes are
+     * equal if and only if the strings' hash codes are.
+     */
     private static int hash(String label) {
         int hash = label == null ? 0 : label.hashCode();
         hash = (hash ^ hash >>> 16) * 0x85ebca6b;
@@ -177,146 +199,160 @@
         return hash ^ hash >>> 16;
     }
 
-    private static boolean same(String one, String other) {
+    private static boolean labelsEqual(String one, String other) {
         return one == null ? other == null : one.equals(other);
     }
 
-    private static int bit(int hash, int shift) {
-        return 1 << (hash >>> shift & (1 << BITS) - 1);
+    private static int branchBit(int hash, int shift) {
+        return 1 << (hash >>> shift & (1 << BITS_PER_LEVEL) - 1);
     }
 
-    private static int slot(Branch branch, int bit) {
-        return Integer.bitCount(branch.bits & bit - 1);
+    private static int childIndex(Branch branch, int bit) {
+        return Integer.bitCount(branch.bitmap & bit - 1);
     }
 
-    /** Where a label is among those with one hash; -1 for nowhere. */
-    private static int alike(Branch branch, String label) {
-        int at = branch.below.length - 1;
-        while (at >= 0 && !same(((Node) branch.below[at]).label, label)) {
-            at--;
+    /** Index of a label among children with the same hash, or -1. */
+    private static int collisionIndex(Branch branch, String label) {
+        int index = branch.children.length - 1;
+        while (index >= 0 && !labelsEqual(((Node) branch.children[index]).label, label)) {
+            index--;
         }
-        return at;
+        return index;
     }
 
-    /** Edges with this node's among them, in place of one with its label. */
+    /** Returns the edges with this node added, replacing a node with the same label. */
     private static Object with(Object edges, Node node, int hash, int shift) {
         if (edges == null) {
             return node;
         }
         if (edges instanceof Node other) {
-            return same(other.label, node.label) ? node : both(other, node, hash, shift);
+            return labelsEqual(other.label, node.label) ? node : branchOf(other, node, hash, shift);
         }
         Branch branch = (Branch) edges;
         if (shift >= HASH_BITS) {
-            int alike = alike(branch, node.label);
-            return new Branch(0, alike < 0 ? inserted(branch.below, branch.below.length, node) : replaced(branch.below, alike, node));
+            int index = collisionIndex(branch, node.label);
+            return new Branch(0, index < 0 ? copyWithInserted(branch.children, branch.children.length, node)
+                    : copyWithReplaced(branch.children, index, node));
         }
-        int bit = bit(hash, shift);
-        int slot = slot(branch, bit);
-        return (branch.bits & bit) == 0 ? new Branch(branch.bits | bit, inserted(branch.below, slot, node))
-                : new Branch(branch.bits, replaced(branch.below, slot, with(branch.below[slot], node, hash, shift + BITS)));
+        int bit = branchBit(hash, shift);
+        int index = childIndex(branch, bit);
+        return (branch.bitmap & bit) == 0
+                ? new Branch(branch.bitmap | bit, copyWithInserted(branch.children, index, node))
+                : new Branch(branch.bitmap, copyWithReplaced(branch.children, index,
+                        with(branch.children[index], node, hash, shift + BITS_PER_LEVEL)));
     }
 
-    private static Branch both(Node one, Node other, int otherHash, int shift) {
+    private static Branch branchOf(Node one, Node other, int otherHash, int shift) {
         if (shift >= HASH_BITS) {
             return new Branch(0, new Object[] {one, other});
         }
-        int oneBit = bit(hash(one.label), shift);
-        int otherBit = bit(otherHash, shift);
+        int oneBit = branchBit(hash(one.label), shift);
+        int otherBit = branchBit(otherHash, shift);
         if (oneBit == otherBit) {
-            return new Branch(oneBit, new Object[] {both(one, other, otherHash, shift + BITS)});
+            return new Branch(oneBit, new Object[] {branchOf(one, other, otherHash, shift + BITS_PER_LEVEL)});
         }
         boolean inOrder = Integer.compareUnsigned(oneBit, otherBit) < 0;
         return new Branch(oneBit | otherBit, inOrder ? new Object[] {one, other} : new Object[] {other, one});
     }
 
-    /** Edges without that of a label, which is there; null for none left. */
+    /** Returns the edges without the node of a label, which must be present; null if none is left. */
     private static Object without(Object edges, String label, int hash, int shift) {
         if (!(edges instanceof Branch branch)) {
             return null;
         }
-        boolean spent = shift >= HASH_BITS;
-        int bit = spent ? 0 : bit(hash, shift);
-        int slot = spent ? alike(branch, label) : slot(branch, bit);
-        Object left = spent ? null : without(branch.below[slot], label, hash, shift + BITS);
-        Object[] below = left == null ? removed(branch.below, slot) : replaced(branch.below, slot, left);
-        if (below.length == 0) {
+        boolean hashExhausted = shift >= HASH_BITS;
+        int bit = hashExhausted ? 0 : branchBit(hash, shift);
+        int index = hashExhausted ? collisionIndex(branch, label) : childIndex(branch, bit);
+        Object remaining = hashExhausted ? null : without(branch.children[index], label, hash, shift + BITS_PER_LEVEL);
+        Object[] children = remaining == null ? copyWithRemoved(branch.children, index)
+                : copyWithReplaced(branch.children, index, remaining);
+        if (children.length == 0) {
             return null;
         }
-        return below.length == 1 && below[0] instanceof Node ? below[0] : new Branch(left == null ? branch.bits & ~bit : branch.bits, below);
+        return children.length == 1 && children[0] instanceof Node ? children[0]
+                : new Branch(remaining == null ? branch.bitmap & ~bit : branch.bitmap, children);
     }
 
-    private static <T> T[] inserted(T[] all, int at, T one) {
+    private static <T> T[] copyWithInserted(T[] all, int index, T element) {
         T[] longer = Arrays.copyOf(all, all.length + 1);
-        System.arraycopy(all, at, longer, at + 1, all.length - at);
-        longer[at] = one;
+        System.arraycopy(all, index, longer, index + 1, all.length - index);
+        longer[index] = element;
         return longer;
     }
 
-    private static <T> T[] replaced(T[] all, int at, T one) {
-        T[] next = all.clone();
-        next[at] = one;
-        return next;
+    private static <T> T[] copyWithReplaced(T[] all, int index, T element) {
+        T[] copy = all.clone();
+        copy[index] = element;
+        return copy;
     }
 
-    private static <T> T[] removed(T[] all, int at) {
+    private static <T> T[] copyWithRemoved(T[] all, int index) {
         T[] shorter = Arrays.copyOf(all, all.length - 1);
-        System.arraycopy(all, at + 1, shorter, at, shorter.length - at);
+        System.arraycopy(all, index + 1, shorter, index, shorter.length - index);
         return shorter;
     }
 
     // ---- changes
 
-    /** With one more route. Throws IllegalArgumentException where one has its place already. */
+    /** Returns an index with one more route. Throws IllegalArgumentException if another route has its position. */
     RouteIndex with(OrderedRoute route) {
-        return changed(route.route().match(), route, true);
+        return withChange(route.route().match(), route, true);
     }
 
-    /** Without a route. Throws IllegalArgumentException where it isn't there. */
+    /** Returns an index without a route. Throws IllegalArgumentException if the route is not present. */
     RouteIndex without(OrderedRoute route) {
-        return changed(route.route().match(), route, false);
+        return withChange(route.route().match(), route, false);
     }
 
-    /** From the root down along the labels, and back up with a copy of each node; a loop, since a prefix may have as many segments as characters. */
-    private RouteIndex changed(Match match, OrderedRoute route, boolean come) {
+    /**
+     * Walks down from the root along the labels, then copies each node on the way back up. A loop rather than a
+     * recursion, since a prefix may have as many segments as characters.
+     */
+    private RouteIndex withChange(Match match, OrderedRoute route, boolean adding) {
         List<String> labels = labels(match);
-        Node[] way = new Node[labels.size() + 1];
-        way[0] = root;
-        for (int i = 0; i < labels.size() && way[i] != null; i++) {
-            way[i + 1] = child(way[i], labels.get(i));
+        Node[] nodes = new Node[labels.size() + 1];
+        nodes[0] = root;
+        for (int i = 0; i < labels.size() && nodes[i] != null; i++) {
+            nodes[i + 1] = child(nodes[i], labels.get(i));
         }
-        Node old = way[labels.size()];
-        OrderedRoute[] there = old == null ? NONE : old.candidates;
-        int at = Arrays.binarySearch(there, route, OrderedRoute::compare);
-        if (come == at >= 0) {
-            throw new IllegalArgumentException("route " + route.route().name() + ": expected " + (come ? "a place of its own" : "it in its place") + ", found " + (come ? "another there" : "none"));
+        Node oldNode = nodes[labels.size()];
+        OrderedRoute[] existing = oldNode == null ? NO_CANDIDATES : oldNode.candidates;
+        int position = Arrays.binarySearch(existing, route, OrderedRoute::compare);
+        if (adding == position >= 0) {
+            throw new IllegalArgumentException("route " + route.route().name() + ": expected "
+                    + (adding ? "a free position to add it" : "it at its position to remove it") + ", found "
+                    + (adding ? "another route there" : "none"));
         }
-        OrderedRoute[] candidates = come ? inserted(there, -at - 1, route) : removed(there, at);
-        Object edges = old == null ? null : old.edges;
+        OrderedRoute[] candidates = adding ? copyWithInserted(existing, -position - 1, route)
+                : copyWithRemoved(existing, position);
+        Object edges = oldNode == null ? null : oldNode.edges;
         for (int i = labels.size() - 1; i >= 0; i--) {
             String label = labels.get(i);
-            Node above = way[i];
-            Node below = candidates.length == 0 && edges == null ? null : new Node(label, candidates, edges);
-            candidates = above == null ? NONE : above.candidates;
-            edges = above == null ? null : above.edges;
-            edges = below == null ? without(edges, label, hash(label), 0) : with(edges, below, hash(label), 0);
+            Node parent = nodes[i];
+            Node child = candidates.length == 0 && edges == null ? null : new Node(label, candidates, edges);
+            candidates = parent == null ? NO_CANDIDATES : parent.candidates;
+            edges = parent == null ? null : parent.edges;
+            edges = child == null ? without(edges, label, hash(label), 0) : with(edges, child, hash(label), 0);
         }
         return new RouteIndex(new Node(null, candidates, edges));
     }
 
-    /** The way to the node that a route belongs to. {@code /a} and {@code /a/} share one: both are met by paths whose first segments are these, and {@code fits} tells them apart. */
+    /**
+     * The labels on the path to the node that holds a route. {@code /a} and {@code /a/} share a node: paths whose first
+     * segment is {@code a} reach it for both, and {@link Match#matches} distinguishes them.
+     */
     private static List<String> labels(Match match) {
         List<String> labels = new ArrayList<>();
         labels.add(match.className());
         labels.add(match.tenant());
         String prefix = match.pathPrefix() == null ? "" : match.pathPrefix();
-        int from = 0;
-        for (int slash = prefix.indexOf('/'); slash >= 0; slash = prefix.indexOf('/', from)) {
-            labels.add(prefix.substring(from, slash));
-            from = slash + 1;
+        int segmentStart = 0;
+        for (int slash = prefix.indexOf('/'); slash >= 0; slash = prefix.indexOf('/', segmentStart)) {
+            labels.add(prefix.substring(segmentStart, slash));
+            segmentStart = slash + 1;
         }
-        if (from < prefix.length()) {
-            labels.add(prefix.substring(from));
+        if (segmentStart < prefix.length()) {
+            labels.add(prefix.substring(segmentStart));
         }
         return labels;
     }
--- a/src/main/java/mastdrift/routing/RouteTable.java
+++ b/src/main/java/mastdrift/routing/RouteTable.java
@@ -8,41 +8,45 @@
 import mastdrift.routing.Route.Target;
 
 /**
- * Routes in their order; the first that matches decides. Immutable, and pure to make: a big one is made off the loop and handed
- * over, and {@link #changed} makes the next one in parts. {@link RouteIndex} finds the route among many; a few are looked at one by one, which is faster for them
+ * An ordered list of routes, of which the first that matches a request applies. Immutable and free of side effects: a
+ * large table can be built off the event loop and handed over, and {@link #withChanges} derives the next one
+ * incrementally. Large tables use a {@link RouteIndex}; small ones are scanned linearly, which is faster for them
  * (docs/measurements/tables.md).
  *
- * <p>Among a route's pools a key chooses by weighted rendezvous hashing: each pool draws u in (0,1) from a hash of key and
- * pool, and the lowest -ln(u)/weight wins, which gives every pool its part of the keys. A changed weight moves only keys
- * to or from that pool, so most keyed repeats find their group also across a change. Costs a hash and a logarithm a pool.
- * Thaler, Ravishankar, "Using name-based mappings to increase hit rates", 1998; the weights after Schindelhauer,
- * Schomaker, "Weighted distributed hash tables", 2005.
+ * <p>A key chooses among a route's pools by weighted rendezvous hashing: each pool draws u in (0,1) from a hash of key
+ * and pool, and the lowest -ln(u)/weight wins, which gives every pool its fraction of the keys. A changed weight moves
+ * only keys to or from that pool, so most repeats of keyed requests reach the same group of hosts even across a change.
+ * Costs one hash and one logarithm per pool. Thaler, Ravishankar, "Using name-based mappings to increase hit rates",
+ * 1998; the weights after Schindelhauer, Schomaker, "Weighted distributed hash tables", 2005.
  */
 public final class RouteTable {
 
-    /** Routes of one table: twice what the largest fleet that this is made for has (docs/CAPACITY.md). */
-    public static final int ROUTES_MOST = 56_000;
+    /** Twice the number of routes of the largest supported fleet (docs/CAPACITY.md). */
+    public static final int MAX_ROUTES = 56_000;
 
-    /** Routes that are looked at one by one. */
-    static final int LINEAR_MOST = 16;
+    /** Tables of up to this many routes are scanned linearly. */
+    static final int MAX_LINEAR_ROUTES = 16;
 
     private final OrderedRoute[] ordered;
-    private final RouteIndex index;  // null where the routes are looked at one by one
+    private final RouteIndex index;  // null if the routes are scanned linearly
 
-    /** An empty table matches nothing. Throws IllegalArgumentException for more than {@value #ROUTES_MOST} routes. */
+    /**
+     * A table of these routes; an empty one matches nothing. Throws IllegalArgumentException for more than
+     * {@value #MAX_ROUTES} routes.
+     */
     public RouteTable(List<Route> routes) {
-        this(OrderedRoute.ofList(routes).toArray(OrderedRoute[]::new), null);
+        this(OrderedRoute.fromList(routes).toArray(OrderedRoute[]::new), null);
     }
 
     private RouteTable(OrderedRoute[] ordered, RouteIndex index) {
-        if (ordered.length > ROUTES_MOST) {
-            throw new IllegalArgumentException("expected at most " + ROUTES_MOST + " routes, found " + ordered.length);
+        if (ordered.length > MAX_ROUTES) {
+            throw new IllegalArgumentException("expected at most " + MAX_ROUTES + " routes, found " + ordered.length);
         }
         this.ordered = ordered;
-        this.index = ordered.length <= LINEAR_MOST ? null : index == null ? index(ordered) : index;
+        this.index = ordered.length <= MAX_LINEAR_ROUTES ? null : index == null ? buildIndex(ordered) : index;
     }
 
-    private static RouteIndex index(OrderedRoute[] ordered) {
+    private static RouteIndex buildIndex(OrderedRoute[] ordered) {
         RouteIndex index = RouteIndex.EMPTY;
         for (OrderedRoute each : ordered) {
             index = index.with(each);
@@ -50,55 +54,61 @@
         return index;
     }
 
-    /** Another table, without some routes of this one and with others; costs some microseconds for each of them, and a copy of the list. Throws IllegalArgumentException where one that
-        goes isn't there, one that comes has the place of another, or there are more than {@value #ROUTES_MOST} then. */
-    public RouteTable changed(Collection<? extends OrderedRoute> gone, Collection<? extends OrderedRoute> come) {
-        OrderedRoute[] going = sorted(gone);
-        OrderedRoute[] coming = sorted(come);
-        OrderedRoute[] next = with(without(ordered, going), coming);
-        RouteIndex changed = index;
-        for (int i = 0; changed != null && i < going.length; i++) {
-            changed = changed.without(going[i]);
+    /**
+     * Returns a table without some routes of this one and with others added. Costs some microseconds for each of them,
+     * and a copy of the list. Throws IllegalArgumentException if a route to remove is not present, if a route to add
+     * has the position of another, or if the result has more than {@value #MAX_ROUTES} routes.
+     */
+    public RouteTable withChanges(Collection<? extends OrderedRoute> removed,
+            Collection<? extends OrderedRoute> added) {
+        OrderedRoute[] sortedRemoved = sorted(removed);
+        OrderedRoute[] sortedAdded = sorted(added);
+        OrderedRoute[] nextOrdered = with(without(ordered, sortedRemoved), sortedAdded);
+        RouteIndex nextIndex = index;
+        for (int i = 0; nextIndex != null && i < sortedRemoved.length; i++) {
+            nextIndex = nextIndex.without(sortedRemoved[i]);
         }
-        for (int i = 0; changed != null && i < coming.length; i++) {
-            changed = changed.with(coming[i]);
+        for (int i = 0; nextIndex != null && i < sortedAdded.length; i++) {
+            nextIndex = nextIndex.with(sortedAdded[i]);
         }
-        return new RouteTable(next, changed);
+        return new RouteTable(nextOrdered, nextIndex);
     }
 
-    private static OrderedRoute[] without(OrderedRoute[] all, OrderedRoute[] going) {
-        OrderedRoute[] left = new OrderedRoute[all.length];
+    private static OrderedRoute[] without(OrderedRoute[] all, OrderedRoute[] removed) {
+        OrderedRoute[] remaining = new OrderedRoute[all.length];
         int from = 0;
         int to = 0;
-        for (OrderedRoute each : going) {
-            int at = Arrays.binarySearch(all, from, all.length, each, OrderedRoute::compare);
-            if (at < 0) {
-                throw new IllegalArgumentException("route " + each.route().name() + ": expected it in its place, found none");
+        for (OrderedRoute each : removed) {
+            int position = Arrays.binarySearch(all, from, all.length, each, OrderedRoute::compare);
+            if (position < 0) {
+                throw new IllegalArgumentException("route " + each.route().name()
+                        + ": expected it at its position to remove it, found none");
             }
-            System.arraycopy(all, from, left, to, at - from);
-            to += at - from;
-            from = at + 1;
+            System.arraycopy(all, from, remaining, to, position - from);
+            to += position - from;
+            from = position + 1;
         }
-        System.arraycopy(all, from, left, to, all.length - from);
-        return Arrays.copyOf(left, to + all.length - from);
+        System.arraycopy(all, from, remaining, to, all.length - from);
+        return Arrays.copyOf(remaining, to + all.length - from);
     }
 
-    private static OrderedRoute[] with(OrderedRoute[] all, OrderedRoute[] coming) {
-        OrderedRoute[] next = new OrderedRoute[all.length + coming.length];
+    private static OrderedRoute[] with(OrderedRoute[] all, OrderedRoute[] added) {
+        OrderedRoute[] merged = new OrderedRoute[all.length + added.length];
         int from = 0;
         int to = 0;
-        for (OrderedRoute each : coming) {
-            int at = Arrays.binarySearch(all, from, all.length, each, OrderedRoute::compare);
-            if (at >= 0 || to > 0 && OrderedRoute.compare(next[to - 1], each) == 0) {
-                throw new IllegalArgumentException("route " + each.route().name() + ": expected a place of its own, found another there");
+        for (OrderedRoute each : added) {
+            int position = Arrays.binarySearch(all, from, all.length, each, OrderedRoute::compare);
+            if (position >= 0 || to > 0 && OrderedRoute.compare(merged[to - 1], each) == 0) {
+                throw new IllegalArgumentException("route " + each.route().name()
+                        + ": expected a free position to add it, found another route there");
             }
-            System.arraycopy(all, from, next, to, -at - 1 - from);
-            to += -at - 1 - from;
-            from = -at - 1;
-            next[to++] = each;
+            System.arraycopy(all, from, merged, to, -position - 1 - from);
+            to += -position - 1 - from;
+            from = -position - 1;
+            merged[to++] = each;
         }
-        System.arraycopy(all, from, next, to, all.length - from);
-        return next;
+        System.arraycopy(all, from, merged, to, all.length - from);
+        return merged;
     }
 
     private static OrderedRoute[] sorted(Collection<? extends OrderedRoute> routes) {
@@ -107,7 +117,7 @@
         return sorted;
     }
 
-    /** In their order. */
+    /** All routes, in the order in which they are tried. */
     public List<Route> routes() {
         return new AbstractList<>() {
 
@@ -124,43 +134,47 @@
     }
 
     /** The first route that matches, or null. */
-    public Route route(RouteCriteria request) {
-        return index != null ? index.first(request) : linear(request);
+    public Route firstMatch(RouteCriteria request) {
+        return index != null ? index.firstRoute(request) : linearSearch(request);
     }
 
-    private Route linear(RouteCriteria request) {
+    private Route linearSearch(RouteCriteria request) {
         for (OrderedRoute each : ordered) {
-            if (each.route().match().fits(request)) {
+            if (each.route().match().matches(request)) {
                 return each.route();
             }
         }
         return null;
     }
 
-    /** The pool for a request, or null where no route matches. {@code somebody} tells whether a pool has a host that may be
-        sent to; where neither the chosen pool nor the fallback has one, it is the chosen one, to refuse the request. */
-    public String pool(RouteCriteria request, Predicate<String> somebody) {
-        Route route = route(request);
+    /**
+     * The pool for a request, or null if no route matches. {@code hasAvailableHost} tells whether a pool has a host
+     * that requests may be sent to. If neither the chosen pool nor the fallback has one, the chosen pool is returned,
+     * which then refuses the request.
+     */
+    public String selectPool(RouteCriteria request, Predicate<String> hasAvailableHost) {
+        Route route = firstMatch(request);
         if (route == null) {
             return null;
         }
-        String chosen = choose(route.targets(), request.key());
-        boolean away = route.fallback() != null && !somebody.test(chosen) && somebody.test(route.fallback());
-        return away ? route.fallback() : chosen;
+        String chosen = choosePool(route.targets(), request.key());
+        boolean useFallback = route.fallback() != null && !hasAvailableHost.test(chosen)
+                && hasAvailableHost.test(route.fallback());
+        return useFallback ? route.fallback() : chosen;
     }
 
-    private static String choose(List<Target> targets, long key) {
+    private static String choosePool(List<Target> targets, long key) {
         if (targets.size() == 1) {
             return targets.get(0).pool();
         }
         String best = null;
-        double lowest = Double.POSITIVE_INFINITY;
+        double lowestScore = Double.POSITIVE_INFINITY;
         for (Target target : targets) {
-            long hash = Hashing.mix(key ^ Hashing.mix(Hashing.text(target.pool())));
-            double u = ((hash >>> 11) + 0.5) * 0x1.0p-53;
-            double score = -Math.log(u) / target.weight();
-            if (score < lowest) {
-                lowest = score;
+            long hash = Hashing.mixBits(key ^ Hashing.mixBits(Hashing.hashText(target.pool())));
+            double uniform = ((hash >>> 11) + 0.5) * 0x1.0p-53;
+            double score = -Math.log(uniform) / target.weight();
+            if (score < lowestScore) {
+                lowestScore = score;
                 best = target.pool();
             }
         }
--- a/src/main/java/mastdrift/routing/Router.java
+++ b/src/main/java/mastdrift/routing/Router.java
@@ -3,44 +3,54 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** The routes in force and the pins that outlive them. One instance a gateway, on its loop. */
+/**
+ * Chooses the pool for each request from the active route table and from the pins of keyed requests, which outlive a
+ * change of the table. One instance per gateway, used on its event loop only.
+ */
 public final class Router {
 
-    /** Keys that are remembered at once: at 40 bytes an entry and some more for the map, about 8 MB. */
-    public static final int PINS_MOST = 1 << 16;
+    /** Maximum number of pinned keys: at 40 bytes an entry and some more for the map, about 8 MB. */
+    public static final int MAX_PINS = 1 << 16;
 
     private final PinTable pins;
     private RouteTable table = new RouteTable(List.of());
 
     /** Pins at most this many keys. */
-    public Router(int pinsMost) {
-        pins = new PinTable(pinsMost);
+    public Router(int maxPins) {
+        pins = new PinTable(maxPins);
     }
 
-    /** Puts other routes in force; pins stay. */
-    public void swap(RouteTable routes) {
+    /** Activates another route table; pins are kept. */
+    public void setRoutes(RouteTable routes) {
         table = routes;
     }
 
-    /** The pool for a request that is safe to repeat, or that must never be: see {@link RouteTable#pool}. */
-    public String pool(RouteCriteria request, Predicate<String> somebody) {
-        return table.pool(request, somebody);
+    /**
+     * The pool for a request that either is safe to repeat or must never be repeated; see
+     * {@link RouteTable#selectPool}.
+     */
+    public String selectPool(RouteCriteria request, Predicate<String> hasAvailableHost) {
+        return table.selectPool(request, hasAvailableHost);
     }
 
-    /** The pool for a keyed request: where the key went before, while a repeat may meet the window; else by the routes.
-        {@code until} ends the time in which it, or what it sent, may still be dropped as a repeat. */
-    public String keyed(long now, RouteCriteria request, long until, Predicate<String> somebody) {
-        long key = Hashing.mix(request.key() ^ Hashing.text(request.className()));
-        String pinned = pins.pool(now, key);
-        String pool = pinned != null ? pinned : table.pool(request, somebody);
+    /**
+     * The pool for a keyed request: the pool that the key was sent to before, as long as a repeat can still be
+     * recognized there, else the pool by the routes. {@code expiresAtMicros} is the time in microseconds up to which
+     * this request, or an attempt sent for it, may still be dropped as a duplicate.
+     */
+    public String selectPoolForKey(long nowMicros, RouteCriteria request, long expiresAtMicros,
+            Predicate<String> hasAvailableHost) {
+        long key = Hashing.mixBits(request.key() ^ Hashing.hashText(request.className()));
+        String pinned = pins.poolFor(nowMicros, key);
+        String pool = pinned != null ? pinned : table.selectPool(request, hasAvailableHost);
         if (pool != null) {
-            pins.pin(now, key, pool, until);
+            pins.pin(nowMicros, key, pool, expiresAtMicros);
         }
         return pool;
     }
 
-    /** Whether a keyed request may still come back to this pool. */
-    public boolean holds(long now, String pool) {
-        return pins.holds(now, pool);
+    /** Whether any keyed request is still pinned to this pool. */
+    public boolean hasPinTo(long nowMicros, String pool) {
+        return pins.hasPinTo(nowMicros, pool);
     }
 }
--- a/src/main/java/mastdrift/routing/package-info.java
+++ b/src/main/java/mastdrift/routing/package-info.java
@@ -1,3 +1,5 @@
-/** Which pool a request goes to: routes, weights by key, and pins that keep a keyed request with the hosts that drop its
-    repeats. Pure: no I/O, no threads, no clock of its own. */
+/**
+ * Chooses the pool that a request is sent to: routes, targets weighted by key, and pins that keep repeats of a keyed
+ * request with the hosts that suppress its duplicates. Pure: no I/O, no threads, no clock of its own.
+ */
 package mastdrift.routing;
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -105,7 +105,7 @@
     private final Clock clock = timed.clock();
     private final SplittableRandom seeds = new SplittableRandom();
     private final Ledger ledger = new Ledger(timed.timers(), clock, timed.turns(), OPEN_MOST, this::log);
-    private final Router router = new Router(Router.PINS_MOST);
+    private final Router router = new Router(Router.MAX_PINS);
     private final Map<String, Served> pools = new HashMap<>();
     private final Control control = new Control(new Loop(), clock::now);
     private final Watcher watcher;
@@ -293,7 +293,7 @@
                 peers = new PeerService(file, next, secrets::get, seeds.nextLong(), events);
             }
             if (gateway == null && next.distribution() != null) {
-                distribution = new DistributionService(file, next, secrets::get, seeds.nextLong(), loop, router::swap, events);
+                distribution = new DistributionService(file, next, secrets::get, seeds.nextLong(), loop, router::setRoutes, events);
             }
             RouteTable routes = new RouteTable(next.routes());  // here, since a big one takes longer than the loop may
             loop.submit(() -> configure(next, routes, ready)).syncUninterruptibly();
@@ -353,7 +353,7 @@
             }
         });
         changed.forEach((name, list) -> learn(pools.get(name), list));
-        router.swap(distribution == null ? routes : distribution.table(routes));
+        router.setRoutes(distribution == null ? routes : distribution.table(routes));
     }
 
     private void zones(Configuration next) {
@@ -436,7 +436,7 @@
     }
 
     private void forget(String name, Served served) {
-        if (pools.get(name) == served && router.holds(clock.now(), name)) {
+        if (pools.get(name) == served && router.hasPinTo(clock.now(), name)) {
             loop.schedule(() -> forget(name, served), RETIRE_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             pools.remove(name, served);
@@ -451,7 +451,7 @@
     private Pool route(RequestClass type, String tenant, HttpRequest message, Long key) {
         String uri = message.uri();
         int query = uri.indexOf('?');
-        long seed = key != null ? key : Hashing.text(message.headers().get("X-Trace-Id"));
+        long seed = key != null ? key : Hashing.hashText(message.headers().get("X-Trace-Id"));
         RouteCriteria traits = new RouteCriteria(type.name(), tenant, query < 0 ? uri : uri.substring(0, query), gateway.zone(), seed,
                 message.headers()::getAll);
         return pool(type, traits, false);
@@ -477,8 +477,8 @@
     private Pool pool(RequestClass type, RouteCriteria traits, boolean asRadius) {
         long now = clock.now();
         String name = type.repeat() == Repeat.KEYED
-                ? router.keyed(now, traits, now + type.deadline() + type.dedupWindow(), this::somebody)
-                : router.pool(traits, this::somebody);
+                ? router.selectPoolForKey(now, traits, now + type.deadline() + type.dedupWindow(), this::somebody)
+                : router.selectPool(traits, this::somebody);
         Served served = name == null ? null : pools.get(name);
         return served == null || served.radius != asRadius ? null : served.pool;
     }
--- a/src/test/java/mastdrift/config/ResourceRoutesTest.java
+++ b/src/test/java/mastdrift/config/ResourceRoutesTest.java
@@ -95,17 +95,17 @@
     void atTheBoundOfATableOneMoreIsHeldBack() {
         ResourceRoutes routes = new ResourceRoutes(checks(FILE));
         List<Resource> most = new ArrayList<>();
-        for (int i = 0; i < RouteTable.ROUTES_MOST; i++) {
+        for (int i = 0; i < RouteTable.MAX_ROUTES; i++) {
             most.add(route("r" + i, 1, 1, "p", ""));
         }
         assertTrue(routes.all(most));
-        assertEquals(RouteTable.ROUTES_MOST, new RouteTable(routes.routes()).routes().size());
+        assertEquals(RouteTable.MAX_ROUTES, new RouteTable(routes.routes()).routes().size());
         assertFalse(routes.change(delta(2, List.of(route("more", 2, 2, "p", "")))));
         assertEquals("expected at most 56000 routes, found 56001", routes.problem());
-        assertEquals(RouteTable.ROUTES_MOST, routes.routes().size());
+        assertEquals(RouteTable.MAX_ROUTES, routes.routes().size());
         assertTrue(routes.change(delta(3, List.of(route("more", 3, 2, "p", "")), "r0")));
         assertNull(routes.problem());
-        assertEquals(RouteTable.ROUTES_MOST, routes.routes().size());
+        assertEquals(RouteTable.MAX_ROUTES, routes.routes().size());
     }
 
     /** A change with one bad route is held back whole, what was before stays, and the next ones come. */
--- a/src/test/java/mastdrift/routing/RoutingTest.java
+++ b/src/test/java/mastdrift/routing/RoutingTest.java
@@ -24,24 +24,24 @@
 
     private static final int KEYS = 20_000;
 
-    private static RouteCriteria traits(String className, String tenant, String path, String zone, long key) {
+    private static RouteCriteria criteria(String className, String tenant, String path, String zone, long key) {
         return new RouteCriteria(className, tenant, path, zone, key,
                 name -> name.equalsIgnoreCase("X-Canary") ? List.of("0", "1") : List.of());
     }
 
-    private static RouteCriteria keyed(long key) {
-        return traits("start", "acme", "/api", "bilbao", key);
+    private static RouteCriteria keyedRequest(long key) {
+        return criteria("start", "acme", "/api", "bilbao", key);
     }
 
     private static Route route(String name, Match match, String fallback, Target... targets) {
         return new Route(name, match, List.of(targets), fallback);
     }
 
-    private static RouteTable split(double a, double b) {
+    private static RouteTable splitTable(double a, double b) {
         return new RouteTable(List.of(route("all", Match.ANY, null, new Target("a", a), new Target("b", b))));
     }
 
-    /** Each part of a match narrows it, and a path ends with a segment. */
+    /** Each condition of a match narrows it, and a path prefix ends at a segment boundary. */
     @ParameterizedTest
     @CsvSource(nullValues = "-", value = {
         "start, -, -, -, -, -, true", "read, -, -, -, -, -, false", "-, acme, -, -, -, -, true",
@@ -51,52 +51,58 @@
         "-, -, -, X-Canary, -, -, true", "-, -, -, X-Other, -, -, false", "-, -, -, -, -, bilbao, true",
         "-, -, -, -, -, oviedo, false", "start, acme, /api, X-Canary, 0, bilbao, true",
         "start, acme, /api, X-Canary, 0, oviedo, false"})
-    void aMatchFitsWhereAllOfItDoes(String className, String tenant, String path, String header, String value, String zone,
-            boolean fits) {
+    void requestMatchesWhenAllConditionsDo(String className, String tenant, String path, String header, String value,
+            String zone, boolean matches) {
         Match match = new Match(className, tenant, path, header, value, zone);
-        assertEquals(fits, match.fits(traits("start", "acme", "/api/x/y", "bilbao", 1)));
+        assertEquals(matches, match.matches(criteria("start", "acme", "/api/x/y", "bilbao", 1)));
     }
 
     @Test
-    void theFirstRouteThatMatchesDecides() {
+    void firstMatchingRouteSelectsThePool() {
         RouteTable table = new RouteTable(List.of(
                 route("one", new Match("read", null, null, null, null, null), null, new Target("a", 1)),
                 route("two", new Match(null, "acme", null, null, null, null), null, new Target("b", 1)),
                 route("three", Match.ANY, null, new Target("c", 1))));
-        assertEquals("a", table.pool(traits("read", "acme", "/api", "bilbao", 1), pool -> true));
-        assertEquals("b", table.pool(keyed(1), pool -> true));
-        assertEquals("c", table.pool(traits("start", null, "/api", "bilbao", 1), pool -> true));
-        assertNull(new RouteTable(List.of()).pool(keyed(1), pool -> true));
+        assertEquals("a", table.selectPool(criteria("read", "acme", "/api", "bilbao", 1), pool -> true));
+        assertEquals("b", table.selectPool(keyedRequest(1), pool -> true));
+        assertEquals("c", table.selectPool(criteria("start", null, "/api", "bilbao", 1), pool -> true));
+        assertNull(new RouteTable(List.of()).selectPool(keyedRequest(1), pool -> true));
     }
 
     @Test
-    void aRouteWithoutAnyWeightIsNone() {
+    void routeWithoutPositiveWeightIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> route("r", Match.ANY, null, new Target("a", 0)));
         assertThrows(IllegalArgumentException.class, () -> new Target("a", -1));
         assertThrows(IllegalArgumentException.class, () -> new Target("a", Double.NaN));
     }
 
-    /** Three standard deviations of a binomial share of 20,000 keys are about 0.01. */
+    /** Three standard deviations of a binomial fraction of 20,000 keys are about 0.01. */
     @ParameterizedTest
     @CsvSource({"1, 1, 0.5", "9, 1, 0.9", "0.02, 0.01, 0.667", "1, 0, 1", "0, 5, 0"})
-    void keysAreSplitByWeight(double a, double b, double part) {
-        RouteTable table = split(a, b);
-        long toA = new SplittableRandom(1).longs(KEYS).filter(key -> table.pool(keyed(key), p -> true).equals("a")).count();
-        assertEquals(part, toA / (double) KEYS, 0.012);
+    void keysAreSplitByWeight(double a, double b, double fraction) {
+        RouteTable table = splitTable(a, b);
+        long toA = new SplittableRandom(1).longs(KEYS)
+                .filter(key -> table.selectPool(keyedRequest(key), p -> true).equals("a")).count();
+        assertEquals(fraction, toA / (double) KEYS, 0.012);
     }
 
-    /** Guards against keys that move between pools whose weights stayed: their hosts' memory of them would be lost. */
+    /**
+     * Guards against keys that move between pools whose weights did not change: the hosts that can recognize their
+     * repeats would be lost.
+     */
     @Property(tries = 200, seed = "41")
-    void aChangedWeightMovesKeysOnlyToOrFromItsPool(@ForAll long key, @ForAll @DoubleRange(min = 0.01, max = 100) double a,
-            @ForAll @DoubleRange(min = 0.01, max = 100) double before, @ForAll @DoubleRange(min = 0, max = 100) double after,
+    void changedWeightMovesKeysOnlyToOrFromItsPool(@ForAll long key,
+            @ForAll @DoubleRange(min = 0.01, max = 100) double a,
+            @ForAll @DoubleRange(min = 0.01, max = 100) double before,
+            @ForAll @DoubleRange(min = 0, max = 100) double after,
             @ForAll @IntRange(min = 1, max = 6) int others) {
-        String old = table(a, before, others).pool(keyed(key), pool -> true);
-        String now = table(a, after, others).pool(keyed(key), pool -> true);
+        String old = tableWithWeights(a, before, others).selectPool(keyedRequest(key), pool -> true);
+        String now = tableWithWeights(a, after, others).selectPool(keyedRequest(key), pool -> true);
         boolean moved = !old.equals(now);
         assertTrue(!moved || (after > before ? now.equals("changed") : old.equals("changed")), old + " to " + now);
     }
 
-    private static RouteTable table(double a, double changed, int others) {
+    private static RouteTable tableWithWeights(double a, double changed, int others) {
         Target[] targets = new Target[others + 1];
         targets[0] = new Target("changed", changed);
         for (int i = 1; i <= others; i++) {
@@ -107,78 +113,85 @@
 
     @ParameterizedTest
     @CsvSource({"'main,spare', main", "spare, spare", "main, main", "'', main"})
-    void theFallbackIsForAPoolWithNobody(String somebody, String chosen) {
+    void fallbackIsUsedWhenOnlyItHasAvailableHosts(String available, String chosen) {
         RouteTable table = new RouteTable(List.of(route("all", Match.ANY, "spare", new Target("main", 1))));
-        assertEquals(chosen, table.pool(keyed(1), Set.of(somebody.split(","))::contains));
+        assertEquals(chosen, table.selectPool(keyedRequest(1), Set.of(available.split(","))::contains));
     }
 
-    /** Guards against a session-start that runs in both pools: its repeat after a change goes where it went. */
+    /**
+     * Guards against a session start that runs in both pools: its repeat after a route change goes to the same pool.
+     */
     @Test
-    void aKeyedRequestsRepeatGoesWhereItWentWhateverTheRoutesSay() {
+    void repeatOfKeyedRequestStaysInItsPoolWhenRoutesChange() {
         Router router = new Router(100);
-        router.swap(split(1, 0));
-        assertEquals("a", router.keyed(0, keyed(7), 1000, pool -> true));
-        router.swap(split(0, 1));
-        assertEquals("a", router.keyed(500, keyed(7), 1500, pool -> false), "nobody left there: it is for that pool to refuse");
-        assertEquals("b", router.keyed(500, keyed(8), 1500, pool -> true), "another key");
-        assertTrue(router.holds(1400, "a"));
-        assertEquals("a", router.keyed(1400, keyed(7), 1450, pool -> true), "the longer time counts");
-        assertEquals("b", router.keyed(1500, keyed(7), 2500, pool -> true), "its window is over");
-        assertEquals("b", router.pool(keyed(7), pool -> true), "safe requests are not pinned");
+        router.setRoutes(splitTable(1, 0));
+        assertEquals("a", router.selectPoolForKey(0, keyedRequest(7), 1000, pool -> true));
+        router.setRoutes(splitTable(0, 1));
+        assertEquals("a", router.selectPoolForKey(500, keyedRequest(7), 1500, pool -> false),
+                "no available host there: that pool has to refuse it");
+        assertEquals("b", router.selectPoolForKey(500, keyedRequest(8), 1500, pool -> true), "another key");
+        assertTrue(router.hasPinTo(1400, "a"));
+        assertEquals("a", router.selectPoolForKey(1400, keyedRequest(7), 1450, pool -> true),
+                "the later expiry applies");
+        assertEquals("b", router.selectPoolForKey(1500, keyedRequest(7), 2500, pool -> true), "its pin has expired");
+        assertEquals("b", router.selectPool(keyedRequest(7), pool -> true), "safe requests are not pinned");
     }
 
     @Test
-    void aKeyOfAnotherClassIsAnotherKey() {
+    void sameKeyInAnotherClassIsPinnedSeparately() {
         Router router = new Router(100);
-        router.swap(split(1, 0));
-        router.keyed(0, keyed(7), 1000, pool -> true);
-        router.swap(split(0, 1));
-        assertEquals("b", router.keyed(1, traits("stop", "acme", "/api", "bilbao", 7), 1000, pool -> true));
+        router.setRoutes(splitTable(1, 0));
+        router.selectPoolForKey(0, keyedRequest(7), 1000, pool -> true);
+        router.setRoutes(splitTable(0, 1));
+        assertEquals("b", router.selectPoolForKey(1, criteria("stop", "acme", "/api", "bilbao", 7), 1000,
+                pool -> true));
     }
 
     @Test
-    void beyondItsBoundTheEldestPinGoes() {
+    void oldestPinIsEvictedWhenFull() {
         PinTable pins = new PinTable(3);
         for (int key = 0; key < 3; key++) {
             pins.pin(key, key, "a", 1000);
         }
-        pins.pin(3, 0, "a", 1000);  // met again: no longer the eldest
+        pins.pin(3, 0, "a", 1000);  // pinned again: no longer the oldest
         pins.pin(4, 3, "a", 1000);
         assertEquals(3, pins.size());
-        assertNull(pins.pool(5, 1));
-        assertEquals("a", pins.pool(5, 0));
+        assertNull(pins.poolFor(5, 1));
+        assertEquals("a", pins.poolFor(5, 0));
     }
 
     @Test
-    void expiredPinsLeave() {
+    void expiredPinsAreRemoved() {
         PinTable pins = new PinTable(1000);
         for (int key = 0; key < 100; key++) {
             pins.pin(key, key, "a", key + 10);
         }
-        assertTrue(pins.size() <= 11, "held: " + pins.size());
-        assertTrue(!pins.holds(200, "a"));
+        assertTrue(pins.size() <= 11, "pins held: " + pins.size());
+        assertTrue(!pins.hasPinTo(200, "a"));
     }
 
-    /** A model: the pool of a keyed request is that of its last pin while that lives, else that of the table. */
+    /**
+     * Against a model: the pool of a keyed request is that of its last pin until that expires, else that of the table.
+     */
     @Property(tries = 100, seed = "41")
-    void pinsAreKeptThroughManySteps(@ForAll long seed) {
+    void poolsOfKeyedRequestsAgreeWithModelOverManySteps(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Router router = new Router(1000);
         Map<Long, String> pools = new HashMap<>();
-        Map<Long, Long> until = new HashMap<>();
-        RouteTable table = split(1, 1);
-        router.swap(table);
+        Map<Long, Long> expiry = new HashMap<>();
+        RouteTable table = splitTable(1, 1);
+        router.setRoutes(table);
         for (long now = 0; now < 3000; now += random.nextInt(20)) {
             if (random.nextInt(20) == 0) {
-                table = split(random.nextInt(3), 1 + random.nextInt(3));
-                router.swap(table);
+                table = splitTable(random.nextInt(3), 1 + random.nextInt(3));
+                router.setRoutes(table);
             }
             long key = random.nextInt(30);
             long ends = now + random.nextInt(200);
-            boolean lives = until.getOrDefault(key, 0L) > now;
-            String expected = lives ? pools.get(key) : table.pool(keyed(key), pool -> true);
-            assertEquals(expected, router.keyed(now, keyed(key), ends, pool -> true));
-            until.put(key, lives ? Math.max(until.get(key), ends) : ends);
+            boolean pinned = expiry.getOrDefault(key, 0L) > now;
+            String expected = pinned ? pools.get(key) : table.selectPool(keyedRequest(key), pool -> true);
+            assertEquals(expected, router.selectPoolForKey(now, keyedRequest(key), ends, pool -> true));
+            expiry.put(key, pinned ? Math.max(expiry.get(key), ends) : ends);
             pools.put(key, expected);
         }
     }
