--- a/src/main/java/mastdrift/lab/load/RadiusDriver.java
+++ b/src/main/java/mastdrift/lab/load/RadiusDriver.java
@@ -56,7 +56,7 @@
             Port port = new Port();
             // A connect of a datagram channel asks nobody: it is done by the loop's next turn.
             Channel channel = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-                    .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Packet.MOST))
+                    .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Packet.MAX_BYTES))
                     .option(ChannelOption.SO_RCVBUF, 1 << 20).handler(port).connect(plan.to()).channel();
             channels.add(channel);
             for (int j = 0; j < port.slots.length; j++) {
@@ -118,7 +118,7 @@
         private void ask(Shot given, boolean waited) {
             shot = given;
             packet = own.signRequest(given.part().repeat() == Repeat.SAFE ? card() : start());
-            bytes = packet.write();
+            bytes = packet.encode();
             long left = given.part().deadline() - (System.nanoTime() - given.due()) / 1000;
             ear.left(given, waited);
             timer = loop.schedule(() -> end(Ended.UNANSWERED), Math.max(1, left), TimeUnit.MICROSECONDS);
@@ -126,13 +126,13 @@
         }
 
         private Packet card() {
-            byte[] authenticator = ByteBuffer.allocate(Packet.AUTHENTICATOR).putLong(shot.chain()).putLong(shot.due()).array();
+            byte[] authenticator = ByteBuffer.allocate(Packet.AUTHENTICATOR_BYTES).putLong(shot.chain()).putLong(shot.due()).array();
             return new Packet(Code.ACCESS_REQUEST, identifier, authenticator,
                     List.of(new Attribute(1, ("card-" + shot.key()).getBytes(StandardCharsets.US_ASCII))));
         }
 
         private Packet start() {
-            return new Packet(Code.ACCOUNTING_REQUEST, identifier, new byte[Packet.AUTHENTICATOR], List.of(
+            return new Packet(Code.ACCOUNTING_REQUEST, identifier, new byte[Packet.AUTHENTICATOR_BYTES], List.of(
                     new Attribute(Attribute.ACCT_STATUS_TYPE, new byte[] {0, 0, 0, 1}),
                     new Attribute(Attribute.ACCT_SESSION_ID, shot.repeatKey().getBytes(StandardCharsets.US_ASCII))));
         }
@@ -143,7 +143,7 @@
         }
 
         private void come(Packet answer) {
-            if (shot != null && answer.code().answers(packet.code()) && own.answers(answer, packet.authenticator(), false)) {
+            if (shot != null && answer.code().isResponseTo(packet.code()) && own.verifyResponse(answer, packet.authenticator(), false)) {
                 end(Ended.SERVED);
             }
         }
@@ -166,7 +166,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket datagram) {
             try {
-                Packet answer = Packet.read(ByteBufUtil.getBytes(datagram.content()));
+                Packet answer = Packet.decode(ByteBufUtil.getBytes(datagram.content()));
                 slots[answer.identifier()].come(answer);
             } catch (MalformedPacketException e) {
                 return;  // no answer; the right one may still come
--- a/src/main/java/mastdrift/measure/RadiusMeasurement.java
+++ b/src/main/java/mastdrift/measure/RadiusMeasurement.java
@@ -109,7 +109,7 @@
             back.configureBlocking(false).register(selector, SelectionKey.OP_READ);
             System.out.println("listening on " + front.getLocalAddress());
             SocketAddress[] askers = new SocketAddress[256];
-            ByteBuffer buffer = ByteBuffer.allocateDirect(Packet.MOST);
+            ByteBuffer buffer = ByteBuffer.allocateDirect(Packet.MAX_BYTES);
             while (true) {
                 selector.select();
                 selector.selectedKeys().clear();
@@ -159,7 +159,7 @@
         Authenticators own = new Authenticators(SECRET);
         for (int i = from; i < from + many; i++) {
             byte[] bytes = own.signRequest(new Packet(Code.ACCESS_REQUEST, i & 255, ByteBuffer.allocate(16).putInt(i).array(),
-                    List.of(new Attribute(1, "nemo".getBytes(StandardCharsets.US_ASCII))))).write();
+                    List.of(new Attribute(1, "nemo".getBytes(StandardCharsets.US_ASCII))))).encode();
             client.send(new DatagramPacket(bytes, bytes.length, at));
             if (i % 50 == 49) {
                 java.util.concurrent.locks.LockSupport.parkNanos(2_000_000);  // or the socket's buffer overflows
@@ -173,9 +173,9 @@
         for (int i = 0; i < KEPT; i++) {
             byte[] authenticator = ByteBuffer.allocate(16).putInt(i).array();
             byte[] address = {10, 0, (byte) (i >> 8), (byte) i};
-            DuplicateCache.LookupResult met = resends.met(i, new DuplicateCache.Source(address, 1812), new Packet(Code.ACCESS_REQUEST, i & 255,
+            DuplicateCache.LookupResult met = resends.lookUp(i, new DuplicateCache.Source(address, 1812), new Packet(Code.ACCESS_REQUEST, i & 255,
                     authenticator, List.of()));
-            resends.answered(met.entry(), met.entry().waiting().get(0), new byte[60]);
+            resends.recordResponse(met.entry(), met.entry().waiting().get(0), new byte[60]);
         }
         System.out.printf("kept answers of 60 bytes, each from an address of its own: %.0f bytes of heap each%n",
                 (Heap.used() - before) / (double) resends.size());
--- a/src/main/java/mastdrift/radius/AccountingEvent.java
+++ b/src/main/java/mastdrift/radius/AccountingEvent.java
@@ -3,12 +3,13 @@
 import java.util.Arrays;
 
 /**
- * What an accounting request would do at a server: the same for a resend with a new identifier, which a charger makes where
- * it counts Acct-Delay-Time up (RFC 2866, 5.2; RFC 5080, 2.2.1).
+ * Identifies the event that an Accounting-Request reports, to detect duplicates. It is the same for a retransmission
+ * with a new identifier, which a client sends when it increments Acct-Delay-Time (RFC 2866, 5.2; RFC 5080, 2.2.1).
  *
- * <p>Start and Stop are once a session: NAS, Acct-Session-Id and Acct-Status-Type. An interim update is told from the next one
- * by Acct-Session-Time; one without it, and Accounting-On and Off, which have no session, by all else that they hold but the
- * delay, the authenticators and Proxy-State.
+ * <p>Start and Stop occur once per session and are identified by NAS, Acct-Session-Id and Acct-Status-Type. Interim
+ * updates are further distinguished by Acct-Session-Time. An interim update without it, and Accounting-On and
+ * Accounting-Off, which have no session, are identified by all attributes except Acct-Delay-Time, Message-Authenticator
+ * and Proxy-State.
  */
 public final class AccountingEvent {
 
@@ -24,31 +25,35 @@
         hash = Arrays.hashCode(content);
     }
 
-    /** Of an accounting request from a client, by its address: two clients may name themselves alike. */
-    public static AccountingEvent of(byte[] client, Packet request) {
-        byte[] content = with(new byte[0], 0, client);
-        byte[] status = request.first(Attribute.ACCT_STATUS_TYPE);
-        byte[] session = request.first(Attribute.ACCT_SESSION_ID);
-        int type = status != null && status.length == 4 ? status[3] & 0xFF : 0;
-        byte[] time = request.first(Attribute.ACCT_SESSION_TIME);
-        boolean bySession = session != null && (type == START || type == STOP || type == INTERIM && time != null);
+    /**
+     * The event of an Accounting-Request from the client with this address. The address is part of the identity, since
+     * two clients may use the same NAS identification.
+     */
+    public static AccountingEvent of(byte[] clientAddress, Packet request) {
+        byte[] content = append(new byte[0], 0, clientAddress);
+        byte[] status = request.firstValue(Attribute.ACCT_STATUS_TYPE);
+        byte[] sessionId = request.firstValue(Attribute.ACCT_SESSION_ID);
+        int statusType = status != null && status.length == 4 ? status[3] & 0xFF : 0;
+        byte[] sessionTime = request.firstValue(Attribute.ACCT_SESSION_TIME);
+        boolean identifiedBySession = sessionId != null
+                && (statusType == START || statusType == STOP || statusType == INTERIM && sessionTime != null);
         for (Attribute attribute : request.attributes()) {
-            boolean counts = switch (attribute.type()) {
+            boolean included = switch (attribute.type()) {
                 case Attribute.NAS_IP_ADDRESS, Attribute.NAS_IPV6_ADDRESS, Attribute.NAS_IDENTIFIER,
                         Attribute.ACCT_STATUS_TYPE, Attribute.ACCT_SESSION_ID -> true;
-                case Attribute.ACCT_SESSION_TIME -> !bySession || type == INTERIM;
+                case Attribute.ACCT_SESSION_TIME -> !identifiedBySession || statusType == INTERIM;
                 case Attribute.ACCT_DELAY_TIME, Attribute.PROXY_STATE, Attribute.MESSAGE_AUTHENTICATOR -> false;
-                default -> !bySession;
+                default -> !identifiedBySession;
             };
-            if (counts) {
-                content = with(content, attribute.type(), attribute.value());
+            if (included) {
+                content = append(content, attribute.type(), attribute.value());
             }
         }
         return new AccountingEvent(content);
     }
 
-    /** The content so far, with one attribute more: its type and length ahead, so that no two contents look alike. */
-    private static byte[] with(byte[] content, int type, byte[] value) {
+    /** Appends an attribute to the content. The type and length before the value make the encoding unambiguous. */
+    private static byte[] append(byte[] content, int type, byte[] value) {
         byte[] longer = Arrays.copyOf(content, content.length + 2 + value.length);
         longer[content.length] = (byte) type;
         longer[content.length + 1] = (byte) value.length;
@@ -56,8 +61,8 @@
         return longer;
     }
 
-    /** As a key for routes and the module; equal effects have equal keys. */
-    public long key() {
+    /** Key for routes and the decision module; equal events have equal keys. */
+    public long routingKey() {
         long hash64 = 0xCBF29CE484222325L;  // FNV-1a
         for (byte each : content) {
             hash64 = (hash64 ^ each & 0xFF) * 0x100000001B3L;
@@ -67,7 +72,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof AccountingEvent effect && Arrays.equals(content, effect.content);
+        return other instanceof AccountingEvent event && Arrays.equals(content, event.content);
     }
 
     @Override
@@ -75,7 +80,7 @@
         return hash;
     }
 
-    /** Without content: it tells of a driver. */
+    /** Omits the content, since it contains data about the user. */
     @Override
     public String toString() {
         return "effect " + Integer.toHexString(hash);
--- a/src/main/java/mastdrift/radius/Attribute.java
+++ b/src/main/java/mastdrift/radius/Attribute.java
@@ -2,11 +2,13 @@
 
 import java.util.Arrays;
 
-/** One attribute as it stands in a packet: its type and the bytes of its value, not read any further (RFC 2865, 5). The value
-    is not copied; nobody changes it. */
+/**
+ * An attribute as encoded in a packet: its type and the raw bytes of its value (RFC 2865, 5). The value is not copied
+ * and must not be modified.
+ */
 public record Attribute(int type, byte[] value) {
 
-    /** Types that the gateway reads or changes; all others are passed on as they are. */
+    /** Types that the gateway reads or changes; all others are forwarded unchanged. This one: RFC 2865, 5.2. */
     public static final int USER_PASSWORD = 2;
     /** RFC 2865, 5.3. */
     public static final int CHAP_PASSWORD = 3;
@@ -39,18 +41,19 @@
     /** RFC 3162, 2.1. */
     public static final int NAS_IPV6_ADDRESS = 95;
 
-    /** The longest value: a length byte counts type and length too. */
-    public static final int VALUE_MOST = 253;
+    /** Maximum length of a value: the length field is one byte and includes the type and length bytes. */
+    public static final int MAX_VALUE_BYTES = 253;
 
-    /** Throws IllegalArgumentException for a type over 255 or a value that is too long. */
+    /** Throws IllegalArgumentException if the type is not in 0 to 255 or the value is too long. */
     public Attribute {
-        if (type < 0 || type > 255 || value.length > VALUE_MOST) {
-            throw new IllegalArgumentException("expected a type of 0 to 255 and at most " + VALUE_MOST + " bytes, found type "
+        if (type < 0 || type > 255 || value.length > MAX_VALUE_BYTES) {
+            throw new IllegalArgumentException("expected a type of 0 to 255 and at most " + MAX_VALUE_BYTES
+                    + " bytes, found type "
                     + type + " and " + value.length + " bytes");
         }
     }
 
-    /** By type and content. */
+    /** Compares type and content. */
     @Override
     public boolean equals(Object other) {
         return other instanceof Attribute attribute && type == attribute.type && Arrays.equals(value, attribute.value);
@@ -61,7 +64,7 @@
         return 31 * type + Arrays.hashCode(value);
     }
 
-    /** Its type and length alone: values may be secret. */
+    /** Type and length only, since values may be secret. */
     @Override
     public String toString() {
         return "attribute " + type + " of " + value.length + " bytes";
--- a/src/main/java/mastdrift/radius/Code.java
+++ b/src/main/java/mastdrift/radius/Code.java
@@ -1,6 +1,6 @@
 package mastdrift.radius;
 
-/** The codes of packets that the gateway carries. */
+/** Packet codes that the gateway supports. */
 public enum Code {
     /** RFC 2865, 4.1. */
     ACCESS_REQUEST(1),
@@ -31,24 +31,27 @@
         this.number = number;
     }
 
-    /** As in the first byte of a packet. */
+    /** The value of the code field, the first byte of a packet. */
     public int number() {
         return number;
     }
 
-    /** Null for a number that the gateway doesn't carry; 0 to 255. */
-    public static Code of(int number) {
+    /** The code for a number from 0 to 255, or null if the gateway does not support it. */
+    public static Code fromNumber(int number) {
         return BY_NUMBER[number];
     }
 
-    /** Whether a packet of this code asks for an answer. */
-    public boolean asks() {
+    /** Whether a packet of this code is a request. */
+    public boolean isRequest() {
         return this == ACCESS_REQUEST || this == ACCOUNTING_REQUEST || this == STATUS_SERVER;
     }
 
-    /** Whether this answers a packet of the other code (RFC 2865, 2; RFC 2866, 2; RFC 5997, 4.2 and 4.3). */
-    public boolean answers(Code asked) {
-        return switch (asked) {
+    /**
+     * Whether this code is a valid response to a request of the other code (RFC 2865, 2; RFC 2866, 2; RFC 5997, 4.2 and
+     * 4.3).
+     */
+    public boolean isResponseTo(Code request) {
+        return switch (request) {
             case ACCESS_REQUEST -> this == ACCESS_ACCEPT || this == ACCESS_REJECT || this == ACCESS_CHALLENGE;
             case ACCOUNTING_REQUEST -> this == ACCOUNTING_RESPONSE;
             case STATUS_SERVER -> this == ACCESS_ACCEPT || this == ACCOUNTING_RESPONSE;
--- a/src/main/java/mastdrift/radius/ConversationTable.java
+++ b/src/main/java/mastdrift/radius/ConversationTable.java
@@ -4,11 +4,13 @@
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 
-/** Which server holds a conversation: the State of its last Access-Challenge names it (RFC 2865, 5.24; RFC 5080, 2.1.1). The
-    charger's next Access-Request brings that State, and no other server could make anything of it. */
+/**
+ * Maps the State attribute of an Access-Challenge to the server that sent it (RFC 2865, 5.24; RFC 5080, 2.1.1). The
+ * client's next Access-Request carries that State, which is meaningless to any other server.
+ */
 public final class ConversationTable {
 
-    /** A conversation's server, by uid, and the key that its first request had. */
+    /** The uid of the server in a conversation, and the routing key of the conversation's first request. */
     public record Conversation(String uid, long key) { }
 
     private record State(byte[] value) {
@@ -24,38 +26,40 @@
         }
     }
 
-    private record Entry(Conversation held, long until) { }
+    private record Entry(Conversation conversation, long expiresAtMicros) { }
 
-    private final int most;
-    private final long kept;
+    private final int maxEntries;
+    private final long retentionMicros;
     private final LinkedHashMap<State, Entry> entries = new LinkedHashMap<>();
 
-    /** So many at most, each for so many microseconds after its last challenge; beyond that the eldest is forgotten, and its
-        next request goes to any server. */
-    public ConversationTable(int most, long kept) {
-        this.most = most;
-        this.kept = kept;
+    /**
+     * Holds up to {@code maxEntries} conversations, each for {@code retentionMicros} microseconds after its last
+     * challenge. When the table is full the oldest is evicted, and its next request may go to any server.
+     */
+    public ConversationTable(int maxEntries, long retentionMicros) {
+        this.maxEntries = maxEntries;
+        this.retentionMicros = retentionMicros;
     }
 
-    /** A server has challenged with this State. */
-    public void challenged(long now, byte[] state, Conversation held) {
+    /** Records that a server has sent an Access-Challenge with this State. */
+    public void recordChallenge(long nowMicros, byte[] state, Conversation conversation) {
         entries.remove(new State(state));
-        entries.put(new State(state), new Entry(held, now + kept));
-        for (Iterator<Entry> eldest = entries.values().iterator(); eldest.hasNext(); ) {
-            if (eldest.next().until > now && entries.size() <= most) {
+        entries.put(new State(state), new Entry(conversation, nowMicros + retentionMicros));
+        for (Iterator<Entry> oldestFirst = entries.values().iterator(); oldestFirst.hasNext(); ) {
+            if (oldestFirst.next().expiresAtMicros > nowMicros && entries.size() <= maxEntries) {
                 return;
             }
-            eldest.remove();
+            oldestFirst.remove();
         }
     }
 
-    /** Who holds it; null where nobody is known to. */
-    public Conversation held(long now, byte[] state) {
+    /** The conversation of a State, or null if it is unknown or expired. */
+    public Conversation find(long nowMicros, byte[] state) {
         Entry entry = entries.get(new State(state));
-        return entry == null || entry.until <= now ? null : entry.held;
+        return entry == null || entry.expiresAtMicros <= nowMicros ? null : entry.conversation;
     }
 
-    /** Conversations that are remembered. */
+    /** Number of entries held, including expired ones that have not been removed yet. */
     public int size() {
         return entries.size();
     }
--- a/src/main/java/mastdrift/radius/DuplicateCache.java
+++ b/src/main/java/mastdrift/radius/DuplicateCache.java
@@ -9,17 +9,17 @@
 import java.util.Map;
 
 /**
- * Tells resends from new requests, and keeps answers for them (RFC 5080, 2.2.2). A request is met by its source, code,
- * identifier and Request Authenticator; accounting requests by their effect too, since a charger that counts the delay up
- * sends a new packet with the same effect.
+ * Detects retransmitted requests and caches the responses to them (RFC 5080, 2.2.2). A request is identified by its
+ * source, code, identifier and Request Authenticator. An Accounting-Request is also identified by the event that it
+ * reports, since a client that increments Acct-Delay-Time sends a new packet for the same event.
  *
- * <p>The common case, a new request, costs two look-ups in hash maps. Entries lie in the order of their beginning, so that
- * the eldest are the first to expire; a client address at its part loses its own eldest, so that a flood of new identifiers
- * takes nothing from the others.
+ * <p>The common case, a new request, costs two hash map look-ups. Entries are kept in order of creation, so the oldest
+ * expire first. A client address that has reached its quota loses its own oldest entries, so a flood of new identifiers
+ * from one address does not evict the entries of others.
  */
 public final class DuplicateCache {
 
-    /** Where a request came from. */
+    /** Source address and port of a request. Port 0 stands for all ports of an address. */
     public record Source(byte[] address, int port) {
 
         @Override
@@ -37,7 +37,8 @@
 
         @Override
         public boolean equals(Object other) {
-            return other instanceof RequestIdentity identity && identifier == identity.identifier && code == identity.code
+            return other instanceof RequestIdentity identity && identifier == identity.identifier
+                    && code == identity.code
                     && source.equals(identity.source) && Arrays.equals(authenticator, identity.authenticator);
         }
 
@@ -47,33 +48,33 @@
         }
     }
 
-    /** A packet that waits for the answer to a request, its own or one of the same effect. */
+    /** A packet that awaits the response to a request: the forwarded one, or a duplicate of it. */
     public record WaitingPacket(Source source, Packet request) { }
 
-    /** A request under way or answered. */
+    /** A request that is in progress or has been answered, with its duplicates. */
     public static final class Entry {
-        private final long until;
-        private final AccountingEvent effect;
-        private final ClientEntries client;
+        private final long expiresAtMicros;
+        private final AccountingEvent event;
+        private final ClientEntries clientEntries;
         private final List<RequestIdentity> identities = new ArrayList<>(1);
-        private final Map<RequestIdentity, byte[]> answers = new HashMap<>(2);
+        private final Map<RequestIdentity, byte[]> responses = new HashMap<>(2);
         private final List<WaitingPacket> waiting = new ArrayList<>(1);
-        private boolean over;
-        private int bytes;
+        private boolean completed;
+        private int responseBytes;
 
-        private Entry(long until, AccountingEvent effect, ClientEntries client) {
-            this.until = until;
-            this.effect = effect;
-            this.client = client;
+        private Entry(long expiresAtMicros, AccountingEvent event, ClientEntries clientEntries) {
+            this.expiresAtMicros = expiresAtMicros;
+            this.event = event;
+            this.clientEntries = clientEntries;
         }
 
-        /** Those that wait for the answer, each to be answered once: the first is the one that was passed on. */
+        /** The packets that await the response, each to be answered once. The first is the one that was forwarded. */
         public List<WaitingPacket> waiting() {
             return List.copyOf(waiting);
         }
     }
 
-    /** What one client address holds, its eldest first. */
+    /** The entries of one client address, oldest first. */
     private static final class ClientEntries {
         private final Source address;
         private final LinkedHashSet<Entry> entries = new LinkedHashSet<>();
@@ -83,118 +84,132 @@
         }
     }
 
-    /** What to do with a packet. */
+    /** How to handle a received packet. */
     public enum Disposition {
-        /** New: pass it on, with the entry that came with this word. */
-        PASS_ON,
-        /** Joined to one that is out: nothing to do. */
+        /** A new request: forward it and report its result for the returned entry. */
+        FORWARD,
+        /** A duplicate of a request in progress: nothing to do; it is answered together with that request. */
         JOINED,
-        /** Answered before: send the kept bytes. */
-        KEPT,
-        /** Another packet of its effect was answered: answer it likewise, without a server, and tell {@link #answered}. */
-        REPEATED
+        /** A duplicate of an answered request: send the cached response. */
+        CACHED,
+        /**
+         * Another packet for the same accounting event was answered: answer this one likewise, without asking a server,
+         * and report the response by {@link #recordResponse}.
+         */
+        SAME_EVENT_ANSWERED
     }
 
-    /** The word on one packet; the bytes are there for KEPT alone. */
-    public record LookupResult(Disposition what, Entry entry, byte[] answer) { }
+    /** How to handle a packet, and its entry. The response is null unless a cached one is to be sent. */
+    public record LookupResult(Disposition disposition, Entry entry, byte[] response) { }
 
-    private static final int WAITING_MOST = 16;
+    private static final int MAX_WAITING_PER_ENTRY = 16;
 
-    private final long kept;
-    private final int most;
-    private final int clientMost;
-    private final int bytesMost;
+    private final long retentionMicros;
+    private final int maxEntries;
+    private final int maxEntriesPerClient;
+    private final int maxResponseBytes;
     private final Map<RequestIdentity, Entry> byIdentity = new HashMap<>();
-    private final Map<AccountingEvent, Entry> byEffect = new HashMap<>();
+    private final Map<AccountingEvent, Entry> byEvent = new HashMap<>();
     private final Map<Source, ClientEntries> clients = new HashMap<>();
     private final LinkedHashSet<Entry> entries = new LinkedHashSet<>();
-    private int bytes;
-
-    /** Keeps an entry for {@code kept} microseconds from its beginning, {@code most} of them, a quarter of these for one
-        address, and {@code bytesMost} bytes of answers. */
-    public DuplicateCache(long kept, int most, int bytesMost) {
-        this.kept = kept;
-        this.most = most;
-        this.bytesMost = bytesMost;
-        clientMost = Math.max(1, most / 4);
+    private int responseBytes;
+
+    /**
+     * Keeps each entry for {@code retentionMicros} microseconds from its creation; holds up to {@code maxEntries}
+     * entries, a quarter of them for any one client address, and up to {@code maxResponseBytes} bytes of responses.
+     */
+    public DuplicateCache(long retentionMicros, int maxEntries, int maxResponseBytes) {
+        this.retentionMicros = retentionMicros;
+        this.maxEntries = maxEntries;
+        this.maxResponseBytes = maxResponseBytes;
+        maxEntriesPerClient = Math.max(1, maxEntries / 4);
     }
 
-    /** A packet has come, and its authenticators are right. */
-    public LookupResult met(long now, Source source, Packet request) {
-        expire(now);
-        RequestIdentity identity = new RequestIdentity(source, request.code(), request.identifier(), request.authenticator());
-        Entry same = byIdentity.get(identity);
-        if (same != null) {
-            byte[] answer = same.answers.get(identity);
-            return answer != null ? new LookupResult(Disposition.KEPT, same, answer) : new LookupResult(Disposition.JOINED, same, null);
-        }
-        AccountingEvent effect = request.code() == Code.ACCOUNTING_REQUEST ? AccountingEvent.of(source.address, request) : null;
-        Entry like = effect == null ? null : byEffect.get(effect);
-        if (like != null) {
-            join(like, identity, source, request);
-            return new LookupResult(like.over ? Disposition.REPEATED : Disposition.JOINED, like, null);
-        }
-        Entry entry = begin(now, source, effect);
-        join(entry, identity, source, request);
-        return new LookupResult(Disposition.PASS_ON, entry, null);
+    /** Classifies a received packet whose authenticators have been verified. */
+    public LookupResult lookUp(long nowMicros, Source source, Packet request) {
+        removeExpired(nowMicros);
+        RequestIdentity identity = new RequestIdentity(source, request.code(), request.identifier(),
+                request.authenticator());
+        Entry samePacket = byIdentity.get(identity);
+        if (samePacket != null) {
+            byte[] response = samePacket.responses.get(identity);
+            return response != null ? new LookupResult(Disposition.CACHED, samePacket, response)
+                    : new LookupResult(Disposition.JOINED, samePacket, null);
+        }
+        AccountingEvent event = request.code() == Code.ACCOUNTING_REQUEST ? AccountingEvent.of(source.address, request)
+                : null;
+        Entry sameEvent = event == null ? null : byEvent.get(event);
+        if (sameEvent != null) {
+            addWaiting(sameEvent, identity, source, request);
+            return new LookupResult(sameEvent.completed ? Disposition.SAME_EVENT_ANSWERED : Disposition.JOINED,
+                    sameEvent, null);
+        }
+        Entry entry = createEntry(nowMicros, source, event);
+        addWaiting(entry, identity, source, request);
+        return new LookupResult(Disposition.FORWARD, entry, null);
     }
 
-    private Entry begin(long now, Source source, AccountingEvent effect) {
+    private Entry createEntry(long nowMicros, Source source, AccountingEvent event) {
         Source address = new Source(source.address, 0);
-        ClientEntries own = clients.get(address);
-        if (own != null && own.entries.size() >= clientMost) {
-            remove(own.entries.iterator().next());
+        ClientEntries existing = clients.get(address);
+        if (existing != null && existing.entries.size() >= maxEntriesPerClient) {
+            remove(existing.entries.iterator().next());
         }
-        if (entries.size() >= most) {
+        if (entries.size() >= maxEntries) {
             remove(entries.iterator().next());
         }
-        ClientEntries client = clients.computeIfAbsent(address, ClientEntries::new);
-        Entry entry = new Entry(now + kept, effect, client);
+        ClientEntries clientEntries = clients.computeIfAbsent(address, ClientEntries::new);
+        Entry entry = new Entry(nowMicros + retentionMicros, event, clientEntries);
         entries.add(entry);
-        client.entries.add(entry);
-        if (effect != null) {
-            byEffect.put(effect, entry);
+        clientEntries.entries.add(entry);
+        if (event != null) {
+            byEvent.put(event, entry);
         }
         return entry;
     }
 
-    /** Beyond a bound a further identity of one effect is forgotten at once: its resend joins again. */
-    private void join(Entry entry, RequestIdentity identity, Source source, Packet request) {
-        if (entry.waiting.size() < WAITING_MOST) {
+    /**
+     * Adds a packet to an entry. Beyond {@link #MAX_WAITING_PER_ENTRY} packets a further one is not recorded: a
+     * retransmission of it is handled as a duplicate again.
+     */
+    private void addWaiting(Entry entry, RequestIdentity identity, Source source, Packet request) {
+        if (entry.waiting.size() < MAX_WAITING_PER_ENTRY) {
             entry.identities.add(identity);
             entry.waiting.add(new WaitingPacket(source, request));
             byIdentity.put(identity, entry);
         }
     }
 
-    /** The bytes that went to one of those that waited: they are kept for its resends. */
-    public void answered(Entry entry, WaitingPacket to, byte[] answer) {
-        entry.over = true;
+    /** Records the response sent to a waiting packet, to be sent again when that packet is retransmitted. */
+    public void recordResponse(Entry entry, WaitingPacket packet, byte[] response) {
+        entry.completed = true;
         if (!entries.contains(entry)) {
-            return;  // it had to go while it was out
+            return;  // evicted while the request was in progress
         }
-        RequestIdentity identity = new RequestIdentity(to.source, to.request.code(), to.request.identifier(), to.request.authenticator());
-        if (entry.answers.putIfAbsent(identity, answer) == null) {
-            entry.bytes += answer.length;
-            bytes += answer.length;
+        RequestIdentity identity = new RequestIdentity(packet.source, packet.request.code(),
+                packet.request.identifier(), packet.request.authenticator());
+        if (entry.responses.putIfAbsent(identity, response) == null) {
+            entry.responseBytes += response.length;
+            responseBytes += response.length;
         }
-        while (bytes > bytesMost) {
+        while (responseBytes > maxResponseBytes) {
             remove(entries.iterator().next());
         }
     }
 
-    /** It ended with no answer: a resend is a new try. */
-    public void unanswered(Entry entry) {
-        entry.over = true;
+    /** Records that a request ended without a response; a retransmission is treated as a new request. */
+    public void recordNoResponse(Entry entry) {
+        entry.completed = true;
         if (entries.contains(entry)) {
             remove(entry);
         }
     }
 
-    private void expire(long now) {
-        for (Iterator<Entry> eldest = entries.iterator(); eldest.hasNext(); eldest = entries.iterator()) {
-            Entry entry = eldest.next();
-            if (entry.until > now) {
+    private void removeExpired(long nowMicros) {
+        for (Iterator<Entry> oldestFirst = entries.iterator(); oldestFirst.hasNext();
+                oldestFirst = entries.iterator()) {
+            Entry entry = oldestFirst.next();
+            if (entry.expiresAtMicros > nowMicros) {
                 return;
             }
             remove(entry);
@@ -203,24 +218,24 @@
 
     private void remove(Entry entry) {
         entries.remove(entry);
-        entry.client.entries.remove(entry);
-        if (entry.client.entries.isEmpty()) {
-            clients.remove(entry.client.address);
+        entry.clientEntries.entries.remove(entry);
+        if (entry.clientEntries.entries.isEmpty()) {
+            clients.remove(entry.clientEntries.address);
         }
         entry.identities.forEach(identity -> byIdentity.remove(identity, entry));
-        if (entry.effect != null) {
-            byEffect.remove(entry.effect, entry);
+        if (entry.event != null) {
+            byEvent.remove(entry.event, entry);
         }
-        bytes -= entry.bytes;
+        responseBytes -= entry.responseBytes;
     }
 
-    /** Entries that are held. */
+    /** Number of entries held. */
     public int size() {
         return entries.size();
     }
 
-    /** Bytes of answers that are kept. */
-    public int bytes() {
-        return bytes;
+    /** Total size of the cached responses in bytes. */
+    public int responseBytes() {
+        return responseBytes;
     }
 }
--- a/src/main/java/mastdrift/radius/IdentifierPool.java
+++ b/src/main/java/mastdrift/radius/IdentifierPool.java
@@ -6,85 +6,93 @@
 import java.util.Queue;
 
 /**
- * Identifiers towards one server: 256 for each source port, and none used again while an answer to it may still come (RFC 2865,
- * 3; RFC 5080, 2.1.1). One whose answer has come is free at once; one that was given up rests, since a late answer would be
- * taken for that of the next request, were it not for the authenticators: both guard, neither alone.
+ * Allocates packet identifiers for requests to one server: 256 for each source port, none reused while a response to it
+ * may still arrive (RFC 2865, 3; RFC 5080, 2.1.1). An identifier whose response has arrived is free at once. An
+ * abandoned one is quarantined, since a late response could otherwise be taken for that of the next request; the
+ * quarantine and the authenticators both guard against this, so that neither is relied on alone.
  *
- * <p>Free identifiers wait in the order in which they were given back, so that one is used again as late as can be. Ports are
- * taken into use as needed. Every step takes constant time.
+ * <p>Free identifiers are queued in the order of their release, so that each is reused as late as possible. Ports are
+ * added on demand. Every operation takes constant amortized time.
  */
 public final class IdentifierPool {
 
-    /** A port by its number from 0, and an identifier on it. */
+    /** An identifier on a source port; ports are numbered from 0. */
     public record Slot(int port, int identifier) { }
 
-    private record QuarantinedSlot(Slot slot, long until) { }
+    private record QuarantinedSlot(Slot slot, long freeAtMicros) { }
 
-    private static final int EACH = 256;
+    private static final int IDENTIFIERS_PER_PORT = 256;
 
-    private final int portsMost;
-    private final long rest;
+    private final int maxPorts;
+    private final long quarantineMicros;
     private final Queue<Slot> free = new ArrayDeque<>();
-    private final Queue<QuarantinedSlot> resting = new ArrayDeque<>();
-    private final List<boolean[]> out = new ArrayList<>();
-    private int taken;
+    private final Queue<QuarantinedSlot> quarantined = new ArrayDeque<>();
+    private final List<boolean[]> inUseByPort = new ArrayList<>();
+    private int inUseCount;
 
-    /** On so many ports at most, 1 to 1024; given up ones rest for so many microseconds. */
-    public IdentifierPool(int portsMost, long rest) {
-        if (portsMost < 1 || portsMost > 1024) {
-            throw new IllegalArgumentException("expected 1 to 1024 ports, found " + portsMost);
+    /**
+     * Uses up to {@code maxPorts} ports (1 to 1024); abandoned identifiers are quarantined for {@code quarantineMicros}
+     * microseconds.
+     */
+    public IdentifierPool(int maxPorts, long quarantineMicros) {
+        if (maxPorts < 1 || maxPorts > 1024) {
+            throw new IllegalArgumentException("expected 1 to 1024 ports, found " + maxPorts);
         }
-        this.portsMost = portsMost;
-        this.rest = rest;
+        this.maxPorts = maxPorts;
+        this.quarantineMicros = quarantineMicros;
     }
 
-    /** One that no answer may come to any more, or null where there is none: nothing may be sent then. */
-    public Slot take(long now) {
-        for (QuarantinedSlot eldest = resting.peek(); eldest != null && eldest.until <= now; eldest = resting.peek()) {
-            free.add(resting.poll().slot);
+    /**
+     * Acquires an identifier to which no response can arrive any more. Returns null if there is none: no request may be
+     * sent then.
+     */
+    public Slot acquire(long nowMicros) {
+        for (QuarantinedSlot oldest = quarantined.peek(); oldest != null && oldest.freeAtMicros <= nowMicros;
+                oldest = quarantined.peek()) {
+            free.add(quarantined.poll().slot);
         }
-        if (free.isEmpty() && out.size() < portsMost) {
-            int port = out.size();
-            out.add(new boolean[EACH]);
-            for (int identifier = 0; identifier < EACH; identifier++) {
+        if (free.isEmpty() && inUseByPort.size() < maxPorts) {
+            int port = inUseByPort.size();
+            inUseByPort.add(new boolean[IDENTIFIERS_PER_PORT]);
+            for (int identifier = 0; identifier < IDENTIFIERS_PER_PORT; identifier++) {
                 free.add(new Slot(port, identifier));
             }
         }
         Slot slot = free.poll();
         if (slot != null) {
-            out.get(slot.port)[slot.identifier] = true;
-            taken++;
+            inUseByPort.get(slot.port)[slot.identifier] = true;
+            inUseCount++;
         }
         return slot;
     }
 
-    /** Its answer has come: it may be used again. */
-    public void answered(Slot slot) {
-        giveBack(slot);
+    /** Releases an identifier whose response has arrived; it may be reused at once. */
+    public void releaseAnswered(Slot slot) {
+        markReleased(slot);
         free.add(slot);
     }
 
-    /** It was given up: it rests. */
-    public void givenUp(long now, Slot slot) {
-        giveBack(slot);
-        resting.add(new QuarantinedSlot(slot, now + rest));
+    /** Releases an identifier whose request was abandoned; it is quarantined first. */
+    public void releaseAbandoned(long nowMicros, Slot slot) {
+        markReleased(slot);
+        quarantined.add(new QuarantinedSlot(slot, nowMicros + quarantineMicros));
     }
 
-    private void giveBack(Slot slot) {
-        if (slot.port >= out.size() || !out.get(slot.port)[slot.identifier]) {
-            throw new IllegalStateException("expected a slot that is out, found " + slot);
+    private void markReleased(Slot slot) {
+        if (slot.port >= inUseByPort.size() || !inUseByPort.get(slot.port)[slot.identifier]) {
+            throw new IllegalStateException("expected a slot that is in use, found " + slot);
         }
-        out.get(slot.port)[slot.identifier] = false;
-        taken--;
+        inUseByPort.get(slot.port)[slot.identifier] = false;
+        inUseCount--;
     }
 
-    /** Ports that are in use. */
-    public int ports() {
-        return out.size();
+    /** Number of source ports in use. */
+    public int portCount() {
+        return inUseByPort.size();
     }
 
-    /** Identifiers that are out. */
-    public int taken() {
-        return taken;
+    /** Number of identifiers in use. */
+    public int inUseCount() {
+        return inUseCount;
     }
 }
--- a/src/main/java/mastdrift/radius/MalformedPacketException.java
+++ b/src/main/java/mastdrift/radius/MalformedPacketException.java
@@ -1,11 +1,12 @@
 package mastdrift.radius;
 
-/** Bytes that are no packet; the message tells why, without any of their content. */
+/** Thrown when a datagram is not a valid packet. The message says why, without any of the packet's content. */
 public final class MalformedPacketException extends Exception {
 
     private static final long serialVersionUID = 1;
 
     MalformedPacketException(String message) {
-        super(message, null, false, false);  // no stack trace: whoever floods with them must not make each cost one
+        // no stack trace, so that a flood of malformed packets does not cost one each
+        super(message, null, false, false);
     }
 }
--- a/src/main/java/mastdrift/radius/edge/DropCounters.java
+++ b/src/main/java/mastdrift/radius/edge/DropCounters.java
@@ -5,38 +5,40 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** Packets that were dropped, by cause, with a log line for each cause at most once a second: floods are counted, not
-    written. */
+/**
+ * Counts dropped packets by cause and logs at most one line per second for each cause, so that a flood does not flood
+ * the log.
+ */
 public final class DropCounters {
 
     /** Why a packet was dropped. */
     public enum Cause {
-        /** From an address that is no client's. */
+        /** The source address belongs to no configured client. */
         UNKNOWN_CLIENT,
-        /** No packet by its bytes. */
+        /** Not a valid packet. */
         MALFORMED,
-        /** A code that doesn't belong there. */
+        /** A code that is not expected here. */
         WRONG_CODE,
-        /** An authenticator that is wrong, or none where one is needed. */
+        /** A wrong authenticator, or none where one is required. */
         NOT_SIGNED,
-        /** An answer to nothing that is out: late, twice, or made up. */
+        /** A response to no request in progress: late, duplicate or forged. */
         NOT_ASKED,
-        /** An answer without the Proxy-State that went with the request. */
+        /** A response without the Proxy-State that was sent with the request. */
         NO_PROXY_STATE,
-        /** A hidden value that can be none. */
+        /** A hidden attribute value of an invalid length. */
         HIDDEN,
-        /** What would be longer than a packet may be. */
+        /** The packet to be sent would exceed the maximum length. */
         TOO_LONG,
-        /** No route for it. */
+        /** No route matches. */
         NO_ROUTE
     }
 
-    private static final long LOG_EVERY = 1_000_000;
+    private static final long LOG_INTERVAL_MICROS = 1_000_000;
 
     private final LongSupplier clock;
     private final Consumer<String> log;
     private final Map<Cause, Long> counts = new EnumMap<>(Cause.class);
-    private final Map<Cause, Long> loggedAt = new EnumMap<>(Cause.class);
+    private final Map<Cause, Long> lastLoggedMicros = new EnumMap<>(Cause.class);
 
     /** The clock is in microseconds. */
     public DropCounters(LongSupplier clock, Consumer<String> log) {
@@ -44,16 +46,16 @@
         this.log = log;
     }
 
-    void drop(Cause cause, Object from, String why) {
+    void recordDrop(Cause cause, Object from, String reason) {
         long count = counts.merge(cause, 1L, Long::sum);
-        long now = clock.getAsLong();
-        if (now - loggedAt.getOrDefault(cause, now - LOG_EVERY) >= LOG_EVERY) {
-            loggedAt.put(cause, now);
-            log.accept("radius: dropped " + cause + " from " + from + ": " + why + " (" + count + " so far)");
+        long nowMicros = clock.getAsLong();
+        if (nowMicros - lastLoggedMicros.getOrDefault(cause, nowMicros - LOG_INTERVAL_MICROS) >= LOG_INTERVAL_MICROS) {
+            lastLoggedMicros.put(cause, nowMicros);
+            log.accept("radius: dropped " + cause + " from " + from + ": " + reason + " (" + count + " so far)");
         }
     }
 
-    /** How many were dropped for a cause; on the loop's thread. */
+    /** Number of packets dropped for a cause. To be called on the event loop only. */
     public long count(Cause cause) {
         return counts.getOrDefault(cause, 0L);
     }
--- a/src/main/java/mastdrift/radius/edge/RadiusClients.java
+++ b/src/main/java/mastdrift/radius/edge/RadiusClients.java
@@ -7,30 +7,32 @@
 import mastdrift.radius.Authenticators;
 import mastdrift.settings.AddressRange;
 
-/** The clients that may send, by address range; the longest range that holds an address decides. */
+/** The configured RADIUS clients by address range. The longest prefix that contains an address decides. */
 public final class RadiusClients {
 
     /**
-     * One client, or a site of chargers behind one range.
+     * One client, or a site of clients behind one address range.
      *
-     * @param name for counts and log
-     * @param range its addresses
-     * @param secret what its packets are signed with, from a file or the environment, never from the operator's file itself
-     * @param tenant its tenant, or null
-     * @param signed whether its Access-Requests must have a Message-Authenticator
+     * @param name for counters and logs
+     * @param range the client's addresses
+     * @param authenticators of its shared secret, which comes from a file or the environment, never from the
+     *     configuration file itself
+     * @param tenant the client's tenant, or null
+     * @param requiresMessageAuthenticator whether its Access-Requests must have a Message-Authenticator
      */
-    public record Client(String name, AddressRange range, Authenticators secret, String tenant, boolean signed) { }
+    public record Client(String name, AddressRange range, Authenticators authenticators, String tenant,
+            boolean requiresMessageAuthenticator) { }
 
     private final List<Client> clients;
 
-    /** In any order. */
+    /** The clients may be given in any order. */
     public RadiusClients(List<Client> clients) {
         this.clients = new ArrayList<>(clients);
         this.clients.sort(Comparator.comparingInt((Client client) -> client.range.prefix()).reversed());
     }
 
-    /** The client of an address, or null. */
-    public Client of(InetAddress address) {
+    /** The client that an address belongs to, or null. */
+    public Client find(InetAddress address) {
         byte[] bytes = address.getAddress();
         for (Client client : clients) {
             if (client.range.holds(bytes)) {
--- a/src/main/java/mastdrift/radius/edge/RadiusFront.java
+++ b/src/main/java/mastdrift/radius/edge/RadiusFront.java
@@ -37,69 +37,77 @@
 import mastdrift.radius.DuplicateCache.Source;
 import mastdrift.radius.DuplicateCache.WaitingPacket;
 
-/** One UDP port that chargers send requests to. Proves each packet, tells resends from requests, gives requests to the ledger
-    and sends the one answer of each, byte for byte the same again on a resend. A refusal and a failure are silence: RADIUS has
-    no word for them that a charger wouldn't take for a refused card (docs/design/radius.md). */
+/**
+ * Receives requests from RADIUS clients on one UDP port. Verifies each packet, detects retransmissions, gives new
+ * requests to the ledger and sends one response for each, which is repeated byte for byte on a retransmission. A
+ * refused or failed request gets no response: RADIUS has no response for these cases that a client would not take for
+ * an Access-Reject (docs/design/radius.md).
+ */
 public final class RadiusFront {
 
-    private static final int RECEIVE_BYTES = 1 << 20;
-    private static final int CONVERSATIONS_MOST = 1 << 14;
-    private static final long CONVERSATION_KEPT = 60_000_000;  // a driver at a charger that asks for more waits no longer
+    private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
+    private static final int MAX_CONVERSATIONS = 1 << 14;
+    // a user asked for further input at a charging station waits no longer
+    private static final long CONVERSATION_RETENTION_MICROS = 60_000_000;
 
-    /** Which pool a request is for, and as which class. */
+    /** Chooses the pool for a request of a class. */
     public interface Router {
-        /** Null where no route fits; {@code key} is the same for all packets that belong together. */
-        Pool pool(String className, String tenant, long key);
+        /** The pool, or null if no route matches. {@code key} is the same for all packets that belong together. */
+        Pool selectPool(String className, String tenant, long key);
     }
 
-    /** What the front calls its classes, and how long each may take in microseconds. A conversation is an Access-Request with
-        State or EAP-Message: it has a class of its own, which is not safe to send elsewhere. */
-    public record Classes(String access, String conversation, String accounting, long accessTime, long accountingTime) { }
+    /**
+     * Names and timeouts of the request classes. A conversation is an Access-Request with State or EAP-Message; it has
+     * a class of its own, since it is not safe to send it to another server.
+     */
+    public record Classes(String access, String conversation, String accounting, long accessTimeoutMicros,
+            long accountingTimeoutMicros) { }
 
     private final EventLoop loop;
     private final Ledger ledger;
     private final Router router;
     private final RadiusClients clients;
     private final Classes classes;
-    private final DuplicateCache resends;
-    private final ConversationTable conversations = new ConversationTable(CONVERSATIONS_MOST, CONVERSATION_KEPT);
-    private final DropCounters drops;
-    private Function<InetAddress, String> zones = address -> "";
+    private final DuplicateCache duplicateCache;
+    private final ConversationTable conversations = new ConversationTable(MAX_CONVERSATIONS,
+            CONVERSATION_RETENTION_MICROS);
+    private final DropCounters dropCounters;
+    private Function<InetAddress, String> zoneByAddress = address -> "";
     private Channel channel;
 
-    /** All on the loop's thread. */
-    public RadiusFront(EventLoop loop, Ledger ledger, Router router, RadiusClients clients, Classes classes, DuplicateCache resends,
-            DropCounters drops) {
+    /** All methods and callbacks run on the event loop's thread. */
+    public RadiusFront(EventLoop loop, Ledger ledger, Router router, RadiusClients clients, Classes classes,
+            DuplicateCache duplicateCache, DropCounters dropCounters) {
         this.loop = loop;
         this.ledger = ledger;
         this.router = router;
         this.clients = clients;
         this.classes = classes;
-        this.resends = resends;
-        this.drops = drops;
+        this.duplicateCache = duplicateCache;
+        this.dropCounters = dropCounters;
     }
 
-    /** Binds; whether that went well is in the future. */
-    public ChannelFuture listen(InetSocketAddress at) {
-        ChannelFuture bound = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-                .option(ChannelOption.SO_RCVBUF, RECEIVE_BYTES)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Packet.MOST + 1))
-                .handler(new DatagramHandler()).bind(at);
-        channel = bound.channel();
-        return bound;
+    /** Binds the port; the returned future tells whether that succeeded. */
+    public ChannelFuture listen(InetSocketAddress address) {
+        ChannelFuture bindFuture = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
+                .option(ChannelOption.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Packet.MAX_BYTES + 1))
+                .handler(new DatagramHandler()).bind(address);
+        channel = bindFuture.channel();
+        return bindFuture;
     }
 
-    /** From now on requests say which zone their client's address is in. */
-    public void clientZones(Function<InetAddress, String> byAddress) {
-        zones = byAddress;
+    /** Sets the function that gives the zone of a client's address, which is passed on with each request. */
+    public void setClientZones(Function<InetAddress, String> zoneLookup) {
+        zoneByAddress = zoneLookup;
     }
 
-    /** Where it listens. */
+    /** The local address that the front is bound to. */
     public InetSocketAddress address() {
         return (InetSocketAddress) channel.localAddress();
     }
 
-    /** Takes no more; what is out is no longer answered. */
+    /** Stops receiving; requests in progress are no longer answered. */
     public void close() {
         channel.close();
     }
@@ -108,83 +116,90 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket datagram) {
-            come(datagram.sender(), ByteBufUtil.getBytes(datagram.content()));
+            receiveDatagram(datagram.sender(), ByteBufUtil.getBytes(datagram.content()));
         }
 
-        /** One datagram's fault is not the port's end. */
+        /** A failure on one datagram must not close the port. */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            drops.drop(DropCounters.Cause.MALFORMED, "?", cause.toString());
+            dropCounters.recordDrop(DropCounters.Cause.MALFORMED, "?", cause.toString());
         }
     }
 
-    private void come(InetSocketAddress from, byte[] bytes) {
-        RadiusClients.Client client = clients.of(from.getAddress());
+    private void receiveDatagram(InetSocketAddress from, byte[] bytes) {
+        RadiusClients.Client client = clients.find(from.getAddress());
         if (client == null) {
-            drops.drop(DropCounters.Cause.UNKNOWN_CLIENT, from, "no client has this address");
+            dropCounters.recordDrop(DropCounters.Cause.UNKNOWN_CLIENT, from,
+                    "no client is configured for this address");
             return;
         }
         Packet request;
         try {
-            request = Packet.read(bytes);
+            request = Packet.decode(bytes);
         } catch (MalformedPacketException e) {
-            drops.drop(DropCounters.Cause.MALFORMED, from, e.getMessage());
+            dropCounters.recordDrop(DropCounters.Cause.MALFORMED, from, e.getMessage());
             return;
         }
-        if (!request.code().asks()) {
-            drops.drop(DropCounters.Cause.WRONG_CODE, from, "expected a request, found " + request.code());
-        } else if (!client.secret().signed(request, client.signed())) {
-            drops.drop(DropCounters.Cause.NOT_SIGNED, from, "an authenticator is wrong or missing");
+        if (!request.code().isRequest()) {
+            dropCounters.recordDrop(DropCounters.Cause.WRONG_CODE, from, "expected a request, found " + request.code());
+        } else if (!client.authenticators().verifyRequest(request, client.requiresMessageAuthenticator())) {
+            dropCounters.recordDrop(DropCounters.Cause.NOT_SIGNED, from, "an authenticator is wrong or missing");
         } else if (request.code() == Code.STATUS_SERVER) {
-            // RFC 5997, 3: answered by who is asked, never passed on.
-            send(from, client.secret().signAnswer(answer(Code.ACCESS_ACCEPT, request, List.of()), request.authenticator(),
-                    true).write());
+            // RFC 5997, 3: a Status-Server is answered by its receiver and never forwarded.
+            send(from, client.authenticators().signResponse(buildResponse(Code.ACCESS_ACCEPT, request, List.of()),
+                    request.authenticator(), true).encode());
         } else {
-            met(from, client, request);
+            handleRequest(from, client, request);
         }
     }
 
-    private void met(InetSocketAddress from, RadiusClients.Client client, Packet request) {
-        LookupResult met = resends.met(ledger.now(), new Source(from.getAddress().getAddress(), from.getPort()), request);
-        switch (met.what()) {
-            case KEPT -> send(from, met.answer());
-            case REPEATED -> {
-                ResponseSender reply = new ResponseSender(met.entry(), client, 0);
-                reply.answer(new WaitingPacket(new Source(from.getAddress().getAddress(), from.getPort()), request),
-                        Code.ACCOUNTING_RESPONSE, List.of());
+    private void handleRequest(InetSocketAddress from, RadiusClients.Client client, Packet request) {
+        LookupResult result = duplicateCache.lookUp(ledger.now(),
+                new Source(from.getAddress().getAddress(), from.getPort()), request);
+        switch (result.disposition()) {
+            case CACHED -> send(from, result.response());
+            case SAME_EVENT_ANSWERED -> {
+                ResponseSender responseSender = new ResponseSender(result.entry(), client, 0);
+                responseSender.sendResponse(new WaitingPacket(new Source(from.getAddress().getAddress(),
+                        from.getPort()), request), Code.ACCOUNTING_RESPONSE, List.of());
             }
-            case PASS_ON -> passOn(from, client, request, met);
-            default -> { }  // joined: the answer goes to all that wait
+            case FORWARD -> forward(from, client, request, result);
+            default -> { }  // JOINED: the response is sent to all waiting packets
         }
     }
 
-    private void passOn(InetSocketAddress from, RadiusClients.Client client, Packet request, LookupResult met) {
-        boolean accounting = request.code() == Code.ACCOUNTING_REQUEST;
-        byte[] state = request.first(Attribute.STATE);
-        boolean conversation = !accounting && (state != null || request.count(Attribute.EAP_MESSAGE) > 0);
-        ConversationTable.Conversation held = conversation && state != null ? conversations.held(ledger.now(), state) : null;
+    private void forward(InetSocketAddress from, RadiusClients.Client client, Packet request, LookupResult result) {
+        boolean isAccounting = request.code() == Code.ACCOUNTING_REQUEST;
+        byte[] state = request.firstValue(Attribute.STATE);
+        boolean isConversation = !isAccounting && (state != null || request.count(Attribute.EAP_MESSAGE) > 0);
+        ConversationTable.Conversation conversation = isConversation && state != null
+                ? conversations.find(ledger.now(), state) : null;
         byte[] address = from.getAddress().getAddress();
-        long key = accounting ? AccountingEvent.of(address, request).key() : held != null ? held.key()
+        long key = isAccounting ? AccountingEvent.of(address, request).routingKey() : conversation != null
+                ? conversation.key()
                 : 31L * Arrays.hashCode(state != null ? state : request.authenticator()) + Arrays.hashCode(address);
-        String className = accounting ? classes.accounting : conversation ? classes.conversation : classes.access;
-        ResponseSender reply = new ResponseSender(met.entry(), client, key);
-        Pool pool = router.pool(className, client.tenant(), key);
+        String className = isAccounting ? classes.accounting : isConversation ? classes.conversation : classes.access;
+        ResponseSender responseSender = new ResponseSender(result.entry(), client, key);
+        Pool pool = router.selectPool(className, client.tenant(), key);
         if (pool == null) {
-            drops.drop(DropCounters.Cause.NO_ROUTE, from, "no route for " + className);
-            reply.failed(false);
+            dropCounters.recordDrop(DropCounters.Cause.NO_ROUTE, from, "no route for " + className);
+            responseSender.failed(false);
             return;
         }
-        ledger.take(pool, reply, new RadiusRequestMessage(request, client.secret(),
-                held == null ? null : held.uid()), new Ask(className, client.tenant(), key,
-                (accounting ? classes.accountingTime : classes.accessTime) - (ledger.now() - ledger.arrived()), false, accounting, 0,
-                zones.apply(from.getAddress()), accounting ? key : null));
+        ledger.take(pool, responseSender, new RadiusRequestMessage(request, client.authenticators(),
+                conversation == null ? null : conversation.uid()), new Ask(className, client.tenant(), key,
+                (isAccounting ? classes.accountingTimeoutMicros : classes.accessTimeoutMicros)
+                        - (ledger.now() - ledger.arrived()), false, isAccounting, 0,
+                zoneByAddress.apply(from.getAddress()), isAccounting ? key : null));
     }
 
-    /** Its Proxy-States go back in their order (RFC 2865, 5.33). */
-    private static Packet answer(Code code, Packet request, List<Attribute> attributes) {
+    /**
+     * Builds an unsigned response that ends with the request's Proxy-State attributes in their order (RFC 2865, 5.33).
+     */
+    private static Packet buildResponse(Code code, Packet request, List<Attribute> attributes) {
         List<Attribute> all = new ArrayList<>(attributes);
         request.attributes().stream().filter(a -> a.type() == Attribute.PROXY_STATE).forEach(all::add);
-        return new Packet(code, request.identifier(), new byte[Packet.AUTHENTICATOR], all);
+        return new Packet(code, request.identifier(), new byte[Packet.AUTHENTICATOR_BYTES], all);
     }
 
     private static InetSocketAddress address(Source source) {
@@ -199,7 +214,7 @@
         channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to), channel.voidPromise());
     }
 
-    /** Where the final answer of a request goes: to every packet that waits for it. */
+    /** Sends the final response of a request to every packet that waits for it. */
     private final class ResponseSender implements Client {
 
         private final DuplicateCache.Entry entry;
@@ -214,44 +229,47 @@
 
         @Override
         public void served(Answer answer) {
-            RadiusResponseMessage given = (RadiusResponseMessage) answer;
-            if (given.code() == Code.ACCESS_CHALLENGE) {
-                given.attributes().stream().filter(a -> a.type() == Attribute.STATE).forEach(state -> conversations.challenged(
-                        ledger.now(), state.value(), new ConversationTable.Conversation(given.uid(), key)));
+            RadiusResponseMessage response = (RadiusResponseMessage) answer;
+            if (response.code() == Code.ACCESS_CHALLENGE) {
+                response.attributes().stream().filter(a -> a.type() == Attribute.STATE)
+                        .forEach(state -> conversations.recordChallenge(
+                        ledger.now(), state.value(), new ConversationTable.Conversation(response.uid(), key)));
             }
-            for (WaitingPacket waiting : entry.waiting()) {
-                List<Attribute> anew = HiddenAttributes.anew(given.attributes(), given.hop(),
-                        new HiddenAttributes.Hop(client.secret(), waiting.request().authenticator()));
-                if (anew == null) {
-                    drops.drop(DropCounters.Cause.HIDDEN, client.name(), "a server's answer holds what can't be hidden");
+            for (WaitingPacket waitingPacket : entry.waiting()) {
+                List<Attribute> reencrypted = HiddenAttributes.reencrypt(response.attributes(), response.hop(),
+                        new HiddenAttributes.Hop(client.authenticators(), waitingPacket.request().authenticator()));
+                if (reencrypted == null) {
+                    dropCounters.recordDrop(DropCounters.Cause.HIDDEN, client.name(),
+                            "a server's response has a hidden attribute of an invalid length");
                 } else {
-                    answer(waiting, given.code(), anew);
+                    sendResponse(waitingPacket, response.code(), reencrypted);
                 }
             }
         }
 
-        void answer(WaitingPacket to, Code code, List<Attribute> attributes) {
-            Packet packet = RadiusFront.answer(code, to.request(), attributes);
-            if (packet.length() + Authenticators.MESSAGE_BYTES > Packet.MOST) {
-                drops.drop(DropCounters.Cause.TOO_LONG, client.name(), "an answer with its Proxy-States is too long");
+        void sendResponse(WaitingPacket waiting, Code code, List<Attribute> attributes) {
+            Packet packet = RadiusFront.buildResponse(code, waiting.request(), attributes);
+            if (packet.length() + Authenticators.MESSAGE_AUTHENTICATOR_BYTES > Packet.MAX_BYTES) {
+                dropCounters.recordDrop(DropCounters.Cause.TOO_LONG, client.name(),
+                        "a response with its Proxy-State attributes would exceed the maximum length");
                 return;
             }
-            byte[] bytes = client.secret().signAnswer(packet, to.request().authenticator(),
-                    to.request().code() != Code.ACCOUNTING_REQUEST).write();
-            resends.answered(entry, to, bytes);
-            send(address(to.source()), bytes);
+            byte[] bytes = client.authenticators().signResponse(packet, waiting.request().authenticator(),
+                    waiting.request().code() != Code.ACCOUNTING_REQUEST).encode();
+            duplicateCache.recordResponse(entry, waiting, bytes);
+            send(address(waiting.source()), bytes);
         }
 
-        /** Silence; a resend is a new try. */
+        /** No response is sent; a retransmission is treated as a new request. */
         @Override
         public void refused(long retryAfter) {
-            resends.unanswered(entry);
+            duplicateCache.recordNoResponse(entry);
         }
 
-        /** Likewise. */
+        /** As for a refused request: no response, and a retransmission is treated as a new request. */
         @Override
         public void failed(boolean late) {
-            resends.unanswered(entry);
+            duplicateCache.recordNoResponse(entry);
         }
     }
 }
--- a/src/main/java/mastdrift/radius/edge/RadiusRequestMessage.java
+++ b/src/main/java/mastdrift/radius/edge/RadiusRequestMessage.java
@@ -4,9 +4,11 @@
 import mastdrift.radius.Authenticators;
 import mastdrift.radius.Packet;
 
-/** A client's request as it came, with the secret of its hop; {@code onlyAt} is the uid of the server that holds its
-    conversation, or null. */
-record RadiusRequestMessage(Packet request, Authenticators secret, String onlyAt) implements Call {
+/**
+ * A client's request as received, with the authenticators of the client's hop. {@code requiredServerUid} is the uid of
+ * the server that holds the request's conversation, or null if any server may answer it.
+ */
+record RadiusRequestMessage(Packet request, Authenticators authenticators, String requiredServerUid) implements Call {
 
     @Override
     public void release() { }
--- a/src/main/java/mastdrift/radius/edge/RadiusResponseMessage.java
+++ b/src/main/java/mastdrift/radius/edge/RadiusResponseMessage.java
@@ -6,6 +6,9 @@
 import mastdrift.radius.Code;
 import mastdrift.radius.HiddenAttributes;
 
-/** A server's answer, proved, without the gateway's Proxy-State and Message-Authenticator; what is hidden in it is hidden for
-    this hop; {@code uid} is the server's. */
-record RadiusResponseMessage(String uid, Code code, List<Attribute> attributes, HiddenAttributes.Hop hop) implements Answer { }
+/**
+ * A verified response from the server {@code uid}, without the gateway's own Proxy-State and without
+ * Message-Authenticator. Its hidden attributes are still encrypted for {@code hop}.
+ */
+record RadiusResponseMessage(String uid, Code code, List<Attribute> attributes,
+        HiddenAttributes.Hop hop) implements Answer { }
--- a/src/main/java/mastdrift/radius/edge/RadiusTransport.java
+++ b/src/main/java/mastdrift/radius/edge/RadiusTransport.java
@@ -42,179 +42,191 @@
 import mastdrift.radius.MalformedPacketException;
 import mastdrift.radius.Packet;
 
-/** UDP to RADIUS servers. An attempt is one packet to one server, sent again byte for byte while no answer comes (RFC 5080,
-    2.2.1: the server tells it as a resend); its outcome is the answer that proves itself, or the end of its time. What else
-    comes is dropped and counted, and ends no wait. All on the loop's thread. */
+/**
+ * Sends requests to RADIUS servers over UDP. An attempt is one packet to one server, retransmitted byte for byte until
+ * a response arrives (RFC 5080, 2.2.1: the server detects the duplicate). It ends with a response that verifies, or at
+ * its timeout. All other packets are dropped and counted, and do not end an attempt. Runs on the event loop's thread
+ * only.
+ */
 public final class RadiusTransport implements Transport {
 
-    // A resend after a lost packet; doubled each time.
-    private static final long RESEND = 400_000;
-    private static final long PROBE_TIMEOUT = 250_000;
-    // As long as a server may take and still answer: an identifier that was given up is not used again before.
-    private static final long REST = 30_000_000;
-    private static final int PORTS_MOST = 16;
+    // Delay before the first retransmission; doubled each time.
+    private static final long INITIAL_RETRANSMIT_DELAY_MICROS = 400_000;
+    private static final long PROBE_TIMEOUT_MICROS = 250_000;
+    // As long as a server may take to respond: the identifier of an abandoned request is not reused earlier.
+    private static final long IDENTIFIER_QUARANTINE_MICROS = 30_000_000;
+    private static final int MAX_PORTS_PER_SERVER = 16;
     private static final int PROXY_STATE_BYTES = 8;
 
     private final EventLoop loop;
     private final LongSupplier clock;
-    private final Function<String, byte[]> secrets;
-    private final DropCounters drops;
+    private final Function<String, byte[]> secretByUid;
+    private final DropCounters dropCounters;
     private final SecureRandom random = new SecureRandom();
-    private final Map<String, Server> peers = new HashMap<>();
-    private Strays strays = (uid, sent, received) -> { };
+    private final Map<String, Server> servers = new HashMap<>();
+    private Strays strayCounter = (uid, sent, received) -> { };
 
-    /** One server: its identifiers, the ports that they are on, and what is out on each. */
+    /** One server: its identifiers, the local ports that they belong to, and the attempts in progress on each. */
     private final class Server {
         private final String uid;
-        private final Authenticators secret;
-        private final IdentifierPool identifiers = new IdentifierPool(PORTS_MOST, REST);
-        private final List<ChannelFuture> ports = new ArrayList<>();
-        private final Map<Slot, UdpAttempt> out = new HashMap<>();
-        private final InetSocketAddress at;
+        private final Authenticators authenticators;
+        private final IdentifierPool identifiers = new IdentifierPool(MAX_PORTS_PER_SERVER,
+                IDENTIFIER_QUARANTINE_MICROS);
+        private final List<ChannelFuture> channels = new ArrayList<>();
+        private final Map<Slot, UdpAttempt> attemptsInProgress = new HashMap<>();
+        private final InetSocketAddress address;
         private final long born;
 
         Server(byte[] secret, Member member) {
             uid = member.host().address();
-            this.secret = new Authenticators(secret);
-            at = member.at();
+            this.authenticators = new Authenticators(secret);
+            address = member.at();
             born = member.host().born();
         }
 
-        /** Another address or another start is another server, which knows nothing of what was sent to this one: it would
-            take a resend as new, and nothing that is out may be answered from there. */
-        private boolean same(Member member) {
-            return (member.at() == null || member.at().equals(at)) && member.host().born() == born;
+        /**
+         * A server with another address or another start time is another server, which has no record of the packets
+         * sent to this one: it would treat a retransmission as new, and must not answer attempts in progress.
+         */
+        private boolean isSameServer(Member member) {
+            return (member.at() == null || member.at().equals(address)) && member.host().born() == born;
         }
 
-        /** Connected, so that the kernel drops what comes from elsewhere. */
-        private ChannelFuture port(int number) {
-            if (number == ports.size()) {
-                ports.add(new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-                        .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Packet.MOST + 1))
-                        .handler(new ResponseHandler(this, number)).connect(at));
+        /** Opens a connected socket, so that the kernel drops packets from other addresses. */
+        private ChannelFuture openPort(int number) {
+            if (number == channels.size()) {
+                channels.add(new Bootstrap().group(loop).channel(NioDatagramChannel.class)
+                        .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Packet.MAX_BYTES + 1))
+                        .handler(new ResponseHandler(this, number)).connect(address));
             }
-            return ports.get(number);
+            return channels.get(number);
         }
 
         private void close() {
-            ports.forEach(port -> port.channel().close());
+            channels.forEach(port -> port.channel().close());
         }
     }
 
-    /** Secrets by uid, null for a server that has none. */
-    public RadiusTransport(EventLoop loop, LongSupplier clock, Function<String, byte[]> secrets, DropCounters drops) {
+    /** {@code secretByUid} gives a server's shared secret by uid, null for a server that has none. */
+    public RadiusTransport(EventLoop loop, LongSupplier clock, Function<String, byte[]> secretByUid,
+            DropCounters dropCounters) {
         this.loop = loop;
         this.clock = clock;
-        this.secrets = secrets;
-        this.drops = drops;
+        this.secretByUid = secretByUid;
+        this.dropCounters = dropCounters;
     }
 
     @Override
     public void count(Strays to) {
-        strays = to;
+        strayCounter = to;
     }
 
     @Override
-    public void update(boolean all, List<Member> members) {
-        Set<String> named = new HashSet<>();
+    public void update(boolean isFullList, List<Member> members) {
+        Set<String> listed = new HashSet<>();
         for (Member member : members) {
             String uid = member.host().address();
-            named.add(uid);
-            Server peer = peers.get(uid);
-            if (peer != null && !peer.same(member)) {
+            listed.add(uid);
+            Server server = servers.get(uid);
+            if (server != null && !server.isSameServer(member)) {
                 remove(uid);
-                peer = null;
+                server = null;
             }
-            byte[] secret = peer == null ? secrets.apply(uid) : null;
-            if (peer == null && secret != null) {
-                peer = new Server(secret, member);
-                peers.put(uid, peer);
+            byte[] secret = server == null ? secretByUid.apply(uid) : null;
+            if (server == null && secret != null) {
+                server = new Server(secret, member);
+                servers.put(uid, server);
             }
             if (member.host().health() == Health.GONE) {
                 remove(uid);
             }
         }
-        if (all) {
-            List.copyOf(peers.keySet()).stream().filter(uid -> !named.contains(uid)).forEach(uid -> remove(uid));
+        if (isFullList) {
+            List.copyOf(servers.keySet()).stream().filter(uid -> !listed.contains(uid)).forEach(uid -> remove(uid));
         }
     }
 
-    /** What is out may still be answered; its ports close once nothing is. */
+    /** Removes a server. Attempts in progress may still be answered; the ports are closed once there are none. */
     private void remove(String uid) {
-        Server peer = peers.remove(uid);
-        if (peer != null) {
-            if (peer.out.isEmpty()) {
-                peer.close();
+        Server server = servers.remove(uid);
+        if (server != null) {
+            if (server.attemptsInProgress.isEmpty()) {
+                server.close();
             }
         }
     }
 
+    /** The packet is sent at once, so {@code leaveWithin} has no effect. */
     @Override
-    public Attempt send(Endpoint to, Call call, long timeout, long leaveWithin, Ended ended) {  // leaves at once
-        RadiusRequestMessage given = (RadiusRequestMessage) call;
-        Packet request = given.request();
-        if (given.onlyAt() != null && !given.onlyAt().equals(to.uid())) {
-            // No other server could make anything of its State, and a reject would be one of the gateway's making.
+    public Attempt send(Endpoint to, Call call, long timeoutMicros, long leaveWithin, Ended ended) {
+        RadiusRequestMessage message = (RadiusRequestMessage) call;
+        Packet request = message.request();
+        if (message.requiredServerUid() != null && !message.requiredServerUid().equals(to.uid())) {
+            // Another server would not know the State and would answer Access-Reject for no fault of the user.
             ended.ended(Outcome.UNUSED, null, LoadReport.NONE);
             return () -> { };
         }
-        return send(to, timeout, (peer, slot) -> {
-            byte[] authenticator = new byte[Packet.AUTHENTICATOR];
+        return send(to, timeoutMicros, (server, slot) -> {
+            byte[] authenticator = new byte[Packet.AUTHENTICATOR_BYTES];
             random.nextBytes(authenticator);
-            List<Attribute> attributes = HiddenAttributes.anew(request.attributes(),
-                    new HiddenAttributes.Hop(given.secret(), request.authenticator()), new HiddenAttributes.Hop(peer.secret, authenticator));
+            List<Attribute> attributes = HiddenAttributes.reencrypt(request.attributes(),
+                    new HiddenAttributes.Hop(message.authenticators(), request.authenticator()),
+                    new HiddenAttributes.Hop(server.authenticators, authenticator));
             if (attributes == null) {
                 return null;
             }
             attributes.removeIf(attribute -> attribute.type() == Attribute.MESSAGE_AUTHENTICATOR);
-            if (request.first(Attribute.CHAP_PASSWORD) != null && request.first(Attribute.CHAP_CHALLENGE) == null) {
-                // RFC 2865, 5.40: its challenge was the authenticator, and that is another from here on.
+            if (request.firstValue(Attribute.CHAP_PASSWORD) != null
+                    && request.firstValue(Attribute.CHAP_CHALLENGE) == null) {
+                // RFC 2865, 5.40: the challenge was the Request Authenticator, which differs on the next hop.
                 attributes.add(new Attribute(Attribute.CHAP_CHALLENGE, request.authenticator()));
             }
             return new Packet(request.code(), slot.identifier(), authenticator, attributes);
         }, ended);
     }
 
-    /** Makes the packet for a slot of a server; null where the request can be none. */
+    /** Creates the packet for a slot of a server; null if the request cannot be forwarded. */
     private interface PacketFactory {
-        Packet make(Server peer, Slot slot);
+        Packet create(Server server, Slot slot);
     }
 
-    private Attempt send(Endpoint to, long timeout, PacketFactory making, Ended ended) {
+    private Attempt send(Endpoint to, long timeoutMicros, PacketFactory factory, Ended ended) {
         String uid = to.uid();
-        Server peer = peers.get(uid);
-        if (peer == null || timeout <= 0 || !ended.wanted() || !to.maySend()) {
+        Server server = servers.get(uid);
+        if (server == null || timeoutMicros <= 0 || !ended.wanted() || !to.maySend()) {
             ended.ended(Outcome.UNUSED, null, LoadReport.NONE);
             return () -> { };
         }
-        Slot slot = peer.identifiers.take(clock.getAsLong());
-        if (slot == null) {  // each may still be answered: nothing was sent
+        Slot slot = server.identifiers.acquire(clock.getAsLong());
+        if (slot == null) {  // each identifier may still get a response: nothing was sent
             ended.ended(Outcome.DIAL_FAILED, null, LoadReport.NONE);
             return () -> { };
         }
-        Packet packet = making.make(peer, slot);
-        byte[] mark = new byte[PROXY_STATE_BYTES];
-        random.nextBytes(mark);
-        int own = 2 + PROXY_STATE_BYTES + Authenticators.MESSAGE_BYTES;
-        if (packet == null || packet.length() + own > Packet.MOST) {
-            peer.identifiers.answered(slot);
-            drops.drop(packet == null ? DropCounters.Cause.HIDDEN : DropCounters.Cause.TOO_LONG, uid, "a request that can't go on");
+        Packet packet = factory.create(server, slot);
+        byte[] proxyState = new byte[PROXY_STATE_BYTES];
+        random.nextBytes(proxyState);
+        int addedBytes = 2 + PROXY_STATE_BYTES + Authenticators.MESSAGE_AUTHENTICATOR_BYTES;
+        if (packet == null || packet.length() + addedBytes > Packet.MAX_BYTES) {
+            server.identifiers.releaseAnswered(slot);
+            dropCounters.recordDrop(packet == null ? DropCounters.Cause.HIDDEN : DropCounters.Cause.TOO_LONG, uid,
+                    "a request that can't be forwarded");
             ended.ended(Outcome.UNUSED, null, LoadReport.NONE);
             return () -> { };
         }
         List<Attribute> attributes = new ArrayList<>(packet.attributes());
-        attributes.add(new Attribute(Attribute.PROXY_STATE, mark));
-        UdpAttempt sent = new UdpAttempt(to, peer, slot, peer.secret.signRequest(packet.with(attributes)), mark, ended);
-        peer.out.put(slot, sent);
-        sent.begin(timeout);
-        return sent;
+        attributes.add(new Attribute(Attribute.PROXY_STATE, proxyState));
+        UdpAttempt attempt = new UdpAttempt(to, server, slot,
+                server.authenticators.signRequest(packet.withAttributes(attributes)), proxyState, ended);
+        server.attemptsInProgress.put(slot, attempt);
+        attempt.start(timeoutMicros);
+        return attempt;
     }
 
-    /** RFC 5997: a Status-Server. */
+    /** Sends a Status-Server (RFC 5997). */
     @Override
     public void probe(Endpoint to, Probed probed) {
-        send(to, PROBE_TIMEOUT, (peer, slot) -> {
-            byte[] authenticator = new byte[Packet.AUTHENTICATOR];
+        send(to, PROBE_TIMEOUT_MICROS, (server, slot) -> {
+            byte[] authenticator = new byte[Packet.AUTHENTICATOR_BYTES];
             random.nextBytes(authenticator);
             return new Packet(Code.STATUS_SERVER, slot.identifier(), authenticator, List.of());
         }, new Ended() {
@@ -230,7 +242,7 @@
         });
     }
 
-    /** There is none. */
+    /** Does nothing: UDP has no idle connections to close. */
     @Override
     public void closeIdle(String uid) { }
 
@@ -239,153 +251,160 @@
         update(true, List.of());
     }
 
-    /** One packet that is out. */
+    /** One attempt in progress. */
     private final class UdpAttempt implements Attempt {
 
         private final Endpoint endpoint;
-        private final Server peer;
+        private final Server server;
         private final Slot slot;
         private final Packet packet;
         private final byte[] bytes;
-        private final byte[] mark;
+        private final byte[] proxyState;
         private final Ended ended;
-        private Future<?> timer;
-        private Future<?> resend;
-        private long pause = RESEND;
-        private long sent;
-        private long received;
-        private boolean over;
-
-        UdpAttempt(Endpoint endpoint, Server peer, Slot slot, Packet packet, byte[] mark, Ended ended) {
+        private Future<?> timeoutTimer;
+        private Future<?> retransmitTimer;
+        private long retransmitDelayMicros = INITIAL_RETRANSMIT_DELAY_MICROS;
+        private long sentBytes;
+        private long receivedBytes;
+        private boolean completed;
+
+        UdpAttempt(Endpoint endpoint, Server server, Slot slot, Packet packet, byte[] proxyState, Ended ended) {
             this.endpoint = endpoint;
-            this.peer = peer;
+            this.server = server;
             this.slot = slot;
             this.packet = packet;
-            this.mark = mark;
+            this.proxyState = proxyState;
             this.ended = ended;
-            bytes = packet.write();
+            bytes = packet.encode();
         }
 
-        private void begin(long timeout) {
-            timer = loop.schedule(() -> end(Outcome.EXPIRED, null), timeout, TimeUnit.MICROSECONDS);
-            write();
+        private void start(long timeoutMicros) {
+            timeoutTimer = loop.schedule(() -> complete(Outcome.EXPIRED, null), timeoutMicros, TimeUnit.MICROSECONDS);
+            transmit();
         }
 
-        /** The same bytes; not to a server that drains, which would count it as new if it has not seen it. */
-        private void write() {
+        /**
+         * Sends the packet, the same bytes each time. Not to a draining server, which would count the packet as a new
+         * request if it has not seen it.
+         */
+        private void transmit() {
             if (endpoint.maySend()) {
-                // A port that was opened just now is connected by the loop's next turn.
-                peer.port(slot.port()).addListener((ChannelFutureListener) this::writeTo);
-                resend = loop.schedule(this::write, pause, TimeUnit.MICROSECONDS);
-                pause *= 2;
+                // A port opened just now is connected by the event loop's next turn.
+                server.openPort(slot.port()).addListener((ChannelFutureListener) this::transmitOn);
+                retransmitTimer = loop.schedule(this::transmit, retransmitDelayMicros, TimeUnit.MICROSECONDS);
+                retransmitDelayMicros *= 2;
             }
         }
 
-        private void writeTo(ChannelFuture port) {
+        private void transmitOn(ChannelFuture port) {
             if (endpoint.maySend()) {
-                port.channel().writeAndFlush(Unpooled.wrappedBuffer(bytes)).addListener(this::written);
-            } else if (sent == 0) {
-                end(Outcome.UNUSED, null);
+                port.channel().writeAndFlush(Unpooled.wrappedBuffer(bytes)).addListener(this::onWritten);
+            } else if (sentBytes == 0) {
+                complete(Outcome.UNUSED, null);
             }
         }
 
-        private void written(io.netty.util.concurrent.Future<? super Void> done) {
+        private void onWritten(io.netty.util.concurrent.Future<? super Void> done) {
             if (!done.isSuccess()) {
-                return;  // a port that nobody listens on told of an earlier packet
+                return;  // an ICMP port unreachable that an earlier packet caused
             }
-            if (over) {
-                strays.stray(endpoint.uid(), bytes.length, 0);
+            if (completed) {
+                strayCounter.stray(endpoint.uid(), bytes.length, 0);
             } else {
-                sent += bytes.length;
+                sentBytes += bytes.length;
             }
         }
 
         @Override
         public void cancel() {
-            end(Outcome.REVOKED, null);
+            complete(Outcome.REVOKED, null);
         }
 
-        private void end(Outcome outcome, RadiusResponseMessage answer) {
-            if (over) {
+        private void complete(Outcome outcome, RadiusResponseMessage response) {
+            if (completed) {
                 return;
             }
-            over = true;
-            timer.cancel(false);
-            if (resend != null) {
-                resend.cancel(false);
+            completed = true;
+            timeoutTimer.cancel(false);
+            if (retransmitTimer != null) {
+                retransmitTimer.cancel(false);
             }
-            peer.out.remove(slot);
-            if (answer != null) {
-                peer.identifiers.answered(slot);
+            server.attemptsInProgress.remove(slot);
+            if (response != null) {
+                server.identifiers.releaseAnswered(slot);
             } else {
-                peer.identifiers.givenUp(clock.getAsLong(), slot);
+                server.identifiers.releaseAbandoned(clock.getAsLong(), slot);
             }
-            if (peer.out.isEmpty() && !peers.containsValue(peer)) {
-                peer.close();
+            if (server.attemptsInProgress.isEmpty() && !servers.containsValue(server)) {
+                server.close();
             }
-            ended.passed(sent, received);
-            ended.ended(outcome, answer, LoadReport.NONE);
+            ended.passed(sentBytes, receivedBytes);
+            ended.ended(outcome, response, LoadReport.NONE);
         }
 
-        private void come(InetSocketAddress from, Packet answer) {
-            if (!answer.code().answers(packet.code())) {
-                drops.drop(DropCounters.Cause.WRONG_CODE, from, "expected an answer to " + packet.code() + ", found " + answer.code());
-            } else if (!peer.secret.answers(answer, packet.authenticator(), false)) {
-                drops.drop(DropCounters.Cause.NOT_SIGNED, from, "an answer whose authenticator is wrong");
+        private void onResponse(InetSocketAddress from, Packet response) {
+            if (!response.code().isResponseTo(packet.code())) {
+                dropCounters.recordDrop(DropCounters.Cause.WRONG_CODE, from, "expected a response to " + packet.code()
+                        + ", found " + response.code());
+            } else if (!server.authenticators.verifyResponse(response, packet.authenticator(), false)) {
+                dropCounters.recordDrop(DropCounters.Cause.NOT_SIGNED, from, "a response with a wrong authenticator");
             } else {
-                List<Attribute> attributes = new ArrayList<>(answer.attributes());
+                List<Attribute> attributes = new ArrayList<>(response.attributes());
                 int last = attributes.size() - 1;
                 while (last >= 0 && attributes.get(last).type() != Attribute.PROXY_STATE) {
                     last--;
                 }
-                if (last < 0 || !Arrays.equals(attributes.get(last).value(), mark)) {
-                    drops.drop(DropCounters.Cause.NO_PROXY_STATE, from, "an answer without the last Proxy-State");
+                if (last < 0 || !Arrays.equals(attributes.get(last).value(), proxyState)) {
+                    dropCounters.recordDrop(DropCounters.Cause.NO_PROXY_STATE, from,
+                            "a response without the gateway's Proxy-State as its last one");
                     return;
                 }
-                // Those of others are the client's own, and the front gives them back by its request.
-                attributes.removeIf(a -> a.type() == Attribute.PROXY_STATE || a.type() == Attribute.MESSAGE_AUTHENTICATOR);
-                end(Outcome.DELIVERED, new RadiusResponseMessage(endpoint.uid(), answer.code(), attributes,
-                        new HiddenAttributes.Hop(peer.secret, packet.authenticator())));
+                // The other Proxy-State attributes are the client's own; the front restores them from its request.
+                attributes.removeIf(a -> a.type() == Attribute.PROXY_STATE
+                        || a.type() == Attribute.MESSAGE_AUTHENTICATOR);
+                complete(Outcome.DELIVERED, new RadiusResponseMessage(endpoint.uid(), response.code(), attributes,
+                        new HiddenAttributes.Hop(server.authenticators, packet.authenticator())));
             }
         }
     }
 
-    /** What comes on one port. */
+    /** Receives packets on one port. */
     private final class ResponseHandler extends SimpleChannelInboundHandler<DatagramPacket> {
 
-        private final Server peer;
+        private final Server server;
         private final int port;
 
-        ResponseHandler(Server peer, int port) {
-            this.peer = peer;
+        ResponseHandler(Server server, int port) {
+            this.server = server;
             this.port = port;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket datagram) {
             int bytes = datagram.content().readableBytes();
-            Packet answer;
+            Packet response;
             try {
-                answer = Packet.read(ByteBufUtil.getBytes(datagram.content()));
+                response = Packet.decode(ByteBufUtil.getBytes(datagram.content()));
             } catch (MalformedPacketException e) {
-                drops.drop(DropCounters.Cause.MALFORMED, datagram.sender(), e.getMessage());
-                strays.stray(peer.uid, 0, bytes);
+                dropCounters.recordDrop(DropCounters.Cause.MALFORMED, datagram.sender(), e.getMessage());
+                strayCounter.stray(server.uid, 0, bytes);
                 return;
             }
-            UdpAttempt sent = peer.out.get(new Slot(port, answer.identifier()));
-            if (sent == null) {
-                strays.stray(peer.uid, 0, bytes);
-                drops.drop(DropCounters.Cause.NOT_ASKED, datagram.sender(), "an answer to nothing that is out");
+            UdpAttempt attempt = server.attemptsInProgress.get(new Slot(port, response.identifier()));
+            if (attempt == null) {
+                strayCounter.stray(server.uid, 0, bytes);
+                dropCounters.recordDrop(DropCounters.Cause.NOT_ASKED, datagram.sender(),
+                        "a response to no request in progress");
             } else {
-                sent.received += bytes;
-                sent.come(datagram.sender(), answer);
+                attempt.receivedBytes += bytes;
+                attempt.onResponse(datagram.sender(), response);
             }
         }
 
-        /** A port that nobody listens on tells so here; the attempt ends by its time. */
+        /** A port that nobody listens on is reported here (ICMP port unreachable); the attempt ends at its timeout. */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            drops.drop(DropCounters.Cause.MALFORMED, peer.at, cause.toString());
+            dropCounters.recordDrop(DropCounters.Cause.MALFORMED, server.address, cause.toString());
         }
     }
 }
--- a/src/main/java/mastdrift/radius/edge/package-info.java
+++ b/src/main/java/mastdrift/radius/edge/package-info.java
@@ -1,3 +1,6 @@
-/** RADIUS on UDP: the front that chargers send to, and the transport to servers. Translates and decides nothing; everything
-    runs on one event loop. What a packet means and what is a resend is told by {@code mastdrift.radius}. */
+/**
+ * RADIUS over UDP: the front that clients send to, and the transport to servers. Converts between datagrams and the
+ * gateway's requests and makes no decisions; everything runs on one event loop. Packet formats and duplicate detection
+ * are in {@code mastdrift.radius}.
+ */
 package mastdrift.radius.edge;
--- a/src/main/java/mastdrift/radius/package-info.java
+++ b/src/main/java/mastdrift/radius/package-info.java
@@ -1,4 +1,6 @@
-/** RADIUS as values: packets and their attributes, authenticators, what is hidden, what makes a packet a resend of another,
-    and identifiers towards servers. Pure: no I/O, no threads, no clock of its own; the front and the transport are built on
-    it. */
+/**
+ * The RADIUS protocol: packets and attributes, authenticators, hidden attributes, duplicate detection, and
+ * the allocation of identifiers towards servers. Pure: no I/O, no threads, no clock of its own. The UDP front and
+ * transport are built on it.
+ */
 package mastdrift.radius;
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -361,7 +361,7 @@
             zones = new ZoneService(file, loop, clock::now, gateway, next.zones(),
                     line -> events.event(Level.WARN, "zones", line));
             clients.clientZones(zones::zone);
-            radius.forEach(front -> front.clientZones(zones::zone));
+            radius.forEach(front -> front.setClientZones(zones::zone));
         }
     }
 
--- a/src/main/java/mastdrift/standin/StandInCharger.java
+++ b/src/main/java/mastdrift/standin/StandInCharger.java
@@ -33,7 +33,7 @@
 
         Open(Packet request) {
             this.request = request;
-            bytes = request.write();
+            bytes = request.encode();
         }
     }
 
@@ -131,7 +131,7 @@
             return;
         }
         try {
-            if (request != null && own.answers(Packet.read(bytes), request.request.authenticator(), false)) {
+            if (request != null && own.verifyResponse(Packet.decode(bytes), request.request.authenticator(), false)) {
                 open.remove(identifier);
                 last.put(identifier, bytes);
                 answered.incrementAndGet();
--- a/src/main/java/mastdrift/standin/StandInRadiusServer.java
+++ b/src/main/java/mastdrift/standin/StandInRadiusServer.java
@@ -78,14 +78,14 @@
 
     private void receive() {
         Authenticators own = new Authenticators(secret);
-        byte[] buffer = new byte[Packet.MOST];
+        byte[] buffer = new byte[Packet.MAX_BYTES];
         while (!socket.isClosed()) {
             try {
                 DatagramPacket datagram = new DatagramPacket(buffer, buffer.length);
                 socket.receive(datagram);
                 bytesIn.addAndGet(datagram.getLength());
-                Packet request = Packet.read(Arrays.copyOf(buffer, datagram.getLength()));
-                if (own.signed(request, request.code() == Code.ACCESS_REQUEST)) {
+                Packet request = Packet.decode(Arrays.copyOf(buffer, datagram.getLength()));
+                if (own.verifyRequest(request, request.code() == Code.ACCESS_REQUEST)) {
                     take(own, datagram, request);
                 }
             } catch (IOException | MalformedPacketException e) {
@@ -118,8 +118,8 @@
             runs.incrementAndGet();
         }
         if (request.code() == Code.ACCOUNTING_REQUEST) {
-            effects.run(Arrays.toString(request.first(Attribute.ACCT_SESSION_ID))
-                    + Arrays.toString(request.first(Attribute.ACCT_STATUS_TYPE)), group);
+            effects.run(Arrays.toString(request.firstValue(Attribute.ACCT_SESSION_ID))
+                    + Arrays.toString(request.firstValue(Attribute.ACCT_STATUS_TYPE)), group);
         }
         List<Attribute> back = new ArrayList<>();
         back.add(new Attribute(18, name.getBytes(StandardCharsets.US_ASCII)));
@@ -131,8 +131,8 @@
         }
         Code accepts = manner == Manner.REJECT ? Code.ACCESS_REJECT : manner == Manner.CHALLENGE && request.code() == Code.ACCESS_REQUEST ? challenge(request, back)
                 : Code.ACCESS_ACCEPT;
-        byte[] answer = own.signAnswer(new Packet(accounting ? Code.ACCOUNTING_RESPONSE : accepts,
-                request.identifier(), request.authenticator(), back), request.authenticator(), !accounting).write();
+        byte[] answer = own.signResponse(new Packet(accounting ? Code.ACCOUNTING_RESPONSE : accepts,
+                request.identifier(), request.authenticator(), back), request.authenticator(), !accounting).encode();
         if (manner == Manner.SILENT) {
             return;
         }
@@ -152,7 +152,7 @@
 
     /** Its State is its name and how often it was asked, with a number that makes it one of a kind. */
     private Code challenge(Packet request, List<Attribute> back) {
-        byte[] state = request.first(Attribute.STATE);
+        byte[] state = request.firstValue(Attribute.STATE);
         String given = state == null ? name + " 0" : new String(state, StandardCharsets.US_ASCII);
         if (!given.startsWith(name + " ")) {
             return Code.ACCESS_REJECT;
@@ -168,15 +168,15 @@
     private void lie(Authenticators own, DatagramPacket from, Packet request, List<Attribute> back) throws IOException {
         byte[] asked = request.authenticator();
         Packet reject = new Packet(Code.ACCESS_REJECT, request.identifier(), asked, back);
-        byte[] wrong = own.signAnswer(reject, asked, true).write();
+        byte[] wrong = own.signResponse(reject, asked, true).encode();
         wrong[10] ^= 1;
         reply(wrong, from);
-        reply(own.signAnswer(reject.with(List.of()), asked, true).write(), from);
-        reply(own.signAnswer(new Packet(request.code() == Code.ACCOUNTING_REQUEST ? Code.ACCESS_REJECT
-                : Code.ACCOUNTING_RESPONSE, request.identifier(), asked, back), asked, false).write(), from);
+        reply(own.signResponse(reject.withAttributes(List.of()), asked, true).encode(), from);
+        reply(own.signResponse(new Packet(request.code() == Code.ACCOUNTING_REQUEST ? Code.ACCESS_REJECT
+                : Code.ACCOUNTING_RESPONSE, request.identifier(), asked, back), asked, false).encode(), from);
         reply(new byte[] {2, (byte) request.identifier(), 0, 3}, from);
         try (DatagramSocket other = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
-            byte[] right = own.signAnswer(reject, asked, true).write();
+            byte[] right = own.signResponse(reject, asked, true).encode();
             other.send(new DatagramPacket(right, right.length, from.getSocketAddress()));  // from a wrong address
         }
     }
--- a/src/test/java/mastdrift/radius/DuplicateCacheTest.java
+++ b/src/test/java/mastdrift/radius/DuplicateCacheTest.java
@@ -26,12 +26,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is a resend of what, what is kept for it, and which identifier may be used. */
+/** Duplicate detection, cached responses, conversations, and allocation of identifiers. */
 class DuplicateCacheTest {
 
-    private static final long KEPT = 30_000_000;
+    private static final long RETENTION_MICROS = 30_000_000;
 
-    private final DuplicateCache resends = new DuplicateCache(KEPT, 8, 100);
+    private final DuplicateCache cache = new DuplicateCache(RETENTION_MICROS, 8, 100);
 
     private static Source source(int address, int port) {
         return new Source(new byte[] {10, 0, 0, (byte) address}, port);
@@ -59,144 +59,159 @@
         return new Packet(Code.ACCOUNTING_REQUEST, identifier, authenticator, attributes);
     }
 
-    private Disposition what(long now, Source source, Packet packet) {
-        return resends.met(now, source, packet).what();
+    private Disposition dispositionOf(long now, Source source, Packet packet) {
+        return cache.lookUp(now, source, packet).disposition();
     }
 
     // ---- identities
 
-    /** The hard case of a resent Access-Request: while the first is out it joins, afterwards it gets the same bytes. */
+    /** A retransmitted Access-Request: while the first is in progress it joins, afterwards it gets the same bytes. */
     @Test
-    void aResendJoinsAndThenGetsTheKeptAnswer() {
-        LookupResult first = resends.met(0, source(1, 1812), access(5, 1));
-        assertEquals(Disposition.PASS_ON, first.what());
-        assertEquals(Disposition.JOINED, what(1, source(1, 1812), access(5, 1)));
-        assertEquals(1, first.entry().waiting().size(), "one answer for both");
-        byte[] answer = {1, 2, 3};
-        resends.answered(first.entry(), first.entry().waiting().get(0), answer);
-        LookupResult again = resends.met(2, source(1, 1812), access(5, 1));
-        assertEquals(Disposition.KEPT, again.what());
-        assertSame(answer, again.answer());
-        assertEquals(Disposition.PASS_ON, what(KEPT, source(1, 1812), access(5, 1)), "no longer kept");
+    void retransmissionJoinsThenGetsCachedResponse() {
+        LookupResult first = cache.lookUp(0, source(1, 1812), access(5, 1));
+        assertEquals(Disposition.FORWARD, first.disposition());
+        assertEquals(Disposition.JOINED, dispositionOf(1, source(1, 1812), access(5, 1)));
+        assertEquals(1, first.entry().waiting().size(), "one response for both");
+        byte[] response = {1, 2, 3};
+        cache.recordResponse(first.entry(), first.entry().waiting().get(0), response);
+        LookupResult again = cache.lookUp(2, source(1, 1812), access(5, 1));
+        assertEquals(Disposition.CACHED, again.disposition());
+        assertSame(response, again.response());
+        assertEquals(Disposition.FORWARD, dispositionOf(RETENTION_MICROS, source(1, 1812), access(5, 1)),
+                "no longer cached");
     }
 
-    /** The same identifier with another authenticator, from another port or address, or with another code, is another. */
+    /**
+     * The same identifier with another authenticator, from another port or address, or with another code, is a new
+     * request.
+     */
     @Test
-    void whatDiffersInAnyPartIsNew() {
-        assertEquals(Disposition.PASS_ON, what(0, source(1, 1812), access(5, 1)));
-        assertEquals(Disposition.PASS_ON, what(0, source(1, 1812), access(5, 2)));
-        assertEquals(Disposition.PASS_ON, what(0, source(1, 1812), access(6, 1)));
-        assertEquals(Disposition.PASS_ON, what(0, source(1, 1813), access(5, 1)));
-        assertEquals(Disposition.PASS_ON, what(0, source(2, 1812), access(5, 1)));
-        assertEquals(Disposition.PASS_ON, what(0, source(2, 1812), new Packet(Code.STATUS_SERVER, 5, access(5, 1).authenticator(),
+    void packetThatDiffersInAnyIdentityFieldIsNew() {
+        assertEquals(Disposition.FORWARD, dispositionOf(0, source(1, 1812), access(5, 1)));
+        assertEquals(Disposition.FORWARD, dispositionOf(0, source(1, 1812), access(5, 2)));
+        assertEquals(Disposition.FORWARD, dispositionOf(0, source(1, 1812), access(6, 1)));
+        assertEquals(Disposition.FORWARD, dispositionOf(0, source(1, 1813), access(5, 1)));
+        assertEquals(Disposition.FORWARD, dispositionOf(0, source(2, 1812), access(5, 1)));
+        assertEquals(Disposition.FORWARD,
+                dispositionOf(0, source(2, 1812), new Packet(Code.STATUS_SERVER, 5, access(5, 1).authenticator(),
                 List.of())));
     }
 
     @Test
-    void whatWasNotAnsweredIsANewTry() {
-        LookupResult first = resends.met(0, source(1, 1812), access(5, 1));
-        resends.unanswered(first.entry());
-        assertEquals(0, resends.size());
-        assertEquals(Disposition.PASS_ON, what(1, source(1, 1812), access(5, 1)));
+    void retransmissionOfUnansweredRequestIsForwardedAgain() {
+        LookupResult first = cache.lookUp(0, source(1, 1812), access(5, 1));
+        cache.recordNoResponse(first.entry());
+        assertEquals(0, cache.size());
+        assertEquals(Disposition.FORWARD, dispositionOf(1, source(1, 1812), access(5, 1)));
     }
 
-    // ---- effects
+    // ---- accounting events
 
-    /** The hard case of a start that is resent with a new identifier since its delay went up. */
+    /** A Start that is retransmitted with a new identifier because its Acct-Delay-Time was incremented. */
     @Test
-    void aStartWithAnotherDelayIsTheSameStart() {
-        LookupResult first = resends.met(0, source(1, 1813), accounting(5, 1, "s1", 0));
-        LookupResult later = resends.met(1, source(1, 1813), accounting(6, 1, "s1", 3));
-        assertEquals(Disposition.JOINED, later.what());
+    void startWithIncrementedDelayIsDuplicate() {
+        LookupResult first = cache.lookUp(0, source(1, 1813), accounting(5, 1, "s1", 0));
+        LookupResult later = cache.lookUp(1, source(1, 1813), accounting(6, 1, "s1", 3));
+        assertEquals(Disposition.JOINED, later.disposition());
         assertSame(first.entry(), later.entry());
-        assertEquals(2, first.entry().waiting().size(), "each identity gets an answer of its own");
+        assertEquals(2, first.entry().waiting().size(), "each packet gets a response of its own");
         for (int i = 0; i < 2; i++) {
-            resends.answered(first.entry(), first.entry().waiting().get(i), new byte[] {(byte) i});
+            cache.recordResponse(first.entry(), first.entry().waiting().get(i), new byte[] {(byte) i});
         }
-        assertArrayEquals(new byte[] {1}, resends.met(2, source(1, 1813), accounting(6, 1, "s1", 3)).answer());
-        LookupResult after = resends.met(3, source(1, 1813), accounting(7, 1, "s1", 9));
-        assertEquals(Disposition.REPEATED, after.what(), "answered without a server");
-        resends.answered(after.entry(), after.entry().waiting().get(2), new byte[] {2});
-        assertEquals(Disposition.KEPT, what(4, source(1, 1813), accounting(7, 1, "s1", 9)));
+        assertArrayEquals(new byte[] {1}, cache.lookUp(2, source(1, 1813), accounting(6, 1, "s1", 3)).response());
+        LookupResult after = cache.lookUp(3, source(1, 1813), accounting(7, 1, "s1", 9));
+        assertEquals(Disposition.SAME_EVENT_ANSWERED, after.disposition(), "answered without asking a server");
+        cache.recordResponse(after.entry(), after.entry().waiting().get(2), new byte[] {2});
+        assertEquals(Disposition.CACHED, dispositionOf(4, source(1, 1813), accounting(7, 1, "s1", 9)));
     }
 
     @ParameterizedTest
-    @CsvSource({"1, s1, 1, s1, true", "1, s1, 1, s2, false", "1, s1, 2, s1, false", "2, s1, 2, s1, true", "3, s1, 3, s1, true",
+    @CsvSource({"1, s1, 1, s1, true", "1, s1, 1, s2, false", "1, s1, 2, s1, false", "2, s1, 2, s1, true",
+        "3, s1, 3, s1, true",
         "7, , 7, , true", "7, , 8, , false"})
-    void effectsByStatusAndSession(int status, String session, int otherStatus, String otherSession, boolean same) {
+    void eventsAreIdentifiedByStatusTypeAndSession(int status, String session, int otherStatus, String otherSession,
+            boolean same) {
         AccountingEvent one = AccountingEvent.of(new byte[4], accounting(1, status, session, 0));
         AccountingEvent other = AccountingEvent.of(new byte[4], accounting(2, otherStatus, otherSession, 5,
                 new Attribute(Attribute.PROXY_STATE, new byte[3])));
         assertEquals(same, one.equals(other));
-        assertEquals(same, one.key() == other.key());
-        assertNotEquals(one, AccountingEvent.of(new byte[] {1, 2, 3, 4}, accounting(1, status, session, 0)), "another client");
+        assertEquals(same, one.routingKey() == other.routingKey());
+        assertNotEquals(one, AccountingEvent.of(new byte[] {1, 2, 3, 4}, accounting(1, status, session, 0)),
+                "another client");
     }
 
-    /** Interim updates of one session go on: each session time is an effect of its own, and nothing else makes one. */
+    /** Interim updates of one session are distinct events if they differ in Acct-Session-Time, and in nothing else. */
     @Test
-    void interimUpdatesAreToldApartBySessionTime() {
-        AccountingEvent one = AccountingEvent.of(new byte[4], accounting(1, 3, "s", 0, number(Attribute.ACCT_SESSION_TIME, 60), number(42, 1)));
-        AccountingEvent same = AccountingEvent.of(new byte[4], accounting(2, 3, "s", 9, number(Attribute.ACCT_SESSION_TIME, 60), number(42, 2)));
-        AccountingEvent next = AccountingEvent.of(new byte[4], accounting(3, 3, "s", 0, number(Attribute.ACCT_SESSION_TIME, 120), number(42, 1)));
+    void interimUpdatesAreDistinguishedBySessionTime() {
+        AccountingEvent one = AccountingEvent.of(new byte[4],
+                accounting(1, 3, "s", 0, number(Attribute.ACCT_SESSION_TIME, 60), number(42, 1)));
+        AccountingEvent same = AccountingEvent.of(new byte[4],
+                accounting(2, 3, "s", 9, number(Attribute.ACCT_SESSION_TIME, 60), number(42, 2)));
+        AccountingEvent next = AccountingEvent.of(new byte[4],
+                accounting(3, 3, "s", 0, number(Attribute.ACCT_SESSION_TIME, 120), number(42, 1)));
         assertEquals(one, same);
         assertNotEquals(one, next);
         assertNotEquals(AccountingEvent.of(new byte[4], accounting(1, 3, "s", 0, number(42, 1))),
-                AccountingEvent.of(new byte[4], accounting(1, 3, "s", 0, number(42, 2))), "without a time, by all else");
+                AccountingEvent.of(new byte[4], accounting(1, 3, "s", 0, number(42, 2))),
+                "without Acct-Session-Time, by all other attributes");
     }
 
     // ---- bounds
 
-    /** A flood of new identifiers from one address takes its own eldest, and the others keep theirs. */
+    /** A flood of new identifiers from one address evicts its own oldest entries, and the others keep theirs. */
     @Test
-    void aFloodFromOneAddressTakesNothingFromAnother() {
-        what(0, source(1, 1), access(1, 1));
+    void floodFromOneAddressDoesNotEvictEntriesOfAnother() {
+        dispositionOf(0, source(1, 1), access(1, 1));
         for (int i = 0; i < 100; i++) {
-            what(1, source(2, 1), access(i, 1));
+            dispositionOf(1, source(2, 1), access(i, 1));
         }
-        assertEquals(Disposition.JOINED, what(2, source(1, 1), access(1, 1)));
-        assertEquals(3, resends.size(), "a quarter of eight for one address");
-        assertEquals(Disposition.JOINED, what(2, source(2, 1), access(99, 1)));
-        assertEquals(Disposition.PASS_ON, what(2, source(2, 1), access(97, 1)));
+        assertEquals(Disposition.JOINED, dispositionOf(2, source(1, 1), access(1, 1)));
+        assertEquals(3, cache.size(), "a quarter of eight for one address");
+        assertEquals(Disposition.JOINED, dispositionOf(2, source(2, 1), access(99, 1)));
+        assertEquals(Disposition.FORWARD, dispositionOf(2, source(2, 1), access(97, 1)));
     }
 
     @Test
-    void beyondTheBoundOfAllTheEldestGoes() {
+    void oldestEntryIsEvictedWhenFull() {
         for (int i = 0; i < 9; i++) {
-            what(i, source(i, 1), access(1, 1));
+            dispositionOf(i, source(i, 1), access(1, 1));
         }
-        assertEquals(8, resends.size());
-        assertEquals(Disposition.JOINED, what(9, source(8, 1), access(1, 1)));
-        assertEquals(Disposition.PASS_ON, what(9, source(0, 1), access(1, 1)));
+        assertEquals(8, cache.size());
+        assertEquals(Disposition.JOINED, dispositionOf(9, source(8, 1), access(1, 1)));
+        assertEquals(Disposition.FORWARD, dispositionOf(9, source(0, 1), access(1, 1)));
     }
 
     @Test
-    void beyondTheBoundOfBytesTheEldestAnswersGo() {
+    void oldestResponsesAreEvictedBeyondByteLimit() {
         for (int i = 0; i < 4; i++) {
-            LookupResult met = resends.met(i, source(i, 1), access(1, 1));
-            resends.answered(met.entry(), met.entry().waiting().get(0), new byte[40]);
+            LookupResult result = cache.lookUp(i, source(i, 1), access(1, 1));
+            cache.recordResponse(result.entry(), result.entry().waiting().get(0), new byte[40]);
         }
-        assertEquals(80, resends.bytes());
-        assertEquals(Disposition.PASS_ON, what(5, source(1, 1), access(1, 1)));
-        assertEquals(Disposition.KEPT, what(5, source(3, 1), access(1, 1)));
+        assertEquals(80, cache.responseBytes());
+        assertEquals(Disposition.FORWARD, dispositionOf(5, source(1, 1), access(1, 1)));
+        assertEquals(Disposition.CACHED, dispositionOf(5, source(3, 1), access(1, 1)));
     }
 
     @Test
-    void anAnswerToWhatHadToGoIsNotKept() {
-        LookupResult met = resends.met(0, source(1, 1), access(1, 1));
+    void responseToEvictedEntryIsNotCached() {
+        LookupResult result = cache.lookUp(0, source(1, 1), access(1, 1));
         for (int i = 0; i < 3; i++) {
-            what(0, source(1, 1), access(2 + i, 1));
+            dispositionOf(0, source(1, 1), access(2 + i, 1));
         }
-        resends.answered(met.entry(), met.entry().waiting().get(0), new byte[40]);
-        resends.unanswered(met.entry());
-        assertEquals(0, resends.bytes());
-        assertEquals(2, resends.size());
+        cache.recordResponse(result.entry(), result.entry().waiting().get(0), new byte[40]);
+        cache.recordNoResponse(result.entry());
+        assertEquals(0, cache.responseBytes());
+        assertEquals(2, cache.size());
     }
 
-    /** Many steps against a plain model: an identity is passed on once while it is held, and its answer never changes. */
+    /**
+     * Many steps against a simple model: a packet is forwarded once while its entry is held, and its response never
+     * changes.
+     */
     @Property(tries = 60, seed = "42")
-    void throughManyStepsEachIsPassedOnOnceAndItsAnswerStays(@ForAll long seed) {
+    void eachRequestIsForwardedOnceAndItsResponseStaysSame(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        DuplicateCache many = new DuplicateCache(1000, 10_000, 1 << 20);
+        DuplicateCache largeCache = new DuplicateCache(1000, 10_000, 1 << 20);
         Map<String, LookupResult> out = new HashMap<>();
         Map<String, byte[]> answers = new HashMap<>();
         Map<String, Long> since = new HashMap<>();
@@ -204,21 +219,22 @@
             int address = random.nextInt(3);
             int identifier = random.nextInt(10);
             String name = address + "/" + identifier;
-            LookupResult met = many.met(now, source(address, 1), access(identifier, 0));
+            LookupResult result = largeCache.lookUp(now, source(address, 1), access(identifier, 0));
             boolean held = since.containsKey(name) && now - since.get(name) < 1000;
-            assertEquals(!held ? Disposition.PASS_ON : answers.containsKey(name) ? Disposition.KEPT : Disposition.JOINED, met.what());
-            if (met.what() == Disposition.PASS_ON) {
-                out.put(name, met);
+            assertEquals(!held ? Disposition.FORWARD : answers.containsKey(name) ? Disposition.CACHED
+                    : Disposition.JOINED, result.disposition());
+            if (result.disposition() == Disposition.FORWARD) {
+                out.put(name, result);
                 answers.remove(name);
                 since.put(name, now);
-            } else if (met.what() == Disposition.KEPT) {
-                assertSame(answers.get(name), met.answer());
+            } else if (result.disposition() == Disposition.CACHED) {
+                assertSame(answers.get(name), result.response());
             } else if (random.nextInt(3) == 0) {
                 byte[] answer = {(byte) now};
-                many.answered(out.get(name).entry(), out.get(name).entry().waiting().get(0), answer);
+                largeCache.recordResponse(out.get(name).entry(), out.get(name).entry().waiting().get(0), answer);
                 answers.put(name, answer);
             } else if (random.nextInt(5) == 0) {
-                many.unanswered(out.get(name).entry());
+                largeCache.recordNoResponse(out.get(name).entry());
                 since.remove(name);
             }
         }
@@ -227,71 +243,74 @@
     // ---- conversations
 
     @Test
-    void aConversationIsRememberedByItsLastState() {
+    void conversationIsFoundByItsLastState() {
         ConversationTable conversations = new ConversationTable(2, 100);
-        conversations.challenged(0, new byte[] {1}, new ConversationTable.Conversation("one", 7));
-        assertEquals(new ConversationTable.Conversation("one", 7), conversations.held(99, new byte[] {1}));
-        assertNull(conversations.held(100, new byte[] {1}), "its time is over");
-        assertNull(conversations.held(1, new byte[] {2}));
-        conversations.challenged(1, new byte[] {2}, new ConversationTable.Conversation("two", 8));
-        conversations.challenged(2, new byte[] {3}, new ConversationTable.Conversation("two", 8));
+        conversations.recordChallenge(0, new byte[] {1}, new ConversationTable.Conversation("one", 7));
+        assertEquals(new ConversationTable.Conversation("one", 7), conversations.find(99, new byte[] {1}));
+        assertNull(conversations.find(100, new byte[] {1}), "expired");
+        assertNull(conversations.find(1, new byte[] {2}));
+        conversations.recordChallenge(1, new byte[] {2}, new ConversationTable.Conversation("two", 8));
+        conversations.recordChallenge(2, new byte[] {3}, new ConversationTable.Conversation("two", 8));
         assertEquals(2, conversations.size());
-        assertNull(conversations.held(3, new byte[] {1}), "beyond the bound the eldest goes");
-        conversations.challenged(200, new byte[] {4}, new ConversationTable.Conversation("two", 8));
-        assertEquals(1, conversations.size(), "expired ones leave");
+        assertNull(conversations.find(3, new byte[] {1}), "the oldest is evicted when full");
+        conversations.recordChallenge(200, new byte[] {4}, new ConversationTable.Conversation("two", 8));
+        assertEquals(1, conversations.size(), "expired entries are removed");
     }
 
     // ---- identifiers towards servers
 
     @Test
-    void anIdentifierRestsWhereItsAnswerMayStillCome() {
+    void abandonedIdentifierIsQuarantined() {
         IdentifierPool identifiers = new IdentifierPool(1, 100);
         Set<Slot> all = new HashSet<>();
         for (int i = 0; i < 256; i++) {
-            assertTrue(all.add(identifiers.take(0)));
+            assertTrue(all.add(identifiers.acquire(0)));
         }
-        assertNull(identifiers.take(0), "nothing may be sent");
-        identifiers.givenUp(10, new Slot(0, 7));
-        assertNull(identifiers.take(109));
-        assertEquals(new Slot(0, 7), identifiers.take(110));
-        identifiers.answered(new Slot(0, 9));
-        assertEquals(new Slot(0, 9), identifiers.take(110));
+        assertNull(identifiers.acquire(0), "no identifier is free");
+        identifiers.releaseAbandoned(10, new Slot(0, 7));
+        assertNull(identifiers.acquire(109));
+        assertEquals(new Slot(0, 7), identifiers.acquire(110));
+        identifiers.releaseAnswered(new Slot(0, 9));
+        assertEquals(new Slot(0, 9), identifiers.acquire(110));
         assertThrows(IllegalStateException.class, () -> {
-            identifiers.answered(new Slot(0, 9));
-            identifiers.answered(new Slot(0, 9));
+            identifiers.releaseAnswered(new Slot(0, 9));
+            identifiers.releaseAnswered(new Slot(0, 9));
         });
         assertThrows(IllegalArgumentException.class, () -> new IdentifierPool(0, 1));
     }
 
-    /** Many steps: no slot is out twice, none comes back before its rest is over, and ports are opened only as needed. */
+    /**
+     * Many steps: no slot is acquired twice, none is reused before its quarantine ends, and ports are added only on
+     * demand.
+     */
     @Property(tries = 30, seed = "43")
-    void noIdentifierIsOutTwiceNorTooSoon(@ForAll long seed) {
+    void identifierIsNeitherAcquiredTwiceNorReusedTooSoon(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         IdentifierPool identifiers = new IdentifierPool(3, 500);
-        List<Slot> out = new ArrayList<>();
-        Map<Slot, Long> rests = new HashMap<>();
-        int most = 0;
+        List<Slot> inUse = new ArrayList<>();
+        Map<Slot, Long> quarantineEnds = new HashMap<>();
+        int maxInUse = 0;
         for (long now = 0; now < 20_000; now += random.nextInt(4)) {
             if (random.nextInt(5) < 3) {
-                Slot slot = identifiers.take(now);
+                Slot slot = identifiers.acquire(now);
                 if (slot == null) {
-                    assertEquals(3, identifiers.ports());
+                    assertEquals(3, identifiers.portCount());
                 } else {
-                    assertTrue(!out.contains(slot) && rests.getOrDefault(slot, 0L) <= now, "" + slot);
-                    out.add(slot);
+                    assertTrue(!inUse.contains(slot) && quarantineEnds.getOrDefault(slot, 0L) <= now, "" + slot);
+                    inUse.add(slot);
                 }
-            } else if (!out.isEmpty()) {
-                Slot slot = out.remove(random.nextInt(out.size()));
+            } else if (!inUse.isEmpty()) {
+                Slot slot = inUse.remove(random.nextInt(inUse.size()));
                 if (random.nextBoolean()) {
-                    identifiers.answered(slot);
+                    identifiers.releaseAnswered(slot);
                 } else {
-                    identifiers.givenUp(now, slot);
-                    rests.put(slot, now + 500);
+                    identifiers.releaseAbandoned(now, slot);
+                    quarantineEnds.put(slot, now + 500);
                 }
             }
-            most = Math.max(most, out.size());
-            assertEquals(out.size(), identifiers.taken());
+            maxInUse = Math.max(maxInUse, inUse.size());
+            assertEquals(inUse.size(), identifiers.inUseCount());
         }
-        assertTrue(most > 100, "most out " + most);
+        assertTrue(maxInUse > 100, "most in use " + maxInUse);
     }
 }
--- a/src/test/java/mastdrift/radius/edge/RadiusEdgeTest.java
+++ b/src/test/java/mastdrift/radius/edge/RadiusEdgeTest.java
@@ -81,38 +81,41 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The front and the transport over loopback: scripted servers, and chargers by hand and by a library of others. */
+/**
+ * The front and the transport over loopback, with scripted servers, and with clients scripted by hand and from an
+ * independent library.
+ */
 class RadiusEdgeTest {
 
     private static final int WAIT_SECONDS = 30;
-    private static final byte[] CHARGER = "the charger's".getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] SERVER = "the servers'".getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] STRANGER = "a stranger's".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] CLIENT_SECRET = "the charger's".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] SERVER_SECRET = "the servers'".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] OTHER_SECRET = "a stranger's".getBytes(StandardCharsets.US_ASCII);
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final Clock clock = Clock.system();
     private final Effects effects = new Effects(60_000_000);
     private final List<StandInRadiusServer> servers = new ArrayList<>();
     private final List<DatagramSocket> sockets = new ArrayList<>();
-    private final Authenticators charger = new Authenticators(CHARGER);
+    private final Authenticators clientAuthenticators = new Authenticators(CLIENT_SECRET);
     private Ledger ledger;
     private Pool pool;
-    private DropCounters drops;
+    private DropCounters dropCounters;
     private RadiusFront front;
 
     @BeforeEach
     void start() throws Exception {
         onLoop(() -> {
-            drops = new DropCounters(clock::now, line -> { });
+            dropCounters = new DropCounters(clock::now, line -> { });
             ledger = new Ledger(Timers.of(loop), clock, 1000, line -> { });
             pool = new Pool("radius", ledger, new Balance(), settings(), new RadiusTransport(loop, clock::now,
-                    uid -> SERVER, drops));
+                    uid -> SERVER_SECRET, dropCounters));
             pool.start(Source.TELLS, List.of());
             RadiusClients clients = new RadiusClients(List.of(new RadiusClients.Client("chargers",
-                    AddressRange.parse("127.0.0.0/30"), new Authenticators(CHARGER), null, true)));
+                    AddressRange.parse("127.0.0.0/30"), new Authenticators(CLIENT_SECRET), null, true)));
             front = new RadiusFront(loop, ledger, (name, tenant, key) -> pool, clients,
                     new RadiusFront.Classes("access", "conversation", "accounting", 4_000_000, 4_000_000),
-                    new DuplicateCache(30_000_000, 1 << 16, 16 << 20), drops);
+                    new DuplicateCache(30_000_000, 1 << 16, 16 << 20), dropCounters);
             return front.listen(new InetSocketAddress("127.0.0.1", 0));
         }).sync();
     }
@@ -141,19 +144,19 @@
                 new Habits(true, false, Reports.OFF, List.of(), false), false, Weights.NOMINAL, "", 0, 1);
     }
 
-    /** One that drops nobody's repeats but its own. */
-    private StandInRadiusServer server(String name, long work) throws IOException {
-        return server(name, name, work);
+    /** A server that recognizes only its own duplicates. */
+    private StandInRadiusServer startServer(String name, long workMicros) throws IOException {
+        return startServer(name, name, workMicros);
     }
 
-    private StandInRadiusServer server(String name, String group, long work) throws IOException {
-        StandInRadiusServer server = new StandInRadiusServer(name, group, effects, SERVER, work);
+    private StandInRadiusServer startServer(String name, String group, long workMicros) throws IOException {
+        StandInRadiusServer server = new StandInRadiusServer(name, group, effects, SERVER_SECRET, workMicros);
         servers.add(server);
         return server;
     }
 
-    /** The pool's servers, all of which but these are up. */
-    private void list(String... leaving) throws Exception {
+    /** Sends the pool a list of all servers; the named ones are leaving, the others are up. */
+    private void listServers(String... leaving) throws Exception {
         List<Member> members = servers.stream().map(server -> new Member(new Host(server.name(), "a", 0, "", 1,
                 List.of(leaving).contains(server.name()) ? Health.LEAVING : Health.UP, 0),
                 new InetSocketAddress("127.0.0.1", server.port()))).toList();
@@ -163,7 +166,7 @@
         });
     }
 
-    private DatagramSocket socket() throws IOException {
+    private DatagramSocket openSocket() throws IOException {
         DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
         socket.setSoTimeout(WAIT_SECONDS * 1000);
         sockets.add(socket);
@@ -180,12 +183,14 @@
         return Arrays.copyOf(datagram.getData(), datagram.getLength());
     }
 
-    /** That nothing more has come once the gateway and the servers have done what they were asked before. */
-    private void nothingMore(DatagramSocket socket) throws Exception {
+    /**
+     * Asserts that no further packet arrives once the gateway and the servers have handled all that was sent before.
+     */
+    private void assertNoFurtherPacket(DatagramSocket socket) throws Exception {
         onLoop(() -> null);
         socket.setSoTimeout(50);
         try {
-            assertNull(receive(socket), "nothing more");
+            assertNull(receive(socket), "no further packet");
         } catch (SocketTimeoutException e) {
             socket.setSoTimeout(WAIT_SECONDS * 1000);
         }
@@ -205,26 +210,27 @@
         return bytes;
     }
 
-    private Packet access(int identifier, Attribute... attributes) {
-        return charger.signRequest(new Packet(Code.ACCESS_REQUEST, identifier, authenticator(identifier + 1),
-                List.of(attributes)));
+    private Packet accessRequest(int identifier, Attribute... attributes) {
+        return clientAuthenticators.signRequest(new Packet(Code.ACCESS_REQUEST, identifier,
+                authenticator(identifier + 1), List.of(attributes)));
     }
 
-    private Packet accounting(int identifier, String session, int delay) {
-        return charger.signRequest(new Packet(Code.ACCOUNTING_REQUEST, identifier, new byte[16], List.of(
+    private Packet accountingRequest(int identifier, String session, int delay) {
+        return clientAuthenticators.signRequest(new Packet(Code.ACCOUNTING_REQUEST, identifier, new byte[16], List.of(
                 new Attribute(Attribute.ACCT_STATUS_TYPE, new byte[] {0, 0, 0, 1}),
                 new Attribute(Attribute.ACCT_SESSION_ID, session.getBytes(StandardCharsets.US_ASCII)),
                 new Attribute(Attribute.ACCT_DELAY_TIME, new byte[] {0, 0, 0, (byte) delay}))));
     }
 
-    private Packet answered(DatagramSocket socket, Packet request) throws Exception {
-        Packet answer = Packet.read(receive(socket));
+    private Packet receiveVerified(DatagramSocket socket, Packet request) throws Exception {
+        Packet answer = Packet.decode(receive(socket));
         assertEquals(request.identifier(), answer.identifier());
-        assertTrue(charger.answers(answer, request.authenticator(), request.code() == Code.ACCESS_REQUEST));
+        assertTrue(clientAuthenticators.verifyResponse(answer, request.authenticator(),
+                request.code() == Code.ACCESS_REQUEST));
         return answer;
     }
 
-    /** That one accounting request has failed. */
+    /** Waits until one accounting request has failed. */
     private void awaitFailed() throws InterruptedException {
         await(() -> {
             try {
@@ -232,150 +238,162 @@
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
-        }, "it fails in time");
+        }, "accounting request fails in time");
     }
 
-    private long dropped(DropCounters.Cause cause) throws Exception {
-        return onLoop(() -> drops.count(cause));
+    private long dropCount(DropCounters.Cause cause) throws Exception {
+        return onLoop(() -> dropCounters.count(cause));
     }
 
-    // ---- by a library of others
+    // ---- with an independent client library
 
-    /** A PAP, a CHAP and an accounting exchange, by a client that others wrote. */
+    /** A PAP, a CHAP and an accounting exchange with an independent client. */
     @Test
-    void aLibrarysClientIsServed() throws Exception {
-        StandInRadiusServer server = server("one", 1_000);
-        list();
-        try (UdpRadiusClient client = UdpRadiusClient.newBuilder().address(front.address()).secret(CHARGER)
+    void independentClientIsServed() throws Exception {
+        StandInRadiusServer server = startServer("one", 1_000);
+        listServers();
+        try (UdpRadiusClient client = UdpRadiusClient.newBuilder().address(front.address()).secret(CLIENT_SECRET)
                 .dictionary(new StandardDictionary())
                 .retransmissionStrategy(new IntervalRetransmissionStrategy(3, Duration.ofSeconds(5))).build()) {
             byte[] password = "arctangent".getBytes(StandardCharsets.US_ASCII);
-            assertTrue(client.send(new AccessRequest(List.of(new MessageAuthenticator(), new UserName(new TextData("nemo")),
+            assertTrue(client.send(new AccessRequest(List.of(new MessageAuthenticator(),
+                    new UserName(new TextData("nemo")),
                     new UserPassword(new StringData(password))))) instanceof AccessAccept);
-            byte[] hidden = server.requests().get(0).first(Attribute.USER_PASSWORD);
+            byte[] hidden = server.requests().get(0).firstValue(Attribute.USER_PASSWORD);
             MessageDigest md5 = MessageDigest.getInstance("MD5");
-            md5.update(SERVER);
+            md5.update(SERVER_SECRET);
             byte[] stream = md5.digest(server.requests().get(0).authenticator());
             for (int i = 0; i < password.length; i++) {
-                assertEquals(password[i], (byte) (hidden[i] ^ stream[i]), "hidden with the server's secret");
+                assertEquals(password[i], (byte) (hidden[i] ^ stream[i]), "encrypted with the server's secret");
             }
-            assertTrue(client.send(new AccessRequest(List.of(new MessageAuthenticator(), new UserName(new TextData("nemo")),
+            assertTrue(client.send(new AccessRequest(List.of(new MessageAuthenticator(),
+                    new UserName(new TextData("nemo")),
                     new ChapPassword(new StringData(new byte[17]))))) instanceof AccessAccept);
-            assertEquals(16, server.requests().get(1).first(Attribute.CHAP_CHALLENGE).length, "its authenticator goes along");
+            assertEquals(16, server.requests().get(1).firstValue(Attribute.CHAP_CHALLENGE).length,
+                    "the Request Authenticator is sent as the challenge");
             assertTrue(client.send(new AccountingRequest(List.of(new AcctStatusType(new EnumData(1)),
                     new AcctSessionId(new TextData("s1"))))) instanceof AccountingResponse);
         }
         assertEquals(3, server.runs());
     }
 
-    // ---- resends
+    // ---- retransmissions
 
     @Test
-    void aResendJoinsAndThenGetsTheSameBytes() throws Exception {
-        StandInRadiusServer server = server("one", 200_000);
-        list();
-        DatagramSocket socket = socket();
-        Packet request = access(5);
+    void retransmissionGetsTheSameBytes() throws Exception {
+        StandInRadiusServer server = startServer("one", 200_000);
+        listServers();
+        DatagramSocket socket = openSocket();
+        Packet request = accessRequest(5);
         for (int i = 0; i < 4; i++) {
-            send(socket, request.write());
+            send(socket, request.encode());
         }
         byte[] answer = receive(socket);
-        nothingMore(socket);
-        send(socket, request.write());
+        assertNoFurtherPacket(socket);
+        send(socket, request.encode());
         assertArrayEquals(answer, receive(socket));
         assertEquals(1, server.runs());
-        Packet other = charger.signRequest(new Packet(Code.ACCESS_REQUEST, 5, authenticator(99), List.of()));
-        send(socket, other.write());
-        answered(socket, other);
-        DatagramSocket another = socket();
-        send(another, request.write());
-        answered(another, request);
+        Packet other = clientAuthenticators.signRequest(new Packet(Code.ACCESS_REQUEST, 5, authenticator(99),
+                List.of()));
+        send(socket, other.encode());
+        receiveVerified(socket, other);
+        DatagramSocket another = openSocket();
+        send(another, request.encode());
+        receiveVerified(another, request);
         assertEquals(3, server.runs(), "another authenticator and another port are other requests");
     }
 
-    /** The hard case of a start that comes again with a new identifier, since its delay went up. */
+    /** A Start that is sent again with a new identifier because its Acct-Delay-Time was incremented. */
     @Test
-    void aStartWithAnotherDelayRunsOnceAndEachPacketIsAnswered() throws Exception {
-        StandInRadiusServer server = server("one", 200_000);
-        list();
-        DatagramSocket socket = socket();
-        Packet first = accounting(1, "s1", 0);
-        Packet second = accounting(2, "s1", 3);
-        send(socket, first.write());
-        send(socket, second.write());
-        answered(socket, first);
-        answered(socket, second);
-        Packet third = accounting(3, "s1", 6);
-        send(socket, third.write());
-        answered(socket, third);
+    void startWithIncrementedDelayIsExecutedOnceAndEachPacketAnswered() throws Exception {
+        StandInRadiusServer server = startServer("one", 200_000);
+        listServers();
+        DatagramSocket socket = openSocket();
+        Packet first = accountingRequest(1, "s1", 0);
+        Packet second = accountingRequest(2, "s1", 3);
+        send(socket, first.encode());
+        send(socket, second.encode());
+        receiveVerified(socket, first);
+        receiveVerified(socket, second);
+        Packet third = accountingRequest(3, "s1", 6);
+        send(socket, third.encode());
+        receiveVerified(socket, third);
         assertEquals(1, server.runs());
         assertEquals(0, effects.twice() + effects.dropped());
-        Packet other = accounting(4, "s2", 0);
-        send(socket, other.write());
-        answered(socket, other);
+        Packet other = accountingRequest(4, "s2", 0);
+        send(socket, other.encode());
+        receiveVerified(socket, other);
         assertEquals(2, server.runs());
     }
 
-    /** A conversation keeps its server: any other would reject its State, and a reject would be the gateway's making. */
+    /**
+     * A conversation stays with its server: any other would reject its State, and the gateway would have caused the
+     * reject.
+     */
     @Test
-    void conversationsKeepTheirServer() throws Exception {
+    void conversationsStayWithTheirServer() throws Exception {
         for (String name : List.of("one", "two", "three")) {
-            server(name, 1_000).manner(Manner.CHALLENGE);
+            startServer(name, 1_000).manner(Manner.CHALLENGE);
         }
-        list();
-        DatagramSocket socket = socket();
+        listServers();
+        DatagramSocket socket = openSocket();
         int identifier = 0;
         for (int i = 0; i < 30; i++) {
             byte[] state = null;
             Code code = Code.ACCESS_CHALLENGE;
             for (int round = 0; code == Code.ACCESS_CHALLENGE; round++) {
-                Packet request = charger.signRequest(new Packet(Code.ACCESS_REQUEST, identifier, authenticator(identifier + 3),
+                Packet request = clientAuthenticators.signRequest(new Packet(Code.ACCESS_REQUEST, identifier,
+                        authenticator(identifier + 3),
                         state == null ? List.of() : List.of(new Attribute(Attribute.STATE, state))));
                 identifier = identifier + 1 & 255;
-                send(socket, request.write());
-                Packet answer = answered(socket, request);
+                send(socket, request.encode());
+                Packet answer = receiveVerified(socket, request);
                 code = answer.code();
-                state = answer.first(Attribute.STATE);
+                state = answer.firstValue(Attribute.STATE);
                 assertTrue(round < 3);
             }
             assertEquals(Code.ACCESS_ACCEPT, code, "conversation " + i);
         }
-        assertTrue(servers.stream().allMatch(server -> server.runs() > 0), "each held some");
+        assertTrue(servers.stream().allMatch(server -> server.runs() > 0), "each server had some");
         assertEquals(90, servers.stream().mapToLong(StandInRadiusServer::runs).sum());
     }
 
-    /** Where its server drains, a conversation ends in silence: another server's reject would be for no card. */
+    /** If its server drains, a conversation gets no response: another server would reject a valid user. */
     @Test
-    void aConversationWhoseServerDrainsIsTakenToNoOther() throws Exception {
+    void conversationOfDrainingServerIsNotSentToAnother() throws Exception {
         for (String name : List.of("one", "two", "three")) {
-            server(name, 1_000).manner(Manner.CHALLENGE);
+            startServer(name, 1_000).manner(Manner.CHALLENGE);
         }
-        list();
-        DatagramSocket socket = socket();
-        Packet first = access(1);
-        send(socket, first.write());
-        byte[] state = answered(socket, first).first(Attribute.STATE);
-        list(new String(state, StandardCharsets.US_ASCII).split(" ")[0]);
-        send(socket, charger.signRequest(new Packet(Code.ACCESS_REQUEST, 2, authenticator(2),
-                List.of(new Attribute(Attribute.STATE, state)))).write());
+        listServers();
+        DatagramSocket socket = openSocket();
+        Packet first = accessRequest(1);
+        send(socket, first.encode());
+        byte[] state = receiveVerified(socket, first).firstValue(Attribute.STATE);
+        listServers(new String(state, StandardCharsets.US_ASCII).split(" ")[0]);
+        send(socket, clientAuthenticators.signRequest(new Packet(Code.ACCESS_REQUEST, 2, authenticator(2),
+                List.of(new Attribute(Attribute.STATE, state)))).encode());
         await(() -> {
             try {
-                return onLoop(() -> ledger.count().of("conversation").refused() + ledger.count().of("conversation").failed()) == 1;
+                return onLoop(() -> ledger.count().of("conversation").refused() + ledger.count().of("conversation")
+                        .failed()) == 1;
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
-        }, "given up at once");
-        nothingMore(socket);
+        }, "refused or failed at once");
+        assertNoFurtherPacket(socket);
         assertEquals(1, servers.stream().mapToLong(StandInRadiusServer::runs).sum());
     }
 
-    /** Three servers behind a network that loses, doubles and holds back a twentieth each, both ways on both sides, one server
-        slowed, one drained: everything is answered once, and counts at chargers and ledger agree. */
+    /**
+     * Three servers, one slow and one draining, behind networks that lose, duplicate and delay a twentieth of the
+     * packets each, in both directions on both sides: every request is answered once, and the counts of clients and
+     * ledger agree.
+     */
     @Test
-    void aNetworkThatLosesOnBothSides() throws Exception {
-        server("fast", "all", 2_000);
-        server("slow", "all", 20_000);
-        StandInRadiusServer leaving = server("leaving", "all", 2_000);
+    void everyRequestIsAnsweredOnceOverLossyNetworks() throws Exception {
+        startServer("fast", "all", 2_000);
+        startServer("slow", "all", 20_000);
+        StandInRadiusServer leaving = startServer("leaving", "all", 2_000);
         List<LossyRelay> relays = new ArrayList<>();
         try (LossyRelay network = new LossyRelay(front.address(), 0.05, 1)) {
             List<Member> members = new ArrayList<>();
@@ -384,16 +402,18 @@
                 relays.add(relay);
                 members.add(new Member(new Host(server.name(), "a", 0, "", 1, Health.UP, 0), relay.address()));
             }
-            learn(members);
-            try (StandInCharger site = new StandInCharger(network.address(), CHARGER, 1, 1000, 400, 700)) {
-                await(() -> leaving.runs() > 20, "it serves");
-                members.set(2, new Member(new Host("leaving", "a", 0, "", 1, Health.LEAVING, 0), relays.get(2).address()));
-                learn(members);
-                long told = System.nanoTime();
+            updatePool(members);
+            try (StandInCharger site = new StandInCharger(network.address(), CLIENT_SECRET, 1, 1000, 400, 700)) {
+                await(() -> leaving.runs() > 20, "the leaving server serves");
+                members.set(2, new Member(new Host("leaving", "a", 0, "", 1, Health.LEAVING, 0),
+                        relays.get(2).address()));
+                updatePool(members);
+                long drainStartNanos = System.nanoTime();
                 assertTrue(site.join(WAIT_SECONDS * 1000), "answered " + site.answered());
                 assertEquals(1000, site.answered());
                 assertEquals(0, site.wrong());
-                assertTrue(leaving.lastAt() - told < 250_000_000L + 30_000_000L, "nothing new after the grace and the relay's hold");
+                assertTrue(leaving.lastAt() - drainStartNanos < 250_000_000L + 30_000_000L,
+                        "no new request after the grace and the relay's delay");
             }
             assertTrue(network.lost() > 20, "lost " + network.lost());
         } finally {
@@ -403,10 +423,10 @@
         assertEquals(0, onLoop(() -> ledger.open()));
         long served = onLoop(() -> ledger.count().of("access").served() + ledger.count().of("accounting").served());
         long failed = onLoop(() -> ledger.count().of("access").failed() + ledger.count().of("accounting").failed());
-        assertEquals(1000, served, "each once; failed meanwhile " + failed);
+        assertEquals(1000, served, "each served once; failed meanwhile " + failed);
     }
 
-    private void learn(List<Member> members) throws Exception {
+    private void updatePool(List<Member> members) throws Exception {
         List<Member> all = List.copyOf(members);
         onLoop(() -> {
             pool.learn(ListForm.FULL, all);
@@ -414,161 +434,175 @@
         });
     }
 
-    // ---- answers that are none
+    // ---- invalid responses
 
     @Test
-    void whatIsNoAnswerIsDroppedAndTheRightOneGetsThrough() throws Exception {
-        StandInRadiusServer server = server("one", 20_000);
+    void invalidResponsesAreDroppedAndTheValidOneIsDelivered() throws Exception {
+        StandInRadiusServer server = startServer("one", 20_000);
         server.manner(Manner.LIE);
-        list();
-        DatagramSocket socket = socket();
-        for (Packet request : List.of(access(1), accounting(2, "s", 0))) {
-            send(socket, request.write());
-            Code code = answered(socket, request).code();
+        listServers();
+        DatagramSocket socket = openSocket();
+        for (Packet request : List.of(accessRequest(1), accountingRequest(2, "s", 0))) {
+            send(socket, request.encode());
+            Code code = receiveVerified(socket, request).code();
             assertEquals(request.code() == Code.ACCESS_REQUEST ? Code.ACCESS_ACCEPT : Code.ACCOUNTING_RESPONSE, code);
         }
-        assertEquals(1, dropped(DropCounters.Cause.NOT_SIGNED), "of the access request; of the other it is the wrong code first");
-        assertEquals(1, dropped(DropCounters.Cause.NO_PROXY_STATE));
-        assertEquals(4, dropped(DropCounters.Cause.WRONG_CODE));
-        assertEquals(2, dropped(DropCounters.Cause.MALFORMED));
+        assertEquals(1, dropCount(DropCounters.Cause.NOT_SIGNED),
+                "for the Access-Request only; for accounting the code is checked first");
+        assertEquals(1, dropCount(DropCounters.Cause.NO_PROXY_STATE));
+        assertEquals(4, dropCount(DropCounters.Cause.WRONG_CODE));
+        assertEquals(2, dropCount(DropCounters.Cause.MALFORMED));
         server.manner(Manner.TWICE);
-        Packet request = access(3);
-        send(socket, request.write());
-        answered(socket, request);
+        Packet request = accessRequest(3);
+        send(socket, request.encode());
+        receiveVerified(socket, request);
         await(() -> {
             try {
-                return dropped(DropCounters.Cause.NOT_ASKED) == 1;
+                return dropCount(DropCounters.Cause.NOT_ASKED) == 1;
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
-        }, "the second answer is dropped");
-        nothingMore(socket);
+        }, "the second response is dropped");
+        assertNoFurtherPacket(socket);
     }
 
-    // ---- requests that are none
+    // ---- invalid requests
 
     @Test
-    void whatIsNoRequestIsDroppedAndCounted() throws Exception {
-        StandInRadiusServer server = server("one", 1_000);
-        list();
-        DatagramSocket socket = socket();
+    void invalidRequestsAreDroppedAndCounted() throws Exception {
+        StandInRadiusServer server = startServer("one", 1_000);
+        listServers();
+        DatagramSocket socket = openSocket();
         Packet bare = new Packet(Code.ACCESS_REQUEST, 1, authenticator(1), List.of());
-        send(socket, bare.write());
-        send(socket, new Authenticators(STRANGER).signRequest(bare).write());
-        send(socket, new Authenticators(STRANGER).signRequest(accounting(2, "s", 0)).write());
+        send(socket, bare.encode());
+        send(socket, new Authenticators(OTHER_SECRET).signRequest(bare).encode());
+        send(socket, new Authenticators(OTHER_SECRET).signRequest(accountingRequest(2, "s", 0)).encode());
         send(socket, new byte[] {1, 2, 3});
         send(socket, new byte[5000]);
-        send(socket, new Packet(Code.ACCESS_ACCEPT, 1, authenticator(1), List.of()).write());
-        DatagramSocket stranger = new DatagramSocket(0, InetAddress.getByName("127.0.0.9"));
-        sockets.add(stranger);
-        send(stranger, access(1).write());
-        Packet status = charger.signRequest(new Packet(Code.STATUS_SERVER, 7, authenticator(7), List.of()));
-        send(socket, status.write());
-        assertEquals(Code.ACCESS_ACCEPT, answered(socket, status).code(), "asked whether it is there, the front answers itself");
-        assertEquals(3, dropped(DropCounters.Cause.NOT_SIGNED));
-        assertEquals(2, dropped(DropCounters.Cause.MALFORMED));
-        assertEquals(1, dropped(DropCounters.Cause.WRONG_CODE));
-        assertEquals(1, dropped(DropCounters.Cause.UNKNOWN_CLIENT));
+        send(socket, new Packet(Code.ACCESS_ACCEPT, 1, authenticator(1), List.of()).encode());
+        DatagramSocket unknownClient = new DatagramSocket(0, InetAddress.getByName("127.0.0.9"));
+        sockets.add(unknownClient);
+        send(unknownClient, accessRequest(1).encode());
+        Packet status = clientAuthenticators.signRequest(new Packet(Code.STATUS_SERVER, 7, authenticator(7),
+                List.of()));
+        send(socket, status.encode());
+        assertEquals(Code.ACCESS_ACCEPT, receiveVerified(socket, status).code(),
+                "the front answers a Status-Server itself");
+        assertEquals(3, dropCount(DropCounters.Cause.NOT_SIGNED));
+        assertEquals(2, dropCount(DropCounters.Cause.MALFORMED));
+        assertEquals(1, dropCount(DropCounters.Cause.WRONG_CODE));
+        assertEquals(1, dropCount(DropCounters.Cause.UNKNOWN_CLIENT));
         assertEquals(0, server.requests().size());
-        nothingMore(socket);
+        assertNoFurtherPacket(socket);
     }
 
-    /** What the gateway doesn't know goes on unchanged and in order; one Proxy-State is added behind, and taken off again. */
+    /** Unknown attributes are forwarded unchanged and in order; one Proxy-State is appended and removed again. */
     @Test
-    void attributesAndProxyStatesStayInOrder() throws Exception {
-        StandInRadiusServer server = server("one", 1_000);
-        list();
-        DatagramSocket socket = socket();
+    void attributesAndProxyStatesKeepTheirOrder() throws Exception {
+        StandInRadiusServer server = startServer("one", 1_000);
+        listServers();
+        DatagramSocket socket = openSocket();
         List<Attribute> attributes = List.of(new Attribute(241, new byte[] {1}), new Attribute(Attribute.PROXY_STATE,
                 new byte[] {2}), new Attribute(1, new byte[] {3}), new Attribute(241, new byte[] {4}),
                 new Attribute(Attribute.PROXY_STATE, new byte[] {5}));
-        Packet request = access(1, attributes.toArray(new Attribute[0]));
-        send(socket, request.write());
-        Packet answer = answered(socket, request);
-        List<Attribute> came = server.requests().get(0).attributes();
-        assertEquals(Attribute.MESSAGE_AUTHENTICATOR, came.get(0).type());
-        assertEquals(attributes, came.subList(1, 6));
-        assertEquals(Attribute.PROXY_STATE, came.get(6).type());
-        assertEquals(7, came.size());
+        Packet request = accessRequest(1, attributes.toArray(new Attribute[0]));
+        send(socket, request.encode());
+        Packet answer = receiveVerified(socket, request);
+        List<Attribute> received = server.requests().get(0).attributes();
+        assertEquals(Attribute.MESSAGE_AUTHENTICATOR, received.get(0).type());
+        assertEquals(attributes, received.subList(1, 6));
+        assertEquals(Attribute.PROXY_STATE, received.get(6).type());
+        assertEquals(7, received.size());
         assertEquals(List.of(attributes.get(1), attributes.get(4)), answer.attributes().stream()
                 .filter(a -> a.type() == Attribute.PROXY_STATE).toList());
     }
 
-    /** What a server says of its refusal passes on as it is: Error-Cause (RFC 5176, 3.6) and Reply-Message, in their order. */
+    /**
+     * A server's reasons for a reject are forwarded unchanged: Error-Cause (RFC 5176, 3.6) and Reply-Message, in their
+     * order.
+     */
     @Test
-    void aRejectKeepsItsCause() throws Exception {
-        server("one", 1_000).manner(Manner.REJECT);
-        list();
-        DatagramSocket socket = socket();
-        Packet request = access(1);
-        send(socket, request.write());
-        Packet answer = answered(socket, request);
+    void rejectKeepsItsErrorCause() throws Exception {
+        startServer("one", 1_000).manner(Manner.REJECT);
+        listServers();
+        DatagramSocket socket = openSocket();
+        Packet request = accessRequest(1);
+        send(socket, request.encode());
+        Packet answer = receiveVerified(socket, request);
         assertEquals(Code.ACCESS_REJECT, answer.code());
         assertEquals(List.of(new Attribute(18, "one".getBytes(StandardCharsets.US_ASCII)),
                 new Attribute(101, new byte[] {0, 0, 1, (byte) 0x91}),
-                new Attribute(18, "card unknown here".getBytes(StandardCharsets.US_ASCII))), answer.attributes().stream()
+                new Attribute(18, "card unknown here".getBytes(StandardCharsets.US_ASCII))),
+                answer.attributes().stream()
                         .filter(a -> a.type() != Attribute.MESSAGE_AUTHENTICATOR).toList());
     }
 
-    // ---- the rules
+    // ---- failures and drains
 
-    /** The hard case of a server that was restarted between two tries: it knows nothing of the packet that it ran before, so
-        the same packet is not sent to it again, and the start fails without a second run. */
+    /**
+     * A server that was restarted between two attempts has no record of the packet that it executed before, so the
+     * packet is not retransmitted to it, and the Start fails without a second execution.
+     */
     @Test
-    void aServerThatWasRestartedGetsNoResend() throws Exception {
-        StandInRadiusServer server = server("one", 1_000);
+    void restartedServerGetsNoRetransmission() throws Exception {
+        StandInRadiusServer server = startServer("one", 1_000);
         server.manner(Manner.SILENT);
-        list();
-        DatagramSocket socket = socket();
-        send(socket, accounting(1, "s1", 0).write());
-        await(() -> server.runs() == 1, "it runs");
+        listServers();
+        DatagramSocket socket = openSocket();
+        send(socket, accountingRequest(1, "s1", 0).encode());
+        await(() -> server.runs() == 1, "the server executes it");
         server.restart();
         server.manner(Manner.SERVE);
-        learn(List.of(new Member(new Host("one", "a", 0, "", 1, Health.UP, clock.now()),
+        updatePool(List.of(new Member(new Host("one", "a", 0, "", 1, Health.UP, clock.now()),
                 new InetSocketAddress("127.0.0.1", server.port()))));
         awaitFailed();
-        assertEquals(1, server.runs(), "the same packet was not sent to what is another server now");
+        assertEquals(1, server.runs(), "the packet was not retransmitted to the restarted server");
         assertEquals(0, effects.twice());
-        nothingMore(socket);
+        assertNoFurtherPacket(socket);
     }
 
-    /** Silence for a failure: an accounting packet that may have run goes nowhere else, and the ledger has one answer. */
+    /**
+     * A failed request gets no response: an accounting packet that may have been executed is sent to no other server,
+     * and the ledger ends the request once.
+     */
     @Test
-    void accountingThatMayHaveRunGoesNowhereElse() throws Exception {
-        server("one", 1_000).manner(Manner.SILENT);
-        server("two", 1_000).manner(Manner.SILENT);
-        list();
-        DatagramSocket socket = socket();
-        send(socket, accounting(1, "s1", 0).write());
+    void accountingThatMayHaveExecutedIsNotSentElsewhere() throws Exception {
+        startServer("one", 1_000).manner(Manner.SILENT);
+        startServer("two", 1_000).manner(Manner.SILENT);
+        listServers();
+        DatagramSocket socket = openSocket();
+        send(socket, accountingRequest(1, "s1", 0).encode());
         awaitFailed();
         assertEquals(1, servers.get(0).runs() + servers.get(1).runs());
-        nothingMore(socket);
+        assertNoFurtherPacket(socket);
         assertEquals(0, onLoop(() -> ledger.open()));
     }
 
-    /** Three servers, one slowed ten times, one drained in the middle of a burst, one silent from then on, with packets lost
-        and doubled on the way: every charger that resends gets exactly one answer, and nothing runs twice. */
+    /**
+     * Three servers, one ten times slower and one drained in the middle of a burst, with packets lost and duplicated on
+     * the way: every client that retransmits gets exactly one response, and nothing is executed twice.
+     */
     @Test
-    void aBurstThroughADrain() throws Exception {
-        StandInRadiusServer fast = server("fast", 2_000);
-        StandInRadiusServer slow = server("slow", 20_000);
-        StandInRadiusServer leaving = server("leaving", 2_000);
-        list();
-        DatagramSocket socket = socket();
+    void everyRequestOfBurstIsAnsweredOnceThroughADrain() throws Exception {
+        StandInRadiusServer fast = startServer("fast", 2_000);
+        StandInRadiusServer slow = startServer("slow", 20_000);
+        StandInRadiusServer leaving = startServer("leaving", 2_000);
+        listServers();
+        DatagramSocket socket = openSocket();
         Map<Integer, Packet> requests = new HashMap<>();
         Map<Integer, byte[]> answers = new HashMap<>();
-        long told = Long.MAX_VALUE;
+        long drainStartNanos = Long.MAX_VALUE;
         for (int i = 0; i < 200; i++) {
-            Packet request = i % 2 == 0 ? access(i) : accounting(i, "s" + i, 0);
+            Packet request = i % 2 == 0 ? accessRequest(i) : accountingRequest(i, "s" + i, 0);
             requests.put(i, request);
-            byte[] bytes = request.write();
+            byte[] bytes = request.encode();
             for (int copies = i % 20 == 7 ? 0 : i % 20 == 13 ? 2 : 1; copies > 0; copies--) {
                 send(socket, bytes);
             }
             if (i == 100) {
-                await(() -> leaving.runs() > 3, "it serves");
-                list("leaving");
-                told = System.nanoTime();
+                await(() -> leaving.runs() > 3, "the leaving server serves");
+                listServers("leaving");
+                drainStartNanos = System.nanoTime();
             }
             TimeUnit.MICROSECONDS.sleep(1_000);
         }
@@ -579,22 +613,24 @@
             try {
                 byte[] answer = receive(socket);
                 byte[] before = answers.put(answer[1] & 0xFF, answer);
-                assertTrue(before == null || Arrays.equals(before, answer), "the same bytes again or none");
+                assertTrue(before == null || Arrays.equals(before, answer), "the same bytes if answered again");
             } catch (SocketTimeoutException e) {
                 for (Map.Entry<Integer, Packet> missing : requests.entrySet()) {
                     if (!answers.containsKey(missing.getKey())) {
-                        send(socket, missing.getValue().write());
+                        send(socket, missing.getValue().encode());
                     }
                 }
             }
         }
         for (Map.Entry<Integer, Packet> request : requests.entrySet()) {
-            assertTrue(charger.answers(Packet.read(answers.get(request.getKey())), request.getValue().authenticator(), false));
+            assertTrue(clientAuthenticators.verifyResponse(Packet.decode(answers.get(request.getKey())),
+                    request.getValue().authenticator(), false));
         }
         assertEquals(0, effects.twice() + effects.dropped());
         assertEquals(200, fast.runs() + slow.runs() + leaving.runs());
-        assertEquals(200, onLoop(() -> ledger.count().of("access").served() + ledger.count().of("accounting").served()));
-        assertTrue(leaving.lastAt() - told < 250_000_000L, "nothing new after the grace");
+        assertEquals(200, onLoop(() -> ledger.count().of("access").served() + ledger.count().of("accounting")
+                .served()));
+        assertTrue(leaving.lastAt() - drainStartNanos < 250_000_000L, "no new request after the grace");
         assertEquals(0, onLoop(() -> ledger.open()));
     }
 }
--- a/src/test/java/mastdrift/serve/RadiusServiceTest.java
+++ b/src/test/java/mastdrift/serve/RadiusServiceTest.java
@@ -149,7 +149,7 @@
 
     /** The answer within so many milliseconds, or null. */
     private Packet ask(Packet request, int millis) throws Exception {
-        byte[] bytes = request.write();
+        byte[] bytes = request.encode();
         socket.send(new DatagramPacket(bytes, bytes.length, rig.service.radiusAddresses().get(0)));
         socket.setSoTimeout(millis);
         DatagramPacket datagram = new DatagramPacket(new byte[5000], 5000);
@@ -158,8 +158,8 @@
         } catch (SocketTimeoutException e) {
             return null;
         }
-        Packet answer = Packet.read(Arrays.copyOf(datagram.getData(), datagram.getLength()));
-        assertTrue(charger.answers(answer, request.authenticator(), false));
+        Packet answer = Packet.decode(Arrays.copyOf(datagram.getData(), datagram.getLength()));
+        assertTrue(charger.verifyResponse(answer, request.authenticator(), false));
         return answer;
     }
 
