--- a/src/main/java/mastdrift/config/ResourceRoutes.java
+++ b/src/main/java/mastdrift/config/ResourceRoutes.java
@@ -157,8 +157,8 @@
     }
 
     private String wrong() {
-        if (inOrder.size() > RouteTable.ROUTES_MOST) {
-            return "expected at most " + RouteTable.ROUTES_MOST + " routes, found " + inOrder.size();
+        if (inOrder.size() > RouteTable.MAX_ROUTES) {
+            return "expected at most " + RouteTable.MAX_ROUTES + " routes, found " + inOrder.size();
         }
         if (!checks.crossRoutes()) {
             return null;
@@ -213,6 +213,6 @@
             }
         });
         listed.clear();
-        table = table.changed(gone, come);
+        table = table.withChanges(gone, come);
     }
 }
--- /dev/null
+++ b/src/main/java/mastdrift/radius/edge/RadiusResponseMessage.java
@@ -0,0 +1,14 @@
+package mastdrift.radius.edge;
+
+import java.util.List;
+import mastdrift.engine.ResponseMessage;
+import mastdrift.radius.Attribute;
+import mastdrift.radius.Code;
+import mastdrift.radius.HiddenAttributes;
+
+/**
+ * A verified response from the server {@code uid}, without the gateway's own Proxy-State and without
+ * Message-Authenticator. Its hidden attributes are still encrypted for {@code hop}.
+ */
+record RadiusResponseMessage(String uid, Code code, List<Attribute> attributes,
+        HiddenAttributes.Hop hop) implements ResponseMessage { }
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -53,15 +53,15 @@
 import mastdrift.net.WarmUp;
 import mastdrift.net.TimedEventLoop;
 import mastdrift.radius.Authenticators;
-import mastdrift.radius.Resends;
-import mastdrift.radius.edge.Drops;
+import mastdrift.radius.DuplicateCache;
+import mastdrift.radius.edge.DropCounters;
 import mastdrift.radius.edge.RadiusClients;
 import mastdrift.radius.edge.RadiusFront;
 import mastdrift.radius.edge.RadiusTransport;
 import mastdrift.routing.Hashing;
 import mastdrift.routing.RouteTable;
 import mastdrift.routing.Router;
-import mastdrift.routing.Traits;
+import mastdrift.routing.RouteCriteria;
 import mastdrift.zones.ZoneSnapshot;
 
 /** A gateway that serves as its files say, and goes on doing so as they change. */
@@ -105,7 +105,7 @@
     private final Clock clock = timed.clock();
     private final SplittableRandom seeds = new SplittableRandom();
     private final RequestTracker ledger = new RequestTracker(timed.timers(), clock, timed.turns(), OPEN_MOST, this::log);
-    private final Router router = new Router(Router.PINS_MOST);
+    private final Router router = new Router(Router.MAX_PINS);
     private final Map<String, Served> pools = new HashMap<>();
     private final Control control = new Control(new Loop(), clock::now);
     private final Watcher watcher;
@@ -121,7 +121,7 @@
     private volatile StatusFile status;
     private HttpFront clients;
     private final List<RadiusFront> radius = new ArrayList<>();
-    private final Drops drops = new Drops(clock::now, this::dropped);
+    private final DropCounters drops = new DropCounters(clock::now, this::dropped);
 
     private Service(Path file, Events events) {
         this.file = file;
@@ -293,7 +293,7 @@
                 peers = new PeerService(file, next, secrets::get, seeds.nextLong(), events);
             }
             if (gateway == null && next.distribution() != null) {
-                distribution = new DistributionService(file, next, secrets::get, seeds.nextLong(), loop, router::swap, events);
+                distribution = new DistributionService(file, next, secrets::get, seeds.nextLong(), loop, router::setRoutes, events);
             }
             RouteTable routes = new RouteTable(next.routes());  // here, since a big one takes longer than the loop may
             loop.submit(() -> configure(next, routes, ready)).syncUninterruptibly();
@@ -353,7 +353,7 @@
             }
         });
         changed.forEach((name, list) -> learn(pools.get(name), list));
-        router.swap(distribution == null ? routes : distribution.table(routes));
+        router.setRoutes(distribution == null ? routes : distribution.table(routes));
     }
 
     private void zones(Configuration next) {
@@ -361,7 +361,7 @@
             zones = new ZoneService(file, loop, clock::now, gateway, next.zones(),
                     line -> events.event(Level.WARN, "zones", line));
             clients.setClientZones(zones::zone);
-            radius.forEach(front -> front.clientZones(zones::zone));
+            radius.forEach(front -> front.setClientZones(zones::zone));
         }
     }
 
@@ -436,7 +436,7 @@
     }
 
     private void forget(String name, Served served) {
-        if (pools.get(name) == served && router.holds(clock.now(), name)) {
+        if (pools.get(name) == served && router.hasPinTo(clock.now(), name)) {
             loop.schedule(() -> forget(name, served), RETIRE_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             pools.remove(name, served);
@@ -451,8 +451,8 @@
     private Pool route(RequestClass type, String tenant, HttpRequest message, Long key) {
         String uri = message.uri();
         int query = uri.indexOf('?');
-        long seed = key != null ? key : Hashing.text(message.headers().get("X-Trace-Id"));
-        Traits traits = new Traits(type.name(), tenant, query < 0 ? uri : uri.substring(0, query), gateway.zone(), seed,
+        long seed = key != null ? key : Hashing.hashText(message.headers().get("X-Trace-Id"));
+        RouteCriteria traits = new RouteCriteria(type.name(), tenant, query < 0 ? uri : uri.substring(0, query), gateway.zone(), seed,
                 message.headers()::getAll);
         return pool(type, traits, false);
     }
@@ -466,19 +466,19 @@
         return new RadiusFront(loop, ledger, (className, tenant, key) -> radiusPool(types.get(className), tenant, key), chargers,
                 new RadiusFront.Classes(settings.accessClass(), settings.conversationClass(), settings.accountingClass(),
                         types.get(settings.accessClass()).deadline(), types.get(settings.accountingClass()).deadline()),
-                new Resends(settings.kept(), settings.keptMost(), settings.keptMost() * KEPT_BYTES), drops);
+                new DuplicateCache(settings.kept(), settings.keptMost(), settings.keptMost() * KEPT_BYTES), drops);
     }
 
     private Pool radiusPool(RequestClass type, String tenant, long key) {
-        return pool(type, new Traits(type.name(), tenant, "/", gateway.zone(), key, name -> List.of()), true);
+        return pool(type, new RouteCriteria(type.name(), tenant, "/", gateway.zone(), key, name -> List.of()), true);
     }
 
     /** Null where no route fits, or one that leads to a pool of another protocol. */
-    private Pool pool(RequestClass type, Traits traits, boolean asRadius) {
+    private Pool pool(RequestClass type, RouteCriteria traits, boolean asRadius) {
         long now = clock.now();
         String name = type.repeat() == Repeat.KEYED
-                ? router.keyed(now, traits, now + type.deadline() + type.dedupWindow(), this::somebody)
-                : router.pool(traits, this::somebody);
+                ? router.selectPoolForKey(now, traits, now + type.deadline() + type.dedupWindow(), this::somebody)
+                : router.selectPool(traits, this::somebody);
         Served served = name == null ? null : pools.get(name);
         return served == null || served.radius != asRadius ? null : served.pool;
     }
