--- a/src/main/java/mastdrift/cli/Commands.java
+++ b/src/main/java/mastdrift/cli/Commands.java
@@ -82,7 +82,7 @@
             LogSetup log;
             Service service;
             try {
-                log = new LogSetup(System.out, LogSetup.Form.parse(form));
+                log = new LogSetup(System.out, LogSetup.Format.parse(form));
             } catch (IllegalArgumentException e) {
                 spec.commandLine().getErr().println("--log: " + e.getMessage());
                 return WORDS;
--- a/src/main/java/mastdrift/cli/ControlCommand.java
+++ b/src/main/java/mastdrift/cli/ControlCommand.java
@@ -30,7 +30,7 @@
     public Integer call() throws InterruptedException {
         LogSetup log;
         try {
-            log = new LogSetup(System.out, LogSetup.Form.parse(form));
+            log = new LogSetup(System.out, LogSetup.Format.parse(form));
         } catch (IllegalArgumentException e) {
             spec.commandLine().getErr().println("--log: " + e.getMessage());
             return WORDS;
--- a/src/main/java/mastdrift/events/Events.java
+++ b/src/main/java/mastdrift/events/Events.java
@@ -2,31 +2,31 @@
 
 import java.io.PrintStream;
 
-/** Hears events. Called from the event loop too, so it must not wait for anything. */
+/** Receives events. Called on the event loop too, so it must not block. */
 @FunctionalInterface
 public interface Events {
 
-    /** How grave an event is. */
+    /** The severity of an event. */
     enum Level {
-        /** Nothing to do. */
+        /** No action is needed. */
         INFO,
-        /** Somebody should look at it. */
+        /** Needs attention. */
         WARN,
         /** Something is lost or broken. */
         ERROR
     }
 
     /**
-     * Something happened.
+     * Reports an event.
      *
-     * @param level how grave
-     * @param name stable, in small letters with underscores: for those who count or search
-     * @param text for a person, one line
+     * @param level the severity
+     * @param name a stable name in lower case with underscores, for counting and searching
+     * @param text one line for people
      * @param fields names and values in turn; never a secret, a password or a driver's name
      */
     void event(Level level, String name, String text, Object... fields);
 
-    /** The texts alone, a line each. */
+    /** Prints the texts alone, a line each. */
     static Events printing(PrintStream out) {
         return (level, name, text, fields) -> out.println(text.replace('\n', ' '));
     }
--- a/src/main/java/mastdrift/events/package-info.java
+++ b/src/main/java/mastdrift/events/package-info.java
@@ -1,2 +1,5 @@
-/** What a gateway has to say to its operators, as events with stable names; whoever composes it decides where they go. */
+/**
+ * Events with stable names that a gateway reports to its operators; the code that composes a gateway decides where they
+ * go.
+ */
 package mastdrift.events;
--- a/src/main/java/mastdrift/logging/LogSetup.java
+++ b/src/main/java/mastdrift/logging/LogSetup.java
@@ -14,23 +14,23 @@
 import mastdrift.events.Events;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** A log of events on a stream. One a program. */
+/** Writes events to a stream through SLF4J and Logback. One per program. */
 public final class LogSetup implements AutoCloseable {
 
-    private static final int QUEUE_MOST = 1024;
+    private static final int MAX_QUEUED_EVENTS = 1024;
 
-    /** How lines look. */
-    public enum Form {
+    /** The format of the lines. */
+    public enum Format {
         /** Time, level, text, fields. */
         TEXT,
-        /** A JSON object a line. */
+        /** One JSON object a line. */
         JSON;
 
-        /** By its name in small letters; throws IllegalArgumentException with what was expected. */
-        public static Form parse(String text) {
-            for (Form form : values()) {
-                if (form.name().toLowerCase(Locale.ROOT).equals(text)) {
-                    return form;
+        /** The format with this name in lower case; throws IllegalArgumentException that says what was expected. */
+        public static Format parse(String text) {
+            for (Format format : values()) {
+                if (format.name().toLowerCase(Locale.ROOT).equals(text)) {
+                    return format;
                 }
             }
             throw new IllegalArgumentException("expected text or json, found \"" + text + "\"");
@@ -41,12 +41,12 @@
     private final BoundedLog bounded;
     private final Logger logger;
 
-    /** Writes to {@code out}, which it doesn't close; libraries' own lines are not among them. */
-    public LogSetup(OutputStream out, Form form) {
-        this(out, form, QUEUE_MOST);
+    /** Writes to {@code out}, which it doesn't close; log lines of libraries are not included. */
+    public LogSetup(OutputStream out, Format format) {
+        this(out, format, MAX_QUEUED_EVENTS);
     }
 
-    LogSetup(OutputStream out, Form form, int most) {
+    LogSetup(OutputStream out, Format format, int queueCapacity) {
         context.setName("mastdrift");
         context.setMDCAdapter(new LogbackMDCAdapter());
         logger = context.getLogger("mastdrift");
@@ -54,10 +54,10 @@
         logger.setAdditive(false);
         OutputStreamAppender<ILoggingEvent> stream = new OutputStreamAppender<>();
         stream.setContext(context);
-        stream.setEncoder(encoder(form));
-        stream.setOutputStream(new Kept(out));
+        stream.setEncoder(encoder(format));
+        stream.setOutputStream(new NonClosingStream(out));
         stream.start();
-        bounded = new BoundedLog(logger, most);
+        bounded = new BoundedLog(logger, queueCapacity);
         bounded.setContext(context);
         bounded.addAppender(stream);
         bounded.start();
@@ -65,8 +65,8 @@
         context.start();
     }
 
-    private Encoder<ILoggingEvent> encoder(Form form) {
-        if (form == Form.JSON) {
+    private Encoder<ILoggingEvent> encoder(Format format) {
+        if (format == Format.JSON) {
             JsonEncoder json = new JsonEncoder();
             json.setContext(context);
             json.setWithContext(false);
@@ -86,7 +86,7 @@
         return text;
     }
 
-    /** Where events go. */
+    /** The receiver of events that writes them to this log. */
     public Events events() {
         return (level, name, text, fields) -> {
             LoggingEventBuilder event = switch (level) {
@@ -102,21 +102,21 @@
         };
     }
 
-    /** Events that were dropped since the queue was full. */
+    /** Events that were dropped because the queue was full. */
     public long dropped() {
         return bounded.dropped();
     }
 
-    /** Writes what waits, for at most a second, and ends. */
+    /** Writes what is queued, for at most a second, and stops. */
     @Override
     public void close() {
         context.stop();
     }
 
-    /** A stream that outlives the log. */
-    private static final class Kept extends java.io.FilterOutputStream {
+    /** A stream that flushes instead of closing the wrapped one. */
+    private static final class NonClosingStream extends java.io.FilterOutputStream {
 
-        Kept(OutputStream out) {
+        NonClosingStream(OutputStream out) {
             super(out);
         }
 
--- a/src/main/java/mastdrift/logging/package-info.java
+++ b/src/main/java/mastdrift/logging/package-info.java
@@ -1,3 +1,5 @@
-/** Where events go off the platform: SLF4J and Logback, as text or as JSON lines, by a thread of its own behind a bounded queue.
-    The platform's gateway loads none of it. */
+/**
+ * Event output of gateways that are configured from files: SLF4J and Logback, as text or JSON lines, by a thread of its
+ * own behind a bounded queue. The gateway that runs on the platform loads none of it.
+ */
 package mastdrift.logging;
--- a/src/test/java/mastdrift/logging/LogSetupTest.java
+++ b/src/test/java/mastdrift/logging/LogSetupTest.java
@@ -16,14 +16,14 @@
 import mastdrift.events.Events.Level;
 import org.junit.jupiter.api.Test;
 
-/** The log off the platform: its forms, and its bounds. */
+/** The formats and the bounds of the event log. */
 class LogSetupTest {
 
     private static final int WAIT_SECONDS = 30;
 
-    private static List<String> lines(LogSetup.Form form, int events, int names) {
+    private static List<String> lines(LogSetup.Format format, int events, int names) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (LogSetup log = new LogSetup(out, form)) {
+        try (LogSetup log = new LogSetup(out, format)) {
             for (int i = 0; i < events; i++) {
                 log.events().event(i == 0 ? Level.INFO : Level.ERROR, "name_" + i % names, "a text\nwith two lines", "pool", "main", "count", i);
             }
@@ -32,25 +32,28 @@
     }
 
     @Test
-    void textAndJsonHoldNameLevelTextAndFields() throws Exception {
-        String text = lines(LogSetup.Form.TEXT, 1, 1).get(0);
+    void writesNameLevelTextAndFieldsAsTextAndAsJson() throws Exception {
+        String text = lines(LogSetup.Format.TEXT, 1, 1).get(0);
         assertTrue(text.matches("\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d\\.\\d{3}Z INFO  a text with two lines event=\"name_0\" pool=\"main\" "
                 + "count=\"0\""), text);
-        List<String> json = lines(LogSetup.Form.JSON, 2, 2);
+        List<String> json = lines(LogSetup.Format.JSON, 2, 2);
         assertEquals(2, json.size());
         var object = JSON.std.mapFrom(json.get(1));
         assertEquals("ERROR", object.get("level"));
         assertEquals("a text with two lines", object.get("formattedMessage"));
         assertTrue(object.get("kvpList").toString().contains("name_1"), object.toString());
-        assertEquals(LogSetup.Form.JSON, LogSetup.Form.parse("json"));
-        assertThrows(IllegalArgumentException.class, () -> LogSetup.Form.parse("xml"));
+        assertEquals(LogSetup.Format.JSON, LogSetup.Format.parse("json"));
+        assertThrows(IllegalArgumentException.class, () -> LogSetup.Format.parse("xml"));
     }
 
-    /** One name can't fill the log: beyond its part of a second it is counted, and the count is logged. */
+    /**
+     * One name can't fill the log: its events beyond the limit in a second are suppressed and counted, and the count is
+     * logged.
+     */
     @Test
-    void aNameThatIsTooLoudIsSuppressedAndCounted() throws Exception {
+    void suppressesAndCountsEventsOfOneNameBeyondTheRateLimit() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (LogSetup log = new LogSetup(out, LogSetup.Form.TEXT)) {
+        try (LogSetup log = new LogSetup(out, LogSetup.Format.TEXT)) {
             long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
             while (!out.toString(StandardCharsets.UTF_8).contains("log_suppressed")) {
                 assertTrue(System.nanoTime() < until, "the count is logged in the next second");
@@ -61,17 +64,17 @@
                 Thread.sleep(30);
             }
         }
-        List<String> all = out.toString(StandardCharsets.UTF_8).lines().toList();
-        assertTrue(all.stream().filter(line -> line.contains("\"loud\"")).count() <= 3 * BoundedLog.A_SECOND, "two or three seconds");
-        assertTrue(all.stream().anyMatch(line -> line.contains("\"quiet\"")));
-        assertTrue(all.stream().anyMatch(line -> line.matches(".* WARN  \\d+ events loud were suppressed.*event=\"log_suppressed\" count=.*")));
+        List<String> lines = out.toString(StandardCharsets.UTF_8).lines().toList();
+        assertTrue(lines.stream().filter(line -> line.contains("\"loud\"")).count() <= 3 * BoundedLog.MAX_EVENTS_PER_SECOND, "two or three seconds");
+        assertTrue(lines.stream().anyMatch(line -> line.contains("\"quiet\"")));
+        assertTrue(lines.stream().anyMatch(line -> line.matches(".* WARN  \\d+ events loud were suppressed.*event=\"log_suppressed\" count=.*")));
     }
 
-    /** A sink that stands still holds up nobody: what finds no room is dropped, counted, and the count is logged. */
+    /** A blocked sink blocks no caller: events that find no room are dropped and counted, and the count is logged. */
     @Test
-    void aLogThatStandsStillHoldsUpNobody() throws Exception {
-        CountDownLatch stands = new CountDownLatch(1);
-        ByteArrayOutputStream kept = new ByteArrayOutputStream();
+    void dropsAndCountsEventsWithoutBlockingWhenTheSinkIsBlocked() throws Exception {
+        CountDownLatch released = new CountDownLatch(1);
+        ByteArrayOutputStream written = new ByteArrayOutputStream();
         OutputStream blocked = new OutputStream() {
             @Override
             public void write(int b) {
@@ -81,39 +84,40 @@
             @Override
             public void write(byte[] bytes, int from, int length) {
                 try {
-                    stands.await();
+                    released.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
-                synchronized (kept) {
-                    kept.write(bytes, from, length);
+                synchronized (written) {
+                    written.write(bytes, from, length);
                 }
             }
         };
-        try (LogSetup log = new LogSetup(blocked, LogSetup.Form.TEXT, 16)) {
+        try (LogSetup log = new LogSetup(blocked, LogSetup.Format.TEXT, 16)) {
             Events events = log.events();
             long since = System.nanoTime();
             for (int i = 0; i < 200; i++) {
                 events.event(Level.INFO, "n" + i, "x");
             }
-            assertTrue(System.nanoTime() - since < TimeUnit.SECONDS.toNanos(10), "nobody waited");
+            assertTrue(System.nanoTime() - since < TimeUnit.SECONDS.toNanos(10), "no caller was blocked");
             long dropped = log.dropped();
-            assertTrue(dropped >= 200 - 3 * 16 && dropped < 200, "dropped " + dropped);  // a batch may be under way
-            stands.countDown();
+            assertTrue(dropped >= 200 - 3 * 16 && dropped < 200, "dropped " + dropped);  // a batch may be in progress
+            released.countDown();
             long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
             String text = "";
-            for (int i = 0; told(text) < dropped; i++) {  // in more than one line, where some were taken in between
+            // the count may be spread over several lines, if events were accepted in between
+            for (int i = 0; reportedDropped(text) < dropped; i++) {
                 assertTrue(System.nanoTime() < until, text);
                 events.event(Level.INFO, "later" + i, "y");
                 Thread.sleep(5);
-                synchronized (kept) {
-                    text = kept.toString(StandardCharsets.UTF_8);
+                synchronized (written) {
+                    text = written.toString(StandardCharsets.UTF_8);
                 }
             }
         }
     }
 
-    private static long told(String text) {
+    private static long reportedDropped(String text) {
         return Pattern.compile("WARN  (\\d+) events were dropped").matcher(text).results()
                 .mapToLong(match -> Long.parseLong(match.group(1))).sum();
     }
