--- a/src/main/java/mastdrift/cli/Commands.java
+++ b/src/main/java/mastdrift/cli/Commands.java
@@ -19,7 +19,7 @@
 import mastdrift.files.StatusFile;
 import mastdrift.lab.rig.ChaosPlan;
 import mastdrift.logging.LogSetup;
-import mastdrift.serve.Changes;
+import mastdrift.serve.ConfigDiff;
 import mastdrift.serve.Service;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -145,7 +145,7 @@
             configuration.routes().forEach(route -> out.println("route " + route.name() + ": " + route.targets().stream()
                     .map(target -> target.pool() + " " + target.weight()).toList()
                     + (route.fallback() == null ? "" : ", else " + route.fallback())));
-            List<String> refusals = Changes.refusalsAtStart(configuration);
+            List<String> refusals = ConfigDiff.refusalsAtStart(configuration);
             refusals.forEach(err::println);
             status(configuration, out);
             return refusals.isEmpty() ? 0 : GUARDED;
@@ -185,7 +185,7 @@
             if (before == null || after == null) {
                 return REFUSED;
             }
-            Changes.Plan plan = Changes.plan(before, after);
+            ConfigDiff.Plan plan = ConfigDiff.plan(before, after);
             plan.lines().forEach(out::println);
             plan.refusals().forEach(err::println);
             out.println(plan.refusals().isEmpty() ? "would be taken" : "would be refused");
--- a/src/main/java/mastdrift/cli/ConfigRequests.java
+++ b/src/main/java/mastdrift/cli/ConfigRequests.java
@@ -40,7 +40,7 @@
     }
 
     private int by(Path config, Request request) throws InterruptedException {
-        try (ControlClient client = ControlClient.by(config)) {
+        try (ControlClient client = ControlClient.fromFile(config)) {
             return request.send(client);
         } catch (IllegalArgumentException e) {
             err.println(e.getMessage());
--- a/src/main/java/mastdrift/cli/DemoRun.java
+++ b/src/main/java/mastdrift/cli/DemoRun.java
@@ -113,7 +113,7 @@
         }
         out.println();
         out.printf("%-14s %8s %8s %8s%n", "class", "served", "refused", "failed");
-        service.count(ServiceCount::classes).forEach((name, of) ->
+        service.readCount(ServiceCount::classes).forEach((name, of) ->
                 out.printf("%-14s %8d %8d %8d%n", name, of.served(), of.refused(), of.failed()));
         out.println();
         out.printf("Answers: half within %.1f ms, 99%% within %.1f ms. Starts that ran twice: %d.%n",
--- a/src/main/java/mastdrift/lab/scale/Scale.java
+++ b/src/main/java/mastdrift/lab/scale/Scale.java
@@ -124,7 +124,7 @@
                     children.add(ChildProcess.program(each.name(), role, requirements.machineHeap(), own, signals, "control", "--config", layout.control(each).toString(), "--log", "json"));
                 }
             }
-            client = ControlClient.by(layout.control(layout.machines(VOTER).get(0)));
+            client = ControlClient.fromFile(layout.control(layout.machines(VOTER).get(0)));
             long began = System.nanoTime();
             Tables.base(plan.seed(), size.resources()).forEach(this::write);
             figures.add(at, "start", VOTER, "all agreed on, s", written(began));
--- a/src/main/java/mastdrift/measure/RadiusBurstMeasurement.java
+++ b/src/main/java/mastdrift/measure/RadiusBurstMeasurement.java
@@ -124,7 +124,7 @@
             long answered = sites.stream().mapToLong(StandInCharger::answered).sum();
             System.out.printf("chargers: asked %d, answered %d, answers that were wrong %d, all in time %s%n", asked, answered,
                     sites.stream().mapToLong(StandInCharger::wrong).sum(), all);
-            service.count(ServiceCount::classes).forEach((name, of) -> System.out.printf(
+            service.readCount(ServiceCount::classes).forEach((name, of) -> System.out.printf(
                     "ledger: %s served %d, refused %d, failed %d%n", name, of.served(), of.refused(), of.failed()));
             for (StandInRadiusServer server : servers) {
                 System.out.printf("server %s: ran %d%n", server.name(), server.runs());
--- a/src/main/java/mastdrift/measure/RadiusMeasurement.java
+++ b/src/main/java/mastdrift/measure/RadiusMeasurement.java
@@ -149,7 +149,7 @@
             Thread.sleep(50);
             long after = Heap.used();
             // Within a second: later the module knows that the server is silent, and refuses.
-            long over = service.count(count -> count.of("card").refused() + count.of("card").failed());
+            long over = service.readCount(count -> count.of("card").refused() + count.of("card").failed());
             System.out.printf("%d open requests: %.0f bytes of heap each%s%n", OPEN, (after - before) / (double) OPEN,
                     over == 0 ? "" : "; doesn't count, " + over + " were over by then");
         }
--- a/src/main/java/mastdrift/measure/ZonesMeasurement.java
+++ b/src/main/java/mastdrift/measure/ZonesMeasurement.java
@@ -142,10 +142,10 @@
                 hosts.forEach(host -> host.manner(Manner.SERVE));
                 http.join();
                 radius.join();
-                boolean same = await(() -> Arrays.equals(totals(service.crossed(), false), hosts(hosts, "b", asked[0], one))
-                        && Arrays.equals(totals(service.crossed(), true), hosts(hosts, "o", asked[1], two)));
-                long[] home = totals(service.crossed(), false);
-                long[] over = totals(service.crossed(), true);
+                boolean same = await(() -> Arrays.equals(totals(service.zoneSnapshot(), false), hosts(hosts, "b", asked[0], one))
+                        && Arrays.equals(totals(service.zoneSnapshot(), true), hosts(hosts, "o", asked[1], two)));
+                long[] home = totals(service.zoneSnapshot(), false);
+                long[] over = totals(service.zoneSnapshot(), true);
                 System.out.printf(Locale.ROOT, "counts, seed %d: in the zone %d attempts, %d bytes out, %d in; across %d, %d, %d; %s, effects twice %d%n",
                         seed, home[0], home[1], home[2], over[0], over[1], over[2], same ? "equal to the hosts' to the byte" : "NOT EQUAL to the hosts' "
                         + Arrays.toString(hosts(hosts, "b", asked[0], one)) + Arrays.toString(hosts(hosts, "o", asked[1], two)), effects.twice());
@@ -186,7 +186,7 @@
                             warm.join();
                         }
                         try (LoadRun load = LoadRun.start(LoadPlan.closed(service.address(), 32, 4, 2_000))) {
-                            long loop = service.count(count -> Thread.currentThread().getId());
+                            long loop = service.readCount(count -> Thread.currentThread().getId());
                             long before = ManagementFactory.getThreadMXBean().getThreadCpuTime(loop);
                             long served = load.join().count(Of.SERVED);
                             micros[way] = (ManagementFactory.getThreadMXBean().getThreadCpuTime(loop) - before) / 1e3 / served;
--- a/src/main/java/mastdrift/serve/AgreedService.java
+++ b/src/main/java/mastdrift/serve/AgreedService.java
@@ -25,152 +25,164 @@
 import mastdrift.peers.MemberState;
 import mastdrift.peers.MembershipList;
 
-/** The agreed log in a gateway from files, and its first use: the roll, an entry of each gateway now and then, by which everybody knows that the log works and who was there when. No request waits for it; without it nothing but
-    the roll is missing. */
+/**
+ * Runs the replicated log (Raft) in a gateway that is configured from files. Its only client so far are presence
+ * entries: each gateway appends one at a fixed interval, which shows to all gateways that the log works and who took
+ * part when. No request waits for the log; without it only the presence entries are missing.
+ */
 final class AgreedService implements AutoCloseable {
 
-    private static final String ROLL = "roll ";
-    private static final long SAID_MILLIS = 100;
-    private static final int SAID_MOST = 64;
+    private static final String PRESENCE_ID_PREFIX = "roll ";
+    private static final long DECISIONS_EVENT_DELAY_MILLIS = 100;
+    private static final int MAX_DECISIONS_PER_EVENT = 64;
 
     private final AgreedSettings settings;
-    private final String name;
+    private final String gatewayName;
     private final PeerService peers;
     private final Events events;
     private final RaftLog log;
-    private final ScheduledThreadPoolExecutor timer;
-    private final Map<String, Long> rolls = new HashMap<>();  // the index of each gateway's last entry
-    private final List<Decision> unsaid = new ArrayList<>();
-    private String survives = "";
-    private long number;
+    private final ScheduledThreadPoolExecutor scheduler;
+    // index of the last presence entry of each gateway
+    private final Map<String, Long> presenceIndices = new HashMap<>();
+    private final List<Decision> unreportedDecisions = new ArrayList<>();
+    private String reportedTolerance = "";
+    private long lastPresenceNumber;
 
     AgreedService(Path file, Configuration configuration, PeerService peers, Events events) {
         settings = configuration.agreed();
-        name = configuration.gateway().name();
+        gatewayName = configuration.gateway().name();
         this.peers = peers;
         this.events = events;
-        timer = new ScheduledThreadPoolExecutor(1, task -> {
+        scheduler = new ScheduledThreadPoolExecutor(1, task -> {
             Thread thread = new Thread(task, "agreed-roll");
             thread.setDaemon(true);
             return thread;
         });
-        log = new RaftLog(new RaftLog.Settings(name, configuration.peers().installation(), settings.begin(), settings.voters(),
-                file.toAbsolutePath().resolveSibling(settings.folder()), settings.replaceAfter()), peers.transport(), this::read, this::eligible,
-                (bad, what, text, fields) -> event(bad ? Level.WARN : Level.INFO, what, text, fields));
-        peers.log(this::status);
-        long every = settings.rollEvery();
-        timer.scheduleWithFixedDelay(() -> roll(configuration.gateway().zone()), every, every, TimeUnit.MICROSECONDS);
+        log = new RaftLog(new RaftLog.Settings(gatewayName, configuration.peers().installation(), settings.begin(), settings.voters(),
+                file.toAbsolutePath().resolveSibling(settings.folder()), settings.replaceAfter()), peers.transport(), this::onDecision, this::eligible,
+                (isWarning, eventName, text, fields) -> event(isWarning ? Level.WARN : Level.INFO, eventName, text,
+                        fields));
+        peers.logStatus(this::status);
+        long presenceIntervalMicros = settings.rollEvery();
+        scheduler.scheduleWithFixedDelay(() -> appendPresence(configuration.gateway().zone()), presenceIntervalMicros,
+                presenceIntervalMicros, TimeUnit.MICROSECONDS);
     }
 
-    private void event(Level level, String what, String text, Object... fields) {
-        Object[] all = new Object[fields.length + 2];
-        System.arraycopy(fields, 0, all, 0, fields.length);
-        all[fields.length] = "mono_us";
-        all[fields.length + 1] = System.nanoTime() / 1_000;
-        events.event(level, what, text, all);
+    private void event(Level level, String name, String text, Object... fields) {
+        Object[] fieldsWithTime = new Object[fields.length + 2];
+        System.arraycopy(fields, 0, fieldsWithTime, 0, fields.length);
+        fieldsWithTime[fields.length] = "mono_us";
+        fieldsWithTime[fields.length + 1] = System.nanoTime() / 1_000;
+        events.event(level, name, text, fieldsWithTime);
     }
 
     private List<Voters.Eligible> eligible() {
-        long now = System.nanoTime() / 1_000;
-        List<Voters.Eligible> all = new ArrayList<>(List.of(new Voters.Eligible(name, zone(name), 0)));
-        for (MembershipList.Entry each : peers.seen()) {
-            boolean there = each.update().state() == MemberState.ALIVE || each.update().state() == MemberState.SUSPECT;
-            all.add(new Voters.Eligible(each.update().member().name(), each.update().member().zone(), there ? 0 : Math.max(1, now - each.since())));
+        long nowMicros = System.nanoTime() / 1_000;
+        List<Voters.Eligible> eligible = new ArrayList<>(List.of(new Voters.Eligible(gatewayName, zoneOf(gatewayName),
+                0)));
+        for (MembershipList.Entry each : peers.members()) {
+            boolean isPresent = each.update().state() == MemberState.ALIVE
+                    || each.update().state() == MemberState.SUSPECT;
+            eligible.add(new Voters.Eligible(each.update().member().name(), each.update().member().zone(), isPresent ? 0 : Math.max(1, nowMicros - each.since())));
         }
-        return all;
+        return eligible;
     }
 
-    private String zone(String gateway) {
-        return peers.seen().stream().filter(each -> each.update().member().name().equals(gateway)).map(each -> each.update().member().zone()).findFirst().orElse(peers.zone());
+    private String zoneOf(String gateway) {
+        return peers.members().stream().filter(each -> each.update().member().name().equals(gateway)).map(each -> each.update().member().zone()).findFirst().orElse(peers.zone());
     }
 
-    private void roll(String zone) {
-        String id = ROLL + name + " " + peers.generation() + " " + ++number;
+    private void appendPresence(String zone) {
+        String id = PRESENCE_ID_PREFIX + gatewayName + " " + peers.generation() + " " + ++lastPresenceNumber;
         byte[] command;
         try {
-            command = JSON.std.asBytes(new LinkedHashMap<>(Map.of("gateway", name, "zone", zone, "life", peers.generation())));
+            command = JSON.std.asBytes(new LinkedHashMap<>(Map.of("gateway", gatewayName, "zone", zone, "life", peers.generation())));
         } catch (IOException e) {
-            throw new UncheckedIOException(e);  // of bytes in memory
+            throw new UncheckedIOException(e);  // cannot happen: the bytes are in memory
         }
-        log.append(id, command, outcome -> appended(id, outcome));
-        saySurvival();
+        log.append(id, command, outcome -> reportAppend(id, outcome));
+        reportFaultTolerance();
     }
 
-    private void appended(String id, AppendOutcome outcome) {
+    private void reportAppend(String id, AppendOutcome outcome) {
         if (outcome instanceof AppendOutcome.Committed committed) {
-            event(Level.INFO, "agreed_in", "in the agreed log: " + id, "id", id, "index", committed.index());
+            event(Level.INFO, "agreed_in", "appended to the replicated log: " + id, "id", id, "index",
+                    committed.index());
         } else if (outcome instanceof AppendOutcome.Rejected rejected) {
-            event(Level.WARN, "agreed_out", "not in the agreed log: " + id + ": " + rejected.why(), "id", id);
+            event(Level.WARN, "agreed_out", "rejected by the replicated log: " + id + ": " + rejected.why(), "id", id);
         } else if (outcome instanceof AppendOutcome.Unknown unknown) {
-            event(Level.WARN, "agreed_unknown", "not known to be in the agreed log: " + id + ": " + unknown.why(), "id", id);
+            event(Level.WARN, "agreed_unknown", "outcome of the append to the replicated log unknown: " + id + ": " + unknown.why(), "id", id);
         }
     }
 
-    private void read(Decision decision) {
-        synchronized (rolls) {
-            if (decision.id().startsWith(ROLL)) {
-                rolls.put(decision.id().split(" ")[1], decision.index());
+    private void onDecision(Decision decision) {
+        synchronized (presenceIndices) {
+            if (decision.id().startsWith(PRESENCE_ID_PREFIX)) {
+                presenceIndices.put(decision.id().split(" ")[1], decision.index());
             }
-            unsaid.add(decision);
-            if (unsaid.size() > 1) {
+            unreportedDecisions.add(decision);
+            if (unreportedDecisions.size() > 1) {
                 return;
             }
         }
         try {
-            timer.schedule(this::sayRead, SAID_MILLIS, TimeUnit.MILLISECONDS);
+            scheduler.schedule(this::reportDecisions, DECISIONS_EVENT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
-            return;  // it is being closed
+            return;  // the service is being closed
         }
     }
 
-    /** Many at once where there are many: a log of events has room for some a second. */
-    private void sayRead() {
-        List<Decision> all;
-        synchronized (rolls) {
-            all = List.copyOf(unsaid);
-            unsaid.clear();
+    /**
+     * Reports the decisions that were delivered since the last event, up to {@link #MAX_DECISIONS_PER_EVENT} in one
+     * event, since the event log limits the events of one name per second.
+     */
+    private void reportDecisions() {
+        List<Decision> decisions;
+        synchronized (presenceIndices) {
+            decisions = List.copyOf(unreportedDecisions);
+            unreportedDecisions.clear();
         }
-        for (int i = 0; i < all.size(); i += SAID_MOST) {
-            List<Decision> some = all.subList(i, Math.min(all.size(), i + SAID_MOST));
-            event(Level.INFO, "agreed_read", "the agreed log has " + some.size() + " more decisions, up to " + some.get(some.size() - 1).index(), "ids",
-                    some.stream().map(each -> each.index() + "=" + each.id()).collect(Collectors.joining(";")));
+        for (int i = 0; i < decisions.size(); i += MAX_DECISIONS_PER_EVENT) {
+            List<Decision> batch = decisions.subList(i, Math.min(decisions.size(), i + MAX_DECISIONS_PER_EVENT));
+            event(Level.INFO, "agreed_read", "replicated log delivered " + batch.size() + " more decisions, up to index " + batch.get(batch.size() - 1).index(), "ids",
+                    batch.stream().map(each -> each.index() + "=" + each.id()).collect(Collectors.joining(";")));
         }
     }
 
-    /** Once, and again when it changes. */
-    private void saySurvival() {
+    /** Reports how many failures the voters tolerate: at the first call, and whenever it has changed. */
+    private void reportFaultTolerance() {
         Map<String, String> zones = new HashMap<>();
-        log.status().group().keySet().forEach(voter -> zones.put(voter, zone(voter)));
+        log.status().group().keySet().forEach(voter -> zones.put(voter, zoneOf(voter)));
         if (zones.isEmpty()) {
             return;
         }
-        Voters.FaultTolerance now = Voters.faultTolerance(zones);
-        String text = "voters " + new TreeSet<>(zones.keySet()) + " survive the loss of " + now.gateways() + (now.gateways() == 1 ? " gateway" : " gateways") + ", and of a zone: "
-                + (now.anyZone() ? "yes" : "no");
-        if (!text.equals(survives)) {
-            survives = text;
-            event(Level.INFO, "agreed_survives", text, "gateways", now.gateways(), "zone", now.anyZone());
+        Voters.FaultTolerance tolerance = Voters.faultTolerance(zones);
+        String text = "voters " + new TreeSet<>(zones.keySet()) + " tolerate the loss of " + tolerance.gateways() + (tolerance.gateways() == 1 ? " gateway" : " gateways") + "; of any one zone: "
+                + (tolerance.anyZone() ? "yes" : "no");
+        if (!text.equals(reportedTolerance)) {
+            reportedTolerance = text;
+            event(Level.INFO, "agreed_survives", text, "gateways", tolerance.gateways(), "zone", tolerance.anyZone());
         }
     }
 
     private Map<String, Object> status() {
-        RaftLog.Status now = log.status();
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("part", now.role());
-        all.put("why", now.why());
-        all.put("leader", now.leader());
-        all.put("term", now.term());
-        all.put("last", now.last());
-        all.put("voters", new TreeSet<>(now.group().keySet()));
-        synchronized (rolls) {
-            all.put("rolls", new LinkedHashMap<>(rolls));
+        RaftLog.Status logStatus = log.status();
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("part", logStatus.role());
+        fields.put("why", logStatus.why());
+        fields.put("leader", logStatus.leader());
+        fields.put("term", logStatus.term());
+        fields.put("last", logStatus.last());
+        fields.put("voters", new TreeSet<>(logStatus.group().keySet()));
+        synchronized (presenceIndices) {
+            fields.put("rolls", new LinkedHashMap<>(presenceIndices));
         }
-        return all;
+        return fields;
     }
 
     @Override
     public void close() {
-        timer.shutdownNow();
+        scheduler.shutdownNow();
         log.close();
     }
 }
--- a/src/main/java/mastdrift/serve/ConfigCopy.java
+++ b/src/main/java/mastdrift/serve/ConfigCopy.java
@@ -12,63 +12,73 @@
 import mastdrift.events.Events;
 import mastdrift.events.Events.Level;
 
-/** The copy of the configuration that a process keeps in a folder: read once, at its start, and written behind what it is told. Where there can be no folder, everything else goes on. */
+/**
+ * The copy of the configuration on disk: read once when the process starts, then written in the background after each
+ * change. Without a usable folder the process runs on without a copy.
+ */
 final class ConfigCopy implements AutoCloseable {
 
-    private final Table found;
-    private final boolean there;
-    private final TableWriter writer;  // null where there can be no folder
+    private final Table initialTable;
+    private final boolean exists;
+    private final TableWriter writer;  // null if the folder can't be used
 
-    /** Reads what is there, and says what it is; waits for the disk. */
+    /** Reads the copy and reports what was found. Blocks on the disk. */
     ConfigCopy(Path path, long epoch, Events events) {
         TableFolder folder = null;
-        TableFolder.Found read = new TableFolder.Found(null, 0, null);
+        TableFolder.Found result = new TableFolder.Found(null, 0, null);
         try {
             folder = new TableFolder(path);
-            read = folder.read();
+            result = folder.read();
         } catch (IOException e) {
-            events.event(Level.ERROR, "config_folder_unwritten", "there can be no copy of the configuration, this process goes on without: " + e);
+            events.event(Level.ERROR, "config_folder_unwritten", "the folder for the copy of the configuration can't be used, continuing without a copy: " + e);
         }
-        if (read.problem() != null) {
-            events.event(Level.WARN, "config_copy_unread", "not all of the copy can be read: " + read.problem());
+        if (result.problem() != null) {
+            events.event(Level.WARN, "config_copy_unread", "the copy of the configuration can't be read completely: "
+                    + result.problem());
         }
-        if (read.table() == null) {
+        if (result.table() == null) {
             events.event(Level.INFO, "config_copy_none", "no copy of the configuration is there");
         } else {
-            Revision revision = read.table().revision();
-            long age = read.age(Clock.systemUTC().millis());
-            events.event(Level.INFO, "config_copy", "a copy of the configuration is there: revision " + revision.number() + " of epoch " + revision.epoch() + ", " + read.table().size()
-                    + " resources, written " + age / 1_000 + " s ago", "number", revision.number(), "epoch", revision.epoch(), "age_ms", age);
+            Revision revision = result.table().revision();
+            long ageMillis = result.age(Clock.systemUTC().millis());
+            events.event(Level.INFO, "config_copy", "a copy of the configuration is there: revision " + revision.number() + " of epoch " + revision.epoch() + ", " + result.table().size()
+                    + " resources, written " + ageMillis / 1_000 + " s ago", "number", revision.number(), "epoch", revision.epoch(), "age_ms", ageMillis);
         }
-        there = read.table() != null;
-        found = read.table() == null ? Table.empty(epoch) : read.table();
-        writer = folder == null ? null : new TableWriter(folder, read.table(), Clock.systemUTC(), events);
+        exists = result.table() != null;
+        initialTable = result.table() == null ? Table.empty(epoch) : result.table();
+        writer = folder == null ? null : new TableWriter(folder, result.table(), Clock.systemUTC(), events);
     }
 
-    /** The copy as it was found; an empty table where there was none. */
-    Table found() {
-        return found;
+    /** The table that was read at the start; an empty table if there was no copy. */
+    Table initialTable() {
+        return initialTable;
     }
 
-    /** Whether there was one: at the beginning of an epoch its revision has number 0 like that of an empty table. */
-    boolean there() {
-        return there;
+    /**
+     * Whether there was a copy. The revision doesn't tell: at the beginning of an epoch it has number 0 like that of an
+     * empty table.
+     */
+    boolean exists() {
+        return exists;
     }
 
-    /** A later table, and what led there from the one before; no deltas where that isn't known. Waits for nothing. */
+    /**
+     * Queues a later table for writing, with the deltas that lead to it from the previous one; an empty list if they
+     * are not known. Doesn't block.
+     */
     void write(Table next, List<Delta> deltas) {
         if (writer != null) {
             writer.table(next, deltas);
         }
     }
 
-    /** The number of the revision that is on disk; null for not known. */
-    Long written() {
+    /** The number of the revision on disk; null if it is not known. */
+    Long writtenRevision() {
         Revision written = writer == null ? null : writer.status().written();
         return written == null ? null : written.number();
     }
 
-    /** Writes what waits, then ends. */
+    /** Writes what is queued, then stops. */
     @Override
     public void close() {
         if (writer != null) {
--- a/src/main/java/mastdrift/serve/Control.java
+++ b/src/main/java/mastdrift/serve/Control.java
@@ -21,94 +21,98 @@
 import mastdrift.membership.PoolList;
 
 /**
- * Owns what is in force: the configuration, the membership and the overrides that were used. On a thread of its own, so that
- * merging ten thousand nodes holds up no request; what comes of it goes to the loop as one event. The 250 ms of a drain
- * count from the moment at which the gateway was told, not from that event.
+ * Owns the configuration in force: the settings, the membership of the pools, and the overrides that were used. It runs
+ * on a thread of its own, so that merging ten thousand nodes delays no request; each result is passed to the event loop
+ * as one event. The 250 ms grace of a drain counts from the moment at which the gateway was told, not from that event.
  */
 final class Control implements AutoCloseable {
 
-    private static final long VERDICT_SECONDS = 30;
+    private static final long RESULT_TIMEOUT_SECONDS = 30;
 
-    /** Puts things in force; called on the control thread, in order. */
-    interface Loop {
-        /** A whole configuration, with the lists that changed by it. */
+    /** Puts results in force; called in order on the control thread. */
+    interface Listener {
+        /** A whole configuration was accepted; {@code changed} has the host lists that it changed. */
         void configured(Configuration configuration, Map<String, PoolList> changed);
 
-        /** Lists that changed by another source, or by time. */
-        void listed(Map<String, PoolList> changed);
+        /** Host lists were changed by another source, or because a deadline passed. */
+        void listsChanged(Map<String, PoolList> changed);
 
-        /** What a list was told and does not hold, and why. */
+        /** An entry that was reported for a pool is left out of its list; {@code line} says which and why. */
         void leftOut(String pool, String line);
     }
 
-    /** What discovery has told since the control thread last looked; one a pool. */
-    private static final class Told {
-        private boolean all;
-        private boolean waiting;
+    /** What discovery has reported for one pool and the control thread has not merged yet. */
+    private static final class PendingUpdate {
+        private boolean isFull;
+        private boolean mergeScheduled;
         private final Map<String, Node> nodes = new HashMap<>();
     }
 
-    private final ScheduledThreadPoolExecutor thread;
-    private final Loop loop;
+    private final ScheduledThreadPoolExecutor executor;
+    private final Listener listener;
     private final LongSupplier clock;
     private final Overrides overrides = new Overrides();
-    private final Map<String, Told> told = new HashMap<>();
+    private final Map<String, PendingUpdate> pendingUpdates = new HashMap<>();
     private Configuration inForce;
     private final Membership membership = new Membership();
     private Map<String, String> versions = Map.of();
-    private Map<String, List<String>> leftOut = new TreeMap<>();
-    private ScheduledFuture<?> due;
+    private Map<String, List<String>> reportedLeftOut = new TreeMap<>();
+    private ScheduledFuture<?> dueTask;
 
-    Control(Loop loop, LongSupplier clock) {
-        this.loop = loop;
+    Control(Listener listener, LongSupplier clock) {
+        this.listener = listener;
         this.clock = clock;
-        thread = new ScheduledThreadPoolExecutor(1, task -> {
-            Thread made = new Thread(task, "control");
-            made.setDaemon(true);
-            return made;
+        executor = new ScheduledThreadPoolExecutor(1, task -> {
+            Thread controlThread = new Thread(task, "control");
+            controlThread.setDaemon(true);
+            return controlThread;
         });
-        thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+        executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
 
-    /** Judges a whole configuration and puts it in force; returns why not, nothing where it was taken. Waits. */
+    /**
+     * Validates a whole configuration and puts it in force. Returns the problems; an empty list if it was accepted.
+     * Blocks.
+     */
     List<String> offer(Configuration next) {
         try {
-            return thread.submit(() -> judge(next)).get(VERDICT_SECONDS, TimeUnit.SECONDS);
+            return executor.submit(() -> validateAndApply(next)).get(RESULT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return List.of("interrupted while it was judged");
+            return List.of("interrupted while the configuration was validated");
         } catch (ExecutionException | TimeoutException e) {
-            return List.of("fault while it was judged: " + (e.getCause() == null ? e : e.getCause()));
+            return List.of("internal error while the configuration was validated: "
+                    + (e.getCause() == null ? e : e.getCause()));
         }
     }
 
-    private List<String> judge(Configuration next) {
-        List<String> problems = new ArrayList<>(Changes.boundAtStart(inForce, next));
+    private List<String> validateAndApply(Configuration next) {
+        List<String> problems = new ArrayList<>(ConfigDiff.startOnlyProblems(inForce, next));
         if (!problems.isEmpty()) {
             return problems;
         }
         long now = clock.getAsLong();
-        List<Trip> trips = trips(inForce, next, inForce == null ? null : membership.lists(),
+        List<Trip> trips = guardTrips(inForce, next, inForce == null ? null : membership.lists(),
                 membership.preview(now, next.filed()));
-        List<Trip> left = overrides.left(trips, next.overrides(), versions);
-        if (!left.isEmpty()) {
-            return left.stream().map(trip -> Changes.refusal(trip, versions)).toList();
+        List<Trip> unresolved = overrides.left(trips, next.overrides(), versions);
+        if (!unresolved.isEmpty()) {
+            return unresolved.stream().map(trip -> ConfigDiff.guardRefusal(trip, versions)).toList();
         }
         overrides.use(trips, versions);
         Map<String, PoolList> changed = membership.files(now, next.filed());
         inForce = next;
         versions = next.versions();
-        synchronized (told) {
-            told.keySet().retainAll(next.pools().keySet());
+        synchronized (pendingUpdates) {
+            pendingUpdates.keySet().retainAll(next.pools().keySet());
         }
-        loop.configured(next, changed);
-        complain(changed);
-        schedule();
+        listener.configured(next, changed);
+        reportLeftOut(changed);
+        scheduleDue();
         return List.of();
     }
 
-    /** The guards that a change trips, also for pools that it takes out; {@code before} is null at a start. */
-    static List<Trip> trips(Configuration inForce, Configuration next, Map<String, PoolList> before,
+    /** The guards that a change trips, also for pools that it removes; {@code before} is null when a gateway starts. */
+    static List<Trip> guardTrips(Configuration inForce, Configuration next, Map<String, PoolList> before,
             Map<String, PoolList> after) {
         List<Trip> trips = new ArrayList<>();
         after.forEach((pool, list) -> trips.addAll(Guards.trips(next.pools().get(pool).guards(),
@@ -125,72 +129,75 @@
 
     // ---- other sources
 
-    /** Discovery told nodes of a pool; from the loop, and never waits. */
-    void told(String pool, boolean all, List<Node> nodes) {
-        synchronized (told) {
-            Told pending = told.computeIfAbsent(pool, p -> new Told());
-            if (all) {
+    /**
+     * Discovery has reported nodes of a pool; with {@code isFull} they replace what it reported before. Called on the
+     * event loop, never blocks.
+     */
+    void discoveryUpdated(String pool, boolean isFull, List<Node> nodes) {
+        synchronized (pendingUpdates) {
+            PendingUpdate pending = pendingUpdates.computeIfAbsent(pool, p -> new PendingUpdate());
+            if (isFull) {
                 pending.nodes.clear();
-                pending.all = true;
+                pending.isFull = true;
             }
             nodes.forEach(node -> pending.nodes.put(node.uid(), node));
-            if (!pending.waiting) {
-                pending.waiting = true;
-                thread.execute(() -> merge(pool, pending));
+            if (!pending.mergeScheduled) {
+                pending.mergeScheduled = true;
+                executor.execute(() -> merge(pool, pending));
             }
         }
     }
 
-    private void merge(String pool, Told pending) {
-        boolean all;
+    private void merge(String pool, PendingUpdate pending) {
+        boolean isFull;
         List<Node> nodes;
-        synchronized (told) {
-            all = pending.all;
+        synchronized (pendingUpdates) {
+            isFull = pending.isFull;
             nodes = List.copyOf(pending.nodes.values());
             pending.nodes.clear();
-            pending.all = false;
-            pending.waiting = false;
+            pending.isFull = false;
+            pending.mergeScheduled = false;
         }
-        put(membership.told(clock.getAsLong(), pool, "discovery", all, nodes));
+        publishLists(membership.told(clock.getAsLong(), pool, "discovery", isFull, nodes));
     }
 
-    /** Discovery of a pool has fallen silent; from the loop. */
-    void silent(String pool) {
-        thread.execute(() -> membership.silent(pool, "discovery"));
+    /** Discovery of a pool has become unavailable. Called on the event loop. */
+    void discoveryFailed(String pool) {
+        executor.execute(() -> membership.silent(pool, "discovery"));
     }
 
-    private void put(Map<String, PoolList> changed) {
+    private void publishLists(Map<String, PoolList> changed) {
         if (!changed.isEmpty()) {
-            loop.listed(changed);
-            complain(changed);
+            listener.listsChanged(changed);
+            reportLeftOut(changed);
         }
-        schedule();
+        scheduleDue();
     }
 
-    private void schedule() {
-        if (due != null) {
-            due.cancel(false);
+    private void scheduleDue() {
+        if (dueTask != null) {
+            dueTask.cancel(false);
         }
-        long at = membership.dueAt();
-        due = at == Long.MAX_VALUE ? null : thread.schedule(() -> {
-            put(membership.due(clock.getAsLong()));
-        }, Math.max(1, at - clock.getAsLong()), TimeUnit.MICROSECONDS);
+        long dueAtMicros = membership.dueAt();
+        dueTask = dueAtMicros == Long.MAX_VALUE ? null : executor.schedule(() -> {
+            publishLists(membership.due(clock.getAsLong()));
+        }, Math.max(1, dueAtMicros - clock.getAsLong()), TimeUnit.MICROSECONDS);
     }
 
-    /** Says what was left out, once for as long as it stays the same. */
-    private void complain(Map<String, PoolList> changed) {
+    /** Reports entries that were left out of a list, once until they change. */
+    private void reportLeftOut(Map<String, PoolList> changed) {
         changed.forEach((pool, list) -> {
-            if (!list.leftOut().equals(leftOut.getOrDefault(pool, List.of()))) {
-                list.leftOut().forEach(line -> loop.leftOut(pool, line));
+            if (!list.leftOut().equals(reportedLeftOut.getOrDefault(pool, List.of()))) {
+                list.leftOut().forEach(line -> listener.leftOut(pool, line));
             }
-            leftOut.put(pool, list.leftOut());
+            reportedLeftOut.put(pool, list.leftOut());
         });
     }
 
-    /** What is in force, for the status file. Waits. */
+    /** The pools in force, for the status file. Blocks. */
     Map<String, Object> status() {
         try {
-            return thread.submit(this::inForce).get(VERDICT_SECONDS, TimeUnit.SECONDS);
+            return executor.submit(this::poolStatus).get(RESULT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return Map.of();
@@ -199,7 +206,7 @@
         }
     }
 
-    private Map<String, Object> inForce() {
+    private Map<String, Object> poolStatus() {
         Map<String, Object> pools = new TreeMap<>();
         membership.lists().forEach((name, list) -> pools.put(name, new TreeMap<>(Map.of("version", versions.get(name),
                 "hosts", list.hosts().size(),
@@ -209,6 +216,6 @@
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/main/java/mastdrift/serve/ControlClient.java
+++ b/src/main/java/mastdrift/serve/ControlClient.java
@@ -26,26 +26,33 @@
 import mastdrift.events.Events;
 import mastdrift.files.FileTexts;
 
-/** Sends requests to control machines for an operator, over signed links, under a name of its own. Waits; for each request a bounded time. */
+/**
+ * Sends an operator's requests to control machines over authenticated links, under a random client name. Calls block,
+ * each for a bounded time.
+ */
 public final class ControlClient implements AutoCloseable {
 
-    /** A machine that has not answered by then is away, in milliseconds. */
+    /** A machine that has not answered within this time is treated as unavailable. */
     static final long RESPONSE_TIMEOUT_MILLIS = 9_000;
     private static final long QUERY_TIMEOUT_MILLIS = 3_000;
-    private static final long RETRY_MILLIS = 200;
-    private static final int BITS = 40;
+    private static final long RETRY_INTERVAL_MILLIS = 200;
+    private static final int NAME_RANDOM_BITS = 40;
 
     private final DistributionSettings settings;
     private final ControlLinks links;
-    private final Map<Long, CompletableFuture<ControlMessage>> pending = new HashMap<>();  // on the loop's thread
+    // accessed on the event loop only
+    private final Map<Long, CompletableFuture<ControlMessage>> pending = new HashMap<>();
     private final Map<Long, String> sentTo = new HashMap<>();
     private final LinkListener listener = new LinkListener();
     private long lastRequestId;
 
-    /** By the file of a gateway or of a control machine; throws IllegalArgumentException with all that speaks against it, a line each. */
-    public static ControlClient by(Path file) {
+    /**
+     * A client with the machines and keys of a gateway's or control machine's file; throws IllegalArgumentException
+     * with all problems of that file, a line each.
+     */
+    public static ControlClient fromFile(Path file) {
         List<String> problems = new ArrayList<>();
-        DistributionSettings settings = settings(file, problems);
+        DistributionSettings settings = readSettings(file, problems);
         Secrets secrets = new Secrets(file, System.getenv());
         if (settings != null) {
             problems.addAll(secrets.read(settings.keys()));
@@ -56,10 +63,10 @@
         return new ControlClient(settings, secrets);
     }
 
-    private static DistributionSettings settings(Path file, List<String> problems) {
+    private static DistributionSettings readSettings(Path file, List<String> problems) {
         String text = new FileTexts(file).text(FileTexts.name(file), new Problems());
         if (text != null && DistributionReader.isControl(FileTexts.name(file), text)) {
-            return ControlMachine.settings(file, problems);
+            return ControlMachine.readSettings(file, problems);
         }
         ConfigurationReader.Result result = FileTexts.read(file);
         problems.addAll(result.problems());
@@ -72,7 +79,7 @@
 
     private ControlClient(DistributionSettings settings, Secrets secrets) {
         this.settings = settings;
-        String name = "operator-" + Long.toHexString(new SecureRandom().nextLong() >>> 64 - BITS);
+        String name = "operator-" + Long.toHexString(new SecureRandom().nextLong() >>> 64 - NAME_RANDOM_BITS);
         links = new ControlLinks("operator", settings, name, secrets::get, listener, Events.printing(System.err));
     }
 
@@ -80,7 +87,7 @@
 
         @Override
         public void received(String from, boolean reply, byte kind, byte[] message) {
-            if (kind == ControlLinks.CONTROL && reply) {
+            if (kind == ControlLinks.CONTROL_KIND && reply) {
                 ControlMessage response = ControlCodec.message(message);
                 if (from.equals(sentTo.get(response.requestId()))) {
                     sentTo.remove(response.requestId());
@@ -100,18 +107,18 @@
         }
     }
 
-    /** Machines of a role that the file names, in the order of the file. */
+    /** Names of the machines that have this role in the file, in its order. */
     public List<String> machines(Role role) {
         return settings.machines(role).stream().map(Machine::name).toList();
     }
 
-    private CompletableFuture<ControlMessage> request(String machine, LongFunction<ControlMessage> message, long millis) {
+    private CompletableFuture<ControlMessage> request(String machine, LongFunction<ControlMessage> message, long timeoutMillis) {
         CompletableFuture<ControlMessage> response = new CompletableFuture<>();
         links.loop().execute(() -> {
             long requestId = ++lastRequestId;
             pending.put(requestId, response);
             sentTo.put(requestId, machine);
-            if (!links.links().send(machine, ControlLinks.CONTROL, ControlCodec.bytes(message.apply(requestId)))) {
+            if (!links.links().send(machine, ControlLinks.CONTROL_KIND, ControlCodec.bytes(message.apply(requestId)))) {
                 listener.outboundClosed(machine);
             }
             links.loop().schedule(() -> {
@@ -119,39 +126,45 @@
                 if (pending.remove(requestId) != null) {
                     response.complete(new ControlMessage.Unknown(requestId, "no answer"));
                 }
-            }, millis, TimeUnit.MILLISECONDS);
+            }, timeoutMillis, TimeUnit.MILLISECONDS);
         });
         return response;
     }
 
-    private static ControlMessage response(CompletableFuture<ControlMessage> of) throws InterruptedException {
+    private static ControlMessage awaitResponse(CompletableFuture<ControlMessage> future) throws InterruptedException {
         try {
-            return of.get();
+            return future.get();
         } catch (ExecutionException e) {
-            throw new IllegalStateException(e);  // nobody completes it so
+            throw new IllegalStateException(e);  // cannot happen: the future is never completed exceptionally
         }
     }
 
-    /** Has a change agreed on: asks voters in turn, again and again under the same id, until one of them knows what became of it or the time is up. */
-    public ControlMessage apply(Change change, long millis) throws InterruptedException {
+    /**
+     * Submits a change: asks the voters in turn, always with the same change id, until one of them knows the outcome or
+     * the time is up.
+     */
+    public ControlMessage apply(Change change, long timeoutMillis) throws InterruptedException {
         List<String> voters = new ArrayList<>(machines(Role.VOTER));
         if (voters.isEmpty()) {
             return new ControlMessage.AskVoter(0, "expected a voter among the machines of the file, found none");
         }
         Collections.shuffle(voters);
-        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         ControlMessage last = null;
-        for (int i = 0; last == null || System.nanoTime() < deadline; i++) {
-            last = response(request(voters.get(i % voters.size()), requestId -> new ControlMessage.Apply(requestId, change), RESPONSE_TIMEOUT_MILLIS));
+        for (int i = 0; last == null || System.nanoTime() < deadlineNanos; i++) {
+            last = awaitResponse(request(voters.get(i % voters.size()), requestId -> new ControlMessage.Apply(requestId, change), RESPONSE_TIMEOUT_MILLIS));
             if (!(last instanceof ControlMessage.Unknown) && !(last instanceof ControlMessage.AskVoter)) {
                 return last;
             }
-            Thread.sleep(RETRY_MILLIS);
+            Thread.sleep(RETRY_INTERVAL_MILLIS);
         }
         return last;
     }
 
-    /** A resource, as the voter has it that has the newest revision, or where none answers a relay; an {@link ControlMessage.Unknown} where nobody answers. */
+    /**
+     * A resource from the voter with the newest revision, or from a relay if no voter answers; an {@link
+     * ControlMessage.Unknown} if no machine answers.
+     */
     public ControlMessage get(ResourceKind kind, String name) throws InterruptedException {
         ControlMessage.Found newest = null;
         for (Role role : List.of(Role.VOTER, Role.RELAY)) {
@@ -165,18 +178,18 @@
         return new ControlMessage.Unknown(0, "no machine answers");
     }
 
-    /** How machines do, by name; an {@link ControlMessage.Unknown} for one that doesn't answer. */
+    /** The status of each machine, by name; an {@link ControlMessage.Unknown} for one that doesn't answer. */
     public Map<String, ControlMessage> status(List<String> machines) throws InterruptedException {
         return requestAll(machines, ControlMessage.GetStatus::new);
     }
 
-    /** All at once. */
+    /** Sends a request to all machines concurrently and collects the responses. */
     private Map<String, ControlMessage> requestAll(List<String> machines, LongFunction<ControlMessage> message) throws InterruptedException {
         Map<String, CompletableFuture<ControlMessage>> futures = new LinkedHashMap<>();
         machines.forEach(each -> futures.put(each, request(each, message, QUERY_TIMEOUT_MILLIS)));
         Map<String, ControlMessage> responses = new LinkedHashMap<>();
         for (Map.Entry<String, CompletableFuture<ControlMessage>> each : futures.entrySet()) {
-            responses.put(each.getKey(), response(each.getValue()));
+            responses.put(each.getKey(), awaitResponse(each.getValue()));
         }
         return responses;
     }
--- a/src/main/java/mastdrift/serve/ControlLinks.java
+++ b/src/main/java/mastdrift/serve/ControlLinks.java
@@ -19,43 +19,46 @@
 import mastdrift.net.Addresses;
 import mastdrift.peers.edge.PeerLinks;
 
-/** Signed links to control machines, on an event loop of their own. */
+/** Authenticated links to control machines, on an event loop of their own. */
 final class ControlLinks implements AutoCloseable {
 
-    /** Messages of {@link mastdrift.distribution.Message}. */
-    static final byte CONFIG = 4;
-    /** Messages of {@link mastdrift.distribution.ControlMessage}. */
-    static final byte CONTROL = 5;
-    /** Connections that a gateway or an operator opens, at most. */
-    static final int OPENED_MOST = DistributionSettings.MACHINES_MOST;
+    /** Kind of the messages of {@link mastdrift.distribution.Message}. */
+    static final byte CONFIG_KIND = 4;
+    /** Kind of the messages of {@link mastdrift.distribution.ControlMessage}. */
+    static final byte CONTROL_KIND = 5;
+    /** Connections that a gateway or an operator's client may open. */
+    static final int MAX_OUTBOUND_CONNECTIONS = DistributionSettings.MACHINES_MOST;
     private static final long EVENT_INTERVAL_MILLIS = 5_000;
-    private static final int SENDERS_MOST = 1_024;
+    private static final int MAX_RATE_LIMITED_SENDERS = 1_024;
 
     private final EventLoop loop;
     private final String name;
     private final PeerLinks links;
     private final Events events;
-    private final Map<String, Long> emittedAt = new HashMap<>();
+    private final Map<String, Long> emittedAtMillis = new HashMap<>();
 
-    /** Of a process of this name; the listener is told on the loop's thread, and what it throws ends nothing but that message. */
-    ControlLinks(String thread, DistributionSettings settings, String name, Function<SecretRef, byte[]> secrets, Listener listener, Events events) {
+    /**
+     * Links of the process with this name. The listener is called on the event loop; an IllegalArgumentException that
+     * it throws discards only that message.
+     */
+    ControlLinks(String threadName, DistributionSettings settings, String name, Function<SecretRef, byte[]> secrets, Listener listener, Events events) {
         this.events = events;
         this.name = name;
-        loop = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory(thread, true), NioIoHandler.newFactory()).next();
-        links = new PeerLinks(loop, settings.installation(), name, Math.max(OPENED_MOST, settings.connections()), new LinkListener(listener));
+        loop = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory(threadName, true), NioIoHandler.newFactory()).next();
+        links = new PeerLinks(loop, settings.installation(), name, Math.max(MAX_OUTBOUND_CONNECTIONS, settings.connections()), new LinkListener(listener));
         configure(settings, secrets);
     }
 
-    /** Is told of what comes. */
+    /** Receives messages and closed connections, on the event loop. */
     interface Listener {
 
-        /** A message; {@code reply} where it came on a connection that was opened here. */
+        /** A message; {@code reply} is true if it came on a connection that this process opened. */
         void received(String from, boolean reply, byte kind, byte[] message);
 
-        /** The connection that was opened to a machine has ended. */
+        /** The connection that this process opened to a machine has been closed. */
         void outboundClosed(String to);
 
-        /** The connection that another opened has ended. */
+        /** A connection that another process opened has been closed. */
         default void inboundClosed(String from) { }
     }
 
@@ -76,14 +79,15 @@
             }
         }
 
-        /** An event at most once an interval, for each sender and each fault. */
+        /** Emits at most one event in {@link #EVENT_INTERVAL_MILLIS} for each sender and fault. */
         @Override
-        public void refused(String what, String who, String text) {
-            long now = System.nanoTime() / 1_000_000;
-            String key = what + " " + who.replaceAll(":\\d+$", "");
-            emittedAt.values().removeIf(at -> now - at > EVENT_INTERVAL_MILLIS);
-            if (emittedAt.size() < SENDERS_MOST && emittedAt.putIfAbsent(key, now) == null) {
-                events.event(Level.WARN, what, "from " + who + ": " + text, "peer", who);
+        public void refused(String eventName, String peer, String text) {
+            long nowMillis = System.nanoTime() / 1_000_000;
+            String key = eventName + " " + peer.replaceAll(":\\d+$", "");
+            emittedAtMillis.values().removeIf(at -> nowMillis - at > EVENT_INTERVAL_MILLIS);
+            if (emittedAtMillis.size() < MAX_RATE_LIMITED_SENDERS
+                    && emittedAtMillis.putIfAbsent(key, nowMillis) == null) {
+                events.event(Level.WARN, eventName, "from " + peer + ": " + text, "peer", peer);
             }
         }
 
@@ -106,17 +110,17 @@
         return links;
     }
 
-    /** The links as configuration goes over them. */
+    /** The links as a transport for the messages that distribute configuration. */
     Transport transport() {
         return new Transport() {
             @Override
             public boolean send(String to, byte[] message) {
-                return links.send(to, CONFIG, message);
+                return links.send(to, CONFIG_KIND, message);
             }
 
             @Override
             public boolean reply(String to, byte[] message) {
-                return links.reply(to, CONFIG, message);
+                return links.reply(to, CONFIG_KIND, message);
             }
 
             @Override
@@ -131,25 +135,25 @@
         };
     }
 
-    /** Keys and machines from now on. From any thread. */
+    /** Replaces keys and machines. May be called from any thread. */
     void configure(DistributionSettings settings, Function<SecretRef, byte[]> secrets) {
         List<byte[]> keys = settings.keys().stream().map(secrets).toList();
         Map<String, InetSocketAddress> addresses = new HashMap<>();
         settings.machines().forEach(each -> addresses.put(each.name(), Addresses.parse(each.address())));
         addresses.remove(name);
         loop.execute(() -> {
-            links.generation(1);  // a reply says 0
+            links.generation(1);  // 0 marks a reply
             links.keys(keys);
             links.addresses(addresses);
         });
     }
 
-    /** As a subscriber knows them. */
-    static List<Machine> machines(List<DistributionSettings.Machine> of) {
-        return of.stream().map(each -> new Machine(each.name(), each.zone())).toList();
+    /** The machines in the form that a subscription takes. */
+    static List<Machine> subscriptionMachines(List<DistributionSettings.Machine> machines) {
+        return machines.stream().map(each -> new Machine(each.name(), each.zone())).toList();
     }
 
-    /** Ends at once. */
+    /** Closes all connections and stops the event loop. */
     @Override
     public void close() {
         if (!loop.isShuttingDown()) {
--- a/src/main/java/mastdrift/serve/ControlMachine.java
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -48,53 +48,59 @@
 import mastdrift.net.Addresses;
 
 /**
- * A control machine: a voter agrees with the others on each change and tells relays, a relay passes on what voters tell. Both keep a copy, and both answer requests of operators; only a
- * voter takes changes.
+ * A control machine. A voter agrees with the other voters on each change and publishes it to relays; a relay publishes
+ * what it receives from voters. Both keep a copy on disk and answer queries of operators; only a voter accepts changes.
  *
- * <p>On one event loop, but for the agreed log, which has threads of its own, and the disk. Bounded: {@value #PENDING_MOST} changes that wait for their outcome, each for {@value #TIMEOUT_MILLIS} ms;
- * {@value #READ_MOST} decisions between the log and the table.
+ * <p>Everything runs on one event loop, except for the replicated log, which has threads of its own, and disk writes.
+ * Bounds: {@value #MAX_PENDING_CHANGES} changes that wait for their outcome, each for {@value #APPLY_TIMEOUT_MILLIS}
+ * ms; {@value #MAX_QUEUED_DECISIONS} decisions between the log and the table.
  */
 public final class ControlMachine implements AutoCloseable {
 
-    static final int PENDING_MOST = 256;
-    static final int READ_MOST = 256;
-    static final long TIMEOUT_MILLIS = 8_000;
-    private static final byte AGREED = 3;
-    private static final long POLL_MILLIS = 250;
-    private static final int SUMMARY_POLLS = 8;  // polls from one summary to the next
-    private static final long REPLACE_NEVER = Long.MAX_VALUE / 4;  // a voter's place is kept: its folder may be lost, and then joins anew
+    static final int MAX_PENDING_CHANGES = 256;
+    static final int MAX_QUEUED_DECISIONS = 256;
+    static final long APPLY_TIMEOUT_MILLIS = 8_000;
+    private static final byte RAFT_KIND = 3;
+    private static final long POLL_INTERVAL_MILLIS = 250;
+    private static final int POLLS_PER_SUMMARY = 8;  // polls from one summary to the next
+    // A voter is never replaced by another: one that has lost its folder joins again.
+    private static final long NEVER_REPLACE_MICROS = Long.MAX_VALUE / 4;
 
-    /** A change that somebody waits for. */
-    private record PendingApply(String from, long requestId, long deadline) { }
+    /** A request that waits for the outcome of its change. */
+    private record PendingApply(String from, long requestId, long deadlineNanos) { }
 
     private final DistributionSettings settings;
     private final Events events;
     private final ControlLinks links;
     private final ConfigCopy copy;
     private final Publication publication;
-    private final Subscription subscription;  // of a relay all the time, of a voter where decisions are missing
+    private final Subscription subscription;  // of a relay: always active; of a voter: only while decisions are missing
     private final Store store;  // null at a relay, as is the log
     private final RaftLog log;
     private final ChangeCheck check = new ChangeCheck(ResourceValues::problem);
     private final ScheduledThreadPoolExecutor proposer = new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("control-log", true));
-    private final Semaphore reading = new Semaphore(READ_MOST);
+    private final Semaphore decisionPermits = new Semaphore(MAX_QUEUED_DECISIONS);
     private final Map<String, List<PendingApply>> pending = new LinkedHashMap<>();
-    private final Map<String, Long> indices = new HashMap<>();  // of changes that are in and not yet applied here
-    private volatile BiConsumer<String, byte[]> agreed = (from, message) -> { };
+    // log index of committed changes that are not applied here yet
+    private final Map<String, Long> committedIndices = new HashMap<>();
+    private volatile BiConsumer<String, byte[]> raftReceiver = (from, message) -> { };
     private int pendingCount;
-    private long lastIndex;
+    private long lastDecidedIndex;
     private boolean catchingUp;
-    private boolean beginning;  // it has asked the log to begin the epoch, and not heard yet what became of that
-    private final Alone alone = new Alone();
+    // the start of the epoch has been appended to the log, and its outcome is not known yet
+    private boolean epochStartPending;
+    private final IsolationTracker isolation = new IsolationTracker();
     private String leader = "";
-    private long leaderAt = System.nanoTime();
-    private boolean votes;  // it takes part in the log, and has heard a leader once
+    private long leaderSeenAtNanos = System.nanoTime();
+    private boolean joinedLog;  // whether this voter takes part in the log and has seen a leader since its start
     private int polls;
 
-    /** Serves as a file says; throws IllegalArgumentException with all that speaks against it, a line each. */
+    /**
+     * Starts the control machine that a file describes; throws IllegalArgumentException with all problems, a line each.
+     */
     public static ControlMachine start(Path file, Events events) {
         List<String> problems = new ArrayList<>();
-        DistributionSettings settings = settings(file, problems);
+        DistributionSettings settings = readSettings(file, problems);
         Secrets secrets = new Secrets(file, System.getenv());
         if (settings != null) {
             problems.addAll(secrets.read(settings.keys()));
@@ -112,11 +118,13 @@
         }
     }
 
-    /** What a control machine's file says; null, and problems, where that can't be used. */
-    static DistributionSettings settings(Path file, List<String> problems) {
-        Problems unread = new Problems();
-        String text = new FileTexts(file).text(FileTexts.name(file), unread);
-        problems.addAll(unread.lines());
+    /**
+     * The settings in a control machine's file; null if they can't be used, with the reasons added to {@code problems}.
+     */
+    static DistributionSettings readSettings(Path file, List<String> problems) {
+        Problems readProblems = new Problems();
+        String text = new FileTexts(file).text(FileTexts.name(file), readProblems);
+        problems.addAll(readProblems.lines());
         if (text == null) {
             return null;
         }
@@ -128,29 +136,30 @@
     private ControlMachine(Path file, DistributionSettings settings, Secrets secrets, Events events) {
         this.settings = settings;
         this.events = events;
-        boolean voter = settings.role() == Role.VOTER;
+        boolean isVoter = settings.role() == Role.VOTER;
         Path folder = file.toAbsolutePath().resolveSibling(settings.folder());
         copy = new ConfigCopy(folder.resolve("table"), settings.epoch(), events);
-        Table initial = copy.there() ? copy.found() : Store.nothing(settings.epoch());
-        if (voter && initial.revision().epoch() > settings.epoch()) {
+        Table initial = copy.exists() ? copy.initialTable() : Store.nothing(settings.epoch());
+        if (isVoter && initial.revision().epoch() > settings.epoch()) {
             throw new IllegalArgumentException("distribution.epoch: expected " + initial.revision().epoch() + " or a later one, as its folder has, found " + settings.epoch());
         }
         links = new ControlLinks("control-links", settings, settings.name(), secrets::get, new LinkListener(), events);
         publication = new Publication(links.loop(), links.transport(), initial, PublisherSettings.USUAL, events);
-        subscription = new Subscription(links.loop(), links.transport(), settings.name(), settings.zone(), initial, SubscriberSettings.USUAL, System.nanoTime(), events, this::taken);
-        store = voter ? new Store(initial, settings.epoch(), new StoreActions()) : null;
-        log = voter ? log(folder) : null;
-        if (!voter) {
+        subscription = new Subscription(links.loop(), links.transport(), settings.name(), settings.zone(), initial, SubscriberSettings.USUAL, System.nanoTime(), events, this::onSubscribedTable);
+        store = isVoter ? new Store(initial, settings.epoch(), new StoreActions()) : null;
+        log = isVoter ? openLog(folder) : null;
+        if (!isVoter) {
             links.loop().execute(() -> {
                 subscription.inForce(initial.revision());
-                subscription.machines(ControlLinks.machines(settings.publishers()));
+                subscription.machines(ControlLinks.subscriptionMachines(settings.publishers()));
             });
         }
-        links.loop().execute(() -> publication.alone(true));  // until it has heard
-        links.loop().scheduleWithFixedDelay(this::poll, POLL_MILLIS, POLL_MILLIS, TimeUnit.MILLISECONDS);
+        links.loop().execute(() -> publication.alone(true));  // until there is contact with the source of the table
+        links.loop().scheduleWithFixedDelay(this::poll, POLL_INTERVAL_MILLIS, POLL_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
-    private RaftLog log(Path folder) {
+    private RaftLog openLog(Path folder) {
         List<Machine> voters = settings.machines(Role.VOTER);
         Set<String> names = voters.stream().map(Machine::name).collect(Collectors.toSet());
         List<Voters.Eligible> eligible = voters.stream().map(each -> new Voters.Eligible(each.name(), each.zone(), 0)).toList();
@@ -158,13 +167,13 @@
             @Override
             public void send(String to, byte[] message) {
                 if (!links.loop().isShuttingDown()) {
-                    links.loop().execute(() -> links.links().send(to, AGREED, message));
+                    links.loop().execute(() -> links.links().send(to, RAFT_KIND, message));
                 }
             }
 
             @Override
             public void onMessage(BiConsumer<String, byte[]> receiver) {
-                agreed = (from, message) -> {
+                raftReceiver = (from, message) -> {
                     if (names.contains(from)) {
                         receiver.accept(from, message);
                     }
@@ -172,13 +181,13 @@
             }
         };
         return new RaftLog(new RaftLog.Settings(settings.name(), settings.installation() + "/distribution", "epoch-" + settings.epoch(), voters.stream().map(Machine::name).toList(),
-                folder.resolve("agreed"), REPLACE_NEVER), transport, this::read, () -> eligible, (bad, what, text, fields) -> events.event(bad ? Level.WARN : Level.INFO, what, text, fields));
+                folder.resolve("agreed"), NEVER_REPLACE_MICROS), transport, this::enqueueDecision, () -> eligible, (isWarning, eventName, text, fields) -> events.event(isWarning ? Level.WARN : Level.INFO, eventName, text, fields));
     }
 
     private void listen() {
         ChannelFuture bound = links.links().listen(Addresses.parse(settings.listen())).awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new IllegalArgumentException("no listening on " + settings.listen() + ": " + bound.cause().getMessage());
+            throw new IllegalArgumentException("cannot listen on " + settings.listen() + ": " + bound.cause().getMessage());
         }
         events.event(Level.INFO, "listening", settings.role().name().toLowerCase(Locale.ROOT) + " " + settings.name() + " listening on " + links.links().address(), "protocol", "distribution",
                 "address", links.links().address());
@@ -188,13 +197,13 @@
 
         @Override
         public void received(String from, boolean reply, byte kind, byte[] message) {
-            if (kind == ControlLinks.CONFIG && reply) {
+            if (kind == ControlLinks.CONFIG_KIND && reply) {
                 subscription.received(from, message);
-            } else if (kind == ControlLinks.CONFIG) {
+            } else if (kind == ControlLinks.CONFIG_KIND) {
                 publication.received(from, message);
-            } else if (kind == AGREED) {
-                agreed.accept(from, message);
-            } else if (kind == ControlLinks.CONTROL && !reply) {
+            } else if (kind == RAFT_KIND) {
+                raftReceiver.accept(from, message);
+            } else if (kind == ControlLinks.CONTROL_KIND && !reply) {
                 handle(from, ControlCodec.message(message));
             } else {
                 throw new IllegalArgumentException("expected a message of a kind that this build knows, found " + kind);
@@ -212,35 +221,38 @@
         }
     }
 
-    // ---- a relay, and a voter that has to catch up
+    // ---- relay, and voter that catches up
 
-    private void taken(Table next, List<Delta> deltas) {
+    private void onSubscribedTable(Table next, List<Delta> deltas) {
         if (store == null) {
             copy.write(next, deltas);
             publication.table(next, deltas);
         }
-        links.loop().execute(() -> {  // not in the middle of the subscriber's turn
+        links.loop().execute(() -> {  // not within the callback of the subscriber
             if (store != null && store.take(next)) {
                 completeApplied();
-                catchUp();
+                updateCatchUp();
             }
-            subscription.inForce(next.revision());  // passed on, or taken: or the publisher would hold back what follows
+            subscription.inForce(next.revision());  // acknowledge now, or the publisher would hold back later revisions
         });
     }
 
-    /** A voter to which decisions are missing follows another one until it has what they made. */
-    private void catchUp() {
+    /**
+     * A voter that lacks decisions, since its log no longer has them, subscribes to another voter until it has a table
+     * that includes them.
+     */
+    private void updateCatchUp() {
         boolean missing = store.missing() != 0;
         if (missing != catchingUp) {
             catchingUp = missing;
             List<Machine> others = settings.machines(Role.VOTER).stream().filter(each -> !each.name().equals(settings.name())).toList();
-            subscription.machines(missing ? ControlLinks.machines(others) : List.of());
+            subscription.machines(missing ? ControlLinks.subscriptionMachines(others) : List.of());
             events.event(missing ? Level.WARN : Level.INFO, missing ? "config_catches_up" : "config_caught_up", missing ? "decisions up to " + store.missing()
-                    + " are missing: another voter's table is asked for" : "no decision is missing any more, revision " + store.table().revision().number());
+                    + " are missing: fetching the table of another voter" : "no decision is missing any longer, at revision " + store.table().revision().number());
         }
     }
 
-    // ---- a voter
+    // ---- voter
 
     private final class StoreActions implements Store.Actions {
 
@@ -256,36 +268,39 @@
         }
     }
 
-    /** On a thread of the log, which waits while the loop has enough to do. */
-    private void read(Decision decision) {
-        reading.acquireUninterruptibly();
+    /**
+     * Called on a thread of the log, which blocks while {@link #MAX_QUEUED_DECISIONS} decisions wait for the event
+     * loop.
+     */
+    private void enqueueDecision(Decision decision) {
+        decisionPermits.acquireUninterruptibly();
         try {
             links.loop().execute(() -> {
-                reading.release();
-                decided(decision);
+                decisionPermits.release();
+                applyDecision(decision);
             });
         } catch (RejectedExecutionException e) {
-            return;  // it is being closed
+            return;  // the machine is being closed
         }
     }
 
-    private void decided(Decision decision) {
+    private void applyDecision(Decision decision) {
         Command command = null;
         try {
             command = MessageCodec.command(decision.command());
         } catch (IllegalArgumentException e) {
-            events.event(Level.WARN, "config_unreadable", "decision " + decision.ordinal() + " is none that this build can read, and changes nothing: " + e.getMessage());
+            events.event(Level.WARN, "config_unreadable", "decision " + decision.ordinal() + " can't be decoded by this build and has no effect: " + e.getMessage());
         }
-        boolean anew = decision.ordinal() > store.number();
+        boolean isNew = decision.ordinal() > store.number();
         Store.ChangeOutcome outcome = store.decided(decision.ordinal(), decision.id(), command);
-        lastIndex = decision.index();
-        if (anew && command instanceof Change && outcome instanceof Store.ChangeOutcome.Applied in) {
-            events.event(Level.INFO, "config_decided", "change " + decision.id() + " is in, revision " + in.revision().number(), "id", decision.id(), "number", in.revision().number());
-        } else if (anew && outcome instanceof Store.ChangeOutcome.Conflict conflict) {
-            events.event(Level.INFO, "config_conflict", "change " + decision.id() + " changed nothing: " + conflict.reason(), "id", decision.id(), "number", decision.ordinal());
+        lastDecidedIndex = decision.index();
+        if (isNew && command instanceof Change && outcome instanceof Store.ChangeOutcome.Applied applied) {
+            events.event(Level.INFO, "config_decided", "change " + decision.id() + " is applied, revision " + applied.revision().number(), "id", decision.id(), "number", applied.revision().number());
+        } else if (isNew && outcome instanceof Store.ChangeOutcome.Conflict conflict) {
+            events.event(Level.INFO, "config_conflict", "change " + decision.id() + " has no effect: " + conflict.reason(), "id", decision.id(), "number", decision.ordinal());
         }
         completeApplied();
-        catchUp();
+        updateCatchUp();
     }
 
     private void apply(String from, ControlMessage.Apply apply) {
@@ -294,14 +309,14 @@
         if (!problems.isEmpty()) {
             reply(from, new ControlMessage.Refused(apply.requestId(), problems));
         } else if (store.outcome(change.id()) != null && respond(from, apply.requestId(), store.outcome(change.id()))) {
-            return;  // asked again
+            return;  // a repeated request
         } else if (!store.begun()) {
             reply(from, new ControlMessage.Unknown(apply.requestId(), "epoch " + settings.epoch() + " has not begun at " + settings.name() + ", ask again; a first installation begins with epoch 1"));
-        } else if (pendingCount >= PENDING_MOST) {
-            reply(from, new ControlMessage.Unknown(apply.requestId(), "expected at most " + PENDING_MOST + " changes that wait, ask again"));
+        } else if (pendingCount >= MAX_PENDING_CHANGES) {
+            reply(from, new ControlMessage.Unknown(apply.requestId(), "expected at most " + MAX_PENDING_CHANGES + " pending changes, ask again"));
         } else {
             pendingCount++;
-            pending.computeIfAbsent(change.id(), id -> new ArrayList<>()).add(new PendingApply(from, apply.requestId(), System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS)));
+            pending.computeIfAbsent(change.id(), id -> new ArrayList<>()).add(new PendingApply(from, apply.requestId(), System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(APPLY_TIMEOUT_MILLIS)));
             byte[] command = MessageCodec.bytes(change);
             proposer.execute(() -> log.append(change.id(), command, outcome -> {
                 if (!links.loop().isShuttingDown()) {
@@ -311,16 +326,19 @@
         }
     }
 
-    /** A voter with a table asks that the epoch begins from it, until it hears that the epoch has begun. All ask under one id: the first is in, the others are passed over. */
-    private void begin() {
-        Revision from = votes && !beginning ? store.toBegin() : null;
-        if (from != null) {
-            beginning = true;
+    /**
+     * Appends the start of the epoch from this voter's table, until its outcome is known. All voters use the same id,
+     * so only the first of these entries takes effect.
+     */
+    private void requestEpochStart() {
+        Revision epochBase = joinedLog && !epochStartPending ? store.toBegin() : null;
+        if (epochBase != null) {
+            epochStartPending = true;
             String id = "epoch-" + settings.epoch() + "-begins";
-            byte[] command = MessageCodec.bytes(new EpochStart(from));
+            byte[] command = MessageCodec.bytes(new EpochStart(epochBase));
             proposer.execute(() -> log.append(id, command, outcome -> {
                 if (!links.loop().isShuttingDown()) {
-                    links.loop().execute(() -> beginning = false);
+                    links.loop().execute(() -> epochStartPending = false);
                 }
             }));
         }
@@ -329,7 +347,7 @@
     private void appended(String id, AgreedLog.AppendOutcome outcome) {
         if (outcome instanceof AgreedLog.AppendOutcome.Committed committed) {
             if (pending.containsKey(id)) {
-                indices.put(id, committed.index());
+                committedIndices.put(id, committed.index());
                 completeApplied();
             }
         } else if (outcome instanceof AgreedLog.AppendOutcome.Rejected rejected) {
@@ -339,53 +357,54 @@
         }
     }
 
-    /** Those who wait for what is applied by now. */
+    /** Answers the requests whose changes have been applied by now. */
     private void completeApplied() {
         for (String id : List.copyOf(pending.keySet())) {
             Store.ChangeOutcome outcome = store.outcome(id);
-            if (outcome instanceof Store.ChangeOutcome.Applied in) {
-                complete(id, requestId -> new ControlMessage.Applied(requestId, in.revision()));
+            if (outcome instanceof Store.ChangeOutcome.Applied applied) {
+                complete(id, requestId -> new ControlMessage.Applied(requestId, applied.revision()));
             } else if (outcome instanceof Store.ChangeOutcome.Conflict conflict) {
                 complete(id, requestId -> new ControlMessage.Conflicted(requestId, conflict.reason()));
-            } else if (store.missing() == 0 && indices.getOrDefault(id, Long.MAX_VALUE) <= lastIndex) {
-                complete(id, requestId -> new ControlMessage.Applied(requestId, null));  // decided on before what is remembered here
+            } else if (store.missing() == 0 && committedIndices.getOrDefault(id, Long.MAX_VALUE) <= lastDecidedIndex) {
+                // decided earlier than the outcomes that are still remembered here
+                complete(id, requestId -> new ControlMessage.Applied(requestId, null));
             }
         }
     }
 
     private boolean respond(String from, long requestId, Store.ChangeOutcome outcome) {
-        if (outcome instanceof Store.ChangeOutcome.Applied in) {
-            reply(from, new ControlMessage.Applied(requestId, in.revision()));
+        if (outcome instanceof Store.ChangeOutcome.Applied applied) {
+            reply(from, new ControlMessage.Applied(requestId, applied.revision()));
         } else if (outcome instanceof Store.ChangeOutcome.Conflict conflict) {
             reply(from, new ControlMessage.Conflicted(requestId, conflict.reason()));
         }
         return !(outcome instanceof Store.ChangeOutcome.Pending);
     }
 
-    /** Makes the response to a request of that number. */
-    private interface ResponseTo {
-        ControlMessage with(long requestId);
+    /** Builds the response to the request with a given id. */
+    private interface ResponseFactory {
+        ControlMessage create(long requestId);
     }
 
-    private void complete(String id, ResponseTo response) {
-        indices.remove(id);
-        List<PendingApply> all = pending.remove(id);
-        if (all != null) {
-            pendingCount -= all.size();
-            all.forEach(each -> reply(each.from(), response.with(each.requestId())));
+    private void complete(String id, ResponseFactory response) {
+        committedIndices.remove(id);
+        List<PendingApply> waiting = pending.remove(id);
+        if (waiting != null) {
+            pendingCount -= waiting.size();
+            waiting.forEach(each -> reply(each.from(), response.create(each.requestId())));
         }
     }
 
-    // ---- operators
+    // ---- operator requests
 
     private void reply(String to, ControlMessage message) {
-        links.links().reply(to, ControlLinks.CONTROL, ControlCodec.bytes(message));
+        links.links().reply(to, ControlLinks.CONTROL_KIND, ControlCodec.bytes(message));
     }
 
     private void handle(String from, ControlMessage request) {
         if (request instanceof ControlMessage.Apply apply) {
             if (store == null) {
-                reply(from, new ControlMessage.AskVoter(apply.requestId(), settings.name() + " passes on and agrees on nothing: ask a voter"));
+                reply(from, new ControlMessage.AskVoter(apply.requestId(), settings.name() + " is a relay and accepts no changes: ask a voter"));
             } else {
                 apply(from, apply);
             }
@@ -394,7 +413,7 @@
             reply(from, new ControlMessage.Found(get.requestId(), table.revision(), table.get(get.kind(), get.name())));
         } else if (request instanceof ControlMessage.GetStatus status) {
             reply(from, new ControlMessage.Status(status.requestId(), table().revision(), settings.role().name().toLowerCase(Locale.ROOT), leader, publication.publisher().status().subscribers(),
-                    alone.millis(), publication.publisher().summary()));
+                    isolation.isolatedMillis(), publication.publisher().summary()));
         } else {
             throw new IllegalArgumentException("expected a request, found " + request.getClass().getSimpleName());
         }
@@ -404,56 +423,57 @@
         return store == null ? subscription.subscriber().table() : store.table();
     }
 
-    // ---- how it does
+    // ---- health
 
-    /** Whether it can't hear where its table comes from: then it says of itself no more that it is current. */
-    private boolean hearsNobody() {
+    /** Whether the source of the table can't be reached: this machine then no longer reports itself as current. */
+    private boolean isIsolated() {
         if (store != null) {
-            return !votes || !store.begun() || store.missing() != 0 || System.nanoTime() - leaderAt > TimeUnit.MILLISECONDS.toNanos(Alone.MILLIS);
+            return !joinedLog || !store.begun() || store.missing() != 0 || System.nanoTime() - leaderSeenAtNanos > TimeUnit.MILLISECONDS.toNanos(IsolationTracker.REPORT_AFTER_MILLIS);
         }
         return !subscription.subscriber().ready() || subscription.subscriber().aloneSince() != 0;
     }
 
     private void poll() {
         if (store != null) {
-            begin();
+            requestEpochStart();
             proposer.execute(() -> {
-                RaftLog.Status now = log.status();
+                RaftLog.Status logStatus = log.status();
                 if (!links.loop().isShuttingDown()) {
-                    links.loop().execute(() -> ledBy(now));
+                    links.loop().execute(() -> updateLeader(logStatus));
                 }
             });
-            long time = System.nanoTime();
+            long nowNanos = System.nanoTime();
             for (Map.Entry<String, List<PendingApply>> each : List.copyOf(pending.entrySet())) {
-                if (each.getValue().get(0).deadline() - time < 0) {
-                    complete(each.getKey(), requestId -> new ControlMessage.Unknown(requestId, "not known in time, ask again under the same id"));
+                if (each.getValue().get(0).deadlineNanos() - nowNanos < 0) {
+                    complete(each.getKey(), requestId -> new ControlMessage.Unknown(requestId, "outcome not known in time, ask again under the same id"));
                 }
             }
-        } else if (++polls % SUMMARY_POLLS == 0) {
+        } else if (++polls % POLLS_PER_SUMMARY == 0) {
             subscription.summary(publication.publisher().summary());
         }
-        boolean nobody = hearsNobody();
-        if (alone.now(nobody)) {
-            boolean bad = alone.millis() > 0;
-            events.event(bad ? Level.WARN : Level.INFO, bad ? "config_alone" : "config_alone_over", bad ? "it hears nobody of whom its table comes: serves what it has, and says so"
-                    : "it hears again of whom its table comes");
+        boolean isolated = isIsolated();
+        if (isolation.update(isolated)) {
+            boolean isWarning = isolation.isolatedMillis() > 0;
+            events.event(isWarning ? Level.WARN : Level.INFO, isWarning ? "config_alone" : "config_alone_over", isWarning ? "no contact with the source of the table: serving the table it has, marked as not current"
+                    : "contact with the source of the table is restored");
         }
-        publication.alone(nobody);
+        publication.alone(isolated);
     }
 
-    private void ledBy(RaftLog.Status now) {
-        leader = now.leader();
-        if (!leader.isEmpty() && now.role().equals("voter")) {
-            votes = true;
-            leaderAt = System.nanoTime();
+    private void updateLeader(RaftLog.Status logStatus) {
+        leader = logStatus.leader();
+        if (!leader.isEmpty() && logStatus.role().equals("voter")) {
+            joinedLog = true;
+            leaderSeenAtNanos = System.nanoTime();
         }
     }
 
-    /** Ends; the copy is written as far as it was told. */
+    /** Stops; changes of the copy that are queued are still written. */
     @Override
     public void close() {
         proposer.shutdownNow();
-        reading.release(READ_MOST * READ_MOST);  // nobody of the log waits for the loop any more
+        // so that no thread of the log waits for the event loop any longer
+        decisionPermits.release(MAX_QUEUED_DECISIONS * MAX_QUEUED_DECISIONS);
         if (log != null) {
             log.close();
         }
--- a/src/main/java/mastdrift/serve/DiscoverySource.java
+++ b/src/main/java/mastdrift/serve/DiscoverySource.java
@@ -18,21 +18,24 @@
 import mastdrift.net.Discovery;
 import mastdrift.net.HostList;
 
-/** A pool's discovery service, watched for as long as the pool is: a watch that ends is begun anew after a pause that grows
-    from a quarter of a second to four seconds, by halves at random, where {@link Discovery} doesn't do so earlier. Drains and removals
-    are in force at once; what else is told is put together with the pool's other sources first. All on the loop's thread. */
+/**
+ * Watches a pool's discovery service for as long as the pool exists. A watch that ends is opened again after a pause
+ * that doubles from 250 ms up to 4 s, with random jitter over its upper half, unless {@link Discovery} does so earlier.
+ * Drains and removals take effect at once; other updates are merged with the pool's other sources first. Runs on the
+ * event loop.
+ */
 final class DiscoverySource implements Discovery.Listener {
 
-    private static final long PAUSE_LEAST = 250;
-    private static final long PAUSE_MOST = 4_000;
+    private static final long MIN_PAUSE_MILLIS = 250;
+    private static final long MAX_PAUSE_MILLIS = 4_000;
 
     private final EventLoop loop;
     private final Pool pool;
     private final Control control;
     private final Consumer<String> log;
     private final Discovery discovery;
-    private final EndpointGate listed = new EndpointGate();
-    private long pause = PAUSE_LEAST;
+    private final EndpointGate gate = new EndpointGate();
+    private long pauseMillis = MIN_PAUSE_MILLIS;
     private boolean closed;
 
     DiscoverySource(EventLoop loop, Pool pool, InetSocketAddress at, Control control, Consumer<String> log) {
@@ -45,12 +48,12 @@
 
     @Override
     public void listed(HostList list) {
-        pause = PAUSE_LEAST;
+        pauseMillis = MIN_PAUSE_MILLIS;
         if (!closed) {
-            Set<String> before = listed.uids();
-            List<Member> inForce = listed.take(list.rev(), list.all(), list.entries());
+            Set<String> before = gate.uids();
+            List<Member> inForce = gate.take(list.rev(), list.all(), list.entries());
             withdrawFromPool(before, inForce);
-            control.told(pool.name(), list.all(), inForce.stream().map(DiscoverySource::node).toList());
+            control.discoveryUpdated(pool.name(), list.all(), inForce.stream().map(DiscoverySource::toNode).toList());
         }
     }
 
@@ -59,27 +62,27 @@
         if (closed) {
             return false;
         }
-        List<Member> changes = listed.withdraw(withdrawal.version(), withdrawal.named(), withdrawal.leaving());
+        List<Member> changes = gate.withdraw(withdrawal.version(), withdrawal.named(), withdrawal.leaving());
         pool.withdraw(changes);
-        control.told(pool.name(), false, changes.stream().map(DiscoverySource::node).toList());
+        control.discoveryUpdated(pool.name(), false, changes.stream().map(DiscoverySource::toNode).toList());
         return !changes.isEmpty();
     }
 
     private void withdrawFromPool(Set<String> before, List<Member> inForce) {
         List<Member> leaving = new ArrayList<>(inForce.stream().filter(member -> member.host().health() != Health.UP).toList());
-        Set<String> now = listed.uids();
+        Set<String> now = gate.uids();
         before.stream().filter(uid -> !now.contains(uid))
                 .forEach(uid -> leaving.add(new Member(new Host(uid, "", 0, "", 1, Health.LEAVING, Long.MAX_VALUE), null)));
         pool.withdraw(leaving);
     }
 
-    private static Node node(Member member) {
+    private static Node toNode(Member member) {
         Host host = member.host();
-        return new Node(host.address(), Addresses.format(member.at()), text(host.zone()), host.cell(), text(host.kind()),
+        return new Node(host.address(), Addresses.format(member.at()), nullIfEmpty(host.zone()), host.cell(), nullIfEmpty(host.kind()),
                 host.weight(), host.health(), host.born(), "discovery");
     }
 
-    private static String text(String text) {
+    private static String nullIfEmpty(String text) {
         return text.isEmpty() ? null : text;
     }
 
@@ -89,10 +92,10 @@
             return;
         }
         log.accept("discovery of pool " + pool.name() + " failed: " + cause);
-        control.silent(pool.name());
-        long wait = pause / 2 + ThreadLocalRandom.current().nextLong(pause / 2 + 1);
-        pause = Math.min(PAUSE_MOST, 2 * pause);
-        loop.schedule(() -> watch(!closed), wait, TimeUnit.MILLISECONDS);
+        control.discoveryFailed(pool.name());
+        long waitMillis = pauseMillis / 2 + ThreadLocalRandom.current().nextLong(pauseMillis / 2 + 1);
+        pauseMillis = Math.min(MAX_PAUSE_MILLIS, 2 * pauseMillis);
+        loop.schedule(() -> watch(!closed), waitMillis, TimeUnit.MILLISECONDS);
     }
 
     void watch(boolean active) {
@@ -104,8 +107,8 @@
         return discovery.listHolds();
     }
 
-    /** Reads what stands unread; see {@link Discovery#look}. */
-    boolean look() {
+    /** Reads what has arrived and is unread; see {@link Discovery#look}. */
+    boolean readUnread() {
         return discovery.look();
     }
 
--- a/src/main/java/mastdrift/serve/DistributionService.java
+++ b/src/main/java/mastdrift/serve/DistributionService.java
@@ -33,61 +33,68 @@
 import mastdrift.routing.RouteTable;
 
 /**
- * Routes of a gateway from the control machines. It starts by its copy at once, and with none it waits for a snapshot; what comes is made a table of routes on a thread of its own, put in force by
- * one event of the gateway's loop, and acknowledged after that. Where resources have no route at all, those of the file are in force.
+ * Provides a gateway with the routes that control machines distribute. It starts with its copy on disk at once, and
+ * without a copy it waits for a snapshot. An update is compiled to a route table on the thread of the links, put in
+ * force by one event of the gateway's event loop, and acknowledged after that. While no route resource exists, the
+ * routes of the gateway's file are in force.
  *
- * <p>It is a view: no rule rests on it. With all control machines away the gateway serves on by what it has, and says since when.
+ * <p>What is received may be outdated or wrong, and no guarantee depends on it. While no control machine can be
+ * reached, the gateway continues with what it has and reports since when.
  */
 final class DistributionService implements AutoCloseable {
 
-    private static final long POLL_MILLIS = 500;
-    private static final int STATUS_ANYWAY = 10;  // polls at which nothing has changed
+    private static final long POLL_INTERVAL_MILLIS = 500;
+    private static final int MAX_POLLS_PER_STATUS = 10;  // the status is written at least every so many polls
 
     private final Events events;
     private final DistributionSettings settings;
-    private final Executor gateway;
-    private final Consumer<RouteTable> swap;
-    private final StatusFile status;  // null for nowhere
+    private final Executor gatewayLoop;
+    private final Consumer<RouteTable> swapRoutes;
+    private final StatusFile statusFile;  // null if no status file is configured
     private final ControlLinks links;
     private final Subscription subscription;
     private final ConfigCopy copy;
-    private final ScheduledThreadPoolExecutor writer = new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("distribution-status", true));
+    private final ScheduledThreadPoolExecutor statusWriter = new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("distribution-status", true));
     private final CountDownLatch ready = new CountDownLatch(1);
     private final ResourceRoutes routes;
-    private volatile TreeSet<String> pools = new TreeSet<>();  // that routes in force name
-    private RouteTable fromFile;  // on the gateway's loop, as is the next one
-    private RouteTable distributed;  // null while resources have no route
-    private Revision inForce;  // null for none yet
-    private String refused = "";
-    private final Alone alone = new Alone();
-    private Instant aloneSince;  // null while a machine is heard
-    private String lastStatus = "";
-    private int unchanged;
+    private volatile TreeSet<String> routedPools = new TreeSet<>();  // pools that the routes in force refer to
+    private RouteTable fileRoutes;  // accessed on the gateway's event loop only, as is the next field
+    private RouteTable distributedRoutes;  // null while no route resource exists
+    private Revision revisionInForce;  // null until a revision is in force
+    private String reportedProblem = "";
+    private final IsolationTracker isolation = new IsolationTracker();
+    private Instant isolatedSince;  // null while a control machine can be reached
+    private String writtenStatus = "";
+    private int unchangedPolls;
 
-    /** Reads the copy; before the gateway serves, since it waits for the disk. {@code gateway} runs what swaps routes. */
-    DistributionService(Path file, Configuration configuration, Function<SecretRef, byte[]> secrets, long seed, Executor gateway, Consumer<RouteTable> swap, Events events) {
+    /**
+     * Reads the copy; to be called before the gateway serves, since it blocks on the disk. {@code gatewayLoop} runs the
+     * change of routes on the gateway's event loop.
+     */
+    DistributionService(Path file, Configuration configuration, Function<SecretRef, byte[]> secrets, long seed, Executor gatewayLoop, Consumer<RouteTable> swapRoutes, Events events) {
         this.events = events;
-        this.gateway = gateway;
-        this.swap = swap;
+        this.gatewayLoop = gatewayLoop;
+        this.swapRoutes = swapRoutes;
         settings = configuration.distribution();
-        status = settings.statusFile() == null ? null : new StatusFile(file, settings.statusFile());
+        statusFile = settings.statusFile() == null ? null : new StatusFile(file, settings.statusFile());
         routes = new ResourceRoutes(new RouteChecks(configuration.radius(), configuration.pools()));
         copy = new ConfigCopy(file.toAbsolutePath().resolveSibling(settings.folder()), settings.epoch(), events);
-        Table initial = copy.found();
-        if (copy.there()) {
+        Table initial = copy.initialTable();
+        if (copy.exists()) {
             routes.all(routesOf(initial));
-            pools = new TreeSet<>(routes.pools());
-            distributed = tableOf(routes);
+            routedPools = new TreeSet<>(routes.pools());
+            distributedRoutes = tableOf(routes);
         }
         links = new ControlLinks("distribution", settings, settings.name(), secrets, new LinkListener(), events);
-        subscription = new Subscription(links.loop(), links.transport(), settings.name(), settings.zone(), initial, SubscriberSettings.USUAL, seed, events, this::take);
+        subscription = new Subscription(links.loop(), links.transport(), settings.name(), settings.zone(), initial, SubscriberSettings.USUAL, seed, events, this::applyTable);
         links.loop().execute(() -> {
-            if (copy.there()) {
+            if (copy.exists()) {
                 acknowledge(initial.revision(), routes.problem());
             }
-            subscription.machines(ControlLinks.machines(settings.publishers()));
+            subscription.machines(ControlLinks.subscriptionMachines(settings.publishers()));
         });
-        links.loop().scheduleWithFixedDelay(this::poll, POLL_MILLIS, POLL_MILLIS, TimeUnit.MILLISECONDS);
+        links.loop().scheduleWithFixedDelay(this::poll, POLL_INTERVAL_MILLIS, POLL_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
     private static List<Resource> routesOf(Table table) {
@@ -100,46 +107,49 @@
         return routes.routes().isEmpty() ? null : routes.table();
     }
 
-    /** Until there is something to serve by: at once where there was a copy. */
-    void await() throws InterruptedException {
+    /** Blocks until there are routes to serve by: returns at once if there was a copy. */
+    void awaitReady() throws InterruptedException {
         if (ready.getCount() > 0) {
             events.event(Level.INFO, "config_waits", "waits for the configuration: no copy is there, and control machines are asked");
         }
         ready.await();
     }
 
-    /** The routes in force: of resources, or where those have none, those of the gateway's file, which are these from now on. On the gateway's loop. */
-    RouteTable table(RouteTable ofFile) {
-        fromFile = ofFile;
-        return distributed == null ? fromFile : distributed;
+    /**
+     * The routes in force: those of route resources, or, if there are none, those of the gateway's file, which
+     * {@code newFileRoutes} replaces. On the gateway's event loop.
+     */
+    RouteTable routesInForce(RouteTable newFileRoutes) {
+        fileRoutes = newFileRoutes;
+        return distributedRoutes == null ? fileRoutes : distributedRoutes;
     }
 
-    /** What speaks against a change of the gateway's file. */
+    /** The reasons not to accept a change of the gateway's file. */
     List<String> problems(Configuration next) {
-        return pools.stream().filter(pool -> !next.pools().containsKey(pool))
+        return routedPools.stream().filter(pool -> !next.pools().containsKey(pool))
                 .map(pool -> "pool " + pool + ": expected it to stay while routes that are distributed name it, found it taken out; change those first").toList();
     }
 
-    /** The gateway's file has changed, and is in force. */
+    /** A changed gateway's file has been put in force. */
     void configure(Configuration next, Function<SecretRef, byte[]> secrets) {
         links.configure(next.distribution(), secrets);
         links.loop().execute(() -> {
-            subscription.machines(ControlLinks.machines(next.distribution().publishers()));
+            subscription.machines(ControlLinks.subscriptionMachines(next.distribution().publishers()));
             routes.checks(new RouteChecks(next.radius(), next.pools()));
             Table table = subscription.subscriber().table();
-            if (inForce != null) {
+            if (revisionInForce != null) {
                 activate(table.revision(), routes.all(routesOf(table)));
             }
         });
     }
 
-    // ---- what control machines say
+    // ---- updates from control machines
 
     private final class LinkListener implements ControlLinks.Listener {
 
         @Override
         public void received(String from, boolean reply, byte kind, byte[] message) {
-            if (kind == ControlLinks.CONFIG && reply) {
+            if (kind == ControlLinks.CONFIG_KIND && reply) {
                 subscription.received(from, message);
             }
         }
@@ -150,7 +160,7 @@
         }
     }
 
-    private void take(Table next, List<Delta> deltas) {
+    private void applyTable(Table next, List<Delta> deltas) {
         copy.write(next, deltas);
         boolean changed = false;
         if (deltas.isEmpty()) {
@@ -162,16 +172,21 @@
         activate(next.revision(), changed);
     }
 
-    /** Puts routes in force, where they have changed, by one event of the gateway's loop, and acknowledges the revision after that. */
+    /**
+     * Puts routes in force, if they have changed, by one event of the gateway's event loop, and acknowledges the
+     * revision after that.
+     */
     private void activate(Revision revision, boolean changed) {
         RouteTable next = changed ? tableOf(routes) : null;
         String problem = routes.problem();
-        TreeSet<String> named = changed ? new TreeSet<>(routes.pools()) : pools;
-        pools = named;  // before they are in force: a pool that is taken out meanwhile is refused
-        gateway.execute(() -> {
+        TreeSet<String> nextPools = changed ? new TreeSet<>(routes.pools()) : routedPools;
+        // set before the routes are in force, so that a change of the file that removes one of these pools meanwhile is
+        // refused
+        routedPools = nextPools;
+        gatewayLoop.execute(() -> {
             if (changed) {
-                distributed = next;
-                swap.accept(next == null ? fromFile : next);
+                distributedRoutes = next;
+                swapRoutes.accept(next == null ? fileRoutes : next);
             }
             if (!links.loop().isShuttingDown()) {
                 links.loop().execute(() -> acknowledge(revision, problem));
@@ -183,80 +198,82 @@
         if (problem == null) {
             subscription.inForce(revision);
         } else {
-            if (!problem.equals(refused)) {
-                events.event(Level.WARN, "config_refused", "revision " + revision.number() + " can't be put in force whole, what was before stays: " + problem, "number", revision.number());
+            if (!problem.equals(reportedProblem)) {
+                events.event(Level.WARN, "config_refused", "revision " + revision.number() + " can't be put in force as a whole, the previous routes stay in force: " + problem, "number", revision.number());
             }
             subscription.refused(revision, problem);
         }
-        if (problem == null && !refused.isEmpty()) {
+        if (problem == null && !reportedProblem.isEmpty()) {
             events.event(Level.INFO, "config_taken", "nothing is held back any more, from revision " + revision.number() + " on", "number", revision.number());
         }
-        refused = problem == null ? "" : problem;
-        if (inForce == null || !inForce.equals(revision)) {
+        reportedProblem = problem == null ? "" : problem;
+        if (revisionInForce == null || !revisionInForce.equals(revision)) {
             events.event(Level.INFO, "config_in_force", "revision " + revision.number() + " of epoch " + revision.epoch() + " is in force, " + routes.routes().size() + " routes", "number",
                     revision.number(), "epoch", revision.epoch(), "routes", routes.routes().size());
         }
-        inForce = revision;
+        revisionInForce = revision;
         ready.countDown();
     }
 
-    // ---- how it does
+    // ---- status
 
     private void poll() {
-        if (subscription.subscriber().ready() && inForce == null && subscription.subscriber().table().revision().number() == 0) {
-            acknowledge(subscription.subscriber().table().revision(), null);  // a machine says that there is nothing yet: the file's routes serve
+        if (subscription.subscriber().ready() && revisionInForce == null && subscription.subscriber().table().revision().number() == 0) {
+            // a control machine reports that there is no resource yet: serve with the routes of the file
+            acknowledge(subscription.subscriber().table().revision(), null);
         }
-        if (alone.now(subscription.subscriber().aloneSince() != 0)) {
-            aloneSince = alone.millis() == 0 ? null : Instant.now().minusMillis(alone.millis());
-            if (aloneSince != null) {
-                events.event(Level.WARN, "config_alone", "no control machine is heard since " + aloneSince + ": serves on by what it has");
+        if (isolation.update(subscription.subscriber().aloneSince() != 0)) {
+            isolatedSince = isolation.isolatedMillis() == 0 ? null
+                    : Instant.now().minusMillis(isolation.isolatedMillis());
+            if (isolatedSince != null) {
+                events.event(Level.WARN, "config_alone", "no control machine is heard since " + isolatedSince + ": continuing with the routes in force");
             } else {
                 events.event(Level.INFO, "config_alone_over", "a control machine is heard again: " + subscription.subscriber().machine());
             }
         }
-        if (status != null && !writer.isShutdown()) {
-            Map<String, Object> all = status();
-            String now = all.toString();
-            if (!now.equals(lastStatus) || ++unchanged >= STATUS_ANYWAY) {
-                lastStatus = now;
-                unchanged = 0;
-                writer.execute(() -> write(all));
+        if (statusFile != null && !statusWriter.isShutdown()) {
+            Map<String, Object> statusFields = status();
+            String statusText = statusFields.toString();
+            if (!statusText.equals(writtenStatus) || ++unchangedPolls >= MAX_POLLS_PER_STATUS) {
+                writtenStatus = statusText;
+                unchangedPolls = 0;
+                statusWriter.execute(() -> writeStatus(statusFields));
             }
         }
     }
 
     private Map<String, Object> status() {
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("gateway", settings.name());
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("gateway", settings.name());
         Revision newest = subscription.subscriber().table().revision();
-        all.put("epoch", newest.epoch());
-        all.put("newest", newest.number());
-        all.put("in_force", inForce == null ? null : inForce.number());
-        all.put("held_back", refused);
-        all.put("routes", routes.routes().size());
-        all.put("copy", copy.written());
-        all.put("machine", subscription.subscriber().machine());
-        all.put("alone_since", aloneSince == null ? null : aloneSince.toString());
-        return all;
+        fields.put("epoch", newest.epoch());
+        fields.put("newest", newest.number());
+        fields.put("in_force", revisionInForce == null ? null : revisionInForce.number());
+        fields.put("held_back", reportedProblem);
+        fields.put("routes", routes.routes().size());
+        fields.put("copy", copy.writtenRevision());
+        fields.put("machine", subscription.subscriber().machine());
+        fields.put("alone_since", isolatedSince == null ? null : isolatedSince.toString());
+        return fields;
     }
 
-    private void write(Map<String, Object> all) {
+    private void writeStatus(Map<String, Object> statusFields) {
         try {
-            all.put("at", Instant.now().toString());
-            status.write(all);
+            statusFields.put("at", Instant.now().toString());
+            statusFile.write(statusFields);
         } catch (IOException e) {
             events.event(Level.ERROR, "status_unwritten", "status file of the distribution not written: " + e);
         }
     }
 
-    /** Ends; the copy is written as far as it was told. */
+    /** Stops; changes of the copy that are queued are still written. */
     @Override
     public void close() {
         if (!links.loop().isShuttingDown()) {
             links.loop().submit(subscription::close).syncUninterruptibly();
         }
         links.close();
-        writer.shutdown();
+        statusWriter.shutdown();
         copy.close();
     }
 }
--- a/src/main/java/mastdrift/serve/PeerService.java
+++ b/src/main/java/mastdrift/serve/PeerService.java
@@ -47,72 +47,78 @@
 import mastdrift.peers.edge.PeerLinks;
 import mastdrift.peers.edge.PeerMessageCodec;
 
-/** The other gateways, in a gateway from files: who is there, on a thread of its own, and what they have out, for the modules. */
+/**
+ * Membership of the other gateways, in a gateway that is configured from files, and the exchange of load digests with
+ * them for the decision modules. Runs on an event loop of its own.
+ */
 final class PeerService implements AutoCloseable {
 
-    private static final byte MEMBERSHIP = 1;
-    private static final byte DIGEST = 2;
-    private static final byte AGREED = 3;
-    private static final long STATUS_MILLIS = 500;
-    private static final int STATUS_ANYWAY = 10;  // times that nothing has changed
-    private static final long LEAVE_MILLIS = 300;
-    private static final long SAID_EVERY_MILLIS = 5_000;
-    // A digest goes to so many others at most, in their turns.
-    private static final int TOLD_MOST = 128;
+    private static final byte MEMBERSHIP_KIND = 1;
+    private static final byte DIGEST_KIND = 2;
+    private static final byte RAFT_KIND = 3;
+    private static final long STATUS_INTERVAL_MILLIS = 500;
+    private static final int MAX_INTERVALS_PER_STATUS = 10;  // the status is written at least every so many intervals
+    private static final long LEAVE_DELAY_MILLIS = 300;
+    private static final long EVENT_INTERVAL_MILLIS = 5_000;
+    // A digest is sent to at most this many other gateways, in rotation.
+    private static final int MAX_DIGEST_RECIPIENTS = 128;
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("peers", true), NioIoHandler.newFactory()).next();
-    private final ScheduledThreadPoolExecutor writer = new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("peers-files", true));
+    private final ScheduledThreadPoolExecutor statusWriter = new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("peers-files", true));
     private final Events events;
     private final GatewaySettings gateway;
     private final PeerSettings settings;
-    private final StatusFile status;  // null for nowhere
+    private final StatusFile statusFile;  // null if no status file is configured
     private final Function<SecretRef, byte[]> secrets;
     private final PeerLinks links;
     private final MembershipList membership;
     private final long generation;
-    private final Map<String, Long> saidAt = new HashMap<>();
-    private Consumer<Digest> works = digest -> { };
-    private volatile BiConsumer<String, byte[]> agreed = (from, message) -> { };
-    private volatile Supplier<Map<String, Object>> log = () -> null;
-    private volatile List<MembershipList.Entry> seen = List.of();
-    private Future<?> armed;
-    private long armedFor = Long.MAX_VALUE;
+    private final Map<String, Long> emittedAtMillis = new HashMap<>();
+    private Consumer<Digest> digestConsumer = digest -> { };
+    private volatile BiConsumer<String, byte[]> raftReceiver = (from, message) -> { };
+    private volatile Supplier<Map<String, Object>> logStatus = () -> null;
+    private volatile List<MembershipList.Entry> members = List.of();
+    private Future<?> scheduledTick;
+    private long scheduledTickAtMicros = Long.MAX_VALUE;
     private boolean changed = true;
-    private int unchanged;
-    private int told;
+    private int unchangedIntervals;
+    private int digestRotation;
 
-    /** Reads what an earlier process left; before the gateway serves, since it waits for the disk. */
+    /**
+     * Reads the generation that an earlier process stored; to be called before the gateway serves, since it blocks on
+     * the disk.
+     */
     PeerService(Path file, Configuration configuration, Function<SecretRef, byte[]> secrets, long seed, Events events) {
         this.events = events;
         this.secrets = secrets;
         gateway = configuration.gateway();
         settings = configuration.peers();
-        status = settings.statusFile() == null ? null : new StatusFile(file, settings.statusFile());
+        statusFile = settings.statusFile() == null ? null : new StatusFile(file, settings.statusFile());
         links = new PeerLinks(loop, settings.installation(), gateway.name(), settings.connections(), new LinkListener());
         generation = generation(file);
         Member self = new Member(gateway.name(), generation, gateway.zone(), build(), fingerprint(configuration));
-        membership = new MembershipList(self, MembershipSettings.USUAL, seed, now(), new MembershipActions());
-        loop.submit(() -> put(configuration)).syncUninterruptibly();
+        membership = new MembershipList(self, MembershipSettings.USUAL, seed, nowMicros(), new MembershipActions());
+        loop.submit(() -> applySettings(configuration)).syncUninterruptibly();
     }
 
     private long generation(Path file) {
-        long wall = Instant.now().toEpochMilli() * 1_000;
+        long wallMicros = Instant.now().toEpochMilli() * 1_000;
         if (settings.folder() == null) {
-            return wall;
+            return wallMicros;
         }
-        GenerationFile kept;
+        GenerationFile generationFile;
         long next;
         try {
-            kept = new GenerationFile(file.toAbsolutePath().resolveSibling(settings.folder()));
-            next = kept.next(wall);
+            generationFile = new GenerationFile(file.toAbsolutePath().resolveSibling(settings.folder()));
+            next = generationFile.next(wallMicros);
         } catch (IOException e) {
-            events.event(Level.WARN, "peers_folder", "the folder of peers can't be used, this start goes by its clock: " + e.getMessage());
-            return wall;
+            events.event(Level.WARN, "peers_folder", "the folder of peers can't be used, the generation of this start is taken from the clock: " + e.getMessage());
+            return wallMicros;
         }
         try {
-            kept.write(next);
-        } catch (IOException e) {  // it is later than the last one all the same, and so is the next start's by a clock that goes on
-            events.event(Level.WARN, "peers_folder", "the folder of peers can't be written, this start is not remembered: " + e.getMessage());
+            generationFile.write(next);
+        } catch (IOException e) {  // still later than the last one; so is the next start's, as the clock advances
+            events.event(Level.WARN, "peers_folder", "the folder of peers can't be written, the generation of this start is not stored: " + e.getMessage());
         }
         return next;
     }
@@ -122,57 +128,61 @@
         return version == null ? "unnamed" : version;
     }
 
-    /** Of what all gateways should have alike, 12 hexadecimal digits. */
-    private static String fingerprint(Configuration of) {
+    /** Fingerprint of the settings that all gateways should have in common, 12 hexadecimal digits. */
+    private static String fingerprint(Configuration configuration) {
         try {
-            byte[] digest = MessageDigest.getInstance("SHA-256").digest(List.of(of.classes(), of.tenants(), of.routes(), of.gateway().zones(),
-                    of.pools().keySet()).toString().getBytes(StandardCharsets.UTF_8));
+            byte[] digest = MessageDigest.getInstance("SHA-256").digest(List.of(configuration.classes(), configuration.tenants(), configuration.routes(), configuration.gateway().zones(),
+                    configuration.pools().keySet()).toString().getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(digest, 0, 6);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);  // every Java has it
+            throw new IllegalStateException(e);  // cannot happen: every Java platform has SHA-256
         }
     }
 
     /** Microseconds of the monotonic clock, which all processes of a machine share. */
-    private static long now() {
+    private static long nowMicros() {
         return System.nanoTime() / 1_000;
     }
 
-    /** Throws IllegalArgumentException where it can't listen. Then it says hello. */
+    /**
+     * Listens for other gateways and starts to take part in the membership; throws IllegalArgumentException if it can't
+     * listen.
+     */
     void listen() {
         ChannelFuture bound = links.listen(Addresses.parse(settings.listen())).awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new IllegalArgumentException("no listening for peers on " + settings.listen() + ": " + bound.cause().getMessage());
+            throw new IllegalArgumentException("cannot listen for peers on " + settings.listen() + ": " + bound.cause().getMessage());
         }
         events.event(Level.INFO, "listening", "listening for peers on " + links.address(), "protocol", "peers", "address", links.address(),
                 "life", membership.self().generation());
         loop.execute(this::tick);
-        if (status != null) {
-            loop.scheduleWithFixedDelay(this::write, STATUS_MILLIS, STATUS_MILLIS, TimeUnit.MILLISECONDS);
+        if (statusFile != null) {
+            loop.scheduleWithFixedDelay(this::writeStatus, STATUS_INTERVAL_MILLIS, STATUS_INTERVAL_MILLIS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Of this start; a larger one may be taken later, where that one turns out to be used. */
+    /** The generation of this start. Membership may move to a larger one later, if this one turns out to be in use. */
     long generation() {
         return generation;
     }
 
-    /** The gateway's. */
+    /** The zone of this gateway. */
     String zone() {
         return gateway.zone();
     }
 
-    /** The operator's file has changed. */
+    /** Applies a changed gateway's file. */
     void configure(Configuration next) {
         loop.execute(() -> {
-            put(next);
+            applySettings(next);
             if (!fingerprint(next).equals(membership.self().settings())) {
                 membership.changed(build(), fingerprint(next));
             }
         });
     }
 
-    private void put(Configuration next) {
+    private void applySettings(Configuration next) {
         Map<String, InetSocketAddress> addresses = new HashMap<>();
         next.peers().gateways().forEach((name, at) -> addresses.put(name, Addresses.parse(at)));
         links.generation(membership.self().generation());
@@ -181,75 +191,75 @@
         membership.configured(addresses.keySet());
     }
 
-    // ---- work out
+    // ---- load digests
 
-    /** Hears what others have out, on the peers' thread. */
-    void works(Consumer<Digest> to) {
-        loop.execute(() -> works = to);
+    /** Sets the receiver of other gateways' digests; it is called on the event loop of this service. */
+    void onDigest(Consumer<Digest> consumer) {
+        loop.execute(() -> digestConsumer = consumer);
     }
 
-    /** Tells the others. */
-    void tell(Digest digest) {
+    /** Sends this gateway's digest to others. */
+    void sendDigest(Digest digest) {
         loop.execute(() -> {
             byte[] bytes = PeerMessageCodec.bytes(digest);
             List<MembershipList.Entry> present = membership.entries().stream().filter(each -> each.update().state() == MemberState.ALIVE).toList();
-            for (int i = 0; i < Math.min(TOLD_MOST, present.size()) && !membership.nameTaken(); i++) {
-                links.send(present.get(told++ % present.size()).update().member().name(), DIGEST, bytes);
+            for (int i = 0; i < Math.min(MAX_DIGEST_RECIPIENTS, present.size()) && !membership.nameTaken(); i++) {
+                links.send(present.get(digestRotation++ % present.size()).update().member().name(), DIGEST_KIND, bytes);
             }
         });
     }
 
-    // ---- the agreed log
+    // ---- replicated log
 
-    /** Links for it. */
+    /** A transport for the messages of the replicated log. */
     Transport transport() {
         return new Transport() {
             @Override
             public void send(String gateway, byte[] message) {
                 if (!loop.isShuttingDown()) {
-                    loop.execute(() -> links.send(gateway, AGREED, message));
+                    loop.execute(() -> links.send(gateway, RAFT_KIND, message));
                 }
             }
 
             @Override
             public void onMessage(BiConsumer<String, byte[]> receiver) {
-                agreed = receiver;
+                raftReceiver = receiver;
             }
         };
     }
 
-    /** Who is there, as of a moment ago; from any thread. */
-    List<MembershipList.Entry> seen() {
-        return seen;
+    /** The members as of the last tick; may be called from any thread. */
+    List<MembershipList.Entry> members() {
+        return members;
     }
 
-    /** What the status file says of the log. */
-    void log(Supplier<Map<String, Object>> status) {
-        log = status;
+    /** Sets the supplier of the replicated log's part of the status file. */
+    void logStatus(Supplier<Map<String, Object>> status) {
+        logStatus = status;
     }
 
-    // ---- who is there
+    // ---- membership
 
     private void tick() {
         try {
-            membership.tick(now());
-            seen = membership.entries();
-        } finally {  // or no tick would ever come again
-            arm();
+            membership.tick(nowMicros());
+            members = membership.entries();
+        } finally {  // or no further tick would be scheduled
+            scheduleTick();
         }
     }
 
-    private void arm() {
-        long due = membership.dueAt();
-        if (due != armedFor) {
-            if (armed != null) {
-                armed.cancel(false);
+    private void scheduleTick() {
+        long dueMicros = membership.dueAt();
+        if (dueMicros != scheduledTickAtMicros) {
+            if (scheduledTick != null) {
+                scheduledTick.cancel(false);
             }
-            armedFor = due;
-            armed = due == Long.MAX_VALUE ? null : loop.schedule(() -> {
-                armedFor = Long.MAX_VALUE;
+            scheduledTickAtMicros = dueMicros;
+            scheduledTick = dueMicros == Long.MAX_VALUE ? null : loop.schedule(() -> {
+                scheduledTickAtMicros = Long.MAX_VALUE;
                 tick();
-            }, Math.max(0, due - now()), TimeUnit.MICROSECONDS);
+            }, Math.max(0, dueMicros - nowMicros()), TimeUnit.MICROSECONDS);
         }
     }
 
@@ -257,17 +267,18 @@
 
         @Override
         public void send(String to, PeerMessage message) {
-            links.send(to, MEMBERSHIP, PeerMessageCodec.bytes(message));
+            links.send(to, MEMBERSHIP_KIND, PeerMessageCodec.bytes(message));
         }
 
         @Override
-        public void event(MembershipList.Event event, Update of) {
+        public void event(MembershipList.Event event, Update update) {
             changed = true;
-            boolean bad = event == MembershipList.Event.GONE || event == MembershipList.Event.SUSPECTED || event == MembershipList.Event.NAME_TAKEN;
+            boolean isWarning = event == MembershipList.Event.GONE || event == MembershipList.Event.SUSPECTED || event == MembershipList.Event.NAME_TAKEN;
             String name = event.name().toLowerCase(Locale.ROOT);
-            events.event(bad ? Level.WARN : Level.INFO, "peer_" + name, "gateway " + of.member().name() + " " + name.replace('_', ' ')
-                    + (event == MembershipList.Event.SUSPECTED || event == MembershipList.Event.GONE ? ", by " + of.by() : ""), "peer", of.member().name(), "zone", of.member().zone(),
-                    "life", of.member().generation(), "incarnation", of.incarnation(), "by", of.by(), "mono_us", now());
+            events.event(isWarning ? Level.WARN : Level.INFO, "peer_" + name, "gateway " + update.member().name() + " " + name.replace('_', ' ')
+                    + (event == MembershipList.Event.SUSPECTED || event == MembershipList.Event.GONE ? ", by " + update.by() : ""), "peer", update.member().name(), "zone", update.member().zone(),
+                    "life", update.member().generation(), "incarnation", update.incarnation(), "by", update.by(),
+                    "mono_us", nowMicros());
             loop.execute(() -> links.generation(membership.self().generation()));
         }
     }
@@ -277,16 +288,16 @@
         @Override
         public void received(String from, long generation, byte kind, byte[] message) {
             try {
-                if (kind == MEMBERSHIP) {
-                    membership.received(now(), from, generation, PeerMessageCodec.message(message));
-                    arm();
-                } else if (kind == DIGEST) {
+                if (kind == MEMBERSHIP_KIND) {
+                    membership.received(nowMicros(), from, generation, PeerMessageCodec.message(message));
+                    scheduleTick();
+                } else if (kind == DIGEST_KIND) {
                     Digest digest = PeerMessageCodec.digest(message);
                     if (digest.name().equals(from)) {
-                        works.accept(digest);
+                        digestConsumer.accept(digest);
                     }
-                } else if (kind == AGREED) {
-                    agreed.accept(from, message);
+                } else if (kind == RAFT_KIND) {
+                    raftReceiver.accept(from, message);
                 } else {
                     refused("peer_later", from, "a message of a kind that this build doesn't know: " + kind);
                 }
@@ -297,61 +308,61 @@
             }
         }
 
-        /** Once in a while for each gateway and fault. */
+        /** Emits at most one event in {@link #EVENT_INTERVAL_MILLIS} for each sender and fault. */
         @Override
-        public void refused(String what, String who, String text) {
-            long now = now() / 1_000;
-            String key = what + " " + who.replaceAll(":\\d+$", "");
-            if (saidAt.size() < TOLD_MOST * 8 && now - saidAt.getOrDefault(key, now - SAID_EVERY_MILLIS) >= SAID_EVERY_MILLIS) {
-                saidAt.put(key, now);
-                events.event(Level.WARN, what, "from " + who + ": " + text, "peer", who);
+        public void refused(String eventName, String peer, String text) {
+            long nowMillis = nowMicros() / 1_000;
+            String key = eventName + " " + peer.replaceAll(":\\d+$", "");
+            if (emittedAtMillis.size() < MAX_DIGEST_RECIPIENTS * 8 && nowMillis - emittedAtMillis.getOrDefault(key, nowMillis - EVENT_INTERVAL_MILLIS) >= EVENT_INTERVAL_MILLIS) {
+                emittedAtMillis.put(key, nowMillis);
+                events.event(Level.WARN, eventName, "from " + peer + ": " + text, "peer", peer);
             }
-            saidAt.values().removeIf(at -> now - at > SAID_EVERY_MILLIS * 10);
+            emittedAtMillis.values().removeIf(at -> nowMillis - at > EVENT_INTERVAL_MILLIS * 10);
         }
     }
 
     // ---- the status file
 
-    private void write() {
-        if (!changed && ++unchanged < STATUS_ANYWAY) {
+    private void writeStatus() {
+        if (!changed && ++unchangedIntervals < MAX_INTERVALS_PER_STATUS) {
             return;
         }
         changed = false;
-        unchanged = 0;
-        Map<String, Object> now = status();
+        unchangedIntervals = 0;
+        Map<String, Object> statusFields = status();
         try {
-            writer.execute(() -> {
+            statusWriter.execute(() -> {
                 try {
-                    status.write(now);
+                    statusFile.write(statusFields);
                 } catch (IOException e) {
                     events.event(Level.ERROR, "status_unwritten", "status file of peers not written: " + e);
                 }
             });
         } catch (RejectedExecutionException e) {
-            return;  // it is being closed
+            return;  // the service is being closed
         }
     }
 
     private Map<String, Object> status() {
-        long now = now();
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("gateway", gateway.name());
-        all.put("at", Instant.now().toString());
-        all.put("mono_us", now);
-        all.put("zone", gateway.zone());
-        all.put("life", membership.self().generation());
-        all.put("build", membership.self().build());
-        all.put("settings", membership.self().settings());
-        all.put("name_taken", membership.nameTaken());
-        all.put("health", membership.health());
+        long nowMicros = nowMicros();
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("gateway", gateway.name());
+        fields.put("at", Instant.now().toString());
+        fields.put("mono_us", nowMicros);
+        fields.put("zone", gateway.zone());
+        fields.put("life", membership.self().generation());
+        fields.put("build", membership.self().build());
+        fields.put("settings", membership.self().settings());
+        fields.put("name_taken", membership.nameTaken());
+        fields.put("health", membership.health());
         List<Map<String, Object>> members = new ArrayList<>();
         for (MembershipList.Entry each : membership.entries()) {
             Map<String, Object> member = new LinkedHashMap<>();
             Member of = each.update().member();
             member.put("name", of.name());
-            member.put("standing", standing(each.update().state()));
-            member.put("since_ms", (now - each.since()) / 1_000);
-            member.put("heard_ms", each.heardAt() == 0 ? null : (now - each.heardAt()) / 1_000);
+            member.put("standing", statusName(each.update().state()));
+            member.put("since_ms", (nowMicros - each.since()) / 1_000);
+            member.put("heard_ms", each.heardAt() == 0 ? null : (nowMicros - each.heardAt()) / 1_000);
             member.put("zone", of.zone());
             member.put("life", of.generation());
             member.put("by", each.update().by());
@@ -359,17 +370,17 @@
             member.put("settings", of.settings());
             members.add(member);
         }
-        all.put("members", members);
-        all.put("links", links.links());
-        all.put("log", log.get());
+        fields.put("members", members);
+        fields.put("links", links.links());
+        fields.put("log", logStatus.get());
         PeerLinks.Counts counts = links.counts();
-        all.put("counts", new LinkedHashMap<>(Map.of("sent", counts.sent(), "sent_bytes", counts.sentBytes(), "received", counts.received(),
+        fields.put("counts", new LinkedHashMap<>(Map.of("sent", counts.sent(), "sent_bytes", counts.sentBytes(), "received", counts.received(),
                 "received_bytes", counts.receivedBytes(), "dropped", counts.dropped(), "refused", counts.refused())));
-        return all;
+        return fields;
     }
 
-    /** A state as the status file names it since the first build. */
-    static String standing(MemberState state) {
+    /** The name of a state in the status file, which stays the same across builds. */
+    static String statusName(MemberState state) {
         return switch (state) {
             case ALIVE -> "alive";
             case SUSPECT -> "suspected";
@@ -378,19 +389,20 @@
         };
     }
 
-    /** Says that it ends, then ends. */
+    /** Announces that this gateway leaves, then closes all links. */
     @Override
     public void close() {
         if (!loop.isShuttingDown()) {
             loop.submit(membership::leave).syncUninterruptibly();
             try {
-                Thread.sleep(LEAVE_MILLIS);  // the messages are on their way; nobody waits for them but this end
+                // gives the messages time to be sent; only this shutdown waits for them
+                Thread.sleep(LEAVE_DELAY_MILLIS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
             loop.submit(links::close).syncUninterruptibly();
             loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
-            writer.shutdown();
+            statusWriter.shutdown();
         }
     }
 }
--- a/src/main/java/mastdrift/serve/Secrets.java
+++ b/src/main/java/mastdrift/serve/Secrets.java
@@ -18,23 +18,25 @@
 import mastdrift.config.RadiusSettings;
 import mastdrift.config.SecretRef;
 
-/** The secrets that a configuration refers to, read once each, on the watcher's thread. What is wrong with one names where it
-    should be, never what it holds. */
+/**
+ * The secrets that a configuration refers to, each read once, on the watcher's thread. A problem names the place of a
+ * secret, never its content.
+ */
 final class Secrets {
 
-    private static final int MOST = 4096;
+    private static final int MAX_SECRET_BYTES = 4096;
 
     private final Path folder;
     private final Map<String, String> environment;
     private final Map<SecretRef, byte[]> secrets = new ConcurrentHashMap<>();
 
-    /** Files are relative to the gateway's. */
+    /** Reads files relative to the folder of the gateway's file. */
     Secrets(Path gatewayFile, Map<String, String> environment) {
         folder = gatewayFile.toAbsolutePath().getParent();
         this.environment = environment;
     }
 
-    /** Reads those that were not read yet; returns what is wrong with them. */
+    /** Reads the secrets of a configuration that were not read yet; returns the problems. */
     List<String> read(Configuration configuration) {
         Set<SecretRef> wanted = new LinkedHashSet<>();
         configuration.pools().values().stream().filter(PoolSettings::radius).forEach(pool -> wanted.add(pool.secret()));
@@ -48,12 +50,12 @@
         return read(wanted);
     }
 
-    /** Reads those that were not read yet; returns what is wrong with them. */
+    /** Reads the secrets that were not read yet; returns the problems. */
     List<String> read(Collection<SecretRef> wanted) {
         List<String> problems = new ArrayList<>();
         for (SecretRef ref : wanted) {
             if (!secrets.containsKey(ref)) {
-                byte[] secret = ref.file() ? file(ref, problems) : variable(ref, problems);
+                byte[] secret = ref.file() ? readFile(ref, problems) : readVariable(ref, problems);
                 if (secret != null) {
                     secrets.put(ref, secret);
                 }
@@ -62,12 +64,12 @@
         return problems;
     }
 
-    /** One that was read. */
+    /** A secret that was read; null for any other. */
     byte[] get(SecretRef ref) {
         return secrets.get(ref);
     }
 
-    private byte[] variable(SecretRef ref, List<String> problems) {
+    private byte[] readVariable(SecretRef ref, List<String> problems) {
         String value = environment.get(ref.name());
         if (value == null || value.isEmpty()) {
             problems.add("secret_variable " + ref.name() + ": expected a value in the environment, found none");
@@ -76,8 +78,8 @@
         return value.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Without the line's end behind it. */
-    private byte[] file(SecretRef ref, List<String> problems) {
+    /** The content of a file without trailing white space, such as the end of its line. */
+    private byte[] readFile(SecretRef ref, List<String> problems) {
         try {
             Path path = folder.resolve(ref.name());
             if (!Files.isRegularFile(path)) {
@@ -85,10 +87,10 @@
                 return null;
             }
             try (InputStream in = Files.newInputStream(path)) {
-                byte[] bytes = in.readNBytes(MOST + 1);
+                byte[] bytes = in.readNBytes(MAX_SECRET_BYTES + 1);
                 String text = new String(bytes, StandardCharsets.UTF_8).stripTrailing();
-                if (text.isEmpty() || bytes.length > MOST) {
-                    problems.add("secret_file " + ref.name() + ": expected 1 to " + MOST + " bytes, found "
+                if (text.isEmpty() || bytes.length > MAX_SECRET_BYTES) {
+                    problems.add("secret_file " + ref.name() + ": expected 1 to " + MAX_SECRET_BYTES + " bytes, found "
                             + (text.isEmpty() ? "none" : "more"));
                     return null;
                 }
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -64,34 +64,35 @@
 import mastdrift.routing.Traits;
 import mastdrift.zones.Snapshot;
 
-/** A gateway that serves as its files say, and goes on doing so as they change. */
+/** A gateway that serves as its files say and applies changes of these files while it runs. */
 public final class Service implements AutoCloseable {
 
-    private static final int OPEN_MOST = 20_000;
-    private static final long RETRY_AFTER_MOST = 2_000_000;
-    private static final long RETIRE_MILLIS = 1_000;
-    // Of the time that a stop is given: for the last answers, which come 0.4 s after the time that requests are given, and their way out.
-    private static final long STOP_SPARE = 1_000_000;
-    // Of answers that are kept for a listener's resends: what all may hold, for each that may be.
-    private static final int KEPT_BYTES = 256;
+    private static final int MAX_OPEN_REQUESTS = 20_000;
+    private static final long MAX_RETRY_AFTER_MICROS = 2_000_000;
+    private static final long RETIRE_CHECK_MILLIS = 1_000;
+    // Part of a stop's time that is kept for the last answers, which are sent 0.4 s after the time that requests are
+    // given, and for their transmission.
+    private static final long STOP_RESERVE_MICROS = 1_000_000;
+    // Memory for the answers that a listener keeps for retransmitted requests: bytes for each answer that may be kept.
+    private static final int KEPT_ANSWER_BYTES = 256;
 
     private boolean readNotifications() {
-        boolean all = true;
-        for (Served served : pools.values()) {
-            all &= served.discovery == null || served.discovery.look();
+        boolean allRead = true;
+        for (PoolEntry entry : pools.values()) {
+            allRead &= entry.discovery == null || entry.discovery.readUnread();
         }
-        return all;
+        return allRead;
     }
 
-    /** A pool as requests find it. */
-    private static final class Served {
+    /** A pool, with what routing needs to know of it. */
+    private static final class PoolEntry {
         private final Pool pool;
         private final DiscoverySource discovery;
         private final boolean radius;
-        private boolean somebody;
+        private boolean hasAvailableHost;
         private boolean retired;
 
-        Served(Pool pool, DiscoverySource discovery, boolean radius) {
+        PoolEntry(Pool pool, DiscoverySource discovery, boolean radius) {
             this.pool = pool;
             this.discovery = discovery;
             this.radius = radius;
@@ -100,28 +101,29 @@
 
     private final Path file;
     private final Events events;
-    private final TimedLoop timed = TimedLoop.start();
-    private final EventLoop loop = timed.loop();
-    private final Clock clock = timed.clock();
+    private final TimedLoop timedLoop = TimedLoop.start();
+    private final EventLoop loop = timedLoop.loop();
+    private final Clock clock = timedLoop.clock();
     private final SplittableRandom seeds = new SplittableRandom();
-    private final Ledger ledger = new Ledger(timed.timers(), clock, timed.turns(), OPEN_MOST, this::log);
+    private final Ledger ledger = new Ledger(timedLoop.timers(), clock, timedLoop.turns(), MAX_OPEN_REQUESTS,
+            this::log);
     private final Router router = new Router(Router.PINS_MOST);
-    private final Map<String, Served> pools = new HashMap<>();
-    private final Control control = new Control(new Loop(), clock::now);
+    private final Map<String, PoolEntry> pools = new HashMap<>();
+    private final Control control = new Control(new ControlListener(), clock::now);
     private final Watcher watcher;
     private final Secrets secrets;
-    private Configuration started;
-    private ZoneService zones;  // null where what crosses zones is neither counted nor bounded
-    private PeerService peers;  // null where it knows of no other gateway
-    private PeerWork peerWork;
-    private AgreedService agreed;  // null where it agrees on nothing
-    private DistributionService distribution;  // null where its routes are those of the file
+    private Configuration initialConfiguration;
+    private ZoneService zones;  // null if traffic across zones is neither counted nor bounded
+    private PeerService peers;  // null if no other gateways are configured
+    private PeerLoadExchange peerLoad;
+    private AgreedService agreed;  // null if there is no replicated log
+    private DistributionService distribution;  // null if the routes are those of the file
     private GatewaySettings gateway;
-    private List<RadiusSettings> listeners = List.of();
-    private volatile StatusFile status;
-    private ClientSide clients;
-    private final List<RadiusFront> radius = new ArrayList<>();
-    private final Drops drops = new Drops(clock::now, this::dropped);
+    private List<RadiusSettings> radiusListeners = List.of();
+    private volatile StatusFile statusFile;
+    private ClientSide httpFront;
+    private final List<RadiusFront> radiusFronts = new ArrayList<>();
+    private final Drops drops = new Drops(clock::now, this::logDropped);
 
     private Service(Path file, Events events) {
         this.file = file;
@@ -143,29 +145,34 @@
         });
     }
 
-    /** Serves as a file says; throws IllegalArgumentException with all that speaks against it, a line each. The texts of events
-        go to {@code out}. */
+    /**
+     * Starts a gateway as a file says; throws IllegalArgumentException with all problems, a line each. The texts of
+     * events are printed to {@code out}.
+     */
     public static Service start(Path file, PrintStream out) {
         return start(file, Events.printing(out), false);
     }
 
-    /** Likewise, with events as they are. {@code rehearsed}: it listens only once the path of an HTTP request is loaded and
-        compiled, about a second later. */
-    public static Service start(Path file, Events events, boolean rehearsed) {
+    /**
+     * Starts a gateway as a file says; throws IllegalArgumentException with all problems, a line each. With
+     * {@code warmUp} it listens only after the path of an HTTP request has been loaded and compiled, which takes about
+     * a second.
+     */
+    public static Service start(Path file, Events events, boolean warmUp) {
         Service service = new Service(file, events);
         try {
             List<String> problems = service.watcher.first();
             if (!problems.isEmpty()) {
                 throw new IllegalArgumentException(String.join("\n", problems));
             }
-            if (rehearsed) {
-                service.rehearse();
+            if (warmUp) {
+                service.warmUp();
             }
             if (service.distribution != null) {
-                service.distribution.await();
+                service.distribution.awaitReady();
             }
             service.listen();
-            service.meet();
+            service.startPeers();
             service.watcher.start();
             return service;
         } catch (IllegalArgumentException e) {
@@ -174,72 +181,79 @@
         } catch (InterruptedException e) {
             service.close();
             Thread.currentThread().interrupt();
-            throw new IllegalArgumentException("interrupted while it waited for its configuration", e);
+            throw new IllegalArgumentException("interrupted while waiting for the configuration", e);
         }
     }
 
-    /** On a loop of its own, with one pool of stand-ins, by the settings of the first pool for HTTP. */
-    private void rehearse() {
-        PoolSettings first = started.pools().values().stream().filter(pool -> !pool.radius()).findFirst().orElse(null);
-        if (first == null) {
+    /**
+     * Warms up the HTTP path on an event loop of its own, with one pool of stand-in hosts, by the settings of the first
+     * HTTP pool.
+     */
+    private void warmUp() {
+        PoolSettings settings = initialConfiguration.pools().values().stream().filter(pool -> !pool.radius())
+                .findFirst().orElse(null);
+        if (settings == null) {
             return;
         }
-        Settings module = settings(started, first);
-        TimedLoop on = TimedLoop.start();
-        EventLoop own = on.loop();
+        Settings moduleSettings = moduleSettings(initialConfiguration, settings);
+        TimedLoop warmUpLoop = TimedLoop.start();
+        EventLoop warmUpEventLoop = warmUpLoop.loop();
         Rehearsal.play((hosts, at) -> {
-            Ledger rehearsed = new Ledger(on.timers(), on.clock(), on.turns(), OPEN_MOST, this::log);
-            Pool pool = new Pool("rehearsal", rehearsed, new Balance(), module,
-                    new HttpTransport(on, module, first.connections(), line -> { }));
+            Ledger ledger = new Ledger(warmUpLoop.timers(), warmUpLoop.clock(), warmUpLoop.turns(), MAX_OPEN_REQUESTS,
+                    this::log);
+            Pool pool = new Pool("rehearsal", ledger, new Balance(), moduleSettings,
+                    new HttpTransport(warmUpLoop, moduleSettings, settings.connections(), line -> { }));
             pool.start(Source.TELLS, hosts);
-            return new ClientSide(own, rehearsed, (type, tenant, message, key) -> pool, started.classes(), started.tenants(),
+            return new ClientSide(warmUpEventLoop, ledger, (type, tenant, message, key) -> pool, initialConfiguration.classes(), initialConfiguration.tenants(),
                     gateway.connections(), line -> { });
-        }, started.classes(), started.tenants(), gateway.zone(), Addresses.parse(gateway.listen()).getAddress(),
-                own, this::log);
+        }, initialConfiguration.classes(), initialConfiguration.tenants(), gateway.zone(),
+                Addresses.parse(gateway.listen()).getAddress(),
+                warmUpEventLoop, this::log);
     }
 
     private void listen() {
-        bound(gateway.listen(), clients.listen(Addresses.parse(gateway.listen())));
-        events.event(Level.INFO, "listening", "listening on " + clients.address(), "protocol", "http", "address", clients.address());
-        for (int i = 0; i < radius.size(); i++) {
-            bound(listeners.get(i).listen(), radius.get(i).listen(Addresses.parse(listeners.get(i).listen())));
-            events.event(Level.INFO, "listening", "listening for RADIUS on " + radius.get(i).address(), "protocol", "radius",
-                    "address", radius.get(i).address());
+        awaitBound(gateway.listen(), httpFront.listen(Addresses.parse(gateway.listen())));
+        events.event(Level.INFO, "listening", "listening on " + httpFront.address(), "protocol", "http", "address", httpFront.address());
+        for (int i = 0; i < radiusFronts.size(); i++) {
+            awaitBound(radiusListeners.get(i).listen(),
+                    radiusFronts.get(i).listen(Addresses.parse(radiusListeners.get(i).listen())));
+            events.event(Level.INFO, "listening", "listening for RADIUS on " + radiusFronts.get(i).address(), "protocol", "radius",
+                    "address", radiusFronts.get(i).address());
         }
     }
 
-    private void meet() {
+    private void startPeers() {
         if (peers != null) {
             peers.listen();
         }
-        if (started.agreed() != null) {
-            agreed = new AgreedService(file, started, peers, events);
+        if (initialConfiguration.agreed() != null) {
+            agreed = new AgreedService(file, initialConfiguration, peers, events);
         }
     }
 
-    private static void bound(String at, ChannelFuture bound) {
-        if (!bound.awaitUninterruptibly().isSuccess()) {
-            throw new IllegalArgumentException("no listening on " + at + ": " + bound.cause().getMessage());
+    private static void awaitBound(String address, ChannelFuture future) {
+        if (!future.awaitUninterruptibly().isSuccess()) {
+            throw new IllegalArgumentException("cannot listen on " + address + ": " + future.cause().getMessage());
         }
     }
 
-    /** Where the RADIUS listeners are, in the order of the file. */
+    /** Addresses of the RADIUS listeners, in the order of the file. */
     public List<InetSocketAddress> radiusAddresses() {
-        return radius.stream().map(RadiusFront::address).toList();
+        return radiusFronts.stream().map(RadiusFront::address).toList();
     }
 
-    /** Where it listens. */
+    /** Address of the HTTP listener. */
     public InetSocketAddress address() {
-        return clients.address();
+        return httpFront.address();
     }
 
-    /** Reads something of the service count on the loop's thread; waits. */
-    public <T> T count(Function<ServiceCount, T> read) {
+    /** Reads from the service count on the event loop. Blocks. */
+    public <T> T readCount(Function<ServiceCount, T> read) {
         return loop.submit(() -> read.apply(ledger.count())).syncUninterruptibly().getNow();
     }
 
-    /** What crossed zones so far, read on the loop's thread; waits. Null where nobody counts. */
-    public Snapshot crossed() {
+    /** Counts of the traffic across zones so far, read on the event loop. Blocks. Null if nothing is counted. */
+    public Snapshot zoneSnapshot() {
         return loop.submit(() -> zones == null ? null : zones.snapshot()).syncUninterruptibly().getNow();
     }
 
@@ -247,56 +261,60 @@
         events.event(Level.INFO, "gateway", line);
     }
 
-    private void dropped(String line) {
+    private void logDropped(String line) {
         events.event(Level.WARN, "radius_dropped", line);
     }
 
     // ---- changes
 
-    /** Every word of the operator's: a log line, and the status file. */
+    /** Reports the result of a change of the operator's files: an event for each problem, and the status file. */
     private void report(List<String> problems) {
         problems.forEach(problem -> events.event(Level.WARN, "change_refused", "refused: " + problem));
-        StatusFile to = status;
-        if (to == null) {
+        StatusFile currentStatusFile = statusFile;
+        if (currentStatusFile == null) {
             return;
         }
-        Map<String, Object> now = new TreeMap<>();
-        now.put("gateway", gateway.name());
-        now.put("at", Instant.now().toString());
-        now.put("in_force", control.status());
-        now.put("refused", problems);
+        Map<String, Object> fields = new TreeMap<>();
+        fields.put("gateway", gateway.name());
+        fields.put("at", Instant.now().toString());
+        fields.put("in_force", control.status());
+        fields.put("refused", problems);
         try {
-            to.write(now);
+            currentStatusFile.write(fields);
         } catch (IOException e) {
             events.event(Level.ERROR, "status_unwritten", "status file not written: " + e);
         }
     }
 
-    /** A pool's hosts as its transport takes them: made on the control thread, so that the loop only puts them in place. */
-    private record Ready(List<Member> members, boolean somebody) {
+    /**
+     * A pool's hosts in the form that its transport takes: built on the control thread, so that the event loop only
+     * puts them in place.
+     */
+    private record PoolHosts(List<Member> members, boolean hasAvailableHost) {
 
-        static Map<String, Ready> of(Map<String, PoolList> lists) {
-            Map<String, Ready> ready = new TreeMap<>();
-            lists.forEach((name, list) -> ready.put(name, new Ready(list.hosts().stream()
+        static Map<String, PoolHosts> of(Map<String, PoolList> lists) {
+            Map<String, PoolHosts> ready = new TreeMap<>();
+            lists.forEach((name, list) -> ready.put(name, new PoolHosts(list.hosts().stream()
                     .map(host -> new Member(host.host(), Addresses.parse(host.endpoint()))).toList(), list.somebody())));
             return ready;
         }
     }
 
-    /** What control asks, on its thread; done on the loop, in order. */
-    private final class Loop implements Control.Loop {
+    /** Carries out the results of {@link Control}: called on its thread, executed in order on the event loop. */
+    private final class ControlListener implements Control.Listener {
 
         @Override
         public void configured(Configuration next, Map<String, PoolList> changed) {
-            Map<String, Ready> ready = Ready.of(changed);
+            Map<String, PoolHosts> hosts = PoolHosts.of(changed);
             if (gateway == null && next.peers() != null) {
                 peers = new PeerService(file, next, secrets::get, seeds.nextLong(), events);
             }
             if (gateway == null && next.distribution() != null) {
                 distribution = new DistributionService(file, next, secrets::get, seeds.nextLong(), loop, router::swap, events);
             }
-            RouteTable routes = new RouteTable(next.routes());  // here, since a big one takes longer than the loop may
-            loop.submit(() -> configure(next, routes, ready)).syncUninterruptibly();
+            // built here, since building a large table would hold up the event loop for too long
+            RouteTable routes = new RouteTable(next.routes());
+            loop.submit(() -> configure(next, routes, hosts)).syncUninterruptibly();
             if (distribution != null) {
                 distribution.configure(next, secrets::get);
             }
@@ -307,10 +325,11 @@
         }
 
         @Override
-        public void listed(Map<String, PoolList> changed) {
-            Map<String, Ready> ready = Ready.of(changed);
-            loop.execute(() -> ready.forEach((name, list) -> learn(pools.get(name), list)));
-            events.event(Level.INFO, "list_changed", "list by discovery or time: changed pools " + changed.keySet(),
+        public void listsChanged(Map<String, PoolList> changed) {
+            Map<String, PoolHosts> hosts = PoolHosts.of(changed);
+            loop.execute(() -> hosts.forEach((name, list) -> updateHosts(pools.get(name), list)));
+            events.event(Level.INFO, "list_changed", "host lists changed by discovery or by time: changed pools "
+                    + changed.keySet(),
                     "changed", changed.keySet());
         }
 
@@ -320,19 +339,19 @@
         }
     }
 
-    /** One event of the loop: all of a change is in force once it returns, and nothing of it before. */
-    private void configure(Configuration next, RouteTable routes, Map<String, Ready> changed) {
+    /** Puts a configuration in force in one event of the event loop: requests see all of it or nothing. */
+    private void configure(Configuration next, RouteTable routes, Map<String, PoolHosts> changed) {
         if (gateway == null) {
-            started = next;
+            initialConfiguration = next;
             gateway = next.gateway();
-            status = gateway.statusFile() == null ? null : new StatusFile(file, gateway.statusFile());
-            clients = new ClientSide(loop, ledger, this::route, next.classes(), next.tenants(), gateway.connections(),
+            statusFile = gateway.statusFile() == null ? null : new StatusFile(file, gateway.statusFile());
+            httpFront = new ClientSide(loop, ledger, this::route, next.classes(), next.tenants(), gateway.connections(),
                     gateway.bounds(), this::log);
-            listeners = next.radius();
-            listeners.forEach(each -> radius.add(radiusFront(next, each)));
-            zones(next);
+            radiusListeners = next.radius();
+            radiusListeners.forEach(each -> radiusFronts.add(radiusFront(next, each)));
+            startZones(next);
             if (peers != null) {
-                peerWork = new PeerWork(loop, clock::now, peers, gateway.name());
+                peerLoad = new PeerLoadExchange(loop, clock::now, peers, gateway.name());
             }
         } else {
             if (zones != null) {
@@ -342,42 +361,45 @@
                 peers.configure(next);
             }
         }
-        pools.forEach((name, served) -> {
-            if (!served.retired && !next.pools().containsKey(name)) {
-                retire(name, served);
+        pools.forEach((name, entry) -> {
+            if (!entry.retired && !next.pools().containsKey(name)) {
+                retire(name, entry);
             }
         });
         next.pools().forEach((name, settings) -> {
             if (pools.get(name) == null || pools.get(name).retired) {
-                pools.put(name, open(next, settings));
+                pools.put(name, openPool(next, settings));
             }
         });
-        changed.forEach((name, list) -> learn(pools.get(name), list));
-        router.swap(distribution == null ? routes : distribution.table(routes));
+        changed.forEach((name, list) -> updateHosts(pools.get(name), list));
+        router.swap(distribution == null ? routes : distribution.routesInForce(routes));
     }
 
-    private void zones(Configuration next) {
+    private void startZones(Configuration next) {
         if (next.zones() != null) {
             zones = new ZoneService(file, loop, clock::now, gateway, next.zones(),
                     line -> events.event(Level.WARN, "zones", line));
-            clients.clientZones(zones::zone);
-            radius.forEach(front -> front.clientZones(zones::zone));
+            httpFront.clientZones(zones::zoneOf);
+            radiusFronts.forEach(front -> front.clientZones(zones::zoneOf));
         }
     }
 
-    private static void learn(Served served, Ready list) {
-        if (served == null || served.retired) {
-            return;  // told while the pool was taken out
+    private static void updateHosts(PoolEntry entry, PoolHosts hosts) {
+        if (entry == null || entry.retired) {
+            return;  // reported while the pool was removed
         }
-        served.somebody = list.somebody();
-        served.pool.learn(ListForm.FULL, list.members());
+        entry.hasAvailableHost = hosts.hasAvailableHost();
+        entry.pool.learn(ListForm.FULL, hosts.members());
     }
 
-    /** Of a pool that has its hosts from discovery alone: what files tell holds without it. */
+    /**
+     * The source of a pool whose hosts come from discovery alone. A pool with node files has a source whose list always
+     * holds.
+     */
     private static Source onlySource(DiscoverySource discovery) {
         return new Source() {
             @Override
-            public void watch(boolean active) { }  // it is watched for as long as the pool is there
+            public void watch(boolean active) { }  // Service watches for as long as the pool exists
 
             @Override
             public void fetch() { }
@@ -389,24 +411,24 @@
         };
     }
 
-    private Served open(Configuration next, PoolSettings settings) {
-        Settings module = settings(next, settings);
+    private PoolEntry openPool(Configuration next, PoolSettings settings) {
+        Settings moduleSettings = moduleSettings(next, settings);
         Transport transport = settings.radius() ? radiusTransport(settings)
-                : new HttpTransport(timed, module, settings.connections(), this::log);
-        Pool pool = new Pool(settings.name(), ledger, new Balance(), module, transport);
+                : new HttpTransport(timedLoop, moduleSettings, settings.connections(), this::log);
+        Pool pool = new Pool(settings.name(), ledger, new Balance(), moduleSettings, transport);
         DiscoverySource discovery = settings.discovery() == null ? null
                 : new DiscoverySource(loop, pool, Addresses.parse(settings.discovery()), control, this::log);
         if (zones != null) {
             pool.zones(zones.pool(settings.name()));
         }
-        if (peerWork != null) {
-            peerWork.of(pool);
+        if (peerLoad != null) {
+            peerLoad.attach(pool);
         }
         pool.start(discovery == null || !settings.files().isEmpty() ? Source.TELLS : onlySource(discovery), List.of());
         if (discovery != null) {
             discovery.watch(true);
         }
-        return new Served(pool, discovery, settings.radius());
+        return new PoolEntry(pool, discovery, settings.radius());
     }
 
     private Transport radiusTransport(PoolSettings settings) {
@@ -414,97 +436,109 @@
         return new RadiusTransport(loop, clock::now, uid -> secret, drops);
     }
 
-    private Settings settings(Configuration next, PoolSettings pool) {
-        GatewaySettings own = next.gateway();
-        Limits limits = new Limits(true, pool.probes(), true, false, pool.maxAttempts(), OPEN_MOST, true, RETRY_AFTER_MOST);
-        Site site = new Site(own.me(), own.gateways(), own.zone(), own.zones(), List.of(), 0, List.of());
+    private Settings moduleSettings(Configuration next, PoolSettings pool) {
+        GatewaySettings gateway = next.gateway();
+        Limits limits = new Limits(true, pool.probes(), true, false, pool.maxAttempts(), MAX_OPEN_REQUESTS, true, MAX_RETRY_AFTER_MICROS);
+        Site site = new Site(gateway.me(), gateway.gateways(), gateway.zone(), gateway.zones(), List.of(), 0,
+                List.of());
         Value value = new Value(new Goal(0.4, 0.1, 0.1, 0.4), new Prices(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0), 0.05, false);
         return new Settings(next.classes(), next.tenants(), limits, pool.links(), new Cpu(Long.MAX_VALUE, 0), pool.rules(),
                 value, site, new Habits(true, false, Reports.OFF, List.of(), false), false, Weights.NOMINAL, "", 0,
                 seeds.nextLong());
     }
 
-    /** No longer in the files: its hosts are gone to its module; pinned keys find it until none is left. */
-    private void retire(String name, Served served) {
-        served.retired = true;
-        served.somebody = false;
-        if (served.discovery != null) {
-            served.discovery.close();
+    /**
+     * Handles a pool that is no longer in the files: its module gets an empty list, and requests whose key is pinned to
+     * the pool find it until no pin is left.
+     */
+    private void retire(String name, PoolEntry entry) {
+        entry.retired = true;
+        entry.hasAvailableHost = false;
+        if (entry.discovery != null) {
+            entry.discovery.close();
         }
-        served.pool.close();
-        loop.schedule(() -> forget(name, served), RETIRE_MILLIS, TimeUnit.MILLISECONDS);
+        entry.pool.close();
+        loop.schedule(() -> removeWhenUnpinned(name, entry), RETIRE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void forget(String name, Served served) {
-        if (pools.get(name) == served && router.holds(clock.now(), name)) {
-            loop.schedule(() -> forget(name, served), RETIRE_MILLIS, TimeUnit.MILLISECONDS);
+    private void removeWhenUnpinned(String name, PoolEntry entry) {
+        if (pools.get(name) == entry && router.holds(clock.now(), name)) {
+            loop.schedule(() -> removeWhenUnpinned(name, entry), RETIRE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
         } else {
-            pools.remove(name, served);
+            pools.remove(name, entry);
             if (zones != null) {
-                zones.closed(name);
+                zones.poolClosed(name);
             }
         }
     }
 
     // ---- requests
 
-    private Pool route(RequestClass type, String tenant, HttpRequest message, Long key) {
+    private Pool route(RequestClass requestClass, String tenant, HttpRequest message, Long key) {
         String uri = message.uri();
         int query = uri.indexOf('?');
         long seed = key != null ? key : Hashing.text(message.headers().get("X-Trace-Id"));
-        Traits traits = new Traits(type.name(), tenant, query < 0 ? uri : uri.substring(0, query), gateway.zone(), seed,
+        Traits traits = new Traits(requestClass.name(), tenant, query < 0 ? uri : uri.substring(0, query),
+                gateway.zone(), seed,
                 message.headers()::getAll);
-        return pool(type, traits, false);
+        return poolFor(requestClass, traits, false);
     }
 
     private RadiusFront radiusFront(Configuration next, RadiusSettings settings) {
-        Map<String, RequestClass> types = new HashMap<>();
-        next.classes().forEach(type -> types.put(type.name(), type));
-        RadiusClients chargers = new RadiusClients(settings.clients().stream().map(client -> new RadiusClients.Client(
+        Map<String, RequestClass> classes = new HashMap<>();
+        next.classes().forEach(type -> classes.put(type.name(), type));
+        RadiusClients radiusClients = new RadiusClients(settings.clients().stream()
+                .map(client -> new RadiusClients.Client(
                 client.name(), client.range(),
                 new Authenticators(secrets.get(client.secret())), client.tenant(), client.signed())).toList());
-        return new RadiusFront(loop, ledger, (className, tenant, key) -> radiusPool(types.get(className), tenant, key), chargers,
+        return new RadiusFront(loop, ledger, (className, tenant, key) -> radiusPool(classes.get(className), tenant, key), radiusClients,
                 new RadiusFront.Classes(settings.accessClass(), settings.conversationClass(), settings.accountingClass(),
-                        types.get(settings.accessClass()).deadline(), types.get(settings.accountingClass()).deadline()),
-                new Resends(settings.kept(), settings.keptMost(), settings.keptMost() * KEPT_BYTES), drops);
+                        classes.get(settings.accessClass()).deadline(),
+                        classes.get(settings.accountingClass()).deadline()),
+                new Resends(settings.kept(), settings.keptMost(), settings.keptMost() * KEPT_ANSWER_BYTES), drops);
     }
 
-    private Pool radiusPool(RequestClass type, String tenant, long key) {
-        return pool(type, new Traits(type.name(), tenant, "/", gateway.zone(), key, name -> List.of()), true);
+    private Pool radiusPool(RequestClass requestClass, String tenant, long key) {
+        return poolFor(requestClass, new Traits(requestClass.name(), tenant, "/", gateway.zone(), key,
+                name -> List.of()), true);
     }
 
-    /** Null where no route fits, or one that leads to a pool of another protocol. */
-    private Pool pool(RequestClass type, Traits traits, boolean asRadius) {
+    /** The pool for a request; null if no route matches, or if the route leads to a pool of another protocol. */
+    private Pool poolFor(RequestClass requestClass, Traits traits, boolean isRadius) {
         long now = clock.now();
-        String name = type.repeat() == Repeat.KEYED
-                ? router.keyed(now, traits, now + type.deadline() + type.dedupWindow(), this::somebody)
-                : router.pool(traits, this::somebody);
-        Served served = name == null ? null : pools.get(name);
-        return served == null || served.radius != asRadius ? null : served.pool;
+        String name = requestClass.repeat() == Repeat.KEYED
+                ? router.keyed(now, traits, now + requestClass.deadline() + requestClass.dedupWindow(),
+                        this::hasAvailableHost)
+                : router.pool(traits, this::hasAvailableHost);
+        PoolEntry entry = name == null ? null : pools.get(name);
+        return entry == null || entry.radius != isRadius ? null : entry.pool;
     }
 
-    private boolean somebody(String pool) {
-        Served served = pools.get(pool);
-        return served != null && served.somebody;
+    private boolean hasAvailableHost(String pool) {
+        PoolEntry entry = pools.get(pool);
+        return entry != null && entry.hasAvailableHost;
     }
 
-    // ---- the end
+    // ---- shutdown
 
-    /** Stops as a gateway does at SIGTERM: serves on for a moment, answers what it has taken, then ends; waits at most so
-        long, 1 s or more, and what is open 0.6 s before that (0.45 s of 1 s) has its answer. Returns whether all was answered. */
+    /**
+     * Stops as a gateway does on SIGTERM: serves on for a moment, answers the requests that it has taken, then ends.
+     * Blocks for at most {@code seconds}, which must be 1 or more; requests that are open 0.6 s before the end (0.45 s
+     * if {@code seconds} is 1) are answered then. Returns whether all were answered.
+     */
     public boolean stop(long seconds) throws InterruptedException {
         watcher.close();
         CountDownLatch answered = new CountDownLatch(1);
         loop.execute(() -> {
-            radius.forEach(RadiusFront::close);  // chargers send again, to whoever is there
-            clients.stop(Math.max(0, TimeUnit.SECONDS.toMicros(seconds) - STOP_SPARE), answered::countDown);
+            radiusFronts.forEach(RadiusFront::close);  // RADIUS clients retransmit to whichever gateway still answers
+            httpFront.stop(Math.max(0, TimeUnit.SECONDS.toMicros(seconds) - STOP_RESERVE_MICROS), answered::countDown);
         });
-        boolean all = answered.await(seconds, TimeUnit.SECONDS);
+        boolean allAnswered = answered.await(seconds, TimeUnit.SECONDS);
         close();
-        return all;
+        return allAnswered;
     }
 
-    /** Ends at once. */
+    /** Ends at once, without waiting for open requests. */
     @Override
     public void close() {
         watcher.close();
--- a/src/main/java/mastdrift/serve/ZoneService.java
+++ b/src/main/java/mastdrift/serve/ZoneService.java
@@ -15,57 +15,63 @@
 import mastdrift.zones.Zoning;
 import mastdrift.zones.edge.ZoneFiles;
 
-/** What crosses zones, in a gateway from files: one decider on the loop, told the time, and its files. */
+/**
+ * Counts and bounds the traffic across zones in a gateway that is configured from files: drives one {@link Zoning} on
+ * the event loop and its files.
+ */
 final class ZoneService {
 
-    private static final long TICK_MILLIS = 100;
-    private static final int WRITE_EVERY = 10;  // ticks
-    // Writes may come late: so much is taken for not yet written.
-    private static final long UNSAVED_MILLIS = 10_000;
+    private static final long TICK_INTERVAL_MILLIS = 100;
+    private static final int TICKS_PER_WRITE = 10;  // ticks between two writes
+    // The last write before a crash may be this old: so much time is treated as not recorded.
+    private static final long MAX_UNSAVED_MILLIS = 10_000;
 
-    private final LongSupplier now;
+    private final LongSupplier clock;
     private final Zoning zoning;
     private final ZoneFiles files;
     private volatile Networks networks;
     private int ticks;
 
-    /** Reads what an earlier process left; before the gateway serves, since it waits for the disk. On the loop's thread. */
-    ZoneService(Path file, EventLoop loop, LongSupplier now, GatewaySettings gateway, ZoneSettings settings, Consumer<String> log) {
-        this.now = now;
-        zoning = new Zoning(gateway.name(), gateway.zone(), gateway.gateways(), settings, now.getAsLong(), System.currentTimeMillis());
+    /**
+     * Reads the state that an earlier process left; to be called before the gateway serves, since it blocks on the
+     * disk. On the event loop.
+     */
+    ZoneService(Path file, EventLoop loop, LongSupplier clock, GatewaySettings gateway, ZoneSettings settings, Consumer<String> log) {
+        this.clock = clock;
+        zoning = new Zoning(gateway.name(), gateway.zone(), gateway.gateways(), settings, clock.getAsLong(), System.currentTimeMillis());
         networks = new Networks(settings.networks());
         files = new ZoneFiles(file, gateway.name(), settings, word -> loop.execute(() -> zoning.heard(word)), log);
         Snapshot earlier = files.earlier();
         if (earlier != null) {
             try {
-                zoning.restore(earlier, UNSAVED_MILLIS);
+                zoning.restore(earlier, MAX_UNSAVED_MILLIS);
             } catch (IllegalArgumentException e) {
-                log.accept("the state of zones is not used: " + e.getMessage());
+                log.accept("the stored state of zones is not used: " + e.getMessage());
             }
         }
         if (files.told() != null) {
             zoning.told(files.told());
         }
-        loop.scheduleWithFixedDelay(() -> tick(log), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(() -> tick(log), TICK_INTERVAL_MILLIS, TICK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void tick(Consumer<String> log) {
         try {
-            zoning.tick(now.getAsLong(), System.currentTimeMillis());
-            if (++ticks % WRITE_EVERY == 0) {
+            zoning.tick(clock.getAsLong(), System.currentTimeMillis());
+            if (++ticks % TICKS_PER_WRITE == 0) {
                 write();
             }
-        } catch (RuntimeException fault) {  // or no tick would ever come again
-            log.accept("fault in a tick of zones: " + fault);
+        } catch (RuntimeException fault) {  // or no further tick would be run
+            log.accept("internal error in a tick of zones: " + fault);
         }
     }
 
-    /** Soon, by the thread of the files; on the loop's thread. */
+    /** Has the state written soon by the thread of the files. On the event loop. */
     void write() {
-        files.write(zoning.snapshot(now.getAsLong()), zoning.word(now.getAsLong()));
+        files.write(zoning.snapshot(clock.getAsLong()), zoning.word(clock.getAsLong()));
     }
 
-    /** The operator's file has changed. */
+    /** Applies a changed gateway's file. */
     void configure(Configuration next) {
         networks = new Networks(next.zones().networks());
         zoning.configure(next.zones());
@@ -75,19 +81,19 @@
         return zoning.pool(name);
     }
 
-    void closed(String name) {
+    void poolClosed(String name) {
         zoning.closed(name);
     }
 
-    String zone(InetAddress client) {
+    String zoneOf(InetAddress client) {
         return networks.zone(client.getAddress());
     }
 
     Snapshot snapshot() {
-        return zoning.snapshot(now.getAsLong());
+        return zoning.snapshot(clock.getAsLong());
     }
 
-    /** Waits for what is being written. */
+    /** Blocks until pending writes are done. */
     void close() {
         files.close();
     }
--- a/src/test/java/mastdrift/cli/DistributionProcessesTest.java
+++ b/src/test/java/mastdrift/cli/DistributionProcessesTest.java
@@ -204,7 +204,7 @@
     }
 
     private ControlMessage apply(Change change) throws InterruptedException {
-        try (ControlClient client = ControlClient.by(Path.of(gateway()))) {
+        try (ControlClient client = ControlClient.fromFile(Path.of(gateway()))) {
             return client.apply(change, WAIT_SECONDS * 1_000L);
         }
     }
@@ -240,7 +240,7 @@
         for (int w = 0; w < 4; w++) {
             int first = w * 10;
             writers.add(CompletableFuture.runAsync(() -> {
-                try (ControlClient client = ControlClient.by(Path.of(gateway()))) {
+                try (ControlClient client = ControlClient.fromFile(Path.of(gateway()))) {
                     for (int i = first; i < first + 10; i++) {
                         ControlMessage answer = client.apply(change(i), WAIT_SECONDS * 1_000L);
                         assertTrue(answer instanceof ControlMessage.Applied, answer.toString());
--- a/src/test/java/mastdrift/serve/ControlMachineTest.java
+++ b/src/test/java/mastdrift/serve/ControlMachineTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three voters in this process. */
+/** Runs three voters in this process. */
 @Timeout(180)
 class ControlMachineTest {
 
@@ -38,34 +38,35 @@
     @TempDir
     private Path folder;
 
-    private final List<String> said = new CopyOnWriteArrayList<>();
+    private final List<String> events = new CopyOnWriteArrayList<>();
     private final Map<String, ControlMachine> machines = new HashMap<>();
-    private String net;
+    private String addressPrefix;
 
     @BeforeEach
-    void files() throws Exception {
-        net = "127." + (64 + ProcessHandle.current().pid() % 128) + ".253.";
+    void writeFiles() throws Exception {
+        addressPrefix = "127." + (64 + ProcessHandle.current().pid() % 128) + ".253.";
         Files.writeString(folder.resolve("key"), "a key of this test");
-        files(1);
+        writeFiles(1);
         for (int i = 1; i <= 3; i++) {
             start("c" + i);
         }
     }
 
-    private void files(int epoch) throws Exception {
+    private void writeFiles(int epoch) throws Exception {
         for (int i = 1; i <= 3; i++) {
-            StringBuilder text = new StringBuilder("[distribution]\nname = \"c" + i + "\"\nrole = \"voter\"\nfolder = \"state\"\nepoch = " + epoch + "\ninstallation = \"test\"\n[[distribution.key]]\nsecret_file = \"../key\"\n");
+            StringBuilder content = new StringBuilder("[distribution]\nname = \"c" + i + "\"\nrole = \"voter\"\nfolder = \"state\"\nepoch = " + epoch + "\ninstallation = \"test\"\n[[distribution.key]]\nsecret_file = \"../key\"\n");
             for (int j = 1; j <= 3; j++) {
-                text.append("[[distribution.machine]]\nname = \"c").append(j).append("\"\naddress = \"").append(net).append(j).append(":7500\"\nzone = \"z\"\nrole = \"voter\"\n");
+                content.append("[[distribution.machine]]\nname = \"c").append(j).append("\"\naddress = \"").append(addressPrefix).append(j).append(":7500\"\nzone = \"z\"\nrole = \"voter\"\n");
             }
-            new GatewayFiles(Files.createDirectories(folder.resolve("c" + i))).save("control.toml", text + "# end\n");
+            new GatewayFiles(Files.createDirectories(folder.resolve("c" + i))).save("control.toml", content
+                    + "# end\n");
         }
     }
 
     private void start(String name) {
         machines.put(name, ControlMachine.start(folder.resolve(name).resolve("control.toml"), (level, event, text, fields) -> {
             if (!event.equals("config_decided")) {
-                said.add(name + " " + event + " " + text);
+                events.add(name + " " + event + " " + text);
             }
         }));
     }
@@ -76,10 +77,10 @@
     }
 
     private ControlClient client() {
-        return ControlClient.by(folder.resolve("c1").resolve("control.toml"));
+        return ControlClient.fromFile(folder.resolve("c1").resolve("control.toml"));
     }
 
-    /** Of some 25 KiB that can't be made smaller: of 240 of them the log keeps the last 4 MiB. */
+    /** A change of some 25 KiB that can't be compressed: of 240 of them the log keeps only the last 4 MiB. */
     private static Change change(int number) {
         Random random = new Random(number);
         List<Edit> edits = new ArrayList<>();
@@ -104,7 +105,7 @@
                 try (ControlClient client = client()) {
                     for (int i = begin; i < Math.min(to, begin + each); i++) {
                         ControlMessage answer = client.apply(change(i), WAIT_SECONDS * 1_000L);
-                        assertTrue(answer instanceof ControlMessage.Applied, () -> answer + " " + said);
+                        assertTrue(answer instanceof ControlMessage.Applied, () -> answer + " " + events);
                     }
                 } catch (InterruptedException e) {
                     throw new IllegalStateException(e);
@@ -116,45 +117,52 @@
         }
     }
 
-    private long number(ControlClient client, String name) throws InterruptedException {
+    private long revisionNumber(ControlClient client, String name) throws InterruptedException {
         return client.status(List.of(name)).get(name) instanceof ControlMessage.Status status ? status.revision().number() : -1;
     }
 
-    /** A voter whose table is lost while its log has forgotten the first decisions finds the gap, takes another voter's table, and goes on from there. */
+    /**
+     * A voter that has lost its table, and whose log no longer has the first decisions, detects the gap, takes another
+     * voter's table, and continues from there.
+     */
     @Test
-    void aVoterThatLacksDecisionsTakesAnothersTable() throws Exception {
+    void voterFetchesAnothersTableWhenItsLogLacksDecisions() throws Exception {
         apply(0, 240);
         try (ControlClient client = client()) {
             await(client, 240);
             machines.remove("c3").close();
-            losesTable("c3");
+            deleteTable("c3");
             start("c3");
             await(client, 240);
-            assertTrue(said.stream().anyMatch(line -> line.startsWith("c3 config_catches_up")) && said.stream().anyMatch(line -> line.startsWith("c3 config_caught_up")), said.toString());
+            assertTrue(events.stream().anyMatch(line -> line.startsWith("c3 config_catches_up")) && events.stream().anyMatch(line -> line.startsWith("c3 config_caught_up")), events.toString());
             apply(240, 250);
             await(client, 250);
-            await(client, "c1", 250);  // it may be told of the last decision later than the other
+            await(client, "c1", 250);  // c1 may receive the last decision later than c3
             Map<String, ControlMessage> all = client.status(List.of("c1", "c3"));
-            assertEquals(((ControlMessage.Status) all.get("c1")).revision(), ((ControlMessage.Status) all.get("c3")).revision(), "the same by its hash");
+            assertEquals(((ControlMessage.Status) all.get("c1")).revision(), ((ControlMessage.Status) all.get("c3")).revision(), "equal revisions, including the hash");
         }
     }
 
-    /** A voter that can't write its copy says so and goes on from memory: its vote counts by its log, which is on a disk that it can write. */
+    /**
+     * A voter that can't write its copy reports it and continues from memory: its vote rests on its log, which is on a
+     * disk that it can write.
+     */
     @Test
-    void aVoterThatCannotWriteItsCopyGoesOnAndSaysSo() throws Exception {
-        Files.createDirectories(folder.resolve("c3").resolve("state").resolve("table").resolve("snapshot.new").resolve("no-file"));  // where the copy is written first
+    void voterReportsAndContinuesWhenItsCopyCannotBeWritten() throws Exception {
+        // blocks the file to which the copy is written first
+        Files.createDirectories(folder.resolve("c3").resolve("state").resolve("table").resolve("snapshot.new").resolve("no-file"));
         apply(0, 3);
         try (ControlClient client = client()) {
             await(client, 3);
-            assertEquals(3, number(client, "c3"));
+            assertEquals(3, revisionNumber(client, "c3"));
         }
-        for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS); said.stream().noneMatch(line -> line.startsWith("c3 config_folder_unwritten")); Thread.sleep(20)) {
-            assertTrue(System.nanoTime() < until, said::toString);
+        for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS); events.stream().noneMatch(line -> line.startsWith("c3 config_folder_unwritten")); Thread.sleep(20)) {
+            assertTrue(System.nanoTime() < until, events::toString);
         }
-        assertTrue(said.stream().noneMatch(line -> line.startsWith("c1 config_folder_unwritten") || line.startsWith("c2 config_folder_unwritten")), said::toString);
+        assertTrue(events.stream().noneMatch(line -> line.startsWith("c1 config_folder_unwritten") || line.startsWith("c2 config_folder_unwritten")), events::toString);
     }
 
-    private void losesTable(String name) throws Exception {
+    private void deleteTable(String name) throws Exception {
         try (Stream<Path> files = Files.list(folder.resolve(name).resolve("state").resolve("table"))) {
             for (Path each : files.toList()) {
                 Files.delete(each);
@@ -162,9 +170,13 @@
         }
     }
 
-    /** Voters that were stopped at different revisions, and one whose table is lost, begin a later epoch from one table; none says meanwhile that it is current, and no two show another state by one revision. */
+    /**
+     * Voters that were stopped at different revisions, one of them with its table lost, begin a later epoch from one
+     * common table. Guards against voters that report themselves as current meanwhile, and against two that show
+     * different states under one revision.
+     */
     @Test
-    void votersWithDifferentTablesBeginALaterEpochFromOne() throws Exception {
+    void votersBeginALaterEpochFromOneTableWhenTheirTablesDiffer() throws Exception {
         apply(0, 8);
         try (ControlClient client = client()) {
             await(client, 8);
@@ -173,38 +185,41 @@
         }
         machines.remove("c1").close();
         machines.remove("c2").close();
-        losesTable("c1");
-        files(2);
-        said.clear();
+        deleteTable("c1");
+        writeFiles(2);
+        events.clear();
         for (int i = 1; i <= 3; i++) {
             start("c" + i);
         }
         try (ControlClient client = client()) {
-            awaitAll(client, 1);
+            awaitAllCurrent(client, 1);
             ControlMessage answer = client.apply(change(12), WAIT_SECONDS * 1_000L);
-            assertTrue(answer instanceof ControlMessage.Applied, () -> answer + " " + said);
-            awaitAll(client, 2);
+            assertTrue(answer instanceof ControlMessage.Applied, () -> answer + " " + events);
+            awaitAllCurrent(client, 2);
         }
-        assertTrue(said.stream().anyMatch(line -> line.startsWith("c1 config_gap epoch 2 begins from")), said::toString);
-        assertTrue(said.stream().noneMatch(line -> line.contains("config_forked")), said::toString);
+        assertTrue(events.stream().anyMatch(line -> line.startsWith("c1 config_gap epoch 2 begins from")), events::toString);
+        assertTrue(events.stream().noneMatch(line -> line.contains("config_forked")), events::toString);
     }
 
-    /** Until all say that they are current at that number of epoch 2; any two that show it meanwhile show one state. */
-    private void awaitAll(ControlClient client, long number) throws InterruptedException {
+    /**
+     * Waits until all three report themselves as current at that revision of epoch 2; any two that show the same
+     * revision meanwhile must show the same state.
+     */
+    private void awaitAllCurrent(ControlClient client, long number) throws InterruptedException {
         Map<Long, Revision> shown = new HashMap<>();
         for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);; Thread.sleep(50)) {
-            int there = 0;
+            int current = 0;
             for (ControlMessage answer : client.status(List.of("c1", "c2", "c3")).values()) {
                 if (answer instanceof ControlMessage.Status status && status.revision().epoch() == 2) {
                     Revision before = shown.putIfAbsent(status.revision().number(), status.revision());
-                    assertTrue(before == null || before.equals(status.revision()), () -> before + " and " + status.revision() + " " + said);
-                    there += status.revision().number() == number && status.aloneMillis() == 0 ? 1 : 0;
+                    assertTrue(before == null || before.equals(status.revision()), () -> before + " and " + status.revision() + " " + events);
+                    current += status.revision().number() == number && status.aloneMillis() == 0 ? 1 : 0;
                 }
             }
-            if (there == 3) {
+            if (current == 3) {
                 return;
             }
-            assertTrue(System.nanoTime() < until, () -> shown + " " + said);
+            assertTrue(System.nanoTime() < until, () -> shown + " " + events);
         }
     }
 
@@ -213,8 +228,8 @@
     }
 
     private void await(ControlClient client, String machine, long revision) throws InterruptedException {
-        for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS); number(client, machine) < revision; Thread.sleep(50)) {
-            assertTrue(System.nanoTime() < until, said::toString);
+        for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS); revisionNumber(client, machine) < revision; Thread.sleep(50)) {
+            assertTrue(System.nanoTime() < until, events::toString);
         }
     }
 }
--- a/src/test/java/mastdrift/serve/PeerServiceTest.java
+++ b/src/test/java/mastdrift/serve/PeerServiceTest.java
@@ -9,9 +9,9 @@
 
 class PeerServiceTest {
 
-    /** Guards against a status file that an operator's own tools no longer read. */
+    /** Guards against a status file that operators' tools can no longer read. */
     @Test
-    void theStatusFileNamesStatesAsTheFirstBuildDid() {
-        assertEquals(List.of("alive", "suspected", "gone", "left"), Arrays.stream(MemberState.values()).map(PeerService::standing).toList());
+    void statusFileKeepsItsNamesOfMemberStates() {
+        assertEquals(List.of("alive", "suspected", "gone", "left"), Arrays.stream(MemberState.values()).map(PeerService::statusName).toList());
     }
 }
