--- a/src/test/java/mastdrift/serve/RadiusServiceTest.java
+++ b/src/test/java/mastdrift/serve/RadiusServiceTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** RADIUS through a gateway from files, beside HTTP. */
+/** RADIUS through a gateway that is configured from files, beside HTTP. */
 class RadiusServiceTest {
 
     private static final byte[] SECRET = "both hops'".getBytes(StandardCharsets.US_ASCII);
@@ -129,12 +129,12 @@
         return "[[node]]\nuid = \"" + server.name() + "\"\nendpoint = \"" + server.endpoint() + "\"\nzone = \"bilbao\"\n" + more;
     }
 
-    private void serve() throws Exception {
+    private void startGateway() throws Exception {
         rig.gateway(CLASSES + LISTENER + POOLS + ROUTES);
         rig.start();
     }
 
-    private Packet access(int identifier) {
+    private Packet accessRequest(int identifier) {
         byte[] authenticator = new byte[16];
         authenticator[3] = (byte) identifier;
         return charger.signRequest(new Packet(Code.ACCESS_REQUEST, identifier, authenticator, List.of()));
@@ -147,7 +147,7 @@
                 new Attribute(Attribute.ACCT_DELAY_TIME, new byte[] {0, 0, 0, (byte) delay}))));
     }
 
-    /** The answer within so many milliseconds, or null. */
+    /** The answer, or null if none comes within {@code millis}. */
     private Packet ask(Packet request, int millis) throws Exception {
         byte[] bytes = request.write();
         socket.send(new DatagramPacket(bytes, bytes.length, rig.service.radiusAddresses().get(0)));
@@ -164,23 +164,25 @@
     }
 
     @Test
-    void cardsAndAccountsGoToTheirServersAndAreCountedBesideHttp() throws Exception {
-        serve();
-        assertEquals(Code.ACCESS_ACCEPT, ask(access(1), 20_000).code());
+    void radiusRequestsReachTheirServersAndAreCountedBesideHttp() throws Exception {
+        startGateway();
+        assertEquals(Code.ACCESS_ACCEPT, ask(accessRequest(1), 20_000).code());
         assertEquals(Code.ACCOUNTING_RESPONSE, ask(start(2, 0), 20_000).code());
-        assertEquals("h", rig.answering(3));
+        assertEquals("h", rig.answeringHosts(3));
         assertEquals(2, one.runs());
-        assertEquals("[1, 1, 3]", rig.service.count(count -> List.of(count.of("card").served(),
+        assertEquals("[1, 1, 3]", rig.service.readCount(count -> List.of(count.of("card").served(),
                 count.of("accounting").served(), count.of("session-read").served())).toString());
     }
 
-    /** The hard case of a start that may have run at a server that then drains: its next try, with a new identifier, must not
-        run at servers that don't know it, though the route has a fallback. */
+    /**
+     * An accounting start may have run at a server that then drains: its next try, with a new identifier, must not run
+     * at servers that don't know it, though the route has a fallback.
+     */
     @Test
-    void aStartThatMayHaveRunIsNotTakenElsewhereByADrain() throws Exception {
-        serve();
+    void startThatMayHaveRunStaysWithItsServersWhenTheyDrain() throws Exception {
+        startGateway();
         one.manner(Manner.SILENT);
-        assertEquals(null, ask(start(1, 0), 2_000), "silence for a failure");
+        assertEquals(null, ask(start(1, 0), 2_000), "no answer after a failure");
         assertEquals(1, one.runs());
         rig.save("cards.toml", Rig.list(node(one, "state = \"drain\"\n")));
         rig.awaitLog("changed pools [cards]");
@@ -190,7 +192,7 @@
         rig.save("cards.toml", Rig.list(node(one, "")));
         rig.await(() -> rig.log().split("changed pools \\[cards]", -1).length > 2, "it is back");
         Packet answer = null;
-        for (int tries = 0; answer == null; tries++) {  // as a charger does: a refusal is silence
+        for (int tries = 0; answer == null; tries++) {  // retransmits as a charger does: a refusal is no answer
             assertTrue(tries < 60, rig.log());
             answer = ask(start(3, 9), 500);
         }
@@ -200,27 +202,27 @@
     }
 
     @Test
-    void aDrainedServerGetsNothingNewAndTheOthersServe() throws Exception {
+    void drainedServerGetsNoNewRequestsAndTheOthersServe() throws Exception {
         rig.save("cards.toml", Rig.list(node(one, ""), node(two, "")));
         rig.save("other.toml", Rig.list());
-        serve();
+        startGateway();
         for (int i = 0; i < 40; i++) {
-            ask(access(i), 20_000);
+            ask(accessRequest(i), 20_000);
         }
         assertTrue(one.runs() > 5 && two.runs() > 5, one.runs() + " and " + two.runs());
         rig.save("cards.toml", Rig.list(node(one, "weight = 0\n"), node(two, "")));
         rig.awaitLog("changed pools [cards]");
-        long told = System.nanoTime();
+        long drainedAtNanos = System.nanoTime();
         for (int i = 40; i < 80; i++) {
-            assertEquals(Code.ACCESS_ACCEPT, ask(access(i), 20_000).code());
+            assertEquals(Code.ACCESS_ACCEPT, ask(accessRequest(i), 20_000).code());
         }
-        assertTrue(one.lastAt() < told + 250_000_000L);
+        assertTrue(one.lastAt() < drainedAtNanos + 250_000_000L);
     }
 
-    /** Neither takes the other's requests: a class of RADIUS asked over HTTP finds no route. */
+    /** HTTP and RADIUS requests don't share routes: a RADIUS class that is asked for over HTTP finds no route. */
     @Test
-    void aCardAskedOverHttpIsNotFound() throws Exception {
-        serve();
+    void radiusClassOverHttpIsNotFound() throws Exception {
+        startGateway();
         try (var client = rig.client()) {
             assertEquals(404, client.ask("GET /api HTTP/1.1\r\nHost: s\r\nX-Trace-Id: 1\r\nX-Qos: card\r\n"
                     + "X-Expires-In-Ms: 1000\r\n\r\n", "").status());
@@ -228,14 +230,14 @@
         assertEquals(0, one.runs());
     }
 
-    /** A flood of HTTP beside RADIUS: every card is answered. */
+    /** Every card is answered during heavy HTTP load beside RADIUS. */
     @Test
-    void cardsAreAnsweredThroughAFloodOfHttp() throws Exception {
-        serve();
+    void cardsAreAnsweredUnderHeavyHttpLoad() throws Exception {
+        startGateway();
         try (LoadRun load = LoadRun.start(LoadPlan.closed(rig.service.address(), 32, 60, 2_000))) {
-            rig.await(() -> load.count(Of.SERVED) > 500, "the flood is on");
+            rig.await(() -> load.count(Of.SERVED) > 500, "the HTTP load has started");
             for (int i = 0; i < 100; i++) {
-                assertEquals(Code.ACCESS_ACCEPT, ask(access(i), 20_000).code());
+                assertEquals(Code.ACCESS_ACCEPT, ask(accessRequest(i), 20_000).code());
             }
             load.stop();
             assertTrue(!rig.log().contains("both hops'"), "no secret in the log");
@@ -243,37 +245,39 @@
         }
     }
 
-    private String refusal(String gateway) throws IOException {
+    private String startRefusal(String gateway) throws IOException {
         rig.gateway(gateway);
         return assertThrows(IllegalArgumentException.class, rig::start).getMessage();
     }
 
     @Test
-    void whatIsWrongIsNamed() throws Exception {
+    void startNamesWhatIsWrongInTheRadiusSettings() throws Exception {
         String all = CLASSES + LISTENER + POOLS + ROUTES;
-        assertTrue(refusal(all.replace("network = \"127.0.0.0/8\"", "network = \"127.0.0.0/33\""))
+        assertTrue(startRefusal(all.replace("network = \"127.0.0.0/8\"", "network = \"127.0.0.0/33\""))
                 .contains("client[1].network: expected ADDRESS/PREFIX in digits, found \"127.0.0.0/33\""));
-        assertTrue(refusal(all.replace("access_class = \"card\"", "access_class = \"accounting\""))
+        assertTrue(startRefusal(all.replace("access_class = \"card\"", "access_class = \"accounting\""))
                 .contains("expected a class whose effect is safe, found accounting, which is keyed"));
-        assertTrue(refusal(all.replace("conversation_class = \"talk\"\n", "")).contains(
+        assertTrue(startRefusal(all.replace("conversation_class = \"talk\"\n", "")).contains(
                 "radius[1].conversation_class: expected the name of a class, found nothing"));
-        assertTrue(refusal(all.replace("network = \"127.0.0.0/8\"\nsecret_file = \"secret\"", "network = \"127.0.0.0/8\""))
+        assertTrue(startRefusal(all.replace("network = \"127.0.0.0/8\"\nsecret_file = \"secret\"", "network = \"127.0.0.0/8\""))
                 .contains("expected secret_file or secret_variable, found neither"));
-        assertTrue(refusal(all.replace("secret_file = \"secret\"", "secret_file = \"none\""))
+        assertTrue(startRefusal(all.replace("secret_file = \"secret\"", "secret_file = \"none\""))
                 .contains("secret_file none: expected a file, found none"));
-        assertTrue(refusal(all.replace("secret_file = \"secret\"", "secret_variable = \"MASTDRIFT_NOT_SET\""))
+        assertTrue(startRefusal(all.replace("secret_file = \"secret\"", "secret_variable = \"MASTDRIFT_NOT_SET\""))
                 .contains("secret_variable MASTDRIFT_NOT_SET: expected a value in the environment, found none"));
-        assertTrue(refusal(all.replace(route("cards", "card", "cards"), route("cards", "card", "main")))
+        assertTrue(startRefusal(all.replace(route("cards", "card", "cards"), route("cards", "card", "main")))
                 .contains("route cards: expected pools of RADIUS servers for class card, found pool main of HTTP hosts"));
-        assertTrue(refusal(all.replace(route("reads", "session-read", "main"), route("reads", "session-read", "cards")))
+        assertTrue(startRefusal(all.replace(route("reads", "session-read", "main"),
+                route("reads", "session-read", "cards")))
                 .contains("for pool cards has RADIUS servers"));
-        assertTrue(refusal(all.replace(route("talks", "talk", "cards"), route("talks", "talk", "other"))).contains("radius "
+        assertTrue(startRefusal(all.replace(route("talks", "talk", "cards"), route("talks", "talk", "other"))).contains("radius "
                 + "chargers: expected the routes of class talk to lead where those of class card do, or conversations lose "
                 + "their server; found [[other 1]] and [[cards 1]]"));
-        assertTrue(refusal(all.replace(route("talks", "talk", "cards"), "")).contains("found none and [[cards 1]]"));
-        assertTrue(refusal(all.replace("listen = \"127.0.0.1:0\"\naccess", "listen = \"127.0.0.1:0\"\nkept_most = 10\naccess"))
+        assertTrue(startRefusal(all.replace(route("talks", "talk", "cards"), ""))
+                .contains("found none and [[cards 1]]"));
+        assertTrue(startRefusal(all.replace("listen = \"127.0.0.1:0\"\naccess", "listen = \"127.0.0.1:0\"\nkept_most = 10\naccess"))
                 .contains("radius[1].kept_most: expected"));
         Files.writeString(folder.resolve("secret"), "\n");
-        assertTrue(refusal(all).contains("secret_file secret: expected 1 to 4096 bytes, found none"));
+        assertTrue(startRefusal(all).contains("secret_file secret: expected 1 to 4096 bytes, found none"));
     }
 }
--- a/src/test/java/mastdrift/serve/Rig.java
+++ b/src/test/java/mastdrift/serve/Rig.java
@@ -20,11 +20,13 @@
 import mastdrift.standin.StandInClient;
 import mastdrift.standin.StandInHost;
 
-/** A gateway from files with stand-in hosts, on loopback; a test writes the files. */
+/**
+ * Test fixture: a gateway that is configured from files, with stand-in hosts on loopback; the test writes the files.
+ */
 final class Rig implements AutoCloseable {
 
     static final int WAIT_SECONDS = 30;
-    static final String HEAD = """
+    static final String GATEWAY_HEAD = """
             [gateway]
             listen = "127.0.0.1:0"
             zone = "bilbao"
@@ -47,7 +49,7 @@
             deadline = "10s"
 
             """;
-    static final String FREE = GatewayFiles.FREE;
+    static final String GUARDS_OFF = GatewayFiles.FREE;
 
     final Path folder;
     final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -55,7 +57,7 @@
     final List<StandInHost> hosts = new ArrayList<>();
     final ByteArrayOutputStream log = new ByteArrayOutputStream();
     Service service;
-    private int asked;
+    private int requestCount;
 
     Rig(Path folder) {
         this.folder = folder;
@@ -67,7 +69,7 @@
         return host;
     }
 
-    /** A line of a node list; {@code more} are further keys. */
+    /** An entry of a node list; {@code more} has further keys. */
     static String node(StandInHost host, String zone, String more) {
         return GatewayFiles.node(host.name(), host.endpoint(), zone, more);
     }
@@ -80,9 +82,9 @@
         new GatewayFiles(folder).save(file, text);
     }
 
-    /** The gateway's file, but for its head. */
+    /** Writes the gateway's file: the common head and {@code rest}. */
     void gateway(String rest) throws IOException {
-        save("gateway.toml", HEAD + rest + "# end\n");
+        save("gateway.toml", GATEWAY_HEAD + rest + "# end\n");
     }
 
     void start() {
@@ -93,11 +95,11 @@
         return log.toString(StandardCharsets.UTF_8);
     }
 
-    /** Waits, with a bound, until something holds. */
-    void await(BooleanSupplier holds, String what) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
-        while (!holds.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, what + "; log:\n" + log());
+    /** Waits until a condition holds, at most {@link #WAIT_SECONDS}. */
+    void await(BooleanSupplier condition, String what) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() < deadlineNanos, what + "; log:\n" + log());
             Thread.sleep(5);
         }
     }
@@ -110,15 +112,15 @@
         return new StandInClient(service.address());
     }
 
-    /** One request of a new id; the key is null for a read. */
+    /** Sends one request with a new id; without a key it is a read. */
     StandInClient.Answer ask(StandInClient client, String key) {
-        String id = "id-" + ++asked;
-        return client.ask(StandInClient.head(key == null ? "session-read" : "session-start", null, id, "object-" + asked, key,
+        String id = "id-" + ++requestCount;
+        return client.ask(StandInClient.head(key == null ? "session-read" : "session-start", null, id, "object-" + requestCount, key,
                 8_000, 0), "");
     }
 
-    /** Names of the hosts that answer a number of requests, sorted and each once. */
-    String answering(int requests) {
+    /** Names of the hosts that answer a number of requests, sorted and distinct. */
+    String answeringHosts(int requests) {
         try (StandInClient client = client()) {
             List<String> names = new ArrayList<>();
             for (int i = 0; i < requests; i++) {
--- a/src/test/java/mastdrift/serve/ServiceTest.java
+++ b/src/test/java/mastdrift/serve/ServiceTest.java
@@ -1,6 +1,6 @@
 package mastdrift.serve;
 
-import static mastdrift.serve.Rig.FREE;
+import static mastdrift.serve.Rig.GUARDS_OFF;
 import static mastdrift.serve.Rig.list;
 import static mastdrift.serve.Rig.node;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -31,7 +31,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A gateway from files, over loopback: changes under load, refusals, and the four rules through them. */
+/**
+ * A gateway that is configured from files, over loopback: changes under load, refused changes, and the gateway's four
+ * rules while they happen.
+ */
 class ServiceTest {
 
     private static final String MAIN = "[pool.main]\nnodes = [\"main.toml\"]\n";
@@ -48,7 +51,7 @@
     private StandInHost c;
 
     @BeforeEach
-    void hosts() {
+    void createHosts() {
         rig = new Rig(folder);
         a = rig.host("a", "bilbao", 1_000);
         b = rig.host("b", "bilbao", 1_000);
@@ -60,14 +63,14 @@
         rig.close();
     }
 
-    private void twoPools() throws Exception {
+    private void startWithTwoPools() throws Exception {
         rig.save("main.toml", list(node(a, "bilbao", ""), node(b, "bilbao", "")));
         rig.save("spare.toml", list(node(c, "oviedo", "")));
-        rig.gateway(MAIN + FREE + SPARE + FREE + SPLIT);
+        rig.gateway(MAIN + GUARDS_OFF + SPARE + GUARDS_OFF + SPLIT);
         rig.start();
     }
 
-    private String who(StandInClient client, String key) {
+    private String answeringHost(StandInClient client, String key) {
         StandInClient.Answer answer = rig.ask(client, key);
         return answer.status() == 200 ? answer.body().split(" ")[0] : "" + answer.status();
     }
@@ -75,62 +78,64 @@
     // ---- routes
 
     @Test
-    void classesGoToTheirPoolsAndToTheFallbackWhereNobodyIs() throws Exception {
-        twoPools();
-        assertEquals("a b", rig.answering(40));
+    void classesGoToTheirPoolsAndToTheFallbackWhenNoHostIsAvailable() throws Exception {
+        startWithTwoPools();
+        assertEquals("a b", rig.answeringHosts(40));
         try (StandInClient client = rig.client()) {
-            assertEquals("c", who(client, "k1"));
+            assertEquals("c", answeringHost(client, "k1"));
             rig.save("spare.toml", list(node(c, "oviedo", "state = \"drain\"")));
             rig.awaitLog("changed pools [spare]");
-            assertTrue(List.of("a", "b").contains(who(client, "k2")));
-            assertEquals("503", who(client, "k1"), "a key within its window stays with the hosts that drop its repeats");
+            assertTrue(List.of("a", "b").contains(answeringHost(client, "k2")));
+            assertEquals("503", answeringHost(client, "k1"), "a key within its window stays with the hosts that drop its repeats");
             rig.save("spare.toml", list(node(c, "oviedo", "weight = 3")));
-            rig.await(() -> who(client, "k3-" + System.nanoTime()).equals("c"), "c takes requests again");
+            rig.await(() -> answeringHost(client, "k3-" + System.nanoTime()).equals("c"), "c takes requests again");
         }
         assertEquals(0, rig.effects.twice());
     }
 
     @Test
-    void aRequestThatNoRouteFitsIsNotFound() throws Exception {
+    void requestIsNotFoundWhenNoRouteMatches() throws Exception {
         rig.save("main.toml", list(node(a, "bilbao", "")));
         rig.gateway(MAIN + "[[route]]\nname = \"reads\"\nclass = \"session-read\"\npools = { main = 1 }\n");
         rig.start();
         try (StandInClient client = rig.client()) {
-            assertEquals("404", who(client, "k"));
-            assertEquals("a", who(client, null));
+            assertEquals("404", answeringHost(client, "k"));
+            assertEquals("a", answeringHost(client, null));
         }
     }
 
-    /** The hard case of a route that changes while a keyed request is out: its next attempt stays in its pool's group, and
-        the client's repeat finds it too. */
+    /**
+     * A route changes while a keyed request is open: the next attempt must stay in the group of its pool, and the
+     * client's repeat must find it too.
+     */
     @Test
-    void aRoutesChangeMovesNoKeyedRequestThatIsOut() throws Exception {
-        twoPools();
+    void openKeyedRequestStaysInItsPoolWhenRoutesChange() throws Exception {
+        startWithTwoPools();
         c.work(400_000);
         CompletableFuture<String> out = CompletableFuture.supplyAsync(() -> {
             try (StandInClient client = rig.client()) {
-                return who(client, "k1");
+                return answeringHost(client, "k1");
             }
         });
-        rig.await(() -> c.lastAt() > 0, "the start is out on c");
-        rig.gateway(MAIN + FREE + SPARE + FREE + "[[route]]\nname = \"all\"\npools = { main = 1 }\n");
+        rig.await(() -> c.lastAt() > 0, "the start is in flight at c");
+        rig.gateway(MAIN + GUARDS_OFF + SPARE + GUARDS_OFF + "[[route]]\nname = \"all\"\npools = { main = 1 }\n");
         rig.awaitLog(", 1 routes");
         try (StandInClient client = rig.client()) {
-            assertEquals("c", who(client, "k1"), "the client's repeat");
+            assertEquals("c", answeringHost(client, "k1"), "the client's repeat");
             assertEquals("c", out.get(Rig.WAIT_SECONDS, TimeUnit.SECONDS));
-            assertTrue(List.of("a", "b").contains(who(client, "k2")), "another key follows the new route");
+            assertTrue(List.of("a", "b").contains(answeringHost(client, "k2")), "another key follows the new route");
         }
         assertEquals(0, rig.effects.twice());
-        assertEquals(1, rig.effects.dropped(), "the repeat met the window");
+        assertEquals(1, rig.effects.dropped(), "the repeat was dropped within the window");
     }
 
     // ---- weights and drains
 
-    /** The hard case of a weight that goes to 0 while a start that may have run is out there. */
+    /** A weight is set to 0 while a start that may have run is open at that host. */
     @Test
-    void aWeightGoesToZeroWhileAStartThatMayHaveRunIsOut() throws Exception {
+    void startThatMayHaveRunIsNotMovedWhenItsHostsWeightBecomesZero() throws Exception {
         rig.save("main.toml", list(node(a, "bilbao", "")));
-        rig.gateway(MAIN + FREE);
+        rig.gateway(MAIN + GUARDS_OFF);
         rig.start();
         a.manner(Manner.SILENT);
         CompletableFuture<StandInClient.Answer> out = CompletableFuture.supplyAsync(() -> {
@@ -138,30 +143,30 @@
                 return client.ask(StandInClient.head("session-start", null, "s", "o", "k", 1_500, 0), "");
             }
         });
-        rig.await(() -> a.lastAt() > 0, "the start is out on a");
+        rig.await(() -> a.lastAt() > 0, "the start is in flight at a");
         rig.save("main.toml", list(node(a, "bilbao", "weight = 0"), node(c, "oviedo", "")));
         rig.awaitLog("changed pools [main]");
-        long told = System.nanoTime();
+        long changedAtNanos = System.nanoTime();
         assertEquals(504, out.get(Rig.WAIT_SECONDS, TimeUnit.SECONDS).status(), "failed: it may have run, and c is elsewhere");
         assertEquals(0, rig.effects.twice());
-        assertEquals("c", rig.answering(30));
-        assertTrue(a.lastAt() < told + 250_000_000L, "nothing new after the grace");
+        assertEquals("c", rig.answeringHosts(30));
+        assertTrue(a.lastAt() < changedAtNanos + 250_000_000L, "no new request after the grace");
     }
 
-    /** Rule 3 under load, and the way back: what a weight of 0 took away, a weight above gives again. */
+    /** Drains a host under load by weight 0 (rule 3), and lets it take requests again by a weight above 0. */
     @Test
-    void aDrainUnderLoadKeepsItsWindowAndLosesNothing() throws Exception {
+    void drainUnderLoadKeepsItsGraceAndLosesNoRequest() throws Exception {
         rig.save("main.toml", list(node(a, "bilbao", ""), node(b, "bilbao", "")));
-        rig.gateway(MAIN + FREE);
+        rig.gateway(MAIN + GUARDS_OFF);
         rig.start();
         try (LoadRun load = LoadRun.start(LoadPlan.open(rig.service.address(), 400, 60, 8, 8_000))) {
             rig.await(() -> a.served() > 50 && b.served() > 50, "both serve");
             rig.save("main.toml", list(node(a, "bilbao", "weight = 0"), node(b, "bilbao", "")));
             rig.awaitLog("changed pools [main]");
-            long told = System.nanoTime();
+            long drainedAtNanos = System.nanoTime();
             long served = b.served();
             rig.await(() -> b.served() > served + 200, "b serves on");
-            assertTrue(a.lastAt() - told < 250_000_000L, "the last came " + (a.lastAt() - told) / 1_000_000 + " ms after");
+            assertTrue(a.lastAt() - drainedAtNanos < 250_000_000L, "the last request came " + (a.lastAt() - drainedAtNanos) / 1_000_000 + " ms after");
             long before = a.served();
             rig.save("main.toml", list(node(a, "bilbao", "weight = 1"), node(b, "bilbao", "")));
             rig.await(() -> a.served() > before + 50, "a serves again");
@@ -172,30 +177,31 @@
     }
 
     @Test
-    void weightsSplitTheRequests() throws Exception {
+    void weightsSplitRequests() throws Exception {
         rig.save("main.toml", list(node(a, "bilbao", "weight = 9"), node(b, "bilbao", "weight = 1")));
         rig.gateway(MAIN);
         rig.start();
-        rig.answering(500);  // a cold virtual machine's first answers look like a slow host's
+        rig.answeringHosts(500);  // the first answers of a cold virtual machine look like those of a slow host
         long before = a.served();
-        rig.answering(1000);
-        double part = (a.served() - before) / 1000.0;
-        assertTrue(part > 0.8 && part < 0.98, "a got " + part);
+        rig.answeringHosts(1000);
+        double fraction = (a.served() - before) / 1000.0;
+        assertTrue(fraction > 0.8 && fraction < 0.98, "a got " + fraction);
     }
 
-    /** The hard case of a node that changes pools under load. */
+    /** A node moves between pools under load. */
     @Test
-    void aNodeChangesPoolsUnderLoad() throws Exception {
-        twoPools();
+    void nodeMovesBetweenPoolsUnderLoadWithoutLoss() throws Exception {
+        startWithTwoPools();
         try (LoadRun load = LoadRun.start(LoadPlan.open(rig.service.address(), 400, 60, 8, 8_000))) {
             for (int i = 1; i <= 6; i++) {
                 long before = b.served();
                 rig.await(() -> b.served() > before + 20, "b serves");
-                boolean over = i % 2 == 1;
-                rig.save("spare.toml", over ? list(node(c, "oviedo", "")) : list(node(c, "oviedo", ""), node(b, "bilbao", "")));
-                rig.save("main.toml", over ? list(node(a, "bilbao", ""), node(b, "bilbao", "")) : list(node(a, "bilbao", "")));
-                // Its next pool has it first: what is read between the two names it twice and is refused, where without it in either there would be two changes.
-                if (over) {
+                boolean toSpare = i % 2 == 1;
+                rig.save("spare.toml", toSpare ? list(node(c, "oviedo", "")) : list(node(c, "oviedo", ""), node(b, "bilbao", "")));
+                rig.save("main.toml", toSpare ? list(node(a, "bilbao", ""), node(b, "bilbao", "")) : list(node(a, "bilbao", "")));
+                // The new pool gets the node first: a state that is read between the two writes names it twice and is
+                // refused. With the node removed first, there would be two changes.
+                if (toSpare) {
                     rig.save("spare.toml", list(node(c, "oviedo", ""), node(b, "bilbao", "")));
                     rig.save("main.toml", list(node(a, "bilbao", "")));
                 } else {
@@ -212,24 +218,26 @@
         assertEquals(0, rig.effects.twice());
     }
 
-    /** A pool is taken out while a start is out in it: that ends where it is, and the key is refused while its window may be
-        open. */
+    /**
+     * A pool is removed while a start is open in it: the start ends there, and its key is refused while its window may
+     * be open.
+     */
     @Test
-    void aPoolIsTakenOutWhileAStartIsOutInIt() throws Exception {
-        twoPools();
+    void openStartEndsInItsPoolWhenThePoolIsRemoved() throws Exception {
+        startWithTwoPools();
         c.work(400_000);
         CompletableFuture<String> out = CompletableFuture.supplyAsync(() -> {
             try (StandInClient client = rig.client()) {
-                return who(client, "k1");
+                return answeringHost(client, "k1");
             }
         });
-        rig.await(() -> c.lastAt() > 0, "the start is out on c");
-        rig.gateway(MAIN + FREE);
+        rig.await(() -> c.lastAt() > 0, "the start is in flight at c");
+        rig.gateway(MAIN + GUARDS_OFF);
         rig.awaitLog(", 1 routes");
         try (StandInClient client = rig.client()) {
-            assertEquals("503", who(client, "k1"));
+            assertEquals("503", answeringHost(client, "k1"));
             assertEquals("c", out.get(Rig.WAIT_SECONDS, TimeUnit.SECONDS));
-            assertTrue(List.of("a", "b").contains(who(client, "k2")));
+            assertTrue(List.of("a", "b").contains(answeringHost(client, "k2")));
         }
         assertEquals(0, rig.effects.twice());
         rig.await(() -> c.connections() == 0, "connections to its hosts are closed");
@@ -237,43 +245,45 @@
 
     // ---- discovery
 
-    /** The hard case of a file and the platform's list that disagree on drain, and of discovery that goes away. */
+    /** File and registry disagree on a drain, and then discovery becomes unavailable. */
     @Test
-    void theFileDrainsWhatDiscoveryCallsUpAndTheOtherWayRound() throws Exception {
+    void nodeDrainsWhenEitherFileOrDiscoverySaysSo() throws Exception {
         try (StandInDiscovery discovery = new StandInDiscovery()) {
             String upA = StandInDiscovery.target("a", a.endpoint(), "bilbao", "in_service");
             String upB = StandInDiscovery.target("b", b.endpoint(), "bilbao", "in_service");
             discovery.list(upA, upB);
             rig.save("main.toml", list());
-            rig.gateway("[pool.main]\nnodes = [\"main.toml\"]\ndiscovery = \"" + discovery.endpoint() + "\"\n" + FREE);
+            rig.gateway("[pool.main]\nnodes = [\"main.toml\"]\ndiscovery = \"" + discovery.endpoint() + "\"\n"
+                    + GUARDS_OFF);
             rig.start();
-            rig.await(() -> rig.answering(30).equals("a b"), "both serve");
+            rig.await(() -> rig.answeringHosts(30).equals("a b"), "both serve");
             rig.save("main.toml", list("[[node]]\nuid = \"a\"\nstate = \"drain\"\n"));
-            rig.await(() -> rig.answering(10).equals("b"), "a is drained by the file");
+            rig.await(() -> rig.answeringHosts(10).equals("b"), "a is drained by the file");
             discovery.list(upA, upB);
             discovery.changes(upA);
-            assertEquals("b", rig.answering(30), "whatever the registry says");
+            assertEquals("b", rig.answeringHosts(30), "drained regardless of the registry");
             rig.save("main.toml", list());
-            rig.await(() -> rig.answering(30).equals("a b"), "the line was taken out");
+            rig.await(() -> rig.answeringHosts(30).equals("a b"), "the line was removed");
             discovery.changes(StandInDiscovery.target("b", b.endpoint(), "bilbao", "terminating"));
-            rig.await(() -> rig.answering(10).equals("a"), "b is drained by discovery");
+            rig.await(() -> rig.answeringHosts(10).equals("a"), "b is drained by discovery");
             discovery.vanish();
             rig.awaitLog("discovery of pool main failed");
             rig.save("main.toml", list(node(c, "oviedo", "")));
-            rig.await(() -> rig.answering(60).equals("a c"), "its last word stays, and the file adds to it");
+            rig.await(() -> rig.answeringHosts(60).equals("a c"),
+                    "the last list of discovery stays, and the file adds to it");
         }
     }
 
     // ---- refusals
 
-    private String refused() throws Exception {
+    private String awaitRefusal() throws Exception {
         rig.awaitLog("refused: ");
         String log = rig.log();
         return log.substring(log.indexOf("refused: "));
     }
 
     @Test
-    void badSetsAreRefusedAndTheOldOneStays() throws Exception {
+    void invalidFilesAreRefusedAndThePreviousOnesStay() throws Exception {
         rig.save("main.toml", list(node(a, "bilbao", ""), node(c, "oviedo", "")));
         rig.gateway(MAIN);
         rig.start();
@@ -285,51 +295,51 @@
         rig.awaitLog("expected in one place alone");
         rig.save("main.toml", list(node(a, "bilbao", ""), node(c, "leon", "")));
         rig.awaitLog("main.toml:9:1: node[2].zone: expected one of those defined (bilbao, oviedo), found \"leon\"");
-        assertEquals("a c", rig.answering(60));
+        assertEquals("a c", rig.answeringHosts(60));
         Map<String, Object> status = JSON.std.mapFrom(Files.readAllBytes(folder.resolve("status")));
         assertTrue(status.get("refused").toString().contains("leon"), status.toString());
         assertTrue(status.get("in_force").toString().contains("taking=2"), status.toString());
         rig.save("main.toml", list(node(a, "bilbao", ""), node(c, "oviedo", "weight = 2")));
-        rig.await(() -> rig.log().endsWith("changed pools [main]\n"), "the next good one is taken");
+        rig.await(() -> rig.log().endsWith("changed pools [main]\n"), "the next valid change is accepted");
     }
 
-    /** An override names the guard, the pool and the version in force, and is good once. */
+    /** An override names the guard, the pool and the version in force, and can be used once. */
     @Test
-    void anOverrideLetsOneChangeThrough() throws Exception {
+    void overrideLetsOneChangeThrough() throws Exception {
         rig.save("main.toml", list(node(a, "bilbao", ""), node(c, "oviedo", "")));
         rig.gateway(MAIN);
         rig.start();
         rig.save("main.toml", list(node(a, "bilbao", "")));
-        String refusal = refused();
+        String refusal = awaitRefusal();
         String version = refusal.substring(refusal.indexOf("version = \"") + 11).substring(0, 8);
         String line = "[[override]]\nguard = \"zone-empty\"\npool = \"main\"\nversion = \"" + version + "\"\n";
         rig.gateway(MAIN + line);
-        rig.await(() -> rig.log().endsWith("changed pools [main]\n"), "taken");
-        assertEquals("a", rig.answering(10));
+        rig.await(() -> rig.log().endsWith("changed pools [main]\n"), "accepted");
+        assertEquals("a", rig.answeringHosts(10));
         rig.save("main.toml", list(node(a, "bilbao", ""), node(c, "oviedo", "")));
-        rig.await(() -> rig.answering(30).equals("a c"), "as it was, with the same version");
+        rig.await(() -> rig.answeringHosts(30).equals("a c"), "as it was, with the same version");
         int before = rig.log().length();
         rig.save("main.toml", list(node(a, "bilbao", "")));
         rig.await(() -> rig.log().indexOf("guard zone-empty", before) > 0, "refused: the override was used");
-        assertEquals("a c", rig.answering(30));
+        assertEquals("a c", rig.answeringHosts(30));
     }
 
     @Test
-    void whatIsBoundAtTheStartCantChange() throws Exception {
+    void startOnlySettingsCannotChange() throws Exception {
         rig.save("main.toml", list(node(a, "bilbao", "")));
         rig.gateway(MAIN);
         rig.start();
-        rig.save("gateway.toml", Rig.HEAD.replace("zone = \"bilbao\"", "zone = \"oviedo\"") + MAIN + "# end\n");
-        assertTrue(refused().contains("[gateway]: expected what the gateway started with"));
+        rig.save("gateway.toml", Rig.GATEWAY_HEAD.replace("zone = \"bilbao\"", "zone = \"oviedo\"") + MAIN + "# end\n");
+        assertTrue(awaitRefusal().contains("[gateway]: expected what the gateway started with"));
         rig.gateway(MAIN + "max_attempts = 1\n");
         rig.awaitLog("[pool.main]: expected the settings that it started with");
-        rig.save("gateway.toml", Rig.HEAD.replace("aim = \"2s\"", "aim = \"1s\"") + MAIN + "# end\n");
+        rig.save("gateway.toml", Rig.GATEWAY_HEAD.replace("aim = \"2s\"", "aim = \"1s\"") + MAIN + "# end\n");
         rig.awaitLog("[[class]]: expected the classes");
-        assertEquals("a", rig.answering(5));
+        assertEquals("a", rig.answeringHosts(5));
     }
 
     @Test
-    void aStartOnABadSetSaysAllThatIsWrong() throws Exception {
+    void startOnInvalidFilesReportsAllProblems() throws Exception {
         rig.save("main.toml", list(node(a, "bilbao", "weight = 0")));
         rig.gateway(MAIN);
         assertTrue(assertThrows(IllegalArgumentException.class, rig::start).getMessage().contains("weight-zero"));
@@ -337,33 +347,37 @@
         assertEquals(2, assertThrows(IllegalArgumentException.class, rig::start).getMessage().lines().count());
     }
 
-    // ---- the end
+    // ---- shutdown
 
-    /** A stop has less time than what is open: it is answered all the same, before the stop is over. */
+    /**
+     * A stop with less time than an open request needs: the request is answered all the same, before the stop is over.
+     */
     @Test
-    void aStopAnswersWhatIsOpenWithinItsTime() throws Exception {
+    void stopAnswersOpenRequestsWithinItsTime() throws Exception {
         rig.save("main.toml", list(node(a, "bilbao", "")));
-        rig.gateway(MAIN + FREE);
+        rig.gateway(MAIN + GUARDS_OFF);
         rig.start();
         a.work(60_000_000);
         try (StandInClient client = rig.client()) {
             CompletableFuture<StandInClient.Answer> out = CompletableFuture.supplyAsync(() -> rig.ask(client, null));
-            rig.await(() -> a.lastAt() > 0, "the request is out");
+            rig.await(() -> a.lastAt() > 0, "the request is in flight");
             assertTrue(rig.service.stop(3), "all is answered within the 3 s of the stop");
             assertTrue(out.get(Rig.WAIT_SECONDS, TimeUnit.SECONDS).status() >= 500, "with a whole answer");
         }
     }
 
-    // ---- many
+    // ---- scale
 
-    /** The hard case of 1,000 changes, here as fast as they are taken: the last one is in force, and nothing is left over. */
+    /**
+     * 1,000 changes as fast as they are accepted: the last one is in force, and no connection or thread is left over.
+     */
     @Test
-    void aThousandChangesLeaveNothingBehind() throws Exception {
+    void thousandChangesLeaveNoConnectionOrThreadBehind() throws Exception {
         rig.save("main.toml", list(node(a, "bilbao", ""), node(b, "bilbao", "")));
-        rig.gateway(MAIN + FREE);
+        rig.gateway(MAIN + GUARDS_OFF);
         rig.start();
         try (LoadRun load = LoadRun.start(LoadPlan.open(rig.service.address(), 200, 120, 4, 8_000))) {
-            rig.await(() -> a.served() > 20 && b.served() > 20, "warm");
+            rig.await(() -> a.served() > 20 && b.served() > 20, "both serve");
             int threads = Thread.activeCount();
             for (int i = 1; i <= 1000; i++) {
                 rig.save("main.toml", i % 3 == 0 ? list(node(a, "bilbao", ""))
@@ -372,27 +386,29 @@
                 Thread.sleep(10);
             }
             rig.save("main.toml", list(node(c, "oviedo", "")));
-            rig.await(() -> rig.answering(20).equals("c"), "the last one is in force");
+            rig.await(() -> rig.answeringHosts(20).equals("c"), "the last one is in force");
             load.stop();
             assertEquals(0, load.failed());
             rig.await(() -> a.connections() == 0 && b.connections() == 0, "connections to hosts that are gone are closed");
             assertTrue(Thread.activeCount() <= threads, "threads");
         }
         assertEquals(0, rig.effects.twice());
-        assertEquals(0L, (long) rig.service.count(count -> count.classes().values().stream()
+        assertEquals(0L, (long) rig.service.readCount(count -> count.classes().values().stream()
                 .mapToLong(ServiceCount.Of::failed).sum()));
     }
 
     private Map<Balancer.Why, Long> refusedReads() {
-        return rig.service.count(count -> Arrays.stream(Balancer.Why.values()).collect(Collectors.toMap(why -> why, why -> count.of("session-read").refused(why))));
+        return rig.service.readCount(count -> Arrays.stream(Balancer.Why.values()).collect(Collectors.toMap(why -> why, why -> count.of("session-read").refused(why))));
     }
 
-    /** 10,000 nodes are read, judged and put in force without holding up the loop; the bound is wide for slow machines, the
-        measurement has the figure. */
+    /**
+     * 10,000 nodes are read, validated and put in force without holding up the event loop; the bound is wide for slow
+     * machines; the measurement of pools gives the exact figure.
+     */
     @Test
-    void tenThousandNodesHoldNobodyUp() throws Exception {
+    void tenThousandNodesDoNotDelayRequests() throws Exception {
         rig.save("main.toml", list(node(a, "bilbao", "")));
-        rig.gateway(MAIN + FREE);
+        rig.gateway(MAIN + GUARDS_OFF);
         rig.start();
         StringBuilder many = new StringBuilder(node(a, "bilbao", ""));
         for (int i = 0; i < 9_999; i++) {
--- a/src/test/java/mastdrift/serve/ZoneServiceTest.java
+++ b/src/test/java/mastdrift/serve/ZoneServiceTest.java
@@ -1,6 +1,6 @@
 package mastdrift.serve;
 
-import static mastdrift.serve.Rig.FREE;
+import static mastdrift.serve.Rig.GUARDS_OFF;
 import static mastdrift.serve.Rig.list;
 import static mastdrift.serve.Rig.node;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -37,11 +37,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Traffic across zones over loopback: counted as the hosts count it, kept within budgets, and let go where service would suffer. */
+/**
+ * Traffic across zones over loopback: counted as the hosts count it, kept within budgets, and permitted beyond them if
+ * service would suffer otherwise.
+ */
 class ZoneServiceTest {
 
-    private static final String NOTHING = "[[zones.budget]]\nname = \"none\"\nwindow = \"hour\"\nrequests = 0\n";
-    private static final String POOL = "[pool.main]\nnodes = [\"main.toml\"]\n" + FREE;
+    private static final String ZERO_BUDGET = "[[zones.budget]]\nname = \"none\"\nwindow = \"hour\"\nrequests = 0\n";
+    private static final String POOL = "[pool.main]\nnodes = [\"main.toml\"]\n" + GUARDS_OFF;
 
     @TempDir
     private Path folder;
@@ -52,12 +55,12 @@
     private StandInHost c;
 
     @BeforeEach
-    void hosts() throws IOException {
+    void createHosts() throws IOException {
         rig = new Rig(folder);
         a = rig.host("a", "bilbao", 1_000);
         b = rig.host("b", "bilbao", 1_000);
         c = rig.host("c", "oviedo", 1_000);
-        nodes("", "");
+        writeNodes("", "");
     }
 
     @AfterEach
@@ -65,16 +68,16 @@
         rig.close();
     }
 
-    private void nodes(String home, String away) throws IOException {
+    private void writeNodes(String home, String away) throws IOException {
         rig.save("main.toml", list(node(a, "bilbao", home), node(b, "bilbao", home), node(c, "oviedo", away)));
     }
 
-    private void serve(String zones) throws IOException {
+    private void startGateway(String zones) throws IOException {
         rig.gateway(POOL + zones);
         rig.start();
     }
 
-    private static Counts over(Snapshot snapshot) {
+    private static Counts crossZoneCounts(Snapshot snapshot) {
         Counts over = new Counts();
         snapshot.flows().forEach((flow, counts) -> {
             if (flow.crosses()) {
@@ -84,7 +87,7 @@
         return over;
     }
 
-    private int[] statuses(int requests, String key) {
+    private int[] countStatuses(int requests, String key) {
         int[] statuses = new int[600];
         try (StandInClient client = rig.client()) {
             for (int i = 0; i < requests; i++) {
@@ -96,18 +99,21 @@
 
     // ---- counts
 
-    /** Bytes by zone as the gateway has them and as the stand-ins have them: the gateway's out are the hosts' in. */
-    private static Map<String, List<Long>> bytes(Snapshot snapshot) {
+    /** Bytes by zone as the gateway counts them; what it sent is what the hosts received. */
+    private static Map<String, List<Long>> bytesByZone(Snapshot snapshot) {
         Map<String, List<Long>> bytes = new TreeMap<>();
         snapshot.flows().forEach((flow, counts) -> bytes.merge(flow.to(), List.of(counts.sent(), counts.received()),
                 (one, other) -> List.of(one.get(0) + other.get(0), one.get(1) + other.get(1))));
         return bytes;
     }
 
-    /** HTTP and RADIUS at once over three zones, with hosts that cut answers, reset connections, turn away, fail, and say more than they
-        were asked: to the byte what the hosts counted, and the causes add up. */
+    /**
+     * HTTP and RADIUS at once over three zones, with hosts that cut answers, reset connections, refuse, fail, and send
+     * more than they were asked for: the gateway's counts equal those of the hosts to the byte, and the causes add up
+     * to the total.
+     */
     @Test
-    void countsEqualTheHostsToTheByte() throws Exception {
+    void countsEqualThoseOfTheHostsToTheByte() throws Exception {
         byte[] secret = "a secret that both know".getBytes(StandardCharsets.US_ASCII);
         Effects effects = new Effects(60_000_000);
         StandInHost d = rig.host("d", "leon", 1_000);
@@ -117,8 +123,8 @@
             rig.save("main.toml", list(node(a, "bilbao", ""), node(b, "bilbao", ""), node(c, "oviedo", ""), node(d, "leon", "")));
             rig.save("cards.toml", GatewayFiles.list(List.of(GatewayFiles.node("one", one.endpoint(), "bilbao", ""),
                     GatewayFiles.node("two", two.endpoint(), "oviedo", ""))));
-            rig.save("gateway.toml", Rig.HEAD.replace("\"oviedo\"]", "\"oviedo\", \"leon\"]") + GatewayFiles.RADIUS + POOL
-                    + GatewayFiles.pool("cards", FREE + "secret_file = \"secret\"\n") + GatewayFiles.route("cards", "card", "cards")
+            rig.save("gateway.toml", Rig.GATEWAY_HEAD.replace("\"oviedo\"]", "\"oviedo\", \"leon\"]") + GatewayFiles.RADIUS + POOL
+                    + GatewayFiles.pool("cards", GUARDS_OFF + "secret_file = \"secret\"\n") + GatewayFiles.route("cards", "card", "cards")
                     + GatewayFiles.route("talks", "talk", "cards") + GatewayFiles.route("accounts", "accounting", "cards")
                     + "[[route]]\nname = \"rest\"\npools = { main = 1 }\n[zones]\n[[zones.client]]\nnetwork = \"127.0.0.0/8\"\nzone = \"leon\"\n# end\n");
             rig.start();
@@ -140,8 +146,8 @@
                 d.manner(manners[(i + 3) % manners.length]);
                 a.manner(i % 2 == 0 ? Manner.DRAIN : Manner.SERVE);
                 b.manner(i % 2 == 0 ? Manner.DRAIN : Manner.SERVE);
-                statuses(40, null);
-                statuses(20, "key-" + i + "-");
+                countStatuses(40, null);
+                countStatuses(20, "key-" + i + "-");
             }
             radius.get(Rig.WAIT_SECONDS, TimeUnit.SECONDS);
             Map<String, List<Long>> seen = new TreeMap<>();
@@ -149,10 +155,10 @@
                 seen.put("bilbao", List.of(a.bytesIn() + b.bytesIn() + one.bytesIn(), a.bytesOut() + b.bytesOut() + one.bytesOut()));
                 seen.put("oviedo", List.of(c.bytesIn() + two.bytesIn(), c.bytesOut() + two.bytesOut()));
                 seen.put("leon", List.of(d.bytesIn(), d.bytesOut()));
-                return seen.equals(bytes(rig.service.crossed()));
-            }, "counts alike: " + seen + " and " + bytes(rig.service.crossed()));
-            Snapshot snapshot = rig.service.crossed();
-            Counts over = over(snapshot);
+                return seen.equals(bytesByZone(rig.service.zoneSnapshot()));
+            }, "equal counts: " + seen + " and " + bytesByZone(rig.service.zoneSnapshot()));
+            Snapshot snapshot = rig.service.zoneSnapshot();
+            Counts over = crossZoneCounts(snapshot);
             assertTrue(over.attempts() > 20 && over.failed() > 0 && over.attempts(Cause.REPEAT) > 0, 
                     "it crossed, and failed: " + over.attempts() + ", " + over.failed() + ", " + over.attempts(Cause.REPEAT));
             long byCause = 0;
@@ -165,17 +171,17 @@
         }
     }
 
-    /** Over a stop and a start with a folder that lasts, counts go on; a file that is damaged is said and not used. */
+    /** Counts continue over a restart with a state folder; a damaged file is reported and not used. */
     @Test
-    void countsGoOnAfterARestart() throws Exception {
+    void countsContinueAfterARestart() throws Exception {
         Files.createDirectory(folder.resolve("kept"));
-        serve("[zones]\nstate_folder = \"kept\"\nreport_file = \"zones.json\"\n");
-        statuses(60, null);
-        Snapshot before = rig.service.crossed();
+        startGateway("[zones]\nstate_folder = \"kept\"\nreport_file = \"zones.json\"\n");
+        countStatuses(60, null);
+        Snapshot before = rig.service.zoneSnapshot();
         rig.service.close();
         rig.start();
-        assertEquals(over(before).attempts(), over(rig.service.crossed()).attempts());
-        assertEquals(bytes(before).get("oviedo"), bytes(rig.service.crossed()).get("oviedo"));
+        assertEquals(crossZoneCounts(before).attempts(), crossZoneCounts(rig.service.zoneSnapshot()).attempts());
+        assertEquals(bytesByZone(before).get("oviedo"), bytesByZone(rig.service.zoneSnapshot()).get("oviedo"));
         assertTrue(Files.readString(folder.resolve("zones.json")).contains("\"oviedo\""));
         rig.service.close();
         Path state = folder.resolve("kept/zones-gateway.state");
@@ -184,74 +190,80 @@
         Files.write(state, bytes);
         rig.start();
         rig.awaitLog("is not used: expected crc32c");
-        assertEquals(0, over(rig.service.crossed()).attempts());
-        assertEquals(50, statuses(50, null)[200]);
+        assertEquals(0, crossZoneCounts(rig.service.zoneSnapshot()).attempts());
+        assertEquals(50, countStatuses(50, null)[200]);
     }
 
-    // ---- budgets, and giving way
+    // ---- budgets, and exceeding them for service
 
     @Test
-    void aBudgetOfNothingKeepsAllAtHomeUntilTheZoneIsOut() throws Exception {
-        serve("[zones]\ngive_way = [\"session-start\", \"session-read\"]\ncalm = \"1s\"\n" + NOTHING);
-        int[] statuses = statuses(300, null);
+    void zeroBudgetKeepsRequestsInTheHomeZoneUntilItIsOut() throws Exception {
+        startGateway("[zones]\ngive_way = [\"session-start\", \"session-read\"]\ncalm = \"1s\"\n" + ZERO_BUDGET);
+        int[] statuses = countStatuses(300, null);
         assertEquals(300, statuses[200]);
-        assertEquals(0, c.served(), "none crossed");
-        nodes("state = \"drain\"\n", "");
-        rig.await(() -> statuses(1, null)[200] == 1 && c.served() > 0, "the other zone has it");
-        assertEquals(100, statuses(100, null)[200]);
-        assertEquals(20, statuses(20, "out-")[200]);
-        Snapshot out = rig.service.crossed();
-        assertTrue(over(out).attempts(Cause.ZONE_OUT) >= 120, "for the zone that is out");
-        assertTrue(out.budgets().get(0).left() <= -120, "and it is owed");
-        nodes("", "");
+        assertEquals(0, c.served(), "no request crossed");
+        writeNodes("state = \"drain\"\n", "");
+        rig.await(() -> countStatuses(1, null)[200] == 1 && c.served() > 0, "the other zone serves");
+        assertEquals(100, countStatuses(100, null)[200]);
+        assertEquals(20, countStatuses(20, "out-")[200]);
+        Snapshot out = rig.service.zoneSnapshot();
+        assertTrue(crossZoneCounts(out).attempts(Cause.ZONE_OUT) >= 120, "for the zone that is out");
+        assertTrue(out.budgets().get(0).left() <= -120, "and the excess is recorded as a debt");
+        writeNodes("", "");
         rig.await(() -> {
             long before = c.served();
-            statuses(20, null);
+            countStatuses(20, null);
             return c.served() == before;
-        }, "all is at home again");
+        }, "all requests are served in the home zone again");
         assertEquals(0, rig.effects.twice());
     }
 
-    /** A zone that goes and comes back cold, twice: the other one has its requests meanwhile, none is lost, no key runs twice, and all is at home in the end. */
+    /**
+     * A zone drains and comes back cold, twice: the other zone serves its requests meanwhile, none is lost, no key runs
+     * twice, and in the end all requests are served in the home zone.
+     */
     @Test
-    void aZoneThatFlapsLosesNothing() throws Exception {
-        serve("warm_within = \"4s\"\n[zones]\ngive_way = [\"session-start\", \"session-read\"]\ncalm = \"1s\"\n" + NOTHING);
+    void noRequestIsLostWhenAZoneFlaps() throws Exception {
+        startGateway("warm_within = \"4s\"\n[zones]\ngive_way = [\"session-start\", \"session-read\"]\ncalm = \"1s\"\n" + ZERO_BUDGET);
         for (int turn = 1; turn <= 2; turn++) {
             long before = c.served();
-            nodes("state = \"drain\"\n", "");
-            rig.await(() -> statuses(1, null)[200] == 1 && c.served() > before, "the other zone has it");
-            assertEquals(30, statuses(30, "turn-" + turn + "-")[200]);
+            writeNodes("state = \"drain\"\n", "");
+            rig.await(() -> countStatuses(1, null)[200] == 1 && c.served() > before, "the other zone serves");
+            assertEquals(30, countStatuses(30, "turn-" + turn + "-")[200]);
             long home = a.served() + b.served();
-            nodes("started_ms = " + System.currentTimeMillis() + "\n", "");
-            rig.await(() -> statuses(5, null)[200] == 5 && a.served() + b.served() > home, "the own zone is back, and cold");
+            writeNodes("started_ms = " + System.currentTimeMillis() + "\n", "");
+            rig.await(() -> countStatuses(5, null)[200] == 5 && a.served() + b.served() > home, "the home zone serves again, cold");
         }
         rig.await(() -> {
             long before = c.served();
-            return statuses(20, null)[200] == 20 && c.served() == before;
-        }, "all is at home again");
+            return countStatuses(20, null)[200] == 20 && c.served() == before;
+        }, "all requests are served in the home zone again");
         assertEquals(0, rig.effects.twice());
     }
 
     @Test
-    void aHardBudgetIsKeptAtThePriceOfService() throws Exception {
-        serve("[zones]\ngive_way = [\"session-start\", \"session-read\"]\n" + NOTHING + "hard = true\n");
-        nodes("state = \"drain\"\n", "");
-        rig.await(() -> statuses(1, null)[503] == 1, "refused");
+    void hardBudgetIsKeptEvenIfRequestsAreRefused() throws Exception {
+        startGateway("[zones]\ngive_way = [\"session-start\", \"session-read\"]\n" + ZERO_BUDGET + "hard = true\n");
+        writeNodes("state = \"drain\"\n", "");
+        rig.await(() -> countStatuses(1, null)[503] == 1, "refused");
         assertEquals(0, c.served());
-        assertEquals(0, over(rig.service.crossed()).attempts());
-        assertTrue(rig.service.count(count -> count.of("session-read").refused(Why.ZONES)) > 0);
+        assertEquals(0, crossZoneCounts(rig.service.zoneSnapshot()).attempts());
+        assertTrue(rig.service.readCount(count -> count.of("session-read").refused(Why.ZONES)) > 0);
     }
 
-    /** A start that may have run in a zone that is gone since isn't taken to the other one by its client's repeat; others are. */
+    /**
+     * A start that may have run in a zone that has drained since isn't moved to the other zone by its client's repeat;
+     * new keys are.
+     */
     @Test
-    void aKeyThatMayHaveRunDoesNotLeaveItsZone() throws Exception {
-        serve("[zones]\ngive_way = [\"session-start\", \"session-read\"]\n" + NOTHING);
+    void keyThatMayHaveRunStaysInItsZone() throws Exception {
+        startGateway("[zones]\ngive_way = [\"session-start\", \"session-read\"]\n" + ZERO_BUDGET);
         a.manner(Manner.RESET);
         b.manner(Manner.RESET);
         try (StandInClient client = rig.client()) {
             assertNotEquals(200, rig.ask(client, "may-have-run").status());
             long since = System.nanoTime();
-            nodes("state = \"drain\"\n", "");
+            writeNodes("state = \"drain\"\n", "");
             rig.await(() -> rig.ask(client, "new-" + System.nanoTime()).status() == 200, "a new key goes across");
             boolean open = System.nanoTime() - since < TimeUnit.MILLISECONDS.toNanos(1_000);
             int status = rig.ask(client, "may-have-run").status();
@@ -260,10 +272,10 @@
         assertEquals(0, rig.effects.twice());
     }
 
-    /** Half of all requests about one object: what is warm far away doesn't pull them across. */
+    /** Half of all requests are about one object: a warm host in another zone doesn't attract them across. */
     @Test
-    void aHotKeyDoesNotPullTrafficAcross() throws Exception {
-        serve("[zones]\n[[zones.budget]]\nname = \"few\"\nwindow = \"minute\"\nrequests = 60\n");
+    void hotKeyDoesNotPullTrafficToAnotherZone() throws Exception {
+        startGateway("[zones]\n[[zones.budget]]\nname = \"few\"\nwindow = \"minute\"\nrequests = 60\n");
         List<CompletableFuture<Integer>> clients = new ArrayList<>();
         for (int n = 0; n < 8; n++) {
             clients.add(CompletableFuture.supplyAsync(() -> {
@@ -283,41 +295,47 @@
             served += client.get(Rig.WAIT_SECONDS, TimeUnit.SECONDS);
         }
         assertEquals(800, served);
-        Snapshot snapshot = rig.service.crossed();
-        assertTrue(over(snapshot).attempts() - over(snapshot).attempts(Cause.REPEAT) <= 60, "crossed: " + over(snapshot).attempts());
+        Snapshot snapshot = rig.service.zoneSnapshot();
+        assertTrue(crossZoneCounts(snapshot).attempts() - crossZoneCounts(snapshot).attempts(Cause.REPEAT) <= 60, "crossed: " + crossZoneCounts(snapshot).attempts());
     }
 
-    /** The operator changes a budget while it runs, and takes the files away, which needs another start. By a budget of a minute, whose pace no
-        client of a test exceeds; a million requests an hour are 278 a second at its begin, and a quick machine asks for more (AccountTest). */
+    /**
+     * The operator changes a budget at run time, and removes the table, which needs a restart. The budget is per
+     * minute, since no test client exceeds its pace; a million requests an hour are 278 a second at its begin, which a
+     * fast machine exceeds (AccountTest).
+     */
     @Test
-    void aBudgetChangesWhileItServes() throws Exception {
-        String nothing = NOTHING.replace("window = \"hour\"", "window = \"minute\"");
-        serve("[zones]\n" + nothing);
-        nodes("state = \"drain\"\n", "");
-        rig.await(() -> statuses(1, null)[503] == 1, "nobody at home, and no budget to cross");
+    void budgetChangesAtRunTime() throws Exception {
+        String nothing = ZERO_BUDGET.replace("window = \"hour\"", "window = \"minute\"");
+        startGateway("[zones]\n" + nothing);
+        writeNodes("state = \"drain\"\n", "");
+        rig.await(() -> countStatuses(1, null)[503] == 1, "no host in the home zone, and no budget to cross");
         rig.gateway(POOL + "[zones]\n" + nothing.replace("requests = 0", "requests = 1000000"));
-        rig.await(() -> statuses(20, null)[200] == 20 && c.served() > 0, "it may cross now");
+        rig.await(() -> countStatuses(20, null)[200] == 20 && c.served() > 0, "requests may cross now");
         rig.gateway(POOL);
         rig.awaitLog("[zones]: expected the table, or none");
     }
 
-    /** Two gateways with one folder: the one that is idle leaves its part to the one that is not, and both have no more than all. */
+    /**
+     * Two gateways with one shared folder: the idle one leaves its part of the budget to the busy one, and together
+     * they don't exceed the budget.
+     */
     @Test
-    void theIdleGatewaysPartIsNotLost() throws Exception {
+    void idleGatewayPassesOnItsPartOfTheBudget() throws Exception {
         String zones = "[zones]\nshared_folder = \"shared\"\n[[zones.budget]]\nname = \"few\"\nwindow = \"minute\"\nrequests = 40\n";
         Files.createDirectory(folder.resolve("shared"));
-        String head = Rig.HEAD.replace("zone = \"bilbao\"", "gateways = 2\nname = \"busy\"\nzone = \"bilbao\"");
+        String head = Rig.GATEWAY_HEAD.replace("zone = \"bilbao\"", "gateways = 2\nname = \"busy\"\nzone = \"bilbao\"");
         rig.save("gateway.toml", head + POOL + zones + "# end\n");
         rig.save("idle.toml", head.replace("busy", "idle").replace("status_file = \"status\"", "") + POOL + zones + "# end\n");
         rig.start();
         try (Service idle = Service.start(folder.resolve("idle.toml"), new PrintStream(rig.log, true, StandardCharsets.UTF_8))) {
             rig.await(() -> {
-                assertEquals(30, statuses(30, null)[200]);
-                Snapshot.Budget own = rig.service.crossed().budgets().get(0);
-                Snapshot.Budget other = idle.crossed().budgets().get(0);
-                assertTrue(own.begin() != other.begin() || own.granted() + other.granted() <= 40 + 1e-9, "no more than all");
+                assertEquals(30, countStatuses(30, null)[200]);
+                Snapshot.Budget own = rig.service.zoneSnapshot().budgets().get(0);
+                Snapshot.Budget other = idle.zoneSnapshot().budgets().get(0);
+                assertTrue(own.begin() != other.begin() || own.granted() + other.granted() <= 40 + 1e-9, "the parts together exceed the budget");
                 return own.kept().got().getOrDefault("idle", 0.0) > 1;
-            }, "the idle one gives of its part");
+            }, "the idle gateway passes on some of its part");
         }
     }
 }
