--- a/src/test/java/mastdrift/net/UnusedClassesNotLoadedTest.java
+++ b/src/test/java/mastdrift/net/UnusedClassesNotLoadedTest.java
@@ -106,7 +106,7 @@
                 assertTrue(i < Loopback.WAIT_SECONDS * 100 && process.isAlive(), "not listening in time");
                 Thread.sleep(10);
             }
-            String absent = "(mastdrift\\.(peers|agreed|distribution|serve\\.(Peer|Agreed|Distribution|ControlMachine|ControlLinks|ControlClient|ConfigCopy|Alone))|org\\.apache\\.ratis).*";
+            String absent = "(mastdrift\\.(peers|agreed|distribution|serve\\.(Peer|Agreed|Distribution|ControlMachine|ControlLinks|ControlClient|ConfigCopy|IsolationTracker))|org\\.apache\\.ratis).*";
             assertEquals(List.of(), loadedClasses().stream().filter(name -> name.matches(absent)).toList());
         } finally {
             process.destroyForcibly().waitFor();
