--- a/src/main/java/mastdrift/net/Config.java
+++ b/src/main/java/mastdrift/net/Config.java
@@ -13,7 +13,7 @@
 import java.util.Objects;
 import java.util.stream.Collectors;
 import mastdrift.Balancer.Settings;
-import mastdrift.settings.Facts;
+import mastdrift.settings.ModuleSettingsReader;
 
 /** What a gateway is told at its start; throws IllegalArgumentException with one plain line where it can't be read. */
 record Config(InetSocketAddress listen, InetSocketAddress discovery, int sockets, HostList known, Settings settings) {
@@ -25,7 +25,7 @@
         flatten("", root.get("settings"), facts);
         Settings settings;
         try {
-            settings = new Facts(facts).settings(seed(text(root, "seed")));
+            settings = new ModuleSettingsReader(facts).read(seed(text(root, "seed")));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("settings: expected " + e.getMessage(), e);
         }
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Paths as on the simulator's wire, which {@link Facts} reads. */
+    /** Paths as on the simulator's wire, which {@link ModuleSettingsReader} reads. */
     private static void flatten(String path, Object node, Map<String, String> facts) {
         if (node instanceof Map<?, ?> object) {
             object.forEach((name, value) -> flatten(path.isEmpty() ? name.toString() : path + "." + name, value, facts));
--- a/src/main/java/mastdrift/radius/edge/RadiusClients.java
+++ b/src/main/java/mastdrift/radius/edge/RadiusClients.java
@@ -26,14 +26,14 @@
     /** In any order. */
     public RadiusClients(List<Client> clients) {
         this.clients = new ArrayList<>(clients);
-        this.clients.sort(Comparator.comparingInt((Client client) -> client.range.prefix()).reversed());
+        this.clients.sort(Comparator.comparingInt((Client client) -> client.range.prefixLength()).reversed());
     }
 
     /** The client of an address, or null. */
     public Client of(InetAddress address) {
         byte[] bytes = address.getAddress();
         for (Client client : clients) {
-            if (client.range.holds(bytes)) {
+            if (client.range.contains(bytes)) {
                 return client;
             }
         }
--- a/src/main/java/mastdrift/settings/package-info.java
+++ b/src/main/java/mastdrift/settings/package-info.java
@@ -1,3 +1,5 @@
-/** A module's settings as paths and values, read once for whoever is told them: the simulator's adapter and the platform's
-    gateway; and values that settings of several kinds have. No I/O. */
+/**
+ * Reads a decision module's settings from paths and values, for both the simulator's adapter and the platform's
+ * gateway; and value types that several kinds of settings share. No I/O.
+ */
 package mastdrift.settings;
--- a/src/main/java/mastdrift/wire/Adapter.java
+++ b/src/main/java/mastdrift/wire/Adapter.java
@@ -6,7 +6,7 @@
 import mastdrift.Balancer.ListForm;
 import mastdrift.Balancer.LoadReport;
 import mastdrift.Balancer.Outcome;
-import mastdrift.settings.Facts;
+import mastdrift.settings.ModuleSettingsReader;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -101,16 +101,16 @@
     }
 
     private static Balancer.Settings settings(Fields f, long seed) {
-        Facts facts = facts(f);
+        ModuleSettingsReader facts = facts(f);
         try {
-            return facts.settings(seed);
+            return facts.read(seed);
         } catch (IllegalArgumentException e) {
             throw f.expected(e.getMessage());
         }
     }
 
     /** The rest of the line: paths and their values. */
-    static Facts facts(Fields f) {
+    static ModuleSettingsReader facts(Fields f) {
         Map<String, String> values = new HashMap<>();
         for (String pair : f.rest()) {
             int eq = pair.indexOf('=');
@@ -119,7 +119,7 @@
             }
             values.put(pair.substring(0, eq), pair.substring(eq + 1));
         }
-        return new Facts(values);
+        return new ModuleSettingsReader(values);
     }
 
     /** Reads the whole event before the module hears of it. */
--- a/src/main/java/mastdrift/zones/Networks.java
+++ b/src/main/java/mastdrift/zones/Networks.java
@@ -19,13 +19,13 @@
     /** In any order. */
     public Networks(List<Network> networks) {
         this.networks = new ArrayList<>(networks);
-        this.networks.sort(Comparator.comparingInt((Network network) -> network.range.prefix()).reversed());
+        this.networks.sort(Comparator.comparingInt((Network network) -> network.range.prefixLength()).reversed());
     }
 
     /** The zone of an address of 4 or 16 bytes; empty where no network holds it. */
     public String zone(byte[] address) {
         for (Network network : networks) {
-            if (network.range.holds(address)) {
+            if (network.range.contains(address)) {
                 return network.zone;
             }
         }
--- a/src/test/java/mastdrift/wire/PassingOnTest.java
+++ b/src/test/java/mastdrift/wire/PassingOnTest.java
@@ -40,7 +40,7 @@
             + " tenants.0.fraction=0.6 tenants.0.quota_per_s=7.5 a.key.of.tomorrow=1";
 
     private static Balancer.Settings settings(String facts) {
-        return Adapter.facts(new Fields(facts)).settings(5);
+        return Adapter.facts(new Fields(facts)).read(5);
     }
 
     @Test
