--- a/src/main/java/mastdrift/cli/Commands.java
+++ b/src/main/java/mastdrift/cli/Commands.java
@@ -15,7 +15,7 @@
 import mastdrift.config.DistributionReader;
 import mastdrift.config.Problems;
 import mastdrift.events.Events;
-import mastdrift.files.FileTexts;
+import mastdrift.files.FileContents;
 import mastdrift.files.StatusFile;
 import mastdrift.lab.rig.ChaosPlan;
 import mastdrift.logging.LogSetup;
@@ -55,7 +55,7 @@
 
     /** Reads a file; prints what is wrong with it, and then returns null. */
     private static Configuration read(Path file, PrintWriter err) {
-        ConfigurationReader.Result result = FileTexts.read(file);
+        ConfigurationReader.Result result = FileContents.read(file);
         result.problems().forEach(err::println);
         return result.configuration();
     }
@@ -126,9 +126,9 @@
         public Integer call() {
             PrintWriter out = spec.commandLine().getOut();
             PrintWriter err = spec.commandLine().getErr();
-            String control = new FileTexts(file).text(FileTexts.name(file), new Problems());
-            if (control != null && DistributionReader.isControl(FileTexts.name(file), control)) {
-                DistributionReader.Result result = DistributionReader.control(FileTexts.name(file), control);
+            String control = new FileContents(file).text(FileContents.displayName(file), new Problems());
+            if (control != null && DistributionReader.isControl(FileContents.displayName(file), control)) {
+                DistributionReader.Result result = DistributionReader.control(FileContents.displayName(file), control);
                 result.problems().forEach(err::println);
                 if (result.settings() != null) {
                     out.println("control machine " + result.settings().name() + ": " + result.settings().role().name().toLowerCase(Locale.ROOT) + " in " + result.settings().zone()
--- a/src/main/java/mastdrift/cli/ConfigRequests.java
+++ b/src/main/java/mastdrift/cli/ConfigRequests.java
@@ -17,7 +17,7 @@
 import mastdrift.distribution.ResourceKind;
 import mastdrift.distribution.Revision;
 import mastdrift.distribution.Summaries;
-import mastdrift.files.FileTexts;
+import mastdrift.files.FileContents;
 import mastdrift.serve.ControlClient;
 
 /** Requests of {@link ConfigCommand} to control machines, and how it shows the responses. Apart from the commands, whose methods' types are loaded with every command. */
@@ -58,12 +58,12 @@
             return WORDS;
         }
         Problems unread = new Problems();
-        String text = new FileTexts(file).text(FileTexts.name(file), unread);
+        String text = new FileContents(file).text(FileContents.displayName(file), unread);
         unread.lines().forEach(err::println);
         if (text == null) {
             return REFUSED;
         }
-        ChangeReader.Result read = ChangeReader.read(FileTexts.name(file), text, id == null ? Long.toHexString(new SecureRandom().nextLong()) : id);
+        ChangeReader.Result read = ChangeReader.read(FileContents.displayName(file), text, id == null ? Long.toHexString(new SecureRandom().nextLong()) : id);
         read.problems().forEach(err::println);
         return read.change() == null ? REFUSED : by(config, client -> answer(read.change().id(), client.apply(read.change(), seconds * 1_000L)));
     }
--- a/src/main/java/mastdrift/cli/PeersCommand.java
+++ b/src/main/java/mastdrift/cli/PeersCommand.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.Callable;
 import mastdrift.config.Configuration;
 import mastdrift.config.ConfigurationReader;
-import mastdrift.files.FileTexts;
+import mastdrift.files.FileContents;
 import mastdrift.files.StatusFile;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -40,7 +40,7 @@
     public Integer call() throws IOException {
         PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
-        ConfigurationReader.Result result = FileTexts.read(file);
+        ConfigurationReader.Result result = FileContents.read(file);
         result.problems().forEach(err::println);
         Configuration configuration = result.configuration();
         if (configuration == null) {
--- a/src/main/java/mastdrift/files/FileTexts.java
+++ b/src/main/java/mastdrift/files/FileContents.java
@@ -22,105 +22,112 @@
 import mastdrift.config.Problem;
 import mastdrift.config.Problems;
 
-/** The texts of one set of files as they were at one moment, each read once. Names are relative to the gateway's file. Only
-    regular files of a bounded size are opened: opening a FIFO would wait for its writer. */
-public final class FileTexts implements ConfigurationReader.Texts {
+/**
+ * The texts of one set of files, each read once. Names are relative to the gateway's file. Only regular files of a
+ * bounded size are opened: opening a FIFO would block until it has a writer.
+ */
+public final class FileContents implements ConfigurationReader.Texts {
 
-    /** Bytes of one file. */
-    public static final long MOST = 16 << 20;
+    /** Maximum size of one file. */
+    public static final long MAX_FILE_BYTES = 16 << 20;
 
     private final Path folder;
-    private final Map<String, Read> reads = new LinkedHashMap<>();
+    private final Map<String, ReadResult> readsByFile = new LinkedHashMap<>();
 
-    /** What a file held, or why it could not be read. */
-    private record Read(String text, String problem, int line, int column) { }
+    /** The text of a file, or why and where it could not be read. */
+    private record ReadResult(String text, String problem, int line, int column) { }
 
-    /** For files beside this one. */
-    public FileTexts(Path file) {
+    /** For files in the same folder as {@code file}. */
+    public FileContents(Path file) {
         Path parent = file.toAbsolutePath().getParent();
         folder = parent == null ? file.toAbsolutePath() : parent;
     }
 
-    /** The same for a file, by its name in messages. */
+    /** Reads a gateway's file and all that it includes. */
     public static ConfigurationReader.Result read(Path file) {
-        return ConfigurationReader.read(name(file), new FileTexts(file));
+        return ConfigurationReader.read(displayName(file), new FileContents(file));
     }
 
-    /** What a gateway's file is called in messages, and as which it is read. */
-    public static String name(Path file) {
+    /** The name of a gateway's file in messages. */
+    public static String displayName(Path file) {
         return String.valueOf(file.getFileName());
     }
 
     @Override
     public String text(String file, Problems problems) {
-        Read read = reads.computeIfAbsent(file, this::load);
+        ReadResult read = readsByFile.computeIfAbsent(file, this::load);
         if (read.text == null) {
             problems.add(new Problem(file, read.line, read.column, read.problem));
         }
         return read.text;
     }
 
-    /** Reads these as far as they were not yet. */
-    FileTexts load(Collection<String> files) {
-        files.forEach(file -> reads.computeIfAbsent(file, this::load));
+    /** Reads those files that have not been read yet. */
+    FileContents load(Collection<String> files) {
+        files.forEach(file -> readsByFile.computeIfAbsent(file, this::load));
         return this;
     }
 
-    /** Whether these files, and only these, read the same in both. */
-    boolean same(FileTexts other) {
-        return other != null && reads.equals(other.reads);
+    /** Whether both hold the same files with the same content. */
+    boolean hasSameContent(FileContents other) {
+        return other != null && readsByFile.equals(other.readsByFile);
     }
 
-    private Read load(String file) {
+    private ReadResult load(String file) {
         try {
             Path path = folder.resolve(file);
             BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
             if (!attributes.isRegularFile()) {
                 return problem("expected a file, found " + (attributes.isDirectory() ? "a folder" : "something else"));
             }
-            if (attributes.size() > MOST) {
-                return problem("expected at most " + MOST + " bytes, found " + attributes.size());
+            if (attributes.size() > MAX_FILE_BYTES) {
+                return problem("expected at most " + MAX_FILE_BYTES + " bytes, found " + attributes.size());
             }
             try (InputStream in = Files.newInputStream(path)) {
-                byte[] bytes = in.readNBytes((int) MOST + 1);
-                return bytes.length > MOST ? problem("expected at most " + MOST + " bytes, found more") : decode(bytes);
+                byte[] bytes = in.readNBytes((int) MAX_FILE_BYTES + 1);
+                return bytes.length > MAX_FILE_BYTES
+                        ? problem("expected at most " + MAX_FILE_BYTES + " bytes, found more") : decode(bytes);
             }
         } catch (NoSuchFileException e) {
             return problem("expected a file, found none");
         } catch (AccessDeniedException e) {
-            return problem("expected a file that can be read, found one that may not be");
+            return problem("expected a file that can be read, found one without read permission");
         } catch (IOException | InvalidPathException e) {
             return problem("expected a file that can be read, found " + e);
         }
     }
 
-    private static Read problem(String problem) {
-        return new Read(null, problem, 0, 0);
+    private static ReadResult problem(String problem) {
+        return new ReadResult(null, problem, 0, 0);
     }
 
-    /** UTF-8 alone, and the place of the first byte that is none. */
-    private static Read decode(byte[] bytes) {
+    /** Decodes UTF-8 strictly; reports the position of the first invalid byte. */
+    private static ReadResult decode(byte[] bytes) {
         CharsetDecoder decoder = StandardCharsets.UTF_8.newDecoder().onMalformedInput(CodingErrorAction.REPORT)
                 .onUnmappableCharacter(CodingErrorAction.REPORT);
         ByteBuffer in = ByteBuffer.wrap(bytes);
         try {
-            return new Read(decoder.decode(in).toString(), null, 0, 0);
+            return new ReadResult(decoder.decode(in).toString(), null, 0, 0);
         } catch (CharacterCodingException e) {
             int line = 1;
-            int begin = 0;
+            int lineStart = 0;
             for (int i = 0; i < in.position(); i++) {
                 if (bytes[i] == '\n') {
                     line++;
-                    begin = i + 1;
+                    lineStart = i + 1;
                 }
             }
-            return new Read(null, "expected UTF-8, found a byte " + Integer.toHexString(bytes[in.position()] & 0xFF),
-                    line, in.position() - begin + 1);
+            return new ReadResult(null, "expected UTF-8, found a byte "
+                    + Integer.toHexString(bytes[in.position()] & 0xFF),
+                    line, in.position() - lineStart + 1);
         }
     }
 
-    /** What a look from outside tells of a file: another size, time or inode is another file, links followed. */
-    record Stamp(long size, long modified, Object key) {
+    /**
+     * File metadata that tells files apart without reading them: a different size, modification time or inode means
+     * another file. Symbolic links are followed.
+     */
+    record Stamp(long size, long modifiedNanos, Object fileKey) {
 
         static Stamp of(Path file) {
             try {
@@ -133,7 +140,7 @@
         }
     }
 
-    /** Stamps of files by their names. */
+    /** The stamps of these files by name. */
     Map<String, Stamp> stamps(Collection<String> files) {
         Map<String, Stamp> stamps = new LinkedHashMap<>();
         files.forEach(file -> stamps.put(file, Stamp.of(folder.resolve(file))));
--- a/src/main/java/mastdrift/files/StatusFile.java
+++ b/src/main/java/mastdrift/files/StatusFile.java
@@ -7,24 +7,27 @@
 import java.nio.file.StandardCopyOption;
 import java.util.Map;
 
-/** What is in force and what was refused last, as JSON in a file that is replaced whole; for operators and {@code check}. */
+/**
+ * Writes which configuration is in force and which was rejected last, as JSON, to a file that is replaced atomically;
+ * for operators and the command {@code check}.
+ */
 public final class StatusFile {
 
     private final Path path;
 
-    /** Beside the gateway's file where the name is relative. */
+    /** A relative name is resolved against the folder of the gateway's file. */
     public StatusFile(Path gatewayFile, String name) {
         path = gatewayFile.toAbsolutePath().resolveSibling(name);
     }
 
-    /** Replaces it. */
+    /** Atomically replaces the file. */
     public void write(Map<String, ?> status) throws IOException {
-        Path aside = path.resolveSibling(path.getFileName() + ".new");
-        Files.write(aside, JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asBytes(status));
-        Files.move(aside, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path temporaryFile = path.resolveSibling(path.getFileName() + ".new");
+        Files.write(temporaryFile, JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asBytes(status));
+        Files.move(temporaryFile, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** What was written last; null where there is nothing, or nothing that can be read. */
+    /** The status that was written last; null if there is none or it can't be read. */
     public Map<String, Object> read() {
         try {
             return Files.isRegularFile(path) ? JSON.std.mapFrom(Files.readAllBytes(path)) : null;
--- a/src/main/java/mastdrift/files/package-info.java
+++ b/src/main/java/mastdrift/files/package-info.java
@@ -1,3 +1,5 @@
-/** The operator's files: reads them within bounds, watches them, and writes what came of it. On a thread of its own, never
-    on the event loop. */
+/**
+ * Reads the operator's files within size limits, watches them for changes, and writes the status file. Runs on a thread
+ * of its own, never on the event loop.
+ */
 package mastdrift.files;
--- a/src/main/java/mastdrift/measure/PoolsMeasurement.java
+++ b/src/main/java/mastdrift/measure/PoolsMeasurement.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import mastdrift.config.ConfigurationReader;
-import mastdrift.files.FileTexts;
+import mastdrift.files.FileContents;
 import mastdrift.lab.load.Counts.Of;
 import mastdrift.lab.load.LoadPlan;
 import mastdrift.lab.load.LoadRun;
@@ -131,7 +131,7 @@
         long[] nanos = new long[RUNS];
         for (int i = 0; i < RUNS; i++) {
             long since = System.nanoTime();
-            ConfigurationReader.Result result = FileTexts.read(files.gateway());
+            ConfigurationReader.Result result = FileContents.read(files.gateway());
             nanos[i] = System.nanoTime() - since;
             if (result.configuration() == null) {
                 throw new IllegalStateException(result.problems().toString());
--- a/src/main/java/mastdrift/serve/ControlClient.java
+++ b/src/main/java/mastdrift/serve/ControlClient.java
@@ -24,7 +24,7 @@
 import mastdrift.distribution.ResourceKind;
 import mastdrift.distribution.edge.ControlCodec;
 import mastdrift.events.Events;
-import mastdrift.files.FileTexts;
+import mastdrift.files.FileContents;
 
 /** Sends requests to control machines for an operator, over signed links, under a name of its own. Waits; for each request a bounded time. */
 public final class ControlClient implements AutoCloseable {
@@ -57,15 +57,15 @@
     }
 
     private static DistributionSettings settings(Path file, List<String> problems) {
-        String text = new FileTexts(file).text(FileTexts.name(file), new Problems());
-        if (text != null && DistributionReader.isControl(FileTexts.name(file), text)) {
+        String text = new FileContents(file).text(FileContents.displayName(file), new Problems());
+        if (text != null && DistributionReader.isControl(FileContents.displayName(file), text)) {
             return ControlMachine.settings(file, problems);
         }
-        ConfigurationReader.Result result = FileTexts.read(file);
+        ConfigurationReader.Result result = FileContents.read(file);
         problems.addAll(result.problems());
         Configuration configuration = result.configuration();
         if (configuration != null && configuration.distribution() == null) {
-            problems.add(FileTexts.name(file) + ": expected a table [distribution], found none");
+            problems.add(FileContents.displayName(file) + ": expected a table [distribution], found none");
         }
         return configuration == null ? null : configuration.distribution();
     }
--- a/src/main/java/mastdrift/serve/ControlMachine.java
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -44,7 +44,7 @@
 import mastdrift.distribution.edge.Subscription;
 import mastdrift.events.Events;
 import mastdrift.events.Events.Level;
-import mastdrift.files.FileTexts;
+import mastdrift.files.FileContents;
 import mastdrift.net.Addresses;
 
 /**
@@ -115,12 +115,12 @@
     /** What a control machine's file says; null, and problems, where that can't be used. */
     static DistributionSettings settings(Path file, List<String> problems) {
         Problems unread = new Problems();
-        String text = new FileTexts(file).text(FileTexts.name(file), unread);
+        String text = new FileContents(file).text(FileContents.displayName(file), unread);
         problems.addAll(unread.lines());
         if (text == null) {
             return null;
         }
-        DistributionReader.Result result = DistributionReader.control(FileTexts.name(file), text);
+        DistributionReader.Result result = DistributionReader.control(FileContents.displayName(file), text);
         problems.addAll(result.problems());
         return result.settings();
     }
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -45,7 +45,7 @@
 import mastdrift.events.Events;
 import mastdrift.events.Events.Level;
 import mastdrift.files.StatusFile;
-import mastdrift.files.Watcher;
+import mastdrift.files.FileWatcher;
 import mastdrift.membership.PoolList;
 import mastdrift.net.Addresses;
 import mastdrift.net.ClientSide;
@@ -108,7 +108,7 @@
     private final Router router = new Router(Router.PINS_MOST);
     private final Map<String, Served> pools = new HashMap<>();
     private final Control control = new Control(new Loop(), clock::now);
-    private final Watcher watcher;
+    private final FileWatcher watcher;
     private final Secrets secrets;
     private Configuration started;
     private ZoneService zones;  // null where what crosses zones is neither counted nor bounded
@@ -128,16 +128,16 @@
         this.events = events;
         secrets = new Secrets(file, System.getenv());
         ledger.notifications(this::readNotifications);
-        watcher = new Watcher(file, new Watcher.Taker() {
+        watcher = new FileWatcher(file, new FileWatcher.Listener() {
             @Override
-            public List<String> take(Configuration configuration) {
+            public List<String> apply(Configuration configuration) {
                 List<String> missing = secrets.read(configuration);
                 missing = missing.isEmpty() && distribution != null ? distribution.problems(configuration) : missing;
                 return missing.isEmpty() ? control.offer(configuration) : missing;
             }
 
             @Override
-            public void judged(List<String> problems) {
+            public void onResult(List<String> problems) {
                 report(problems);
             }
         });
@@ -154,7 +154,7 @@
     public static Service start(Path file, Events events, boolean rehearsed) {
         Service service = new Service(file, events);
         try {
-            List<String> problems = service.watcher.first();
+            List<String> problems = service.watcher.readInitial();
             if (!problems.isEmpty()) {
                 throw new IllegalArgumentException(String.join("\n", problems));
             }
