--- a/src/main/java/mastdrift/cli/Commands.java
+++ b/src/main/java/mastdrift/cli/Commands.java
@@ -128,7 +128,7 @@
             PrintWriter err = spec.commandLine().getErr();
             String control = new FileContents(file).text(FileContents.displayName(file), new Problems());
             if (control != null && DistributionReader.isControl(FileContents.displayName(file), control)) {
-                DistributionReader.Result result = DistributionReader.control(FileContents.displayName(file), control);
+                DistributionReader.Result result = DistributionReader.readControl(FileContents.displayName(file), control);
                 result.problems().forEach(err::println);
                 if (result.settings() != null) {
                     out.println("control machine " + result.settings().name() + ": " + result.settings().role().name().toLowerCase(Locale.ROOT) + " in " + result.settings().zone()
@@ -140,7 +140,7 @@
             if (configuration == null) {
                 return REFUSED;
             }
-            configuration.versions().forEach((pool, version) -> out.println("pool " + pool + ": version " + version + ", "
+            configuration.nodeListVersions().forEach((pool, version) -> out.println("pool " + pool + ": version " + version + ", "
                     + configuration.nodes().get(pool).size() + " nodes"));
             configuration.routes().forEach(route -> out.println("route " + route.name() + ": " + route.targets().stream()
                     .map(target -> target.pool() + " " + target.weight()).toList()
--- a/src/main/java/mastdrift/config/AgreedSettings.java
+++ b/src/main/java/mastdrift/config/AgreedSettings.java
@@ -3,12 +3,13 @@
 import java.util.List;
 
 /**
- * The log that the gateways of an installation agree on.
+ * Settings of the replicated log that the gateways of an installation agree on ({@code [agreed]}).
  *
- * @param begin the operator's word for it: another word begins another log
- * @param voters gateways that vote at its begin, an odd number
- * @param folder where a voter keeps it
- * @param replaceAfter microseconds for which a voter is away until another gateway takes its place
- * @param rollEvery microseconds from one word of this gateway in the log to the next, which shows that it works
+ * @param logId the operator's identifier of the log; changing it starts a new log
+ * @param voters gateways that vote when the log is created, an odd number
+ * @param folder where a voter stores the log
+ * @param replaceAfterMicros how long a voter may be unreachable before another gateway replaces it
+ * @param livenessIntervalMicros interval at which this gateway appends an entry to the log to show that it is alive
  */
-public record AgreedSettings(String begin, List<String> voters, String folder, long replaceAfter, long rollEvery) { }
+public record AgreedSettings(String logId, List<String> voters, String folder, long replaceAfterMicros,
+        long livenessIntervalMicros) { }
--- a/src/main/java/mastdrift/config/ChangeReader.java
+++ b/src/main/java/mastdrift/config/ChangeReader.java
@@ -8,85 +8,89 @@
 import mastdrift.distribution.Edit;
 import mastdrift.distribution.ResourceKind;
 
-/** Reads a change of configuration from a file (TOML 1.0): {@code [[upsert]]} with kind, name and value, {@code [[delete]]} with kind and name, and a closing line, so that the half of a change
-    is no change. All problems are reported at once, each with its place; docs/operations/distribution.md lists the keys. */
+/**
+ * Reads a configuration change from a TOML 1.0 file: {@code [[upsert]]} tables with kind, name and value, {@code
+ * [[delete]]} tables with kind and name, and a closing line, so that a truncated file is not accepted as a change. All
+ * problems are reported at once, each with its location; docs/operations/distribution.md lists the keys.
+ */
 public final class ChangeReader {
 
     private static final List<ResourceKind> KINDS = List.of(ResourceKind.values());
-    private static final List<String> WORDS = KINDS.stream().map(kind -> kind.name().toLowerCase(Locale.ROOT)).toList();
+    private static final List<String> KIND_NAMES = KINDS.stream().map(kind -> kind.name().toLowerCase(Locale.ROOT))
+            .toList();
 
     private ChangeReader() { }
 
-    /** What came of a file: a change, or null and the problems. */
+    /** The outcome of reading a file: a change, or null and the problems. */
     public record Result(Change change, List<String> problems) { }
 
-    /** Reads one; {@code id} is the change's where the file has none. */
+    /** Reads a change; {@code id} becomes the change's identifier where the file has none. */
     public static Result read(String file, String text, String id) {
         Problems problems = new Problems();
-        Closing.check(file, text, -1, problems);
+        ClosingLine.check(file, text, -1, problems);
         Section root = Section.root(file, text, problems);
-        Change change = root == null ? null : change(root, id);
-        return new Result(problems.none() ? change : null, problems.lines());
+        Change change = root == null ? null : readChange(root, id);
+        return new Result(problems.isEmpty() ? change : null, problems.lines());
     }
 
-    private static Change change(Section root, String absent) {
-        String id = root.text("id", absent);
+    private static Change readChange(Section root, String defaultId) {
+        String id = root.text("id", defaultId);
         if (id.length() > Change.ID_MOST) {
-            root.problem("id", "expected 1 to " + Change.ID_MOST + " characters, found " + id.length());
+            root.addProblem("id", "expected 1 to " + Change.ID_MOST + " characters, found " + id.length());
         }
         List<Edit> edits = new ArrayList<>();
-        Set<String> met = Section.met();
+        Set<String> seen = Section.newSeenSet();
         for (Section each : root.sections("upsert", Change.EDITS_MOST)) {
             ResourceKind kind = kind(each);
-            String name = name(each, kind, met);
-            byte[] value = each.json("value");
+            String name = readName(each, kind, seen);
+            byte[] value = each.jsonBytes("value");
             if (value == null && !each.has("value")) {
-                each.problem("value", "expected a table, found nothing");
+                each.addProblem("value", "expected a table, found nothing");
             }
-            String problem = value == null || kind == null || name.equals("?") ? null : ResourceValues.problem(kind, name, value);
+            String problem = value == null || kind == null || name.equals("?") ? null : ResourceValues.findProblems(kind, name, value);
             if (problem != null) {
-                each.problem("value", problem);
+                each.addProblem("value", problem);
             }
-            edits.add(new Edit.Upsert(kind, name, value, expected(each)));
-            each.noMore();
+            edits.add(new Edit.Upsert(kind, name, value, readExpectedVersion(each)));
+            each.rejectUnknownKeys();
         }
         for (Section each : root.sections("delete", Change.EDITS_MOST)) {
             ResourceKind kind = kind(each);
-            edits.add(new Edit.Delete(kind, name(each, kind, met), expected(each)));
-            each.noMore();
+            edits.add(new Edit.Delete(kind, readName(each, kind, seen), readExpectedVersion(each)));
+            each.rejectUnknownKeys();
         }
-        root.noMore();
+        root.rejectUnknownKeys();
         if (edits.isEmpty()) {
-            root.problem("upsert", "expected at least one [[upsert]] or [[delete]], found none");
+            root.addProblem("upsert", "expected at least one [[upsert]] or [[delete]], found none");
         }
         if (edits.size() > Change.EDITS_MOST) {
-            root.problem("upsert", "expected at most " + Change.EDITS_MOST + " edits, found " + edits.size());
+            root.addProblem("upsert", "expected at most " + Change.EDITS_MOST + " edits, found " + edits.size());
         }
         return new Change(id, edits);
     }
 
     private static ResourceKind kind(Section section) {
-        ResourceKind kind = section.word("kind", null, WORDS, KINDS);
+        ResourceKind kind = section.oneOf("kind", null, KIND_NAMES, KINDS);
         if (!section.has("kind")) {
-            section.problem("kind", "expected one of " + String.join(", ", WORDS) + ", found nothing");
+            section.addProblem("kind", "expected one of " + String.join(", ", KIND_NAMES) + ", found nothing");
         }
         return kind;
     }
 
-    private static String name(Section section, ResourceKind kind, Set<String> met) {
-        String name = Tables.word(section, "name", section.requiredText("name"));
-        section.once("name", kind + " " + name, met);
+    private static String readName(Section section, ResourceKind kind, Set<String> seen) {
+        String name = Tables.checkName(section, "name", section.requiredText("name"));
+        section.requireUnique("name", kind + " " + name, seen);
         return name;
     }
 
-    /** Without it whatever version there is will do. */
-    private static long expected(Section section) {
-        return section.whole("expected", Edit.ANY, Edit.NONE, Long.MAX_VALUE);
+    /** The version that the resource must have for the edit to apply; any version when the key is absent. */
+    private static long readExpectedVersion(Section section) {
+        return section.integer("expected", Edit.ANY, Edit.NONE, Long.MAX_VALUE);
     }
 
-    /** A kind by its word; null for none. */
-    public static ResourceKind kind(String word) {
-        int at = WORDS.indexOf(word);
-        return at < 0 ? null : KINDS.get(at);
+    /** The resource kind with this lower-case name; null if there is none. */
+    public static ResourceKind kind(String name) {
+        int index = KIND_NAMES.indexOf(name);
+        return index < 0 ? null : KINDS.get(index);
     }
 }
--- a/src/main/java/mastdrift/config/Configuration.java
+++ b/src/main/java/mastdrift/config/Configuration.java
@@ -12,37 +12,52 @@
 import mastdrift.routing.Route;
 import mastdrift.zones.ZoneSettings;
 
-/** A whole set of files, checked: the gateway's own file and the node lists that it includes. Immutable. {@code zones} is null where
-    what crosses zones is neither counted nor bounded, {@code peers} where the gateway knows of no other, {@code agreed}
-    where it agrees on nothing with them, {@code distribution} where its routes are those of the files. */
+/**
+ * A complete, validated configuration: the gateway's own file and the node lists that it includes. Immutable. {@code
+ * zones} is null if cross-zone traffic is neither counted nor limited, {@code peers} if the gateway knows no other
+ * gateway, {@code agreed} if it shares no replicated log with others, {@code distribution} if its routes come from the
+ * files.
+ */
 public record Configuration(GatewaySettings gateway, List<RequestClass> classes, List<Tenant> tenants,
-        Map<String, PoolSettings> pools, List<RadiusSettings> radius, List<Route> routes, List<Override> overrides,
+        Map<String, PoolSettings> pools, List<RadiusSettings> radiusListeners, List<Route> routes,
+        List<Override> overrides,
         Map<String, List<Node>> nodes, ZoneSettings zones, PeerSettings peers, AgreedSettings agreed,
         DistributionSettings distribution) {
 
-    /** Gateways that send to the same hosts: twice what the largest fleet that this is made for has (docs/CAPACITY.md). */
-    public static final int GATEWAYS_MOST = 8_200;
-    /** Pools of one gateway, likewise. */
-    public static final int POOLS_MOST = 1_620;
-    /** Node lists that one gateway's file includes, likewise: one a pool. */
-    public static final int FILES_MOST = 1_620;
-    /** Nodes in all lists together, likewise. */
-    public static final int NODES_MOST = 94_000;
-    /** Nodes of one list. What reading takes goes by the largest file: a list of this many does not fit a heap of 256 MiB. */
-    public static final int LIST_NODES_MOST = 20_000;
-    /** Routes of one gateway's file; a {@link mastdrift.routing.RouteTable} of another source holds more. */
-    public static final int ROUTES_MOST = 1_000;
+    /**
+     * Maximum gateways that send to the same hosts: twice the number in the largest supported fleet (docs/CAPACITY.md).
+     */
+    public static final int MAX_GATEWAYS = 8_200;
+    /** Maximum pools of one gateway: twice the number in the largest supported fleet. */
+    public static final int MAX_POOLS = 1_620;
+    /**
+     * Maximum node list files that one gateway's file includes: one per pool, so also twice the number in the largest
+     * supported fleet.
+     */
+    public static final int MAX_NODE_LIST_FILES = 1_620;
+    /** Maximum nodes in all lists together: twice the number in the largest supported fleet. */
+    public static final int MAX_NODES = 94_000;
+    /**
+     * Maximum nodes of one list. The memory needed for reading grows with the largest file: a list of this size does
+     * not fit into a heap of 256 MiB.
+     */
+    public static final int MAX_NODES_PER_LIST = 20_000;
+    /**
+     * Maximum routes in one gateway's file; a {@link mastdrift.routing.RouteTable} filled from another source holds
+     * more.
+     */
+    public static final int MAX_ROUTES = 1_000;
 
-    /** What the files say of each pool. */
-    public Map<String, Filed> filed() {
-        Map<String, Filed> filed = new TreeMap<>();
-        pools.forEach((name, pool) -> filed.put(name,
+    /** The nodes that the files list for each pool, with the pool's time spans that membership needs. */
+    public Map<String, Filed> configuredNodes() {
+        Map<String, Filed> byPool = new TreeMap<>();
+        pools.forEach((name, pool) -> byPool.put(name,
                 new Filed(nodes.get(name), pool.rules().fallSpan(), pool.rules().warmWithin())));
-        return filed;
+        return byPool;
     }
 
-    /** The version of each pool's nodes. */
-    public Map<String, String> versions() {
+    /** The content version of each pool's node list. */
+    public Map<String, String> nodeListVersions() {
         Map<String, String> versions = new TreeMap<>();
         nodes.forEach((pool, list) -> versions.put(pool, Version.of(list)));
         return versions;
--- a/src/main/java/mastdrift/config/GatewaySettings.java
+++ b/src/main/java/mastdrift/config/GatewaySettings.java
@@ -4,18 +4,19 @@
 import mastdrift.limits.PhaseBounds;
 
 /**
- * What a gateway is bound to at its start.
+ * Settings of a gateway that are fixed when it starts.
  *
  * @param name its own name, for its log and status
  * @param listen address and port in digits
  * @param zone its data centre
  * @param zones all data centres that nodes may name
- * @param me its number among the gateways that send to the same hosts, from 0
- * @param gateways how many those are: hosts are shared by all
- * @param connections of clients, at most
- * @param bounds for how long clients' connections may be in each phase
- * @param statusFile where it writes what is in force and what was refused; null for nowhere
- * @param settle microseconds for which files have to stay the same before they are read for good
+ * @param gatewayIndex its index, from 0, among the gateways that send to the same hosts
+ * @param gatewayCount the number of gateways that share the hosts
+ * @param maxConnections of clients
+ * @param bounds how long client connections may remain in each phase
+ * @param statusFile where it writes the configuration in force and the last one rejected; null for none
+ * @param settleMicros microseconds for which files must stay unchanged before they are applied
  */
-public record GatewaySettings(String name, String listen, String zone, List<String> zones, int me, int gateways,
-        int connections, PhaseBounds bounds, String statusFile, long settle) { }
+public record GatewaySettings(String name, String listen, String zone, List<String> zones, int gatewayIndex,
+        int gatewayCount,
+        int maxConnections, PhaseBounds bounds, String statusFile, long settleMicros) { }
--- a/src/main/java/mastdrift/config/PeerSettings.java
+++ b/src/main/java/mastdrift/config/PeerSettings.java
@@ -4,26 +4,30 @@
 import java.util.Map;
 
 /**
- * How a gateway meets the others of its installation.
+ * How a gateway communicates with the other gateways of its installation ({@code [peers]}).
  *
- * @param listen where they come, address and port in digits
- * @param installation a word that all of them have, and gateways of another installation have not
- * @param keys where the keys are that messages are signed by: with the first, and any is good on those that come, so that one can take another's place
- * @param gateways addresses of others, by name, as this gateway reaches them; itself may be among them
- * @param connections with others, in each direction, at most
- * @param folder where it keeps what has to outlive its process; null for nowhere
- * @param statusFile where it writes who is there; null for nowhere
+ * @param listen address and port in digits on which other gateways connect
+ * @param installation name shared by all gateways of the installation and by no other installation
+ * @param keys locations of the keys for signing messages: the first one signs, and incoming messages may be signed by
+ * any of them, so that keys can be rotated
+ * @param gateways addresses of other gateways by name, as reached from this gateway; it may itself be among them
+ * @param maxConnections with other gateways, in each direction
+ * @param folder where it stores state that must survive its process; null for none
+ * @param statusFile where it writes which gateways are present; null for none
  */
-public record PeerSettings(String listen, String installation, List<SecretRef> keys, Map<String, String> gateways, int connections, String folder,
+public record PeerSettings(String listen, String installation, List<SecretRef> keys, Map<String, String> gateways, int maxConnections, String folder,
         String statusFile) {
 
-    /** Keys that are good at a time. */
-    public static final int KEYS_MOST = 4;
-    /** Gateways that a file names. */
-    public static final int GATEWAYS_MOST = 2_000;
+    /** Maximum keys that are valid at the same time. */
+    public static final int MAX_KEYS = 4;
+    /** Maximum gateways that a file names. */
+    public static final int MAX_GATEWAYS = 2_000;
 
-    /** Whether the other may take this one's place while the gateway runs: only keys and the others' addresses differ. */
-    public boolean sameAtStart(PeerSettings other) {
-        return other.equals(new PeerSettings(listen, installation, other.keys, other.gateways, connections, folder, statusFile));
+    /**
+     * Whether {@code other} can replace these settings without a restart: only keys and the addresses of gateways
+     * differ.
+     */
+    public boolean equalsExceptReloadable(PeerSettings other) {
+        return other.equals(new PeerSettings(listen, installation, other.keys, other.gateways, maxConnections, folder, statusFile));
     }
 }
--- a/src/main/java/mastdrift/config/Problems.java
+++ b/src/main/java/mastdrift/config/Problems.java
@@ -3,34 +3,32 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** All complaints about one set of files, the first {@value #MOST} of them word by word. */
+/** Collects all problems of one set of files; only the first {@value #MAX_REPORTED} are reported in full. */
 public final class Problems {
 
-    /** More would hide the first. */
-    public static final int MOST = 20;
+    /** Longer reports would hide the first problems. */
+    public static final int MAX_REPORTED = 20;
 
     private final List<Problem> problems = new ArrayList<>();
-    private int more;
+    private int omittedCount;
 
-    /** One complaint. */
     public void add(Problem problem) {
-        if (problems.size() < MOST) {
+        if (problems.size() < MAX_REPORTED) {
             problems.add(problem);
         } else {
-            more++;
+            omittedCount++;
         }
     }
 
-    /** Whether there is none. */
-    public boolean none() {
+    public boolean isEmpty() {
         return problems.isEmpty();
     }
 
-    /** In the order in which they were met; the last line counts those that are left out. */
+    /** One line per problem in the order in which they were added; the last line counts those that were omitted. */
     public List<String> lines() {
         List<String> lines = new ArrayList<>(problems.stream().map(Problem::toString).toList());
-        if (more > 0) {
-            lines.add("and " + more + " more");
+        if (omittedCount > 0) {
+            lines.add("and " + omittedCount + " more");
         }
         return lines;
     }
--- a/src/main/java/mastdrift/config/RadiusSettings.java
+++ b/src/main/java/mastdrift/config/RadiusSettings.java
@@ -4,28 +4,30 @@
 import mastdrift.settings.AddressRange;
 
 /**
- * A RADIUS listener; bound at the start.
+ * Settings of a RADIUS listener, fixed when the gateway starts.
  *
  * @param name what operators call it
  * @param listen address and port in digits, UDP
- * @param accessClass the class of an Access-Request, safe to repeat
- * @param conversationClass the class of one with State or EAP-Message, which one server holds
- * @param accountingClass the class of accounting
+ * @param accessClass the class of an Access-Request, which is safe to repeat
+ * @param conversationClass the class of an Access-Request with State or EAP-Message, whose conversation is bound to one
+ * server
+ * @param accountingClass the class of accounting requests
  * @param clients who may send, by address range
- * @param kept microseconds for which an answer is kept for resends
- * @param keptMost answers that are kept at once, a quarter of them for one address
+ * @param replyRetentionMicros microseconds for which a reply is kept to answer retransmissions
+ * @param maxRetainedReplies replies that are kept at the same time; at most a quarter of them for one client address
  */
 public record RadiusSettings(String name, String listen, String accessClass, String conversationClass,
-        String accountingClass, List<Client> clients, long kept, int keptMost) {
+        String accountingClass, List<Client> clients, long replyRetentionMicros, int maxRetainedReplies) {
 
     /**
-     * Chargers behind one address range.
+     * The RADIUS clients (charging stations) in one address range.
      *
-     * @param name for counts and log
+     * @param name for metrics and logs
      * @param range their addresses
-     * @param secret where their secret is
+     * @param secret location of their shared secret
      * @param tenant their tenant, or null
-     * @param signed whether Access-Requests must have a Message-Authenticator
+     * @param messageAuthenticatorRequired whether Access-Requests must have a Message-Authenticator
      */
-    public record Client(String name, AddressRange range, SecretRef secret, String tenant, boolean signed) { }
+    public record Client(String name, AddressRange range, SecretRef secret, String tenant,
+            boolean messageAuthenticatorRequired) { }
 }
--- a/src/main/java/mastdrift/config/ResourceRoutes.java
+++ b/src/main/java/mastdrift/config/ResourceRoutes.java
@@ -16,203 +16,210 @@
 import mastdrift.routing.RouteTable;
 
 /**
- * The routes of a gateway as resources say them. A change that this gateway can't take (a value that means nothing, a pool that it hasn't, conversations that would lose their
- * server, more routes than a table holds) is held back whole: what its resources were before stays, and the next changes are taken all the same. What is held back is taken once a later change, or other pools
- * of the gateway, mend it.
+ * The routes of a gateway as defined by distributed resources. A change that this gateway can't apply (an invalid
+ * value, an unknown pool, conversations that would lose their server, more routes than a table holds) is held back as a
+ * whole: the previous resources stay in force, and later changes are still applied. A change that was held back is
+ * applied once a later change, or new pools of the gateway, make it valid.
  *
- * <p>A change of a few routes costs their parsing and {@linkplain RouteTable#changed their part} of the table; 28,000 routes are parsed at a start and after a snapshot alone. Not safe
- * for use by several threads.
+ * <p>A change of a few routes costs the parsing of these and {@linkplain RouteTable#changed their part} of the table;
+ * all routes, 28,000 say, are parsed only at start and after a snapshot. Not thread-safe.
  */
 public final class ResourceRoutes {
 
     private final Map<String, RouteValue> byName = new HashMap<>();
-    private final TreeSet<RouteValue> inOrder = new TreeSet<>();
-    private final Map<String, Integer> pools = new TreeMap<>();  // and how often routes in force name them
-    private final Map<String, String> heldBack = new TreeMap<>();  // by name of the resource, with the reason
+    private final TreeSet<RouteValue> sortedRoutes = new TreeSet<>();
+    // the number of references by routes in force, by pool
+    private final Map<String, Integer> poolReferenceCounts = new TreeMap<>();
+    private final Map<String, String> heldBackReasons = new TreeMap<>();  // by resource name
     private RouteChecks checks;
-    private final Map<String, Optional<RouteValue>> listed = new HashMap<>();  // by name of what was touched since the table was made, as it stands there
+    // by name of each resource changed since the table was built: its value in the table
+    private final Map<String, Optional<RouteValue>> valuesInTable = new HashMap<>();
     private RouteTable table = new RouteTable(List.of());
 
-    /** None yet, for a gateway that these speak for. */
+    /** Starts without routes, for a gateway with these checks. */
     public ResourceRoutes(RouteChecks checks) {
         this.checks = checks;
     }
 
-    /** Other listeners or pools from now on; {@link #all} says what comes of it. */
-    public void checks(RouteChecks now) {
-        checks = now;
+    /** Replaces the checks after a change of listeners or pools; takes effect with the next {@link #applySnapshot}. */
+    public void setChecks(RouteChecks newChecks) {
+        checks = newChecks;
     }
 
-    /** In the order in which they are tried. */
+    /** The routes in the order in which they are tried. */
     public List<Route> routes() {
         return table.routes();
     }
 
-    /** Those in force; what an earlier call gave stays as it was. */
+    /** The routes in force; a table that an earlier call returned does not change. */
     public RouteTable table() {
         return table;
     }
 
-    /** Why not all is in force as resources say, with the first reason; null where all is. */
+    /** Why some resources are not in force, with the first reason; null if all are in force. */
     public String problem() {
-        return heldBack.isEmpty() ? null : heldBack.values().iterator().next() + (heldBack.size() == 1 ? "" : "; " + heldBack.size() + " routes are held back");
+        return heldBackReasons.isEmpty() ? null : heldBackReasons.values().iterator().next() + (heldBackReasons.size() == 1 ? "" : "; " + heldBackReasons.size() + " routes are held back");
     }
 
-    /** Pools that routes in force name; not to be changed, and not for keeping. */
-    public Set<String> pools() {
-        return Collections.unmodifiableSet(pools.keySet());
+    /** A live, read-only view of the pools that routes in force refer to; not to be retained. */
+    public Set<String> referencedPools() {
+        return Collections.unmodifiableSet(poolReferenceCounts.keySet());
     }
 
-    /** One change; whether the routes in force are others by it. */
-    public boolean change(Delta delta) {
+    /** Applies one change and returns whether it altered the routes in force. */
+    public boolean applyDelta(Delta delta) {
         Map<String, Resource> upserts = new HashMap<>();
         delta.upserts().stream().filter(each -> each.kind() == ResourceKind.ROUTE).forEach(each -> upserts.put(each.name(), each));
         List<String> deletes = delta.deletes().stream().filter(each -> each.kind() == ResourceKind.ROUTE).map(Delta.Deletion::name).toList();
-        return (!upserts.isEmpty() || !deletes.isEmpty()) && take(upserts, deletes);
+        return (!upserts.isEmpty() || !deletes.isEmpty()) && applyChange(upserts, deletes);
     }
 
-    /** All resources of a table, where it isn't known what changed one by one; whether the routes in force are others by it. What one change put in is of one version: it is
-        taken or held back as one. */
-    public boolean all(Iterable<Resource> resources) {
+    /**
+     * Applies all resources of a table, where the individual changes are unknown, and returns whether the routes in
+     * force changed. Resources of one version were written by the same change: they are applied or held back together.
+     */
+    public boolean applySnapshot(Iterable<Resource> resources) {
         Map<Long, Map<String, Resource>> changes = new TreeMap<>();
-        Set<String> there = new TreeSet<>();
+        Set<String> presentNames = new TreeSet<>();
         for (Resource each : resources) {
             if (each.kind() == ResourceKind.ROUTE) {
                 changes.computeIfAbsent(each.version(), version -> new HashMap<>()).put(each.name(), each);
-                there.add(each.name());
+                presentNames.add(each.name());
             }
         }
-        List<String> gone = byName.keySet().stream().filter(name -> !there.contains(name)).toList();
-        heldBack.keySet().retainAll(there);
-        gone.forEach(this::remove);
-        Map<String, RouteValue> before = Map.copyOf(byName);
-        Map<String, RouteValue> fine = new HashMap<>();
+        List<String> removedNames = byName.keySet().stream().filter(name -> !presentNames.contains(name)).toList();
+        heldBackReasons.keySet().retainAll(presentNames);
+        removedNames.forEach(this::remove);
+        Map<String, RouteValue> previousValues = Map.copyOf(byName);
+        Map<String, RouteValue> validValues = new HashMap<>();
         changes.values().forEach(each -> {
-            Map<String, RouteValue> values = read(each);
+            Map<String, RouteValue> values = readValues(each);
             if (values != null) {
-                fine.putAll(values);
+                validValues.putAll(values);
             }
         });
-        boolean changed = put(fine, List.of());
-        String wrong = wrong();
-        if (wrong != null) {  // of several changes together: none of them is to blame, so all are held back
-            fine.keySet().forEach(this::remove);
-            put(before, List.of());
-            there.forEach(name -> heldBack.put(name, wrong));
+        boolean changed = putAndRemove(validValues, List.of());
+        String problem = findTableProblem();
+        if (problem != null) {  // several changes combined: none can be singled out, so all are held back
+            validValues.keySet().forEach(this::remove);
+            putAndRemove(previousValues, List.of());
+            presentNames.forEach(name -> heldBackReasons.put(name, problem));
             changed = false;
         }
-        if (changed || !gone.isEmpty()) {
-            list();
+        if (changed || !removedNames.isEmpty()) {
+            updateTable();
         }
-        return changed || !gone.isEmpty();
+        return changed || !removedNames.isEmpty();
     }
 
-    private boolean take(Map<String, Resource> upserts, List<String> deletes) {
-        Map<String, RouteValue> values = read(upserts);
+    private boolean applyChange(Map<String, Resource> upserts, List<String> deletes) {
+        Map<String, RouteValue> values = readValues(upserts);
         if (values == null) {
-            String reason = upserts.keySet().stream().map(heldBack::get).findFirst().orElseThrow();
-            deletes.stream().filter(byName::containsKey).forEach(name -> heldBack.put(name, reason));
+            String reason = upserts.keySet().stream().map(heldBackReasons::get).findFirst().orElseThrow();
+            deletes.stream().filter(byName::containsKey).forEach(name -> heldBackReasons.put(name, reason));
             return false;
         }
-        Map<String, RouteValue> before = new HashMap<>();
-        values.keySet().forEach(name -> before.put(name, byName.get(name)));
-        deletes.forEach(name -> before.put(name, byName.get(name)));
-        boolean changed = put(values, deletes);
-        String wrong = wrong();
-        if (wrong != null) {
-            before.forEach((name, value) -> {
+        Map<String, RouteValue> previousValues = new HashMap<>();
+        values.keySet().forEach(name -> previousValues.put(name, byName.get(name)));
+        deletes.forEach(name -> previousValues.put(name, byName.get(name)));
+        boolean changed = putAndRemove(values, deletes);
+        String problem = findTableProblem();
+        if (problem != null) {
+            previousValues.forEach((name, value) -> {
                 remove(name);
                 if (value != null) {
-                    put(Map.of(name, value), List.of());
+                    putAndRemove(Map.of(name, value), List.of());
                 }
-                heldBack.put(name, wrong);
+                heldBackReasons.put(name, problem);
             });
             return false;
         }
         if (changed) {
-            list();
+            updateTable();
         }
         return changed;
     }
 
-    /** Values that this gateway can take; null, and all of them held back, where one of them can't be. */
-    private Map<String, RouteValue> read(Map<String, Resource> upserts) {
+    /** Parses the values; if one of them can't be applied, holds all of them back and returns null. */
+    private Map<String, RouteValue> readValues(Map<String, Resource> upserts) {
         Map<String, RouteValue> values = new HashMap<>();
         List<String> problems = new ArrayList<>();
         upserts.forEach((name, resource) -> {
-            List<String> own = new ArrayList<>();
-            RouteValue value = RouteValue.read(name, resource.value(), own);
+            List<String> valueProblems = new ArrayList<>();
+            RouteValue value = RouteValue.read(name, resource.value(), valueProblems);
             if (value != null) {
-                checks.known(value.route(), problems::add);
+                checks.checkPools(value.route(), problems::add);
                 values.put(name, value);
             } else {
-                problems.add("route " + name + ": " + ResourceValues.text(own));
+                problems.add("route " + name + ": " + ResourceValues.joinProblems(valueProblems));
             }
         });
         if (!problems.isEmpty()) {
-            String reason = ResourceValues.text(problems);
-            upserts.keySet().forEach(name -> heldBack.put(name, reason));
+            String reason = ResourceValues.joinProblems(problems);
+            upserts.keySet().forEach(name -> heldBackReasons.put(name, reason));
         }
         return problems.isEmpty() ? values : null;
     }
 
-    private String wrong() {
-        if (inOrder.size() > RouteTable.ROUTES_MOST) {
-            return "expected at most " + RouteTable.ROUTES_MOST + " routes, found " + inOrder.size();
+    private String findTableProblem() {
+        if (sortedRoutes.size() > RouteTable.ROUTES_MOST) {
+            return "expected at most " + RouteTable.ROUTES_MOST + " routes, found " + sortedRoutes.size();
         }
-        if (!checks.crossRoutes()) {
+        if (!checks.checksAcrossRoutes()) {
             return null;
         }
         List<String> problems = new ArrayList<>();
-        checks.alike(inOrder.stream().map(RouteValue::route).toList(), problems::add);
-        return problems.isEmpty() ? null : ResourceValues.text(problems);
+        checks.checkConversationRouting(sortedRoutes.stream().map(RouteValue::route).toList(), problems::add);
+        return problems.isEmpty() ? null : ResourceValues.joinProblems(problems);
     }
 
-    private boolean put(Map<String, RouteValue> values, List<String> deletes) {
+    private boolean putAndRemove(Map<String, RouteValue> values, List<String> deletes) {
         boolean changed = false;
         for (Map.Entry<String, RouteValue> each : values.entrySet()) {
-            RouteValue had = byName.get(each.getKey());
-            if (!each.getValue().equals(had)) {
+            RouteValue previous = byName.get(each.getKey());
+            if (!each.getValue().equals(previous)) {
                 remove(each.getKey());
-                touch(each.getKey(), had);
+                recordValueInTable(each.getKey(), previous);
                 byName.put(each.getKey(), each.getValue());
-                each.getValue().pools().forEach(pool -> pools.merge(pool, 1, Integer::sum));
-                inOrder.add(each.getValue());
+                each.getValue().pools().forEach(pool -> poolReferenceCounts.merge(pool, 1, Integer::sum));
+                sortedRoutes.add(each.getValue());
                 changed = true;
             }
-            heldBack.remove(each.getKey());
+            heldBackReasons.remove(each.getKey());
         }
         for (String name : deletes) {
             changed |= remove(name);
-            heldBack.remove(name);
+            heldBackReasons.remove(name);
         }
         return changed;
     }
 
     private boolean remove(String name) {
-        RouteValue had = byName.remove(name);
-        if (had != null) {
-            touch(name, had);
-            had.pools().forEach(pool -> pools.computeIfPresent(pool, (key, routes) -> routes == 1 ? null : routes - 1));
+        RouteValue previous = byName.remove(name);
+        if (previous != null) {
+            recordValueInTable(name, previous);
+            previous.pools()
+                    .forEach(pool -> poolReferenceCounts.computeIfPresent(pool, (key, references) -> references == 1
+                    ? null : references - 1));
         }
-        return had != null && inOrder.remove(had);
+        return previous != null && sortedRoutes.remove(previous);
     }
 
-    private void touch(String name, RouteValue had) {
-        listed.putIfAbsent(name, Optional.ofNullable(had));
+    private void recordValueInTable(String name, RouteValue previous) {
+        valuesInTable.putIfAbsent(name, Optional.ofNullable(previous));
     }
 
-    private void list() {
-        List<RouteValue> gone = new ArrayList<>();
-        List<RouteValue> come = new ArrayList<>();
-        listed.forEach((name, had) -> {
-            Optional<RouteValue> now = Optional.ofNullable(byName.get(name));
-            if (!now.equals(had)) {
-                had.ifPresent(gone::add);
-                now.ifPresent(come::add);
+    private void updateTable() {
+        List<RouteValue> removed = new ArrayList<>();
+        List<RouteValue> added = new ArrayList<>();
+        valuesInTable.forEach((name, previous) -> {
+            Optional<RouteValue> current = Optional.ofNullable(byName.get(name));
+            if (!current.equals(previous)) {
+                previous.ifPresent(removed::add);
+                current.ifPresent(added::add);
             }
         });
-        listed.clear();
-        table = table.changed(gone, come);
+        valuesInTable.clear();
+        table = table.changed(removed, added);
     }
 }
--- a/src/main/java/mastdrift/config/ResourceValues.java
+++ b/src/main/java/mastdrift/config/ResourceValues.java
@@ -5,17 +5,20 @@
 import mastdrift.distribution.Resource;
 import mastdrift.distribution.ResourceKind;
 
-/** What the values of resources have to say, by kind; docs/operations/distribution.md lists the keys. */
+/** Validates the values of resources by kind; docs/operations/distribution.md lists the keys. */
 public final class ResourceValues {
 
-    private static final long MICROS_MOST = Long.MAX_VALUE / 1_000;
+    private static final long MAX_STARTED_MILLIS = Long.MAX_VALUE / 1_000;
 
     private ResourceValues() { }
 
-    /** What is wrong with a value, with place, expected and found, all of it up to a bound; null for nothing. */
-    public static String problem(ResourceKind kind, String name, byte[] value) {
+    /**
+     * All problems of a value, each with location, expectation and what was found, up to a maximum number; null if the
+     * value is valid.
+     */
+    public static String findProblems(ResourceKind kind, String name, byte[] value) {
         List<String> problems = new ArrayList<>();
-        if (!Tables.isWord(name)) {
+        if (!Tables.isName(name)) {
             problems.add("name: expected up to 64 letters, digits, dots, - and _");
         }
         if (value.length > Resource.VALUE_MOST) {
@@ -24,41 +27,41 @@
         if (problems.isEmpty()) {
             switch (kind) {
                 case ROUTE -> RouteValue.read(name, value, problems);
-                case POOL -> pool(JsonObject.of(value, problems));
-                case TENANT -> tenant(JsonObject.of(value, problems));
-                case HOST -> host(JsonObject.of(value, problems));
+                case POOL -> checkPool(JsonObject.parse(value, problems));
+                case TENANT -> checkTenant(JsonObject.parse(value, problems));
+                case HOST -> checkHost(JsonObject.parse(value, problems));
             }
         }
-        return problems.isEmpty() ? null : text(problems);
+        return problems.isEmpty() ? null : joinProblems(problems);
     }
 
-    static String text(List<String> problems) {
-        int most = Math.min(problems.size(), JsonObject.PROBLEMS_MOST);
-        return String.join("; ", problems.subList(0, most)) + (problems.size() > most ? "; and " + (problems.size() - most) + " more" : "");
+    static String joinProblems(List<String> problems) {
+        int reportedCount = Math.min(problems.size(), JsonObject.MAX_REPORTED_PROBLEMS);
+        return String.join("; ", problems.subList(0, reportedCount)) + (problems.size() > reportedCount ? "; and " + (problems.size() - reportedCount) + " more" : "");
     }
 
-    private static void pool(JsonObject object) {
-        object.whole("max_attempts", 1, 16);
-        object.whole("connections", 1, 1 << 16);
+    private static void checkPool(JsonObject object) {
+        object.integer("max_attempts", 1, 16);
+        object.integer("connections", 1, 1 << 16);
         object.flag("probes");
-        object.noMore();
+        object.rejectUnknownKeys();
     }
 
-    private static void tenant(JsonObject object) {
-        object.real("share", 0, 1);
-        object.real("requests_per_second", 0.001, 1e7);
-        object.noMore();
+    private static void checkTenant(JsonObject object) {
+        object.number("share", 0, 1);
+        object.number("requests_per_second", 0.001, 1e7);
+        object.rejectUnknownKeys();
     }
 
-    private static void host(JsonObject object) {
-        object.requiredWord("pool");
+    private static void checkHost(JsonObject object) {
+        object.requiredName("pool");
         object.requiredEndpoint("endpoint");
-        object.requiredWord("zone");
-        object.whole("cell", 0, Integer.MAX_VALUE);
-        object.word("kind");
-        object.real("weight", 0, 1e6);
-        object.among("state", List.of("up", "drain"));
-        object.whole("started_ms", 0, MICROS_MOST);
-        object.noMore();
+        object.requiredName("zone");
+        object.integer("cell", 0, Integer.MAX_VALUE);
+        object.name("kind");
+        object.number("weight", 0, 1e6);
+        object.oneOf("state", List.of("up", "drain"));
+        object.integer("started_ms", 0, MAX_STARTED_MILLIS);
+        object.rejectUnknownKeys();
     }
 }
--- a/src/main/java/mastdrift/config/SecretRef.java
+++ b/src/main/java/mastdrift/config/SecretRef.java
@@ -1,6 +1,9 @@
 package mastdrift.config;
 
-/** Where a secret is, never the secret itself: a variable of the environment, or a file beside the gateway's.
-    @param file whether {@code name} is a file's
-    @param name of the variable or the file */
+/**
+ * The location of a secret, never the secret itself: an environment variable, or a file relative to the gateway's file.
+ *
+ * @param file whether {@code name} is that of a file
+ * @param name of the variable or the file
+ */
 public record SecretRef(boolean file, String name) { }
--- a/src/main/java/mastdrift/config/Section.java
+++ b/src/main/java/mastdrift/config/Section.java
@@ -20,34 +20,36 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 
-/** A table of a TOML file, read key by key. What is missing, of another type or out of range is a problem with its place,
-    and reads as the value that stands for it, so that all problems of a file are found at once. */
+/**
+ * A table of a TOML file, read key by key. A missing key, a wrong type or a value out of range is recorded as a problem
+ * with its location and reads as a placeholder value, so that all problems of a file are found in one pass.
+ */
 public final class Section {
 
-    private static final Pattern SPAN = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(us|ms|s|m)");
+    private static final Pattern DURATION_PATTERN = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(us|ms|s|m)");
 
-    private static final Pattern BYTES = Pattern.compile("(\\d{1,12}(?:\\.\\d{1,6})?)(B|KiB|MiB|GiB|TiB)");
-    private static final List<String> UNITS = List.of("B", "KiB", "MiB", "GiB", "TiB");
-    // Stands for a table that is not there; parsed once, since each route of a file may lack one.
+    private static final Pattern SIZE_PATTERN = Pattern.compile("(\\d{1,12}(?:\\.\\d{1,6})?)(B|KiB|MiB|GiB|TiB)");
+    private static final List<String> SIZE_UNITS = List.of("B", "KiB", "MiB", "GiB", "TiB");
+    // Represents an absent table; parsed once, since every route of a file may lack an optional table.
     private static final TomlTable EMPTY = Toml.parse("");
 
     private final String file;
     private final String name;
     private final TomlTable table;
-    private final TomlPosition place;
+    private final TomlPosition position;
     private final Problems problems;
-    private final Set<String> known = new TreeSet<>();
+    private final Set<String> knownKeys = new TreeSet<>();
 
-    /** {@code name} is for messages; {@code place} is where the table begins. */
-    Section(String file, String name, TomlTable table, TomlPosition place, Problems problems) {
+    /** {@code name} is used in messages; {@code position} is where the table begins. */
+    Section(String file, String name, TomlTable table, TomlPosition position, Problems problems) {
         this.file = file;
         this.name = name;
         this.table = table;
-        this.place = place;
+        this.position = position;
         this.problems = problems;
     }
 
-    /** The whole of a file; null where it is no TOML, which is a problem then. */
+    /** The root table of a file; null, after adding the problems, if the text is not valid TOML. */
     public static Section root(String file, String text, Problems problems) {
         TomlParseResult parsed = Toml.parse(text);
         for (TomlParseError error : parsed.errors()) {
@@ -56,167 +58,169 @@
         return parsed.hasErrors() ? null : new Section(file, "", parsed, TomlPosition.positionAt(1, 1), problems);
     }
 
-    /** File, line and column of its beginning. */
-    public String place() {
-        return file + ":" + place.line() + ":" + place.column();
+    /** File, line and column where the table begins. */
+    public String location() {
+        return file + ":" + position.line() + ":" + position.column();
     }
 
-    /** Whether it has a key, which is then a known one. */
+    /** Whether the table has a key; marks the key as known. */
     public boolean has(String key) {
-        known.add(key);
+        knownKeys.add(key);
         return table.get(List.of(key)) != null;
     }
 
-    /** A problem of the table as a whole. */
-    public void problem(String text) {
-        problems.add(new Problem(file, place.line(), place.column(), name + ": " + text));
+    /** Adds a problem of the table as a whole. */
+    public void addProblem(String text) {
+        problems.add(new Problem(file, position.line(), position.column(), name + ": " + text));
     }
 
-    /** A problem of one key, at its place where it is there. */
-    public void problem(String key, String text) {
-        TomlPosition at = table.get(List.of(key)) == null ? place : table.inputPositionOf(List.of(key));
-        problems.add(new Problem(file, at.line(), at.column(), name + "." + key + ": " + text));
+    /** Adds a problem of one key, at the key's position, or at the table's if it is absent. */
+    public void addProblem(String key, String text) {
+        TomlPosition keyPosition = table.get(List.of(key)) == null ? position : table.inputPositionOf(List.of(key));
+        problems.add(new Problem(file, keyPosition.line(), keyPosition.column(), name + "." + key + ": " + text));
     }
 
-    private static String found(Object value) {
+    private static String describe(Object value) {
         String text = value instanceof TomlTable ? "a table" : value instanceof TomlArray ? "an array"
                 : value instanceof String string ? '"' + string + '"' : String.valueOf(value);
         return text.length() > 60 ? text.substring(0, 60) + "..." : text;
     }
 
-    private <T> T value(String key, String expected, T absent, Function<Object, T> read) {
-        known.add(key);
+    private <T> T read(String key, String expected, T defaultValue, Function<Object, T> parser) {
+        knownKeys.add(key);
         Object value = table.get(List.of(key));
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
-        T result = read.apply(value);
+        T result = parser.apply(value);
         if (result == null) {
-            problem(key, "expected " + expected + ", found " + found(value));
-            return absent;
+            addProblem(key, "expected " + expected + ", found " + describe(value));
+            return defaultValue;
         }
         return result;
     }
 
-    private <T> T required(String key, String expected, T result, T instead) {
+    private <T> T requirePresent(String key, String expected, T result, T placeholder) {
         if (result != null) {
             return result;
         }
         if (table.get(List.of(key)) == null) {
-            problem(key, "expected " + expected + ", found nothing");
+            addProblem(key, "expected " + expected + ", found nothing");
         }
-        return instead;
+        return placeholder;
     }
 
-    /** Null where it is not there. */
+    /** The text of a key; null if absent. */
     public String text(String key) {
-        return value(key, "a text", null, value -> value instanceof String text && !text.isBlank() ? text : null);
+        return read(key, "a text", null, value -> value instanceof String text && !text.isBlank() ? text : null);
     }
 
-    /** The text of a key, or {@code absent}. */
-    public String text(String key, String absent) {
+    /** The text of a key, or {@code defaultValue} if absent. */
+    public String text(String key, String defaultValue) {
         String text = text(key);
-        return text == null ? absent : text;
+        return text == null ? defaultValue : text;
     }
 
-    /** The text of a key; a problem where it is not there, and then {@code "?"}. */
+    /** The text of a key; adds a problem and returns {@code "?"} if absent. */
     public String requiredText(String key) {
-        return required(key, "a text", text(key), "?");
+        return requirePresent(key, "a text", text(key), "?");
     }
 
-    /** True or false. */
-    public boolean flag(String key, boolean absent) {
-        return value(key, "true or false", absent, value -> value instanceof Boolean flag ? flag : null);
+    /** True or false, or {@code defaultValue} if absent. */
+    public boolean flag(String key, boolean defaultValue) {
+        return read(key, "true or false", defaultValue, value -> value instanceof Boolean flag ? flag : null);
     }
 
-    /** A whole number within bounds. */
-    public long whole(String key, long absent, long least, long most) {
-        return value(key, "a whole number from " + least + " to " + most, absent,
-                value -> value instanceof Long number && number >= least && number <= most ? number : null);
+    /** An integer from {@code min} to {@code max}, or {@code defaultValue} if absent. */
+    public long integer(String key, long defaultValue, long min, long max) {
+        return read(key, "a whole number from " + min + " to " + max, defaultValue,
+                value -> value instanceof Long number && number >= min && number <= max ? number : null);
     }
 
-    /** Null where it is not there. */
-    public Double real(String key, double least, double most) {
-        return value(key, "a number from " + shown(least) + " to " + shown(most), null, value -> {
-            Double number = value instanceof Long whole ? Double.valueOf(whole) : value instanceof Double real ? real : null;
-            return number != null && number >= least && number <= most ? number : null;
+    /** A number from {@code min} to {@code max}; null if absent. */
+    public Double number(String key, double min, double max) {
+        return read(key, "a number from " + formatNumber(min) + " to " + formatNumber(max), null, value -> {
+            Double number = value instanceof Long integer ? Double.valueOf(integer) : value instanceof Double real ? real : null;
+            return number != null && number >= min && number <= max ? number : null;
         });
     }
 
-    /** A number within bounds. */
-    public double real(String key, double absent, double least, double most) {
-        Double number = real(key, least, most);
-        return number == null ? absent : number;
+    /** A number from {@code min} to {@code max}, or {@code defaultValue} if absent. */
+    public double number(String key, double defaultValue, double min, double max) {
+        Double number = number(key, min, max);
+        return number == null ? defaultValue : number;
     }
 
-    /** A number within bounds; a problem where it is not there. */
-    public double requiredReal(String key, double least, double most) {
-        return required(key, "a number from " + shown(least) + " to " + shown(most), real(key, least, most), least);
+    /** A number from {@code min} to {@code max}; adds a problem and returns {@code min} if absent. */
+    public double requiredNumber(String key, double min, double max) {
+        return requirePresent(key, "a number from " + formatNumber(min) + " to " + formatNumber(max),
+                number(key, min, max), min);
     }
 
-    /** A number as a person writes it. */
-    public static String shown(double number) {
+    /** Formats a number without a fraction if it is an integer. */
+    public static String formatNumber(double number) {
         return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
     }
 
-    /** A time with its unit, {@code "250ms"}, {@code "1.5s"}, in microseconds; null where it is not there. */
-    private Long span(String key, long least, long most) {
-        String expected = "a time with a unit (us, ms, s, m) from " + micros(least) + " to " + micros(most);
-        return value(key, expected, null, value -> {
-            Matcher matcher = SPAN.matcher(value instanceof String text ? text : "");
+    /** A duration with its unit, {@code "250ms"}, {@code "1.5s"}, in microseconds; null if absent. */
+    private Long durationMicros(String key, long min, long max) {
+        String expected = "a time with a unit (us, ms, s, m) from " + formatMicros(min) + " to " + formatMicros(max);
+        return read(key, expected, null, value -> {
+            Matcher matcher = DURATION_PATTERN.matcher(value instanceof String text ? text : "");
             if (!matcher.matches()) {
                 return null;
             }
-            double unit = switch (matcher.group(2)) {
+            double unitMicros = switch (matcher.group(2)) {
                 case "us" -> 1;
                 case "ms" -> 1e3;
                 case "s" -> 1e6;
                 default -> 60e6;
             };
-            long span = Math.round(Double.parseDouble(matcher.group(1)) * unit);
-            return span >= least && span <= most ? span : null;
+            long micros = Math.round(Double.parseDouble(matcher.group(1)) * unitMicros);
+            return micros >= min && micros <= max ? micros : null;
         });
     }
 
-    /** A time with its unit, in microseconds, within bounds. */
-    public long span(String key, long absent, long least, long most) {
-        Long span = span(key, least, most);
-        return span == null ? absent : span;
+    /** A duration in microseconds from {@code min} to {@code max}, or {@code defaultValue} if absent. */
+    public long durationMicros(String key, long defaultValue, long min, long max) {
+        Long micros = durationMicros(key, min, max);
+        return micros == null ? defaultValue : micros;
     }
 
-    /** Likewise; a problem where it is not there. */
-    public long requiredSpan(String key, long least, long most) {
-        return required(key, "a time such as \"250ms\"", span(key, least, most), least);
+    /** A duration in microseconds from {@code min} to {@code max}; adds a problem and returns {@code min} if absent. */
+    public long requiredDurationMicros(String key, long min, long max) {
+        return requirePresent(key, "a time such as \"250ms\"", durationMicros(key, min, max), min);
     }
 
-    private static String micros(long span) {
-        return span % 1_000_000 == 0 ? span / 1_000_000 + "s" : span % 1000 == 0 ? span / 1000 + "ms" : span + "us";
+    private static String formatMicros(long micros) {
+        return micros % 1_000_000 == 0 ? micros / 1_000_000 + "s" : micros % 1000 == 0 ? micros / 1000 + "ms"
+                : micros + "us";
     }
 
-    /** An amount of bytes with its unit, {@code "200GiB"}; null where it is not there. */
+    /** A size in bytes, given with its unit, {@code "200GiB"}; null if absent. */
     public Double bytes(String key) {
-        return value(key, "an amount with a unit (B, KiB, MiB, GiB, TiB) of at most 2^53 bytes", null, value -> {
-            Matcher matcher = BYTES.matcher(value instanceof String text ? text : "");
+        return read(key, "an amount with a unit (B, KiB, MiB, GiB, TiB) of at most 2^53 bytes", null, value -> {
+            Matcher matcher = SIZE_PATTERN.matcher(value instanceof String text ? text : "");
             if (!matcher.matches()) {
                 return null;
             }
-            double bytes = Double.parseDouble(matcher.group(1)) * (1L << 10 * UNITS.indexOf(matcher.group(2)));
+            double bytes = Double.parseDouble(matcher.group(1)) * (1L << 10 * SIZE_UNITS.indexOf(matcher.group(2)));
             return bytes <= 1L << 53 ? bytes : null;
         });
     }
 
-    /** One of these words, which stand in the order of the values that they name. */
-    public <T> T word(String key, T absent, List<String> words, List<T> values) {
-        return value(key, "one of " + String.join(", ", words), absent, value -> {
-            int at = value instanceof String text ? words.indexOf(text) : -1;
-            return at < 0 ? null : values.get(at);
+    /** The value named by one of these words; {@code words} and {@code values} have the same order. */
+    public <T> T oneOf(String key, T defaultValue, List<String> words, List<T> values) {
+        return read(key, "one of " + String.join(", ", words), defaultValue, value -> {
+            int index = value instanceof String text ? words.indexOf(text) : -1;
+            return index < 0 ? null : values.get(index);
         });
     }
 
-    /** Texts of an array, none where it is not there. */
-    public List<String> texts(String key, int most) {
-        return value(key, "an array of at most " + most + " texts", List.of(), value -> {
-            if (!(value instanceof TomlArray array) || array.size() > most
+    /** The texts of an array; empty if absent. */
+    public List<String> texts(String key, int maxSize) {
+        return read(key, "an array of at most " + maxSize + " texts", List.of(), value -> {
+            if (!(value instanceof TomlArray array) || array.size() > maxSize
                     || array.toList().stream().anyMatch(item -> !(item instanceof String))) {
                 return null;
             }
@@ -224,103 +228,106 @@
         });
     }
 
-    /** A table below this one, empty where it is not there. */
+    /** The table of a key; an empty one if absent. */
     public Section section(String key) {
-        TomlTable below = value(key, "a table", null, value -> value instanceof TomlTable found ? found : null);
+        TomlTable subtable = read(key, "a table", null, value -> value instanceof TomlTable found ? found : null);
         return new Section(file, name.isEmpty() ? key : name + "." + key,
-                below == null ? EMPTY : below,
-                below == null ? place : table.inputPositionOf(List.of(key)), problems);
+                subtable == null ? EMPTY : subtable,
+                subtable == null ? position : table.inputPositionOf(List.of(key)), problems);
     }
 
-    /** The table of a key as one object in JSON, in UTF-8; null where it is not there. Dates and times are texts there. */
-    byte[] json(String key) {
-        TomlTable below = value(key, "a table", null, value -> value instanceof TomlTable found ? found : null);
-        if (below == null) {
+    /** The table of a key as a JSON object in UTF-8, with dates and times as strings; null if absent. */
+    byte[] jsonBytes(String key) {
+        TomlTable subtable = read(key, "a table", null, value -> value instanceof TomlTable found ? found : null);
+        if (subtable == null) {
             return null;
         }
         try {
-            return JSON.std.asBytes(plain(below));
-        } catch (Exception e) {  // of bytes in memory: there is no stream that could fail
+            return JSON.std.asBytes(toJsonValue(subtable));
+        } catch (Exception e) {  // writing to memory has no I/O that could fail
             throw new IllegalStateException(e);
         }
     }
 
-    private static Object plain(Object value) {
+    private static Object toJsonValue(Object value) {
         if (value instanceof TomlTable table) {
             Map<String, Object> fields = new LinkedHashMap<>();
-            table.keySet().forEach(key -> fields.put(key, plain(table.get(List.of(key)))));
+            table.keySet().forEach(key -> fields.put(key, toJsonValue(table.get(List.of(key)))));
             return fields;
         }
         if (value instanceof TomlArray array) {
-            return array.toList().stream().map(Section::plain).toList();
+            return array.toList().stream().map(Section::toJsonValue).toList();
         }
         return value instanceof Long || value instanceof Double || value instanceof Boolean ? value : String.valueOf(value);
     }
 
-    /** The tables of an array, {@code [[key]]}, in their order; none where it is not there. */
-    public List<Section> sections(String key, int most) {
+    /** The tables of an array of tables, {@code [[key]]}, in order; empty if absent. */
+    public List<Section> sections(String key, int maxSize) {
         List<Section> sections = new ArrayList<>();
-        TomlArray array = value(key, "at most " + most + " tables", null, value -> value instanceof TomlArray found
-                && found.size() <= most && found.toList().stream().allMatch(TomlTable.class::isInstance) ? found : null);
+        TomlArray array = read(key, "at most " + maxSize + " tables", null, value -> value instanceof TomlArray found
+                && found.size() <= maxSize && found.toList().stream().allMatch(TomlTable.class::isInstance) ? found : null);
         for (int i = 0; array != null && i < array.size(); i++) {
             sections.add(new Section(file, key + "[" + (i + 1) + "]", array.getTable(i), array.inputPositionOf(i), problems));
         }
         return sections;
     }
 
-    /** The tables below a key by their names, {@code [key.name]}. */
-    public Map<String, Section> named(String key, int most) {
-        Section below = section(key);
-        if (below.table.size() > most) {
-            problem(key, "expected at most " + most + " tables, found " + below.table.size());
+    /** The tables below a key by name, {@code [key.name]}. */
+    public Map<String, Section> namedSections(String key, int maxSize) {
+        Section parent = section(key);
+        if (parent.table.size() > maxSize) {
+            addProblem(key, "expected at most " + maxSize + " tables, found " + parent.table.size());
             return Map.of();
         }
         Map<String, Section> sections = new TreeMap<>();
-        for (String each : below.table.keySet()) {
-            sections.put(each, below.section(each));
+        for (String each : parent.table.keySet()) {
+            sections.put(each, parent.section(each));
         }
         return sections;
     }
 
-    /** The keys that are there; none is a known one by that. */
+    /** The keys of the table; this does not mark them as known. */
     Set<String> keys() {
         return table.keySet();
     }
 
-    /** Whatever was not asked for is a problem; call it last. */
-    public void noMore() {
-        noMore(Set.of());
+    /** Adds a problem for each key that was not read; call it last. */
+    public void rejectUnknownKeys() {
+        rejectUnknownKeys(Set.of());
     }
 
-    /** Likewise for whatever is not among these either. */
-    void noMore(Set<String> also) {
+    /** Adds a problem for each key that was neither read nor is in {@code additionalKeys}. */
+    void rejectUnknownKeys(Set<String> additionalKeys) {
         for (String key : table.keySet()) {
-            if (!known.contains(key) && !also.contains(key)) {
-                Set<String> all = new TreeSet<>(known);
-                all.addAll(also);
-                String nearest = nearest(key, all);
-                problem(key, "expected one of the known keys, found " + key
+            if (!knownKeys.contains(key) && !additionalKeys.contains(key)) {
+                Set<String> allKeys = new TreeSet<>(knownKeys);
+                allKeys.addAll(additionalKeys);
+                String nearest = nearest(key, allKeys);
+                addProblem(key, "expected one of the known keys, found " + key
                         + (nearest == null ? "" : "; did you mean " + nearest + "?"));
             }
         }
     }
 
-    /** The word at the least edit distance, or that begins with this one; null where none is near. */
+    /**
+     * The word with the smallest edit distance, where a word that begins with this one has distance 1; null if none is
+     * close.
+     */
     public static String nearest(String word, Collection<String> words) {
         String best = null;
-        int least = Math.max(2, word.length() / 3) + 1;
+        int smallestDistance = Math.max(2, word.length() / 3) + 1;
         for (String each : words) {
-            int distance = word.length() > 2 && each.startsWith(word) ? 1 : distance(word, each);
-            if (distance < least) {
-                least = distance;
+            int distance = word.length() > 2 && each.startsWith(word) ? 1 : editDistance(word, each);
+            if (distance < smallestDistance) {
+                smallestDistance = distance;
                 best = each;
             }
         }
         return best;
     }
 
-    /** Levenshtein's. */
-    private static int distance(String one, String other) {
+    /** The Levenshtein distance. */
+    private static int editDistance(String one, String other) {
         int[] row = new int[other.length() + 1];
         for (int j = 0; j < row.length; j++) {
             row[j] = j;
@@ -329,23 +336,23 @@
             int diagonal = row[0];
             row[0] = i;
             for (int j = 1; j < row.length; j++) {
-                int change = diagonal + (one.charAt(i - 1) == other.charAt(j - 1) ? 0 : 1);
+                int substitution = diagonal + (one.charAt(i - 1) == other.charAt(j - 1) ? 0 : 1);
                 diagonal = row[j];
-                row[j] = Math.min(change, 1 + Math.min(row[j], row[j - 1]));
+                row[j] = Math.min(substitution, 1 + Math.min(row[j], row[j - 1]));
             }
         }
         return row[other.length()];
     }
 
-    /** Whether a value was met before; says so at the key where it was. */
-    public void once(String key, String value, Set<String> met) {
-        if (!met.add(value)) {
-            problem(key, "expected each once, found " + found(value) + " again");
+    /** Adds a problem at the key if the value was seen before. */
+    public void requireUnique(String key, String value, Set<String> seen) {
+        if (!seen.add(value)) {
+            addProblem(key, "expected each once, found " + describe(value) + " again");
         }
     }
 
-    /** A fresh set for {@link #once}. */
-    public static Set<String> met() {
+    /** A new, empty set for {@link #requireUnique}. */
+    public static Set<String> newSeenSet() {
         return new HashSet<>();
     }
 }
--- a/src/main/java/mastdrift/config/ZonesReader.java
+++ b/src/main/java/mastdrift/config/ZonesReader.java
@@ -16,130 +16,134 @@
 import mastdrift.zones.Window;
 import mastdrift.zones.ZoneSettings;
 
-/** Reads the table {@code [zones]}, of a gateway's file and of an experiment's; docs/operations/zones.md lists its keys. */
+/**
+ * Reads the table {@code [zones]} of a gateway's file or of an experiment's; docs/operations/zones.md lists the keys.
+ */
 public final class ZonesReader {
 
-    private static final int MOST = 64;
+    private static final int MAX_TABLES = 64;
 
     private final Section section;
-    private final String own;
+    private final String ownZone;
     private final List<String> zones;
     private final List<String> classes;
     private final List<String> tenants;
     private final List<String> pools;
 
-    private ZonesReader(Section section, String own, List<String> zones, List<RequestClass> classes, List<Tenant> tenants,
+    private ZonesReader(Section section, String ownZone, List<String> zones, List<RequestClass> classes, List<Tenant> tenants,
             Collection<String> pools) {
         this.section = section;
-        this.own = own;
+        this.ownZone = ownZone;
         this.zones = zones;
         this.classes = classes.stream().map(RequestClass::name).toList();
         this.tenants = tenants.stream().map(Tenant::name).toList();
         this.pools = List.copyOf(pools);
     }
 
-    /** Null where there is no such table: what crosses zones is neither counted nor bounded then. {@code own} is the gateway's zone, or null
-        for gateways of all. */
-    public static ZoneSettings read(Section root, String own, List<String> zones, List<RequestClass> classes, List<Tenant> tenants,
+    /**
+     * Reads the table; null if absent: cross-zone traffic is then neither counted nor limited. {@code ownZone} is the
+     * gateway's zone, or null if the settings are for the gateways of all zones.
+     */
+    public static ZoneSettings read(Section root, String ownZone, List<String> zones, List<RequestClass> classes, List<Tenant> tenants,
             Collection<String> pools) {
-        return root.has("zones") ? new ZonesReader(root.section("zones"), own, zones, classes, tenants, pools).settings() : null;
+        return root.has("zones") ? new ZonesReader(root.section("zones"), ownZone, zones, classes, tenants, pools).readSettings() : null;
     }
 
-    private ZoneSettings settings() {
-        List<String> order = section.texts("give_way", MOST);
-        Set<String> met = Section.met();
-        order.forEach(name -> {
-            section.once("give_way", name, met);
+    private ZoneSettings readSettings() {
+        List<String> giveWayOrder = section.texts("give_way", MAX_TABLES);
+        Set<String> seen = Section.newSeenSet();
+        giveWayOrder.forEach(name -> {
+            section.requireUnique("give_way", name, seen);
             if (!classes.contains(name)) {
-                section.problem("give_way", Tables.expectedOne("the classes", classes, name));
+                section.addProblem("give_way", Tables.expectedOneOf("the classes", classes, name));
             }
         });
         List<Limit> limits = new ArrayList<>();
-        Set<String> names = Section.met();
-        for (Section each : section.sections("budget", MOST)) {
-            limits.add(limit(each, names));
+        Set<String> names = Section.newSeenSet();
+        for (Section each : section.sections("budget", MAX_TABLES)) {
+            limits.add(readLimit(each, names));
         }
-        ZoneSettings settings = new ZoneSettings(limits, prices(), networks(), order,
-                section.span("calm", 5_000_000, 1_000_000, 600_000_000), section.text("report_file"), section.text("state_folder"),
+        ZoneSettings settings = new ZoneSettings(limits, readPrices(), readNetworks(), giveWayOrder,
+                section.durationMicros("calm", 5_000_000, 1_000_000, 600_000_000), section.text("report_file"), section.text("state_folder"),
                 section.text("shared_folder"));
         if (limits.stream().anyMatch(limit -> limit.unit() == Unit.MONEY) && settings.prices().isEmpty()) {
-            section.problem("budget", "expected prices, [[zones.price]], for a budget of money, found none");
+            section.addProblem("budget", "expected prices, [[zones.price]], for a budget of money, found none");
         }
-        section.noMore();
+        section.rejectUnknownKeys();
         return settings;
     }
 
-    private Limit limit(Section each, Set<String> names) {
-        String name = Tables.word(each, "name", each.requiredText("name"));
-        each.once("name", name, names);
+    private Limit readLimit(Section each, Set<String> names) {
+        String name = Tables.checkName(each, "name", each.requiredText("name"));
+        each.requireUnique("name", name, names);
         List<Window> windows = List.of(Window.values());
-        Window window = each.word("window", null, windows.stream().map(Window::word).toList(), windows);
+        Window window = each.oneOf("window", null, windows.stream().map(Window::word).toList(), windows);
         if (window == null && !each.has("window")) {
-            each.problem("window", "expected minute, hour, day or month, found nothing");
+            each.addProblem("window", "expected minute, hour, day or month, found nothing");
         }
         Double bytes = each.bytes("bytes");
-        Double requests = each.real("requests", 0, 1e12);
-        Double money = each.real("money", 0, 1e12);
+        Double requests = each.number("requests", 0, 1e12);
+        Double money = each.number("money", 0, 1e12);
         List<String> given = Arrays.stream(Unit.values()).map(unit -> unit.name().toLowerCase(Locale.ROOT)).filter(each::has).toList();
         if (given.size() != 1) {
-            each.problem("expected one of bytes, requests and money, found " + (given.isEmpty() ? "none" : String.join(", ", given)));
+            each.addProblem("expected one of bytes, requests and money, found " + (given.isEmpty() ? "none" : String.join(", ", given)));
         }
         Unit unit = bytes != null ? Unit.BYTES : requests != null ? Unit.REQUESTS : Unit.MONEY;
         double amount = bytes != null ? bytes : requests != null ? requests : money != null ? money : 0;
-        String to = zone(each, "to");
-        if (to != null && to.equals(own)) {
-            each.problem("to", "expected another zone than the gateway's own, found \"" + to + "\"");
+        String to = readZone(each, "to");
+        if (to != null && to.equals(ownZone)) {
+            each.addProblem("to", "expected another zone than the gateway's own, found \"" + to + "\"");
         }
-        Limit limit = new Limit(name, window == null ? Window.MONTH : window, unit, amount, to, Tables.among(each, "class", classes),
-                Tables.among(each, "tenant", tenants), Tables.among(each, "pool", pools), each.real("carry_most", 0, 0, 1),
+        Limit limit = new Limit(name, window == null ? Window.MONTH : window, unit, amount, to, Tables.readDefinedName(each, "class", classes),
+                Tables.readDefinedName(each, "tenant", tenants), Tables.readDefinedName(each, "pool", pools), each.number("carry_most", 0, 0, 1),
                 each.flag("hard", false));
-        each.noMore();
+        each.rejectUnknownKeys();
         return limit;
     }
 
-    private String zone(Section each, String key) {
+    private String readZone(Section each, String key) {
         String zone = each.text(key);
         if (zone != null && !zones.contains(zone)) {
-            each.problem(key, Tables.expectedOne("zones", zones, zone));
+            each.addProblem(key, Tables.expectedOneOf("zones", zones, zone));
         }
         return zone;
     }
 
-    private String requiredZone(Section each, String key) {
-        String zone = zone(each, key);
+    private String readRequiredZone(Section each, String key) {
+        String zone = readZone(each, key);
         if (zone == null) {
             each.requiredText(key);
         }
         return zone == null ? "?" : zone;
     }
 
-    private List<Price> prices() {
+    private List<Price> readPrices() {
         List<Price> prices = new ArrayList<>();
-        Set<String> met = Section.met();
-        for (Section each : section.sections("price", MOST)) {
-            Price price = new Price(requiredZone(each, "from"), requiredZone(each, "to"), each.real("per_gib", 0, 0, 1e9),
-                    each.real("per_million_requests", 0, 0, 1e9));
-            each.once("to", price.from() + " to " + price.to(), met);
+        Set<String> seen = Section.newSeenSet();
+        for (Section each : section.sections("price", MAX_TABLES)) {
+            Price price = new Price(readRequiredZone(each, "from"), readRequiredZone(each, "to"), each.number("per_gib", 0, 0, 1e9),
+                    each.number("per_million_requests", 0, 0, 1e9));
+            each.requireUnique("to", price.from() + " to " + price.to(), seen);
             if (price.from().equals(price.to()) && !price.from().equals("?")) {
-                each.problem("to", "expected two zones, found \"" + price.to() + "\" twice");
+                each.addProblem("to", "expected two zones, found \"" + price.to() + "\" twice");
             }
             prices.add(price);
-            each.noMore();
+            each.rejectUnknownKeys();
         }
         return prices;
     }
 
-    private List<Networks.Network> networks() {
+    private List<Networks.Network> readNetworks() {
         List<Networks.Network> networks = new ArrayList<>();
-        Set<String> met = Section.met();
+        Set<String> seen = Section.newSeenSet();
         for (Section each : section.sections("client", Networks.MOST)) {
-            AddressRange range = Tables.range(each, "network");
-            String zone = requiredZone(each, "zone");
+            AddressRange range = Tables.readAddressRange(each, "network");
+            String zone = readRequiredZone(each, "zone");
             if (range != null) {
-                each.once("network", each.text("network"), met);
+                each.requireUnique("network", each.text("network"), seen);
                 networks.add(new Networks.Network(range, zone));
             }
-            each.noMore();
+            each.rejectUnknownKeys();
         }
         return networks;
     }
--- a/src/main/java/mastdrift/config/package-info.java
+++ b/src/main/java/mastdrift/config/package-info.java
@@ -1,3 +1,5 @@
-/** The operator's file and the node lists that it includes: read, checked in full, with a place for every complaint. Pure:
-    texts go in, a configuration or complaints come out. */
+/**
+ * Reads and validates the operator's file and the node lists that it includes, and reports every problem with its
+ * location. Free of I/O: the texts of files go in, a configuration or problems come out.
+ */
 package mastdrift.config;
--- a/src/main/java/mastdrift/files/FileContents.java
+++ b/src/main/java/mastdrift/files/FileContents.java
@@ -26,7 +26,7 @@
  * The texts of one set of files, each read once. Names are relative to the gateway's file. Only regular files of a
  * bounded size are opened: opening a FIFO would block until it has a writer.
  */
-public final class FileContents implements ConfigurationReader.Texts {
+public final class FileContents implements ConfigurationReader.FileSource {
 
     /** Maximum size of one file. */
     public static final long MAX_FILE_BYTES = 16 << 20;
--- a/src/main/java/mastdrift/files/FileWatcher.java
+++ b/src/main/java/mastdrift/files/FileWatcher.java
@@ -225,7 +225,7 @@
         List<String> newProblems = result.configuration() == null
                 ? result.problems() : listener.apply(result.configuration());
         if (result.configuration() != null) {
-            settleMicros = result.configuration().gateway().settle();
+            settleMicros = result.configuration().gateway().settleMicros();
         }
         lastProcessed = snapshot.contents;
         if (!unchanged || !newProblems.equals(problems)) {
--- a/src/main/java/mastdrift/lab/ExperimentReader.java
+++ b/src/main/java/mastdrift/lab/ExperimentReader.java
@@ -93,10 +93,10 @@
             try {
                 experiment = reader.experiment(root);
             } catch (IllegalArgumentException e) {
-                root.problem(e.getMessage());
+                root.addProblem(e.getMessage());
             }
         }
-        boolean whole = reader.problems.none();
+        boolean whole = reader.problems.isEmpty();
         GridReader.Axes axes = reader.axes;
         return new Result(whole ? experiment : null, !whole || axes == null ? null : new Grid(experiment, axes.gateways(), axes.nodes(),
                 axes.nodeRate(), axes.keys(), axes.days(), Long.MAX_VALUE), reader.problems.lines());
@@ -104,22 +104,22 @@
 
     private Experiment experiment(Section root) {
         Section head = root.section("experiment");
-        String name = Tables.word(head, "name", head.requiredText("name"));
-        boolean said = head.word("by", Boolean.TRUE, List.of("model", "loopback"), List.of(true, false));
+        String name = Tables.checkName(head, "name", head.requiredText("name"));
+        boolean said = head.oneOf("by", Boolean.TRUE, List.of("model", "loopback"), List.of(true, false));
         boolean byModel = by == null ? said : by.equals("model");
-        long length = head.requiredSpan("length", SECOND, 60 * MINUTE);
-        long warm = head.span("warm", 0, 0, 60 * MINUTE);
+        long length = head.requiredDurationMicros("length", SECOND, 60 * MINUTE);
+        long warm = head.durationMicros("warm", 0, 0, 60 * MINUTE);
         if (warm >= length) {
-            head.problem("warm", "expected less than the length");
+            head.addProblem("warm", "expected less than the length");
         }
-        long first = head.whole("first_seed", 1, 0, Long.MAX_VALUE / 2);
-        long many = head.whole("seeds", 1, 1, SEEDS_MOST);
+        long first = head.integer("first_seed", 1, 0, Long.MAX_VALUE / 2);
+        long many = head.integer("seeds", 1, 1, SEEDS_MOST);
         List<Long> seeds = LongStream.range(first, first + (seedsGiven == null ? many : seedsGiven)).boxed().toList();
-        head.noMore();
+        head.rejectUnknownKeys();
         Scenario.Site site = site(root.section("site"));
-        List<RequestClass> classes = Tables.classes(root);
+        List<RequestClass> classes = Tables.readClasses(root);
         List<String> classNames = classes.stream().map(RequestClass::name).toList();
-        List<Tenant> tenants = Tables.tenants(root);
+        List<Tenant> tenants = Tables.readTenants(root);
         List<Scenario.Kind> kinds = kinds(root, byModel);
         List<Scenario.Group> groups = groups(root, kinds);
         List<String> pools = groups.stream().map(Scenario.Group::pool).distinct().toList();
@@ -131,47 +131,47 @@
                 zones(root, site.zones(), classes, tenants, pools), peers(root));
         int nodes = groups.stream().mapToInt(Scenario.Group::count).sum();
         if (nodes > (byModel ? NODES_MOST : LOOPBACK_NODES_MOST)) {
-            root.problem("nodes", "expected at most " + (byModel ? NODES_MOST : LOOPBACK_NODES_MOST + " over loopback") + " nodes, found "
+            root.addProblem("nodes", "expected at most " + (byModel ? NODES_MOST : LOOPBACK_NODES_MOST + " over loopback") + " nodes, found "
                     + nodes);
         }
         if (!byModel && scenario.peers() != null) {
-            root.problem("peers", "expected none over loopback, found some");
+            root.addProblem("peers", "expected none over loopback, found some");
         }
         if (!byModel && scenario.zones() != null) {
-            root.problem("zones", "expected none over loopback, found some");
+            root.addProblem("zones", "expected none over loopback, found some");
         }
         if (!byModel && site.gateways() > LOOPBACK_GATEWAYS_MOST) {
-            root.problem("site", "expected at most " + LOOPBACK_GATEWAYS_MOST + " gateways over loopback, found " + site.gateways());
+            root.addProblem("site", "expected at most " + LOOPBACK_GATEWAYS_MOST + " gateways over loopback, found " + site.gateways());
         }
         List<Arm> arms = arms(root, scenario, byModel);
         List<Limit> limits = limits(root, arms.stream().map(Arm::name).toList());
         if (root.has("grid")) {
             axes = GridReader.read(root.section("grid"), day -> faults(day, site, kinds, pools, groups, length, byModel));
             if (!byModel) {
-                root.problem("grid", "expected a grid by the model, found one over loopback");
+                root.addProblem("grid", "expected a grid by the model, found one over loopback");
             }
         }
-        root.noMore();
+        root.rejectUnknownKeys();
         return new Experiment(name, byModel, seeds, arms, limits);
     }
 
     private static Scenario.Peers peers(Section root) {
         Section section = root.section("peers");
-        Scenario.Peers peers = root.has("peers") ? new Scenario.Peers(section.span("delay", 5 * MILLI, 0, MINUTE), section.real("loss", 0, 0, 1),
-                section.real("silent", 0, 0, 1), section.real("lying", 0, 0, 1)) : null;
-        section.noMore();
+        Scenario.Peers peers = root.has("peers") ? new Scenario.Peers(section.durationMicros("delay", 5 * MILLI, 0, MINUTE), section.number("loss", 0, 0, 1),
+                section.number("silent", 0, 0, 1), section.number("lying", 0, 0, 1)) : null;
+        section.rejectUnknownKeys();
         return peers;
     }
 
     /** As the file's, with more loss, silence or lies, or none at all. */
     private static Scenario.Peers peers(Section section, Scenario.Peers peers) {
         boolean on = section.flag("peers", peers != null);
-        Double loss = section.real("peers_loss", 0, 1);
-        Double silent = section.real("peers_silent", 0, 1);
-        Double lying = section.real("peers_lying", 0, 1);
+        Double loss = section.number("peers_loss", 0, 1);
+        Double silent = section.number("peers_silent", 0, 1);
+        Double lying = section.number("peers_lying", 0, 1);
         if (peers == null) {
             if (on || loss != null || silent != null || lying != null) {
-                section.problem("peers", "expected a table peers in the file, found none");
+                section.addProblem("peers", "expected a table peers in the file, found none");
             }
             return null;
         }
@@ -184,56 +184,56 @@
         ZoneSettings settings = ZonesReader.read(root, null, zones, classes, tenants, pools);
         Section section = root.section("crossing");
         Scenario.Zones crossing = settings == null ? null : new Scenario.Zones(settings, section.flag("shared", false),
-                section.whole("request_bytes", 500, 1, 1 << 20), section.whole("answer_bytes", 1_000, 1, 1 << 20));
+                section.integer("request_bytes", 500, 1, 1 << 20), section.integer("answer_bytes", 1_000, 1, 1 << 20));
         if (settings == null && root.has("crossing")) {
-            root.problem("crossing", "expected a table zones beside it, found none");
+            root.addProblem("crossing", "expected a table zones beside it, found none");
         }
         if (settings != null && (settings.reportFile() != null || settings.stateFolder() != null || settings.sharedFolder() != null)) {
-            root.problem("zones", "expected no files in an experiment, found some");
+            root.addProblem("zones", "expected no files in an experiment, found some");
         }
-        section.noMore();
+        section.rejectUnknownKeys();
         return crossing;
     }
 
     private Scenario.Site site(Section section) {
         List<String> zones = section.texts("zones", 16);
         if (zones.isEmpty()) {
-            section.problem("zones", "expected the names of all data centres, found none");
+            section.addProblem("zones", "expected the names of all data centres, found none");
         }
-        Rules rules = Tables.rules(section);
-        Scenario.Site site = new Scenario.Site(zones, (int) section.whole("gateways", 1, 1, GATEWAYS_MOST),
-                section.span("within", 250, 1, SECOND), section.span("across", 4 * MILLI, 1, SECOND),
-                section.real("jitter", 0.2, 0, 1), section.real("loss", 0, 0, 1), section.real("resets", 0, 0, 1),
-                section.span("list_delay", SECOND, 0, MINUTE), section.span("list_spread", SECOND, 0, MINUTE),
-                section.real("list_missed", 0, 0, 1), section.real("list_doubled", 0, 0, 1),
-                section.span("list_every", 0, 0, 10 * MINUTE), section.flag("membership", false),
-                section.span("gateway_cost", 0, 0, SECOND), section.span("front_notice", 2 * SECOND, 0, MINUTE),
-                (int) section.whole("max_attempts", 4, 1, 16), section.span("retry_after", 2 * SECOND, 0, MINUTE),
+        Rules rules = Tables.readRules(section);
+        Scenario.Site site = new Scenario.Site(zones, (int) section.integer("gateways", 1, 1, GATEWAYS_MOST),
+                section.durationMicros("within", 250, 1, SECOND), section.durationMicros("across", 4 * MILLI, 1, SECOND),
+                section.number("jitter", 0.2, 0, 1), section.number("loss", 0, 0, 1), section.number("resets", 0, 0, 1),
+                section.durationMicros("list_delay", SECOND, 0, MINUTE), section.durationMicros("list_spread", SECOND, 0, MINUTE),
+                section.number("list_missed", 0, 0, 1), section.number("list_doubled", 0, 0, 1),
+                section.durationMicros("list_every", 0, 0, 10 * MINUTE), section.flag("membership", false),
+                section.durationMicros("gateway_cost", 0, 0, SECOND), section.durationMicros("front_notice", 2 * SECOND, 0, MINUTE),
+                (int) section.integer("max_attempts", 4, 1, 16), section.durationMicros("retry_after", 2 * SECOND, 0, MINUTE),
                 section.flag("marks_retry", false), section.flag("probes", true), rules);
-        section.noMore();
+        section.rejectUnknownKeys();
         return site;
     }
 
     private static List<Scenario.Kind> kinds(Section root, boolean byModel) {
         List<Scenario.Kind> kinds = new ArrayList<>();
-        Set<String> met = Section.met();
+        Set<String> met = Section.newSeenSet();
         for (Section section : root.sections("kind", 64)) {
-            String name = Tables.word(section, "name", section.requiredText("name"));
-            section.once("name", name, met);
-            int cores = (int) section.whole("cores", 2, 1, 1024);
-            int slots = (int) section.whole("slots", cores, 1, 1 << 16);
-            double gain = section.real("gain", 0, 0, 1);
+            String name = Tables.checkName(section, "name", section.requiredText("name"));
+            section.requireUnique("name", name, met);
+            int cores = (int) section.integer("cores", 2, 1, 1024);
+            int slots = (int) section.integer("slots", cores, 1, 1 << 16);
+            double gain = section.number("gain", 0, 0, 1);
             if (!byModel && (slots != cores || gain > 0)) {
-                section.problem("slots", "expected as many slots as cores and no gain over loopback, found " + slots + " slots, "
-                        + cores + " cores and a gain of " + Section.shown(gain));
+                section.addProblem("slots", "expected as many slots as cores and no gain over loopback, found " + slots + " slots, "
+                        + cores + " cores and a gain of " + Section.formatNumber(gain));
             }
-            kinds.add(new Scenario.Kind(name, cores, section.real("speed", 1, 0.001, 1000), slots,
-                    (int) section.whole("queue", 64, 0, 1 << 20), gain, section.span("key_for", 5 * SECOND, 0, 10 * MINUTE),
-                    (int) section.whole("keys_most", 200, 1, 1 << 20)));
-            section.noMore();
+            kinds.add(new Scenario.Kind(name, cores, section.number("speed", 1, 0.001, 1000), slots,
+                    (int) section.integer("queue", 64, 0, 1 << 20), gain, section.durationMicros("key_for", 5 * SECOND, 0, 10 * MINUTE),
+                    (int) section.integer("keys_most", 200, 1, 1 << 20)));
+            section.rejectUnknownKeys();
         }
         if (kinds.isEmpty()) {
-            root.problem("kind", "expected at least one machine kind, [[kind]], found none");
+            root.addProblem("kind", "expected at least one machine kind, [[kind]], found none");
         }
         return kinds;
     }
@@ -242,39 +242,39 @@
         List<Scenario.Group> groups = new ArrayList<>();
         List<String> names = kinds.stream().map(Scenario.Kind::name).toList();
         for (Section section : root.sections("nodes", 256)) {
-            String kind = Tables.among(section, "kind", names);
+            String kind = Tables.readDefinedName(section, "kind", names);
             if (kind == null) {
-                section.problem("kind", "expected the name of a kind, found nothing");
+                section.addProblem("kind", "expected the name of a kind, found nothing");
             }
-            groups.add(new Scenario.Group(Tables.word(section, "pool", section.text("pool", "main")), kind,
-                    (int) section.whole("count", 1, 1, NODES_MOST), (int) section.whole("cell", 0, 0, NODES_MOST)));
-            section.noMore();
+            groups.add(new Scenario.Group(Tables.checkName(section, "pool", section.text("pool", "main")), kind,
+                    (int) section.integer("count", 1, 1, NODES_MOST), (int) section.integer("cell", 0, 0, NODES_MOST)));
+            section.rejectUnknownKeys();
         }
         if (groups.isEmpty()) {
-            root.problem("nodes", "expected at least one group of nodes, [[nodes]], found none");
+            root.addProblem("nodes", "expected at least one group of nodes, [[nodes]], found none");
         }
         return groups;
     }
 
     private static Map<String, Work> works(Section root, List<String> classes) {
         Map<String, Work> works = new HashMap<>();
-        Set<String> met = Section.met();
+        Set<String> met = Section.newSeenSet();
         for (Section section : root.sections("work", 64)) {
-            String name = Tables.among(section, "class", classes);
-            section.once("class", String.valueOf(name), met);
+            String name = Tables.readDefinedName(section, "class", classes);
+            section.requireUnique("class", String.valueOf(name), met);
             List<Work.Shape> shapes = List.of(Work.Shape.values());
-            Work.Shape shape = section.word("shape", Work.Shape.EXPONENTIAL, words(shapes), shapes);
-            double mean = section.requiredSpan("mean", 1, 10 * MINUTE);
-            double cv = section.real("cv", 1, 0, 100);
+            Work.Shape shape = section.oneOf("shape", Work.Shape.EXPONENTIAL, words(shapes), shapes);
+            double mean = section.requiredDurationMicros("mean", 1, 10 * MINUTE);
+            double cv = section.number("cv", 1, 0, 100);
             try {
                 works.put(name, new Work(mean, shape, cv));
             } catch (IllegalArgumentException e) {
-                section.problem("cv", e.getMessage());
+                section.addProblem("cv", e.getMessage());
             }
-            section.noMore();
+            section.rejectUnknownKeys();
         }
         classes.stream().filter(name -> !met.contains(name)).forEach(name ->
-                root.problem("work", "expected how long class " + name + " takes, [[work]], found nothing"));
+                root.addProblem("work", "expected how long class " + name + " takes, [[work]], found nothing"));
         return works;
     }
 
@@ -285,18 +285,18 @@
     private static List<Route> routes(Section root, List<String> classes, List<String> pools) {
         List<Route> routes = new ArrayList<>();
         for (Section section : root.sections("route", 64)) {
-            String type = Tables.among(section, "class", classes);
-            String fallback = Tables.among(section, "fallback", pools);
-            List<Route.Target> targets = Tables.targets(section, new LinkedHashSet<>(pools));
+            String type = Tables.readDefinedName(section, "class", classes);
+            String fallback = Tables.readDefinedName(section, "fallback", pools);
+            List<Route.Target> targets = Tables.readTargets(section, new LinkedHashSet<>(pools));
             if (targets.stream().noneMatch(target -> target.weight() > 0)) {
-                section.problem("pools", "expected a pool with a weight above 0, found none");
+                section.addProblem("pools", "expected a pool with a weight above 0, found none");
             } else {
                 routes.add(new Route("route-" + (routes.size() + 1), new Match(type, null, null, null, null, null), targets, fallback));
             }
-            section.noMore();
+            section.rejectUnknownKeys();
         }
         if (routes.isEmpty() && pools.size() > 1) {
-            root.problem("route", "expected at least one route, [[route]], where there are " + pools.size() + " pools, found none");
+            root.addProblem("route", "expected at least one route, [[route]], where there are " + pools.size() + " pools, found none");
         }
         return routes;
     }
@@ -304,43 +304,43 @@
     private static List<Population> populations(Section root, List<RequestClass> classes, List<Tenant> tenants, List<String> zones,
             long length, boolean byModel) {
         List<Population> populations = new ArrayList<>();
-        Set<String> met = Section.met();
+        Set<String> met = Section.newSeenSet();
         for (Section section : root.sections("population", 64)) {
-            String name = Tables.word(section, "name", section.requiredText("name"));
-            section.once("name", name, met);
-            String tenant = Tables.among(section, "tenant", tenants.stream().map(Tenant::name).toList());
-            long tryFor = section.span("try_for", 0, MILLI, 10 * MINUTE);
+            String name = Tables.checkName(section, "name", section.requiredText("name"));
+            section.requireUnique("name", name, met);
+            String tenant = Tables.readDefinedName(section, "tenant", tenants.stream().map(Tenant::name).toList());
+            long tryFor = section.durationMicros("try_for", 0, MILLI, 10 * MINUTE);
             Section weights = section.section("classes");
             List<Mix.Part> parts = new ArrayList<>();
             for (RequestClass type : classes) {
-                double weight = weights.has(type.name()) ? weights.real(type.name(), 0, 0, 1e6) : 0;
+                double weight = weights.has(type.name()) ? weights.number(type.name(), 0, 0, 1e6) : 0;
                 if (weight > 0) {
                     parts.add(new Mix.Part(type.name(), tenant, type.repeat(), weight, tryFor > 0 ? tryFor : type.deadline(), 0));
                 }
             }
-            weights.noMore();
+            weights.rejectUnknownKeys();
             if (parts.isEmpty()) {
-                section.problem("classes", "expected a class with a weight above 0, found none");
+                section.addProblem("classes", "expected a class with a weight above 0, found none");
             }
             List<Arrivals.Kind> kinds = List.of(Arrivals.Kind.values());
-            Arrivals.Kind arrivals = section.word("arrivals", Arrivals.Kind.POISSON, words(kinds), kinds);
+            Arrivals.Kind arrivals = section.oneOf("arrivals", Arrivals.Kind.POISSON, words(kinds), kinds);
             Mix.Keys keys = GridReader.keys(section);
-            Tries tries = new Tries((int) section.whole("tries", 1, 1, 20), section.span("pause", 100 * MILLI, 0, MINUTE),
-                    section.real("growth", 1, 1, 10), section.real("jitter", 0.5, 0, 1), section.real("follows", 0, 0, 1));
+            Tries tries = new Tries((int) section.integer("tries", 1, 1, 20), section.durationMicros("pause", 100 * MILLI, 0, MINUTE),
+                    section.number("growth", 1, 1, 10), section.number("jitter", 0.5, 0, 1), section.number("follows", 0, 0, 1));
             if (!byModel && tries.most() > 1) {
-                section.problem("tries", "expected 1 over loopback, found " + tries.most());
+                section.addProblem("tries", "expected 1 over loopback, found " + tries.most());
             }
             Curve curve = null;
             try {
                 curve = Curve.parse(section.requiredText("rate"), length / 1e6);
             } catch (IllegalArgumentException e) {
-                section.problem("rate", e.getMessage());
+                section.addProblem("rate", e.getMessage());
             }
-            populations.add(new Population(name, Tables.among(section, "zone", zones), curve, arrivals, parts, keys, tries));
-            section.noMore();
+            populations.add(new Population(name, Tables.readDefinedName(section, "zone", zones), curve, arrivals, parts, keys, tries));
+            section.rejectUnknownKeys();
         }
         if (populations.isEmpty()) {
-            root.problem("population", "expected at least one population of clients, [[population]], found none");
+            root.addProblem("population", "expected at least one population of clients, [[population]], found none");
         }
         return populations;
     }
@@ -351,36 +351,36 @@
         List<What> whats = List.of(What.values());
         int nodes = groups.stream().mapToInt(Scenario.Group::count).sum();
         for (Section section : root.sections("fault", 256)) {
-            What what = section.word("what", null, words(whats), whats);
+            What what = section.oneOf("what", null, words(whats), whats);
             if (what == null && !section.has("what")) {
-                section.problem("what", "expected one of " + String.join(", ", words(whats)) + ", found nothing");
+                section.addProblem("what", "expected one of " + String.join(", ", words(whats)) + ", found nothing");
             }
             if (what != null && !byModel && !LOOPBACK_FAULTS.contains(what)) {
-                section.problem("what", "expected one of " + String.join(", ", words(LOOPBACK_FAULTS.stream().sorted().toList()))
+                section.addProblem("what", "expected one of " + String.join(", ", words(LOOPBACK_FAULTS.stream().sorted().toList()))
                         + " over loopback, found " + words(List.of(what)).get(0));
             }
-            long at = section.requiredSpan("at", 0, 60 * MINUTE);
-            long lasts = section.requiredSpan("for", MILLI, 60 * MINUTE);
+            long at = section.requiredDurationMicros("at", 0, 60 * MINUTE);
+            long lasts = section.requiredDurationMicros("for", MILLI, 60 * MINUTE);
             if (at + lasts > length) {
-                section.problem("at", "expected its end within the length of " + length / SECOND + " s, found " + (at + lasts) / 1e6 + " s");
+                section.addProblem("at", "expected its end within the length of " + length / SECOND + " s, found " + (at + lasts) / 1e6 + " s");
             }
             String node = section.text("node");
             if (node != null && !known(node, what, nodes, site.gateways())) {
-                section.problem("node", "expected a node from n-0 to n-" + (nodes - 1) + (what == What.GATEWAYS
+                section.addProblem("node", "expected a node from n-0 to n-" + (nodes - 1) + (what == What.GATEWAYS
                         ? " or a gateway from gateway-0 to gateway-" + (site.gateways() - 1) : "") + ", found \"" + node + "\"");
             }
-            double size = section.real("size", what == What.DEPLOY ? 0.1 : what == What.ERRORS ? 1 : 2, 0.0001, 1000);
+            double size = section.number("size", what == What.DEPLOY ? 0.1 : what == What.ERRORS ? 1 : 2, 0.0001, 1000);
             if ((what == What.DEPLOY || what == What.ERRORS) && size > 1) {
-                section.problem("size", "expected a part, up to 1, found " + Section.shown(size));
+                section.addProblem("size", "expected a part, up to 1, found " + Section.formatNumber(size));
             }
-            String zone = Tables.among(section, "zone", site.zones());
+            String zone = Tables.readDefinedName(section, "zone", site.zones());
             if (what == What.CUT && zone == null) {
-                section.problem("zone", "expected the zone that is cut off, found nothing");
+                section.addProblem("zone", "expected the zone that is cut off, found nothing");
             }
-            faults.add(new Fault(what, at, lasts, size, new Scenario.Where(zone, Tables.among(section, "kind",
-                    kinds.stream().map(Scenario.Kind::name).toList()), Tables.among(section, "pool", pools), node,
-                    section.real("part", 1, 0.0001, 1))));
-            section.noMore();
+            faults.add(new Fault(what, at, lasts, size, new Scenario.Where(zone, Tables.readDefinedName(section, "kind",
+                    kinds.stream().map(Scenario.Kind::name).toList()), Tables.readDefinedName(section, "pool", pools), node,
+                    section.number("part", 1, 0.0001, 1))));
+            section.rejectUnknownKeys();
         }
         return faults;
     }
@@ -396,26 +396,26 @@
 
     private List<Arm> arms(Section root, Scenario scenario, boolean byModel) {
         List<Arm> arms = new ArrayList<>();
-        Set<String> met = Section.met();
+        Set<String> met = Section.newSeenSet();
         List<List<Object>> differences = new ArrayList<>();
         for (Section section : root.sections("arm", 32)) {
-            String name = Tables.word(section, "name", section.requiredText("name"));
-            section.once("name", name, met);
+            String name = Tables.checkName(section, "name", section.requiredText("name"));
+            section.requireUnique("name", name, met);
             String policy = section.text("policy", "module");
-            Policy.Breaks breaks = section.word("breaks", Policy.Breaks.NOTHING, List.of("group", "drain", "twice"),
+            Policy.Breaks breaks = section.oneOf("breaks", Policy.Breaks.NOTHING, List.of("group", "drain", "twice"),
                     List.of(Policy.Breaks.GROUP, Policy.Breaks.DRAIN, Policy.Breaks.TWICE));
             Scenario own = changed(section, scenario);
             if (!byModel && (!policy.equals("module") || breaks != Policy.Breaks.NOTHING)) {
-                section.problem("policy", "expected module and nothing that breaks over loopback, found " + policy);
+                section.addProblem("policy", "expected module and nothing that breaks over loopback, found " + policy);
             }
             List<Object> difference = Arrays.asList(policy, breaks, own.site(), rates(own), own.zones(), own.peers());
             int same = differences.indexOf(difference);
             if (same >= 0) {
-                section.problem("expected something that differs from arm " + arms.get(same).name() + ", found nothing");
+                section.addProblem("expected something that differs from arm " + arms.get(same).name() + ", found nothing");
             }
             differences.add(difference);
             arms.add(new Arm(name, policy(section, policy).breaking(breaks), own));
-            section.noMore();
+            section.rejectUnknownKeys();
         }
         return arms.isEmpty() ? List.of(new Arm("module", Policy.module(), scenario)) : arms;
     }
@@ -442,13 +442,13 @@
             }
             default -> {
                 if (!policy.endsWith(".jar")) {
-                    section.problem("policy", "expected module, random, two or the path of another build's jar, found \"" + policy + "\"");
+                    section.addProblem("policy", "expected module, random, two or the path of another build's jar, found \"" + policy + "\"");
                     return Policy.module();
                 }
                 try {
                     return Builds.of(folder.resolve(policy));
                 } catch (IllegalArgumentException e) {
-                    section.problem("policy", e.getMessage());
+                    section.addProblem("policy", e.getMessage());
                     return Policy.module();
                 }
             }
@@ -458,16 +458,16 @@
     /** What an arm may set otherwise than the file's site and populations. */
     private static Scenario changed(Section section, Scenario scenario) {
         Scenario.Site site = scenario.site();
-        double factor = section.real("rate_times", 1, 0.0001, 10_000);
-        Scenario.Site own = new Scenario.Site(site.zones(), (int) section.whole("gateways", site.gateways(), 1, GATEWAYS_MOST),
+        double factor = section.number("rate_times", 1, 0.0001, 10_000);
+        Scenario.Site own = new Scenario.Site(site.zones(), (int) section.integer("gateways", site.gateways(), 1, GATEWAYS_MOST),
                 site.within(), site.across(), site.jitter(), site.loss(), site.resets(),
-                section.span("list_delay", site.listDelay(), 0, MINUTE), site.listSpread(),
-                section.real("list_missed", site.listMissed(), 0, 1), site.listDoubled(), site.listEvery(),
-                section.flag("membership", site.membership()), section.span("gateway_cost", site.gatewayCost(), 0, SECOND),
-                site.frontNotice(), (int) section.whole("max_attempts", site.maxAttempts(), 1, 16),
-                section.span("retry_after", site.retryAfter(), 0, MINUTE), section.flag("marks_retry", site.marksRetry()),
+                section.durationMicros("list_delay", site.listDelay(), 0, MINUTE), site.listSpread(),
+                section.number("list_missed", site.listMissed(), 0, 1), site.listDoubled(), site.listEvery(),
+                section.flag("membership", site.membership()), section.durationMicros("gateway_cost", site.gatewayCost(), 0, SECOND),
+                site.frontNotice(), (int) section.integer("max_attempts", site.maxAttempts(), 1, 16),
+                section.durationMicros("retry_after", site.retryAfter(), 0, MINUTE), section.flag("marks_retry", site.marksRetry()),
                 section.flag("probes", site.probes()), site.rules());
-        Double follows = section.real("follows", 0, 1);
+        Double follows = section.number("follows", 0, 1);
         List<Population> populations = scenario.populations().stream().map(population -> new Population(population.name(),
                 population.zone(), population.curve() == null ? null : population.curve().times(factor), population.arrivals(),
                 population.parts(), population.keys(), follows == null ? population.tries() : new Tries(population.tries().most(),
@@ -479,11 +479,11 @@
 
     /** The budgets' amounts times so much, sharing or not, giving way or not, or no counting at all. */
     private static Scenario.Zones budgets(Section section, Scenario.Zones zones) {
-        double times = section.real("budget_times", 1, 0, 1e9);
+        double times = section.number("budget_times", 1, 0, 1e9);
         boolean on = section.flag("zones", zones != null);
         if (zones == null) {
             if (on || section.has("budget_times")) {
-                section.problem("zones", "expected a table zones in the file, found none");
+                section.addProblem("zones", "expected a table zones in the file, found none");
             }
             return null;
         }
@@ -499,18 +499,18 @@
         List<Limit> limits = new ArrayList<>();
         List<Quantity> quantities = List.of(Quantity.values());
         for (Section section : root.sections("limit", 256)) {
-            Quantity what = section.word("what", null, quantities.stream().map(Quantity::word).toList(), quantities);
+            Quantity what = section.oneOf("what", null, quantities.stream().map(Quantity::word).toList(), quantities);
             if (what == null && !section.has("what")) {
-                section.problem("what", "expected what is limited, found nothing");
+                section.addProblem("what", "expected what is limited, found nothing");
             }
             boolean time = what != null && what.time();
             Double least = bound(section, "least", time);
             Double most = bound(section, "most", time);
             if (least == null && most == null && !section.has("least") && !section.has("most")) {
-                section.problem("expected least or most, found neither");
+                section.addProblem("expected least or most, found neither");
             }
-            limits.add(new Limit(Tables.among(section, "arm", arms), what, least, most, section.place()));
-            section.noMore();
+            limits.add(new Limit(Tables.readDefinedName(section, "arm", arms), what, least, most, section.location()));
+            section.rejectUnknownKeys();
         }
         return limits;
     }
@@ -519,6 +519,6 @@
         if (!section.has(key)) {
             return null;
         }
-        return time ? Double.valueOf(section.requiredSpan(key, 0, 60 * MINUTE)) : section.real(key, 0, 1e12);
+        return time ? Double.valueOf(section.requiredDurationMicros(key, 0, 60 * MINUTE)) : section.number(key, 0, 1e12);
     }
 }
--- a/src/main/java/mastdrift/lab/GridReader.java
+++ b/src/main/java/mastdrift/lab/GridReader.java
@@ -25,50 +25,50 @@
     static Axes read(Section section, Function<Section, List<Fault>> faults) {
         List<Integer> gateways = axis(section, "gateways", ExperimentReader.GATEWAYS_MOST);
         List<Integer> nodes = axis(section, "nodes", ExperimentReader.NODES_MOST);
-        double rate = section.requiredReal("node_rate", 0.001, 100_000);
+        double rate = section.requiredNumber("node_rate", 0.001, 100_000);
         List<Keys> keys = new ArrayList<>();
-        Set<String> met = Section.met();
+        Set<String> met = Section.newSeenSet();
         for (Section each : section.sections("keys", AXIS_MOST)) {
-            String name = Tables.word(each, "name", each.requiredText("name"));
-            each.once("name", name, met);
+            String name = Tables.checkName(each, "name", each.requiredText("name"));
+            each.requireUnique("name", name, met);
             keys.add(new Keys(name, keys(each)));
-            each.noMore();
+            each.rejectUnknownKeys();
         }
         if (keys.isEmpty()) {
-            section.problem("keys", "expected at least one table of keys, [[grid.keys]], found none");
+            section.addProblem("keys", "expected at least one table of keys, [[grid.keys]], found none");
         }
         List<Day> days = new ArrayList<>();
-        met = Section.met();
+        met = Section.newSeenSet();
         for (Section each : section.sections("day", AXIS_MOST)) {
-            String name = Tables.word(each, "name", each.requiredText("name"));
-            each.once("name", name, met);
+            String name = Tables.checkName(each, "name", each.requiredText("name"));
+            each.requireUnique("name", name, met);
             days.add(new Day(name, faults.apply(each)));
-            each.noMore();
+            each.rejectUnknownKeys();
         }
         if (days.isEmpty()) {
             days.add(new Day("calm", List.of()));
         }
-        section.noMore();
+        section.rejectUnknownKeys();
         return new Axes(gateways, nodes, rate, keys, days);
     }
 
     /** How many keys there are, how uneven they are, and the part of all requests that is about one of them beside that. */
     static Mix.Keys keys(Section section) {
-        return new Mix.Keys((int) section.whole("keys", 1000, 1, 1 << 30), section.real("zipf", 0.9, 0, 5),
-                section.real("hot_part", 0, 0, 1), section.span("hot_moves", 0, 0, 60_000_000));
+        return new Mix.Keys((int) section.integer("keys", 1000, 1, 1 << 30), section.number("zipf", 0.9, 0, 5),
+                section.number("hot_part", 0, 0, 1), section.durationMicros("hot_moves", 0, 0, 60_000_000));
     }
 
     private static List<Integer> axis(Section section, String key, int most) {
         List<Integer> values = new ArrayList<>();
         for (String text : section.texts(key, AXIS_MOST)) {
             if (!text.matches("\\d{1,6}") || Integer.parseInt(text) < 1 || Integer.parseInt(text) > most) {
-                section.problem(key, "expected whole numbers from 1 to " + most + ", found \"" + text + "\"");
+                section.addProblem(key, "expected whole numbers from 1 to " + most + ", found \"" + text + "\"");
             } else {
                 values.add(Integer.parseInt(text));
             }
         }
         if (values.isEmpty()) {
-            section.problem(key, "expected whole numbers as texts, [\"10\", \"100\"], found none");
+            section.addProblem(key, "expected whole numbers as texts, [\"10\", \"100\"], found none");
             values.add(1);
         }
         return List.copyOf(values);
--- a/src/main/java/mastdrift/lab/rig/ChaosPlan.java
+++ b/src/main/java/mastdrift/lab/rig/ChaosPlan.java
@@ -50,16 +50,16 @@
         } catch (IOException e) {
             problems.add(new Problem(file.toString(), 0, 0, "expected a file that can be read, found " + e.getClass().getSimpleName()));
         }
-        return new Result(problems.none() ? plan : null, problems.lines());
+        return new Result(problems.isEmpty() ? plan : null, problems.lines());
     }
 
     private static ChaosPlan plan(Section root, Long given) {
-        int gateways = (int) root.whole("gateways", 3, 1, GATEWAYS_MOST);
+        int gateways = (int) root.integer("gateways", 3, 1, GATEWAYS_MOST);
         List<String> zones = root.texts("zones", GATEWAYS_MOST);
-        int seconds = (int) root.whole("seconds", 30, 1, 3_600);
-        int quiet = (int) root.whole("quiet", 20, 0, 600);
-        long drawn = root.whole("drawn", 0, 0, FAULTS_MOST);
-        long seed = root.whole("seed", 1, 0, Long.MAX_VALUE);
+        int seconds = (int) root.integer("seconds", 30, 1, 3_600);
+        int quiet = (int) root.integer("quiet", 20, 0, 600);
+        long drawn = root.integer("drawn", 0, 0, FAULTS_MOST);
+        long seed = root.integer("seed", 1, 0, Long.MAX_VALUE);
         List<String> names = IntStream.range(0, gateways).mapToObj(number -> "g" + number).toList();
         List<Fault> faults = new ArrayList<>();
         for (Section each : root.sections("fault", FAULTS_MOST)) {
@@ -68,40 +68,40 @@
         long counts = given == null ? seed : given;
         faults.addAll(Fault.drawn(counts, gateways, (int) drawn, SECOND, Math.max(1, seconds - quiet) * SECOND));
         ChaosPlan plan = new ChaosPlan(root.text("name", "chaos"), gateways, zones.isEmpty() ? List.of("bilbao", "oviedo") : zones,
-                (int) root.whole("hosts", 4, 1, 64), (int) root.whole("clients", 8, 0, 256), seconds, quiet, counts, faults);
-        root.noMore();
+                (int) root.integer("hosts", 4, 1, 64), (int) root.integer("clients", 8, 0, 256), seconds, quiet, counts, faults);
+        root.rejectUnknownKeys();
         return plan;
     }
 
     private static Fault fault(Section section, List<String> names, int seconds) {
         List<Fault.Kind> kinds = List.of(Fault.Kind.values());
-        Fault.Kind kind = section.word("kind", null, kinds.stream().map(Fault.Kind::word).toList(), kinds);
+        Fault.Kind kind = section.oneOf("kind", null, kinds.stream().map(Fault.Kind::word).toList(), kinds);
         if (kind == null) {
             if (!section.has("kind")) {
-                section.problem("kind", "expected what goes wrong, found nothing");
+                section.addProblem("kind", "expected what goes wrong, found nothing");
             }
             kind = Fault.Kind.CUT;
         }
-        long from = section.requiredSpan("from", 0, seconds * SECOND);
-        long until = section.requiredSpan("until", 0, seconds * SECOND);
+        long from = section.requiredDurationMicros("from", 0, seconds * SECOND);
+        long until = section.requiredDurationMicros("until", 0, seconds * SECOND);
         if (until < from) {
-            section.problem("until", "expected no time before from");
+            section.addProblem("until", "expected no time before from");
         }
         List<Integer> gateways = new ArrayList<>();
         for (String each : section.texts("gateways", GATEWAYS_MOST)) {
             if (names.contains(each)) {
                 gateways.add(names.indexOf(each));
             } else {
-                section.problem("gateways", "expected some of " + String.join(", ", names) + ", found \"" + each + "\"");
+                section.addProblem("gateways", "expected some of " + String.join(", ", names) + ", found \"" + each + "\"");
             }
         }
         boolean all = kind == Fault.Kind.DELAY || kind == Fault.Kind.SLOW || kind == Fault.Kind.LOSS || kind == Fault.Kind.SPOIL;
         if (gateways.isEmpty() && !all) {
-            section.problem("gateways", "expected to whom, found nobody");
+            section.addProblem("gateways", "expected to whom, found nobody");
             gateways.add(0);
         }
-        double amount = kind.most() > 0 ? section.requiredReal("amount", kind.least(), kind.most()) : 0;
-        section.noMore();
+        double amount = kind.most() > 0 ? section.requiredNumber("amount", kind.least(), kind.most()) : 0;
+        section.rejectUnknownKeys();
         return new Fault(kind, from, until, gateways, amount);
     }
 
--- a/src/main/java/mastdrift/lab/scale/ScalePlan.java
+++ b/src/main/java/mastdrift/lab/scale/ScalePlan.java
@@ -112,23 +112,23 @@
         Problems problems = new Problems();
         Section root = Section.root(file, text, problems);
         ScalePlan plan = root == null ? null : plan(root, seed);
-        return new Result(problems.none() ? plan : null, problems.lines());
+        return new Result(problems.isEmpty() ? plan : null, problems.lines());
     }
 
     private static ScalePlan plan(Section root, Long given) {
-        long seed = root.whole("seed", 1, 0, Long.MAX_VALUE);
+        long seed = root.integer("seed", 1, 0, Long.MAX_VALUE);
         List<Size> sizes = new ArrayList<>();
         for (Section each : root.sections("size", LIST_MOST)) {
             sizes.add(size(each));
         }
         if (sizes.isEmpty()) {
-            root.problem("size", "expected at least one table [[size]], found none");
+            root.addProblem("size", "expected at least one table [[size]], found none");
         }
         for (int i = 1; i < sizes.size(); i++) {
             Size one = sizes.get(i - 1);
             Size other = sizes.get(i);
             if (other.hollow < one.hollow || other.all() < one.all() || other.equals(one)) {
-                root.problem("size", "expected each size to be larger than the one before, found " + other.hollow + " and " + other.all() + " resources behind " + one.hollow + " and "
+                root.addProblem("size", "expected each size to be larger than the one before, found " + other.hollow + " and " + other.all() + " resources behind " + one.hollow + " and "
                         + one.all());
             }
         }
@@ -137,45 +137,45 @@
             phases.add(phase(each));
         }
         if (phases.stream().map(Phase::name).distinct().count() < phases.size()) {
-            root.problem("phase", "expected phases of different names, found " + phases.stream().map(Phase::name).toList());
+            root.addProblem("phase", "expected phases of different names, found " + phases.stream().map(Phase::name).toList());
         }
-        int voters = (int) root.whole("voters", 5, 1, 7);
+        int voters = (int) root.integer("voters", 5, 1, 7);
         if (voters % 2 == 0) {
-            root.problem("voters", "expected 1, 3, 5 or 7, found " + voters);
+            root.addProblem("voters", "expected 1, 3, 5 or 7, found " + voters);
         }
-        ScalePlan plan = new ScalePlan(root.text("name", "scale"), given == null ? seed : given, voters, (int) root.whole("relays", 12, 0, MACHINES_MOST),
-                (int) root.whole("gateways", 3, 0, MACHINES_MOST), (int) root.whole("per_process", 400, 1, HOLLOW_MOST), (int) root.whole("zones", 11, 1, 64), List.copyOf(sizes),
+        ScalePlan plan = new ScalePlan(root.text("name", "scale"), given == null ? seed : given, voters, (int) root.integer("relays", 12, 0, MACHINES_MOST),
+                (int) root.integer("gateways", 3, 0, MACHINES_MOST), (int) root.integer("per_process", 400, 1, HOLLOW_MOST), (int) root.integer("zones", 11, 1, 64), List.copyOf(sizes),
                 List.copyOf(phases));
-        root.noMore();
+        root.rejectUnknownKeys();
         return plan;
     }
 
     private static Size size(Section section) {
         Map<ResourceKind, Integer> resources = new TreeMap<>();
         for (ResourceKind kind : ResourceKind.values()) {
-            resources.put(kind, (int) section.whole(kind.name().toLowerCase(java.util.Locale.ROOT) + "s", kind == ResourceKind.ROUTE || kind == ResourceKind.HOST ? 100 : 0,
+            resources.put(kind, (int) section.integer(kind.name().toLowerCase(java.util.Locale.ROOT) + "s", kind == ResourceKind.ROUTE || kind == ResourceKind.HOST ? 100 : 0,
                     kind == ResourceKind.HOST ? 1 : 0, RESOURCES_MOST));
         }
-        Size size = new Size((int) section.whole("hollow", 8, 1, HOLLOW_MOST), resources);
+        Size size = new Size((int) section.integer("hollow", 8, 1, HOLLOW_MOST), resources);
         if (size.all() > RESOURCES_MOST) {
-            section.problem("routes", "expected at most " + RESOURCES_MOST + " resources of all kinds, found " + size.all());
+            section.addProblem("routes", "expected at most " + RESOURCES_MOST + " resources of all kinds, found " + size.all());
         }
-        section.noMore();
+        section.rejectUnknownKeys();
         return size;
     }
 
     private static Phase phase(Section section) {
         List<Kind> kinds = List.of(Kind.values());
-        Kind kind = section.word("what", null, kinds.stream().map(Kind::word).toList(), kinds);
+        Kind kind = section.oneOf("what", null, kinds.stream().map(Kind::word).toList(), kinds);
         if (kind == null && !section.has("what")) {
-            section.problem("what", "expected what it does, found nothing");
+            section.addProblem("what", "expected what it does, found nothing");
         }
         Kind done = kind == null ? Kind.IDLE : kind;
-        double rate = done == Kind.CHANGES ? section.requiredReal("rate", 0.01, 1_000) : done == Kind.IDLE || done == Kind.BURST ? 0 : section.real("rate", 0, 0, 1_000);
+        double rate = done == Kind.CHANGES ? section.requiredNumber("rate", 0.01, 1_000) : done == Kind.IDLE || done == Kind.BURST ? 0 : section.number("rate", 0, 0, 1_000);
         boolean counts = done == Kind.BURST || done == Kind.RETURN || done == Kind.RETURN_WITH;
-        int count = counts ? (int) section.whole("count", 1, 1, 100_000) : 0;
-        Phase phase = new Phase(section.text("name", done.word()), done, rate, count, (int) section.requiredSpan("for", 1_000_000, SECONDS_MOST * 1_000_000L) / 1_000_000);
-        section.noMore();
+        int count = counts ? (int) section.integer("count", 1, 1, 100_000) : 0;
+        Phase phase = new Phase(section.text("name", done.word()), done, rate, count, (int) section.requiredDurationMicros("for", 1_000_000, SECONDS_MOST * 1_000_000L) / 1_000_000);
+        section.rejectUnknownKeys();
         return phase;
     }
 }
--- a/src/main/java/mastdrift/serve/AgreedService.java
+++ b/src/main/java/mastdrift/serve/AgreedService.java
@@ -54,11 +54,11 @@
             thread.setDaemon(true);
             return thread;
         });
-        log = new RaftLog(new RaftLog.Settings(name, configuration.peers().installation(), settings.begin(), settings.voters(),
-                file.toAbsolutePath().resolveSibling(settings.folder()), settings.replaceAfter()), peers.transport(), this::read, this::eligible,
+        log = new RaftLog(new RaftLog.Settings(name, configuration.peers().installation(), settings.logId(), settings.voters(),
+                file.toAbsolutePath().resolveSibling(settings.folder()), settings.replaceAfterMicros()), peers.transport(), this::read, this::eligible,
                 (bad, what, text, fields) -> event(bad ? Level.WARN : Level.INFO, what, text, fields));
         peers.log(this::status);
-        long every = settings.rollEvery();
+        long every = settings.livenessIntervalMicros();
         timer.scheduleWithFixedDelay(() -> roll(configuration.gateway().zone()), every, every, TimeUnit.MICROSECONDS);
     }
 
--- a/src/main/java/mastdrift/serve/Changes.java
+++ b/src/main/java/mastdrift/serve/Changes.java
@@ -35,26 +35,26 @@
         if (!inForce.tenants().equals(next.tenants())) {
             bound.add("[[tenant]]: expected the tenants that the gateway started with; start it anew to change them");
         }
-        if (!inForce.radius().equals(next.radius())) {
+        if (!inForce.radiusListeners().equals(next.radiusListeners())) {
             bound.add("[[radius]]: expected the listeners that the gateway started with; start it anew to change them");
         }
         boolean counted = inForce.zones() != null;
         if (counted != (next.zones() != null) || counted && !inForce.zones().sameAtStart(next.zones())) {
             bound.add("[zones]: expected the table, or none, and the files that the gateway started with; start it anew to change them");
         }
-        if ((inForce.peers() == null) != (next.peers() == null) || inForce.peers() != null && !inForce.peers().sameAtStart(next.peers())) {
+        if ((inForce.peers() == null) != (next.peers() == null) || inForce.peers() != null && !inForce.peers().equalsExceptReloadable(next.peers())) {
             bound.add("[peers]: expected the table, or none, as the gateway started with it but for keys and gateways; start it anew to change it");
         }
         if (!Objects.equals(inForce.agreed(), next.agreed())) {
             bound.add("[agreed]: expected what the gateway started with; start it anew to change it");
         }
         if (inForce.distribution() != next.distribution()
-                && (inForce.distribution() == null || next.distribution() == null || !inForce.distribution().sameAtStart(next.distribution()))) {
+                && (inForce.distribution() == null || next.distribution() == null || !inForce.distribution().equalsExceptReloadable(next.distribution()))) {
             bound.add("[distribution]: expected the table, or none, as the gateway started with it but for keys and machines; start it anew to change it");
         }
         inForce.pools().forEach((name, pool) -> {
             PoolSettings other = next.pools().get(name);
-            if (other != null && !pool.sameAtStart(other)) {
+            if (other != null && !pool.equalsExceptReloadable(other)) {
                 bound.add("[pool." + name + "]: expected the settings that it started with but for nodes and guards; "
                         + "take the pool out or start the gateway anew to change them");
             }
@@ -77,8 +77,8 @@
     public static Plan plan(Configuration old, Configuration next) {
         List<String> lines = new ArrayList<>();
         Membership membership = new Membership();
-        Map<String, PoolList> before = new TreeMap<>(membership.files(0, old.filed()));
-        Map<String, PoolList> after = membership.preview(0, next.filed());
+        Map<String, PoolList> before = new TreeMap<>(membership.files(0, old.configuredNodes()));
+        Map<String, PoolList> after = membership.preview(0, next.configuredNodes());
         TreeSet<String> pools = new TreeSet<>(before.keySet());
         pools.addAll(after.keySet());
         for (String pool : pools) {
@@ -95,14 +95,14 @@
         }
         List<String> refusals = new ArrayList<>(boundAtStart(old, next));
         List<Trip> trips = Control.trips(old, next, before, after);
-        new Overrides().left(trips, next.overrides(), old.versions())
-                .forEach(trip -> refusals.add(refusal(trip, old.versions())));
+        new Overrides().left(trips, next.overrides(), old.nodeListVersions())
+                .forEach(trip -> refusals.add(refusal(trip, old.nodeListVersions())));
         return new Plan(lines, refusals);
     }
 
     /** Guards that speak against a configuration by itself, as at a start. */
     public static List<String> refusalsAtStart(Configuration configuration) {
-        Map<String, PoolList> lists = new Membership().preview(0, configuration.filed());
+        Map<String, PoolList> lists = new Membership().preview(0, configuration.configuredNodes());
         return Control.trips(null, configuration, null, lists).stream().map(trip -> refusal(trip, Map.of())).toList();
     }
 
--- a/src/main/java/mastdrift/serve/Control.java
+++ b/src/main/java/mastdrift/serve/Control.java
@@ -89,15 +89,15 @@
         }
         long now = clock.getAsLong();
         List<Trip> trips = trips(inForce, next, inForce == null ? null : membership.lists(),
-                membership.preview(now, next.filed()));
+                membership.preview(now, next.configuredNodes()));
         List<Trip> left = overrides.left(trips, next.overrides(), versions);
         if (!left.isEmpty()) {
             return left.stream().map(trip -> Changes.refusal(trip, versions)).toList();
         }
         overrides.use(trips, versions);
-        Map<String, PoolList> changed = membership.files(now, next.filed());
+        Map<String, PoolList> changed = membership.files(now, next.configuredNodes());
         inForce = next;
-        versions = next.versions();
+        versions = next.nodeListVersions();
         synchronized (told) {
             told.keySet().retainAll(next.pools().keySet());
         }
--- a/src/main/java/mastdrift/serve/ControlLinks.java
+++ b/src/main/java/mastdrift/serve/ControlLinks.java
@@ -27,7 +27,7 @@
     /** Messages of {@link mastdrift.distribution.ControlMessage}. */
     static final byte CONTROL = 5;
     /** Connections that a gateway or an operator opens, at most. */
-    static final int OPENED_MOST = DistributionSettings.MACHINES_MOST;
+    static final int OPENED_MOST = DistributionSettings.MAX_MACHINES;
     private static final long EVENT_INTERVAL_MILLIS = 5_000;
     private static final int SENDERS_MOST = 1_024;
 
@@ -42,7 +42,7 @@
         this.events = events;
         this.name = name;
         loop = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory(thread, true), NioIoHandler.newFactory()).next();
-        links = new PeerLinks(loop, settings.installation(), name, Math.max(OPENED_MOST, settings.connections()), new LinkListener(listener));
+        links = new PeerLinks(loop, settings.installation(), name, Math.max(OPENED_MOST, settings.maxConnections()), new LinkListener(listener));
         configure(settings, secrets);
     }
 
--- a/src/main/java/mastdrift/serve/ControlMachine.java
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -75,7 +75,7 @@
     private final Subscription subscription;  // of a relay all the time, of a voter where decisions are missing
     private final Store store;  // null at a relay, as is the log
     private final RaftLog log;
-    private final ChangeCheck check = new ChangeCheck(ResourceValues::problem);
+    private final ChangeCheck check = new ChangeCheck(ResourceValues::findProblems);
     private final ScheduledThreadPoolExecutor proposer = new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("control-log", true));
     private final Semaphore reading = new Semaphore(READ_MOST);
     private final Map<String, List<PendingApply>> pending = new LinkedHashMap<>();
@@ -120,7 +120,7 @@
         if (text == null) {
             return null;
         }
-        DistributionReader.Result result = DistributionReader.control(FileContents.displayName(file), text);
+        DistributionReader.Result result = DistributionReader.readControl(FileContents.displayName(file), text);
         problems.addAll(result.problems());
         return result.settings();
     }
--- a/src/main/java/mastdrift/serve/DistributionService.java
+++ b/src/main/java/mastdrift/serve/DistributionService.java
@@ -71,12 +71,12 @@
         this.swap = swap;
         settings = configuration.distribution();
         status = settings.statusFile() == null ? null : new StatusFile(file, settings.statusFile());
-        routes = new ResourceRoutes(new RouteChecks(configuration.radius(), configuration.pools()));
+        routes = new ResourceRoutes(new RouteChecks(configuration.radiusListeners(), configuration.pools()));
         copy = new ConfigCopy(file.toAbsolutePath().resolveSibling(settings.folder()), settings.epoch(), events);
         Table initial = copy.found();
         if (copy.there()) {
-            routes.all(routesOf(initial));
-            pools = new TreeSet<>(routes.pools());
+            routes.applySnapshot(routesOf(initial));
+            pools = new TreeSet<>(routes.referencedPools());
             distributed = tableOf(routes);
         }
         links = new ControlLinks("distribution", settings, settings.name(), secrets, new LinkListener(), events);
@@ -125,10 +125,10 @@
         links.configure(next.distribution(), secrets);
         links.loop().execute(() -> {
             subscription.machines(ControlLinks.machines(next.distribution().publishers()));
-            routes.checks(new RouteChecks(next.radius(), next.pools()));
+            routes.setChecks(new RouteChecks(next.radiusListeners(), next.pools()));
             Table table = subscription.subscriber().table();
             if (inForce != null) {
-                activate(table.revision(), routes.all(routesOf(table)));
+                activate(table.revision(), routes.applySnapshot(routesOf(table)));
             }
         });
     }
@@ -154,10 +154,10 @@
         copy.write(next, deltas);
         boolean changed = false;
         if (deltas.isEmpty()) {
-            changed = routes.all(routesOf(next));
+            changed = routes.applySnapshot(routesOf(next));
         }
         for (Delta each : deltas) {
-            changed |= routes.change(each);
+            changed |= routes.applyDelta(each);
         }
         activate(next.revision(), changed);
     }
@@ -166,7 +166,7 @@
     private void activate(Revision revision, boolean changed) {
         RouteTable next = changed ? tableOf(routes) : null;
         String problem = routes.problem();
-        TreeSet<String> named = changed ? new TreeSet<>(routes.pools()) : pools;
+        TreeSet<String> named = changed ? new TreeSet<>(routes.referencedPools()) : pools;
         pools = named;  // before they are in force: a pool that is taken out meanwhile is refused
         gateway.execute(() -> {
             if (changed) {
--- a/src/main/java/mastdrift/serve/PeerService.java
+++ b/src/main/java/mastdrift/serve/PeerService.java
@@ -88,7 +88,7 @@
         gateway = configuration.gateway();
         settings = configuration.peers();
         status = settings.statusFile() == null ? null : new StatusFile(file, settings.statusFile());
-        links = new PeerLinks(loop, settings.installation(), gateway.name(), settings.connections(), new LinkListener());
+        links = new PeerLinks(loop, settings.installation(), gateway.name(), settings.maxConnections(), new LinkListener());
         generation = generation(file);
         Member self = new Member(gateway.name(), generation, gateway.zone(), build(), fingerprint(configuration));
         membership = new MembershipList(self, MembershipSettings.USUAL, seed, now(), new MembershipActions());
--- a/src/main/java/mastdrift/serve/Secrets.java
+++ b/src/main/java/mastdrift/serve/Secrets.java
@@ -37,8 +37,8 @@
     /** Reads those that were not read yet; returns what is wrong with them. */
     List<String> read(Configuration configuration) {
         Set<SecretRef> wanted = new LinkedHashSet<>();
-        configuration.pools().values().stream().filter(PoolSettings::radius).forEach(pool -> wanted.add(pool.secret()));
-        configuration.radius().forEach(each -> each.clients().stream().map(RadiusSettings.Client::secret).forEach(wanted::add));
+        configuration.pools().values().stream().filter(PoolSettings::isRadius).forEach(pool -> wanted.add(pool.secret()));
+        configuration.radiusListeners().forEach(each -> each.clients().stream().map(RadiusSettings.Client::secret).forEach(wanted::add));
         if (configuration.peers() != null) {
             wanted.addAll(configuration.peers().keys());
         }
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -180,7 +180,7 @@
 
     /** On a loop of its own, with one pool of stand-ins, by the settings of the first pool for HTTP. */
     private void rehearse() {
-        PoolSettings first = started.pools().values().stream().filter(pool -> !pool.radius()).findFirst().orElse(null);
+        PoolSettings first = started.pools().values().stream().filter(pool -> !pool.isRadius()).findFirst().orElse(null);
         if (first == null) {
             return;
         }
@@ -190,10 +190,10 @@
         Rehearsal.play((hosts, at) -> {
             Ledger rehearsed = new Ledger(on.timers(), on.clock(), on.turns(), OPEN_MOST, this::log);
             Pool pool = new Pool("rehearsal", rehearsed, new Balance(), module,
-                    new HttpTransport(on, module, first.connections(), line -> { }));
+                    new HttpTransport(on, module, first.maxConnections(), line -> { }));
             pool.start(Source.TELLS, hosts);
             return new ClientSide(own, rehearsed, (type, tenant, message, key) -> pool, started.classes(), started.tenants(),
-                    gateway.connections(), line -> { });
+                    gateway.maxConnections(), line -> { });
         }, started.classes(), started.tenants(), gateway.zone(), Addresses.parse(gateway.listen()).getAddress(),
                 own, this::log);
     }
@@ -300,7 +300,7 @@
             if (distribution != null) {
                 distribution.configure(next, secrets::get);
             }
-            Map<String, String> versions = next.versions();
+            Map<String, String> versions = next.nodeListVersions();
             events.event(Level.INFO, "in_force", "in force: " + next.pools().keySet().stream()
                     .map(pool -> pool + " " + versions.get(pool)).toList() + ", " + next.routes().size()
                     + " routes, changed pools " + changed.keySet(), "changed", changed.keySet());
@@ -326,9 +326,9 @@
             started = next;
             gateway = next.gateway();
             status = gateway.statusFile() == null ? null : new StatusFile(file, gateway.statusFile());
-            clients = new ClientSide(loop, ledger, this::route, next.classes(), next.tenants(), gateway.connections(),
+            clients = new ClientSide(loop, ledger, this::route, next.classes(), next.tenants(), gateway.maxConnections(),
                     gateway.bounds(), this::log);
-            listeners = next.radius();
+            listeners = next.radiusListeners();
             listeners.forEach(each -> radius.add(radiusFront(next, each)));
             zones(next);
             if (peers != null) {
@@ -391,8 +391,8 @@
 
     private Served open(Configuration next, PoolSettings settings) {
         Settings module = settings(next, settings);
-        Transport transport = settings.radius() ? radiusTransport(settings)
-                : new HttpTransport(timed, module, settings.connections(), this::log);
+        Transport transport = settings.isRadius() ? radiusTransport(settings)
+                : new HttpTransport(timed, module, settings.maxConnections(), this::log);
         Pool pool = new Pool(settings.name(), ledger, new Balance(), module, transport);
         DiscoverySource discovery = settings.discovery() == null ? null
                 : new DiscoverySource(loop, pool, Addresses.parse(settings.discovery()), control, this::log);
@@ -406,7 +406,7 @@
         if (discovery != null) {
             discovery.watch(true);
         }
-        return new Served(pool, discovery, settings.radius());
+        return new Served(pool, discovery, settings.isRadius());
     }
 
     private Transport radiusTransport(PoolSettings settings) {
@@ -416,8 +416,8 @@
 
     private Settings settings(Configuration next, PoolSettings pool) {
         GatewaySettings own = next.gateway();
-        Limits limits = new Limits(true, pool.probes(), true, false, pool.maxAttempts(), OPEN_MOST, true, RETRY_AFTER_MOST);
-        Site site = new Site(own.me(), own.gateways(), own.zone(), own.zones(), List.of(), 0, List.of());
+        Limits limits = new Limits(true, pool.probesAllowed(), true, false, pool.maxAttempts(), OPEN_MOST, true, RETRY_AFTER_MOST);
+        Site site = new Site(own.gatewayIndex(), own.gatewayCount(), own.zone(), own.zones(), List.of(), 0, List.of());
         Value value = new Value(new Goal(0.4, 0.1, 0.1, 0.4), new Prices(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0), 0.05, false);
         return new Settings(next.classes(), next.tenants(), limits, pool.links(), new Cpu(Long.MAX_VALUE, 0), pool.rules(),
                 value, site, new Habits(true, false, Reports.OFF, List.of(), false), false, Weights.NOMINAL, "", 0,
@@ -462,11 +462,11 @@
         next.classes().forEach(type -> types.put(type.name(), type));
         RadiusClients chargers = new RadiusClients(settings.clients().stream().map(client -> new RadiusClients.Client(
                 client.name(), client.range(),
-                new Authenticators(secrets.get(client.secret())), client.tenant(), client.signed())).toList());
+                new Authenticators(secrets.get(client.secret())), client.tenant(), client.messageAuthenticatorRequired())).toList());
         return new RadiusFront(loop, ledger, (className, tenant, key) -> radiusPool(types.get(className), tenant, key), chargers,
                 new RadiusFront.Classes(settings.accessClass(), settings.conversationClass(), settings.accountingClass(),
                         types.get(settings.accessClass()).deadline(), types.get(settings.accountingClass()).deadline()),
-                new Resends(settings.kept(), settings.keptMost(), settings.keptMost() * KEPT_BYTES), drops);
+                new Resends(settings.replyRetentionMicros(), settings.maxRetainedReplies(), settings.maxRetainedReplies() * KEPT_BYTES), drops);
     }
 
     private Pool radiusPool(RequestClass type, String tenant, long key) {
--- a/src/main/java/mastdrift/serve/ZoneService.java
+++ b/src/main/java/mastdrift/serve/ZoneService.java
@@ -32,7 +32,7 @@
     /** Reads what an earlier process left; before the gateway serves, since it waits for the disk. On the loop's thread. */
     ZoneService(Path file, EventLoop loop, LongSupplier now, GatewaySettings gateway, ZoneSettings settings, Consumer<String> log) {
         this.now = now;
-        zoning = new Zoning(gateway.name(), gateway.zone(), gateway.gateways(), settings, now.getAsLong(), System.currentTimeMillis());
+        zoning = new Zoning(gateway.name(), gateway.zone(), gateway.gatewayCount(), settings, now.getAsLong(), System.currentTimeMillis());
         networks = new Networks(settings.networks());
         files = new ZoneFiles(file, gateway.name(), settings, word -> loop.execute(() -> zoning.heard(word)), log);
         Snapshot earlier = files.earlier();
--- a/src/test/java/mastdrift/cli/CommandsTest.java
+++ b/src/test/java/mastdrift/cli/CommandsTest.java
@@ -43,7 +43,7 @@
 
     private String set(String name) throws IOException {
         Path below = Files.createDirectories(folder.resolve(name));
-        for (var file : Samples.set().entrySet()) {
+        for (var file : Samples.files().entrySet()) {
             Files.writeString(below.resolve(file.getKey()), file.getValue());
         }
         return below.resolve("gateway.toml").toString();
--- a/src/test/java/mastdrift/config/ChangeReaderTest.java
+++ b/src/test/java/mastdrift/config/ChangeReaderTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aChangeIsRead() {
+    void readsIdAndEditsOfAChange() {
         assertEquals(List.of(), read(GOOD).problems());
         assertEquals("move-shop", read(GOOD).change().id());
         assertEquals("made-up", read(GOOD.replace("id = \"move-shop\"\n", "")).change().id());
@@ -49,7 +49,7 @@
         assertEquals(new Edit.Delete(ResourceKind.ROUTE, "old", Edit.ANY), edits.get(2));
     }
 
-    /** Each mistake is named with its place. */
+    /** Each mistake is reported with its location. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
         "kind = \"tenant\" | kind = \"tenent\" | change.toml:8:1: upsert[2].kind: expected one of route, pool, tenant, host, found \"tenent\"",
@@ -62,21 +62,21 @@
         "requests_per_second = 100 | requests_per_second = inf | upsert[2].value: requests_per_second: expected a number from 0.001 to 10000000, found",
         "[upsert.value] | [upsert.valu] | did you mean value?",
         "id = \"move-shop\" | ids = \"move-shop\" | did you mean id?"})
-    void whatIsWrongIsNamed(String good, String bad, String said) {
+    void reportsEachMistakeWithItsLocation(String good, String bad, String expectedProblem) {
         assertTrue(GOOD.contains(good), good);
         ChangeReader.Result result = read(GOOD.replace(good, bad));
-        assertTrue(result.change() == null && result.problems().stream().anyMatch(line -> line.contains(said)), result.problems().toString());
+        assertTrue(result.change() == null && result.problems().stream().anyMatch(line -> line.contains(expectedProblem)), result.problems().toString());
     }
 
     @Test
-    void theHalfOfAChangeIsNone() {
+    void rejectsAChangeThatIsTruncatedOrEmptyOrHasALongId() {
         assertTrue(ChangeReader.read("change.toml", GOOD, "x").problems().toString().contains("closing line"));
         assertTrue(read("").problems().toString().contains("expected at least one [[upsert]] or [[delete]], found none"));
         assertTrue(read("id = \"" + "x".repeat(65) + "\"\n" + GOOD.substring(GOOD.indexOf("[[upsert]]"))).problems().toString().contains("expected 1 to 64 characters, found 65"));
     }
 
     @Test
-    void editsAreBounded() {
+    void rejectsMoreEditsThanTheMaximum() {
         String many = IntStream.range(0, 1_025).mapToObj(i -> "[[delete]]\nkind = \"route\"\nname = \"r" + i + "\"\n").collect(Collectors.joining());
         assertTrue(read(many).problems().toString().contains("expected at most 1024 tables"));
     }
--- a/src/test/java/mastdrift/config/ConfigurationReaderTest.java
+++ b/src/test/java/mastdrift/config/ConfigurationReaderTest.java
@@ -31,20 +31,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The operator's files: what they mean, and every way in which they can be wrong. */
+/** The meaning of the operator's files, and how each kind of mistake in them is reported. */
 class ConfigurationReaderTest {
 
-    private final Map<String, String> set = Samples.set();
+    private final Map<String, String> files = Samples.files();
 
-    private Configuration good() {
-        ConfigurationReader.Result result = Samples.read(set);
+    private Configuration readWithoutProblems() {
+        ConfigurationReader.Result result = Samples.read(files);
         assertEquals(List.of(), result.problems());
         return result.configuration();
     }
 
     @Test
-    void aGoodSetIsReadAsItIs() {
-        Configuration read = good();
+    void readsAllValuesOfValidFiles() {
+        Configuration read = readWithoutProblems();
         assertEquals(new GatewaySettings("g", "127.0.0.1:0", "bilbao", List.of("bilbao", "oviedo"), 0, 1, 1024,
                 PhaseBounds.USUAL, null, 50_000),
                 read.gateway());
@@ -61,24 +61,24 @@
         assertEquals(10, read.nodes().get("main").size());
         Node first = read.nodes().get("main").get(0);
         assertEquals(new Node("main-0", first.endpoint(), "bilbao", null, null, 1.5, Health.UP, 0, "main.toml:2:1"), first);
-        assertEquals(List.of("gateway.toml", "main.toml", "spare.toml"), Samples.read(set).files());
+        assertEquals(List.of("gateway.toml", "main.toml", "spare.toml"), Samples.read(files).files());
     }
 
     @Test
-    void oneNodeInFull() {
-        set.put("main.toml", "[[node]]\nuid = \"n\"\nendpoint = \"[::1]:80\"\nzone = \"oviedo\"\ncell = 3\nkind = \"k\"\n"
+    void readsANodeWithAllKeys() {
+        files.put("main.toml", "[[node]]\nuid = \"n\"\nendpoint = \"[::1]:80\"\nzone = \"oviedo\"\ncell = 3\nkind = \"k\"\n"
                 + "weight = 2\nstate = \"drain\"\nstarted_ms = 5\n# end of 1 nodes");
         assertEquals(new Node("n", "[::1]:80", "oviedo", 3, "k", 2.0, Health.LEAVING, 5000, "main.toml:1:1"),
-                good().nodes().get("main").get(0));
+                readWithoutProblems().nodes().get("main").get(0));
     }
 
     @Test
-    void withOnePoolNoRouteIsNeeded() {
-        set.put("gateway.toml", Samples.GATEWAY.replaceAll("(?s)\\[pool.spare].*# end", "# end"));
-        assertEquals(Match.ANY, good().routes().get(0).match());
+    void routesEverythingToASinglePoolWithoutRoutes() {
+        files.put("gateway.toml", Samples.GATEWAY.replaceAll("(?s)\\[pool.spare].*# end", "# end"));
+        assertEquals(Match.ANY, readWithoutProblems().routes().get(0).match());
     }
 
-    /** Each row: the file, the text that is replaced, what takes its place, and a part of the one complaint. */
+    /** Each row: the file, the text that is replaced, its replacement, and a part of the single problem expected. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
         "gateway.toml | zone = \"bilbao\" | zone = \"bilbo\" | gateway.toml:4:1: gateway.zone: expected one of zones (bilbao, oviedo), found \"bilbo\"; did you mean bilbao?",
@@ -97,14 +97,14 @@
         "gateway.toml | name = \"g\" | name = \"g | gateway.toml:2:",
         "gateway.toml | effect = \"safe\" | effect = \"safest\" | class[1].effect: expected one of safe, keyed, unsafe, found \"safest\"",
         "gateway.toml | effect = \"safe\" | # | class[1].effect: expected safe, keyed or unsafe, found nothing",
-        "gateway.toml | effect = \"safe\" | effect = \"safe\"%ngroup = \"zone\" | are for keyed classes alone",
+        "gateway.toml | effect = \"safe\" | effect = \"safe\"%ngroup = \"zone\" | are for keyed classes only",
         "gateway.toml | dedup_window = \"1500ms\" | # | class[2].dedup_window: expected a time",
         "gateway.toml | aim = \"600ms\"%ndeadline = \"2500ms\" | aim = \"3s\"%ndeadline = \"2500ms\" | expected no more than the deadline",
         "gateway.toml | name = \"session-start\" | name = \"session-read\" | gateway.toml:14:1: class[2].name: expected each once, found \"session-read\" again",
         "gateway.toml | requests_per_second = 100 | requests_per_second = -1 | expected a number from 0.001 to 10000000, found -1",
         "gateway.toml | requests_per_second = 100 | requests_per_second = nan | found NaN",
         "gateway.toml | nodes = [\"main.toml\"] | nodes = [] | expected nodes = [\"FILE\"] or discovery",
-        "gateway.toml | nodes = [\"main.toml\"] | nodes = [\"spare.toml\"] | spare.toml: expected in one pool once, found again in pool spare",
+        "gateway.toml | nodes = [\"main.toml\"] | nodes = [\"spare.toml\"] | spare.toml: expected in exactly one pool, found again in pool spare",
         "gateway.toml | nodes = [\"main.toml\"] | nodes = [\"none.toml\"] | none.toml: expected a file, found none",
         "gateway.toml | nodes = [\"main.toml\"] | nodes = [\"main.toml\", 3] | expected an array of at most 1620 texts",
         "gateway.toml | pool_drop_most = 0.25 | pool_drop_most = 1.5 | pool.spare.guards.pool_drop_most: expected a number from 0 to 1, found 1.5",
@@ -117,7 +117,7 @@
         "gateway.toml | path = \"/api/x\" | path = \"api\" | expected a path that begins with /",
         "gateway.toml | guard = \"pool-drop\" | guard = \"pool\" | expected one of pool-drop, zone-drop, zone-empty, weight-zero",
         "gateway.toml | guard = \"pool-drop\" | # | expected guard, pool and version",
-        "gateway.toml | # end | # ende | expected the closing line \"# end\" (the file may not be whole), found \"# ende\"",
+        "gateway.toml | # end | # ende | expected the closing line \"# end\" (the file may be truncated), found \"# ende\"",
         "gateway.toml | # end | # end%nx = 1 | expected the closing line as the last one",
         "gateway.toml | # end | # end of 3 nodes | expected the closing line \"# end\"",
         "main.toml | # end of 10 nodes | # end of 9 nodes | main.toml:62:1: expected the closing line \"# end of 10 nodes\"",
@@ -134,34 +134,35 @@
         "main.toml | weight = 1.5 | state = \"down\" | expected one of up, drain, found \"down\"",
         "main.toml | weight = 1.5 | weight = 1.5%nweight = 2 | main.toml:7",
         "main.toml | [[node]] | [[nodes]] | did you mean node?"})
-    void badInputIsNamedWithItsPlace(String file, String text, String instead, String complaint) {
-        String before = set.get(file);
+    void reportsEachMistakeWithItsLocation(String file, String text, String replacement, String expectedProblem) {
+        String before = files.get(file);
         String after = before.replaceFirst(Pattern.quote(text.replace("%n", "\n")),
-                Matcher.quoteReplacement(instead.replace("%n", "\n")));
-        assertNotEquals(before, after, "the row changes something");
-        set.put(file, after);
-        ConfigurationReader.Result result = Samples.read(set);
+                Matcher.quoteReplacement(replacement.replace("%n", "\n")));
+        assertNotEquals(before, after, "the text of the row occurs in the file");
+        files.put(file, after);
+        ConfigurationReader.Result result = Samples.read(files);
         assertNull(result.configuration());
-        assertTrue(result.problems().stream().anyMatch(line -> line.contains(complaint)),
-                complaint + " in " + result.problems());
+        assertTrue(result.problems().stream().anyMatch(line -> line.contains(expectedProblem)),
+                expectedProblem + " in " + result.problems());
     }
 
     @Test
-    void allProblemsAreReportedAtOnceUpToABound() {
-        set.put("gateway.toml", Samples.GATEWAY.replace("effect = \"safe\"", "effect = 1").replace("fallback = \"main\"",
+    void reportsAllProblemsAtOnceUpToTheMaximum() {
+        files.put("gateway.toml", Samples.GATEWAY.replace("effect = \"safe\"", "effect = 1").replace("fallback = \"main\"",
                 "fallback = \"x\""));
-        set.put("main.toml", set.get("main.toml").replace("uid = \"main-3\"", "uid = 3"));
-        assertEquals(3, Samples.read(set).problems().size());
-        set.put("main.toml", set.get("main.toml").replace("weight = 1.5", "weight = -1").replace("zone = \"bilbao\"",
+        files.put("main.toml", files.get("main.toml").replace("uid = \"main-3\"", "uid = 3"));
+        assertEquals(3, Samples.read(files).problems().size());
+        files.put("main.toml",
+                files.get("main.toml").replace("weight = 1.5", "weight = -1").replace("zone = \"bilbao\"",
                 "zone = \"x\""));
-        set.put("spare.toml", set.get("spare.toml").replace("weight = 1.5", "weight = -1"));
-        List<String> many = Samples.read(set).problems();
-        assertEquals(Problems.MOST + 1, many.size());
-        assertEquals("and 9 more", many.get(Problems.MOST));
+        files.put("spare.toml", files.get("spare.toml").replace("weight = 1.5", "weight = -1"));
+        List<String> many = Samples.read(files).problems();
+        assertEquals(Problems.MAX_REPORTED + 1, many.size());
+        assertEquals("and 9 more", many.get(Problems.MAX_REPORTED));
     }
 
-    /** So many nodes, the first of them number {@code first} of all. */
-    private static String list(int first, int count) {
+    /** A list of {@code count} nodes, numbered from {@code first} across all lists. */
+    private static String nodeList(int first, int count) {
         StringBuilder text = new StringBuilder();
         for (int i = first; i < first + count; i++) {
             text.append("[[node]]\nuid = \"n-").append(i).append("\"\nendpoint = \"127.1.").append(i / 50_000).append(".1:")
@@ -170,114 +171,119 @@
         return text + "# end of " + count + " nodes\n";
     }
 
-    /** All bounds that hold for the whole at once: pools with a list each, nodes, routes, gateways. */
-    private static Map<String, String> most(int pools, int nodes, int routes) {
+    /** A configuration at all limits at once: pools with a list each, nodes, routes, gateways. */
+    private static Map<String, String> filesOfSize(int pools, int nodes, int routes) {
         Map<String, String> files = new TreeMap<>();
         StringBuilder gateway = new StringBuilder(Samples.GATEWAY.substring(0, Samples.GATEWAY.indexOf("[pool.main]"))
                 .replace("name = \"g\"\n", "gateways = 8200\nnumber = 8199\n"));
         for (int i = 0; i < pools; i++) {
             int first = (int) ((long) nodes * i / pools);
-            files.put("p" + i + ".toml", list(first, (int) ((long) nodes * (i + 1) / pools) - first));
+            files.put("p" + i + ".toml", nodeList(first, (int) ((long) nodes * (i + 1) / pools) - first));
             gateway.append("[pool.p").append(i).append("]\nnodes = [\"p").append(i).append(".toml\"]\n");
         }
         for (int i = 0; i < routes; i++) {
-            gateway.append("[[route]]\nname = \"r").append(i).append("\"\npath = \"/r").append(i).append("\"\npools = { p0 = 1 }\n");
+            gateway.append("[[route]]\nname = \"r").append(i).append("\"\npath = \"/r").append(i)
+                    .append("\"\npools = { p0 = 1 }\n");
         }
         files.put("gateway.toml", gateway.append("# end\n").toString());
         return files;
     }
 
-    /** Guards against a bound that stands in the code and that reading does not bear. */
+    /** Guards against a limit in the code that reading can't sustain. */
     @Test
-    void atTheBoundsAllIsRead() {
-        ConfigurationReader.Result result = Samples.read(most(1_620, 94_000, 1_000));
+    void readsConfigurationsAtTheLimits() {
+        ConfigurationReader.Result result = Samples.read(filesOfSize(1_620, 94_000, 1_000));
         assertEquals(List.of(), result.problems());
         Configuration read = result.configuration();
         assertEquals(1_620, read.pools().size());
         assertEquals(94_000, read.nodes().values().stream().mapToInt(List::size).sum());
         assertEquals(1_000, read.routes().size());
-        assertEquals(8_200, read.gateway().gateways());
+        assertEquals(8_200, read.gateway().gatewayCount());
         assertEquals(1 + 1_620, result.files().size());
-        set.put("main.toml", list(0, 20_000));
-        assertEquals(20_000, good().nodes().get("main").size());
+        files.put("main.toml", nodeList(0, 20_000));
+        assertEquals(20_000, readWithoutProblems().nodes().get("main").size());
     }
 
-    /** One beyond each; nothing is read of such a set. */
+    /** One beyond each limit; nothing of such a set is read. */
     @Test
-    void beyondTheBoundsNothingIsRead() {
-        refused(most(5, 94_001, 1), "all lists: expected at most 94000 nodes, found 94001");
-        refused(most(1_621, 0, 1), "pool: expected at most 1620 tables, found 1621");
-        refused(most(1, 2, 1_001), ".route: expected at most 1000 tables");
-        set.put("main.toml", list(0, 20_001));
-        refused(set, ".node: expected at most 20000 tables");
-        set.put("main.toml", "# end of 0 nodes\n");
+    void rejectsConfigurationsBeyondTheLimits() {
+        assertRejected(filesOfSize(5, 94_001, 1), "all lists: expected at most 94000 nodes, found 94001");
+        assertRejected(filesOfSize(1_621, 0, 1), "pool: expected at most 1620 tables, found 1621");
+        assertRejected(filesOfSize(1, 2, 1_001), ".route: expected at most 1000 tables");
+        files.put("main.toml", nodeList(0, 20_001));
+        assertRejected(files, ".node: expected at most 20000 tables");
+        files.put("main.toml", "# end of 0 nodes\n");
         List<String> names = new ArrayList<>();
-        for (int i = 0; i <= Configuration.FILES_MOST; i++) {
+        for (int i = 0; i <= Configuration.MAX_NODE_LIST_FILES; i++) {
             names.add("\"n" + i + ".toml\"");
-            set.put("n" + i + ".toml", "# end of 0 nodes\n");
+            files.put("n" + i + ".toml", "# end of 0 nodes\n");
         }
-        set.put("gateway.toml", Samples.GATEWAY.replace("\"main.toml\"", String.join(", ", names)));
-        refused(set, "expected an array of at most 1620 texts");
-        set.put("gateway.toml", Samples.GATEWAY.replace("\"main.toml\"", String.join(", ", names.subList(1, names.size()))));
-        refused(set, "spare.toml: expected at most 1620 files");
+        files.put("gateway.toml", Samples.GATEWAY.replace("\"main.toml\"", String.join(", ", names)));
+        assertRejected(files, "expected an array of at most 1620 texts");
+        files.put("gateway.toml", Samples.GATEWAY.replace("\"main.toml\"", String.join(", ", names.subList(1, names.size()))));
+        assertRejected(files, "spare.toml: expected at most 1620 files");
     }
 
-    private static void refused(Map<String, String> files, String complaint) {
+    private static void assertRejected(Map<String, String> files, String expectedProblem) {
         ConfigurationReader.Result result = Samples.read(files);
         assertNull(result.configuration());
-        assertTrue(result.problems().stream().anyMatch(line -> line.contains(complaint)), complaint + " in " + result.problems());
+        assertTrue(result.problems().stream().anyMatch(line -> line.contains(expectedProblem)), expectedProblem + " in " + result.problems());
     }
 
     @Test
-    void theVersionIsOfTheContentAlone() {
-        String before = good().versions().get("main");
-        set.put("main.toml", "# another comment\n" + set.get("main.toml"));
-        assertEquals(before, good().versions().get("main"));
-        set.put("main.toml", set.get("main.toml").replaceFirst("weight = 1.5", "weight = 1.6"));
-        assertNotEquals(before, good().versions().get("main"));
+    void nodeListVersionDependsOnlyOnTheNodes() {
+        String before = readWithoutProblems().nodeListVersions().get("main");
+        files.put("main.toml", "# another comment\n" + files.get("main.toml"));
+        assertEquals(before, readWithoutProblems().nodeListVersions().get("main"));
+        files.put("main.toml", files.get("main.toml").replaceFirst("weight = 1.5", "weight = 1.6"));
+        assertNotEquals(before, readWithoutProblems().nodeListVersions().get("main"));
     }
 
-    /** The hard case of half a file: cut at any byte, each file is refused, but for the cut before its last line's end,
-        which has all of its content. */
+    /**
+     * A truncated file: cut at any byte, each file is rejected, except for a cut just before the last line's end, which
+     * leaves all of its content.
+     */
     @Test
-    void everyPrefixOfAFileIsRefused() {
+    void rejectsEveryTruncatedFile() {
         for (String file : List.of("gateway.toml", "main.toml")) {
-            String whole = Samples.set().get(file);
+            String whole = Samples.files().get(file);
             assertTrue(whole.endsWith("\n"));
             for (int length = 0; length < whole.length() - 1; length++) {
-                set.put(file, whole.substring(0, length));
-                assertNull(Samples.read(set).configuration(), file + " cut at " + length);
+                files.put(file, whole.substring(0, length));
+                assertNull(Samples.read(files).configuration(), file + " cut at " + length);
             }
-            set.put(file, whole.substring(0, whole.length() - 1));
-            assertNotNull(Samples.read(set).configuration());
-            set.put(file, whole);
+            files.put(file, whole.substring(0, whole.length() - 1));
+            assertNotNull(Samples.read(files).configuration());
+            files.put(file, whole);
         }
     }
 
-    /** A file written over a longer one in place, not cut yet: the new head and the old tail, at any byte. It is refused, or
-        by chance it is a set that the guards allow. */
+    /**
+     * A file overwritten in place by a shorter one but not yet truncated: the new head and the old tail, split at any
+     * byte. It is rejected, or happens to be a set that the guards allow.
+     */
     @Property(tries = 400, seed = "17")
-    void aHeadOfTheNewAndATailOfTheOldIsRefusedOrWithinTheGuards(@ForAll long seed) {
+    void partlyOverwrittenFileIsRejectedOrWithinTheGuards(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         String old = Samples.nodes("main", 6, 4);
         String next = Samples.nodes("main", 1 + random.nextInt(5), random.nextInt(4));
         int cut = random.nextInt(next.length());
-        Map<String, String> mixed = Samples.set();
+        Map<String, String> mixed = Samples.files();
         mixed.put("main.toml", next.substring(0, cut) + old.substring(Math.min(old.length(), cut)));
-        refusedOrWithinTheGuards(mixed);
+        assertRejectedOrWithinGuards(mixed);
     }
 
-    /** One random edit of a good file: a byte or a line lost, doubled or changed. */
+    /** One random edit of a good file: a byte or a line removed, duplicated or changed. */
     @Property(tries = 1500, seed = "18")
-    void aRandomEditIsRefusedOrWithinTheGuards(@ForAll long seed) {
+    void randomlyEditedFileIsRejectedOrWithinTheGuards(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Map<String, String> edited = Samples.set();
+        Map<String, String> edited = Samples.files();
         String file = random.nextBoolean() ? "main.toml" : "gateway.toml";
-        edited.put(file, edit(random, edited.get(file)));
-        refusedOrWithinTheGuards(edited);
+        edited.put(file, randomEdit(random, edited.get(file)));
+        assertRejectedOrWithinGuards(edited);
     }
 
-    private static String edit(SplittableRandom random, String text) {
+    private static String randomEdit(SplittableRandom random, String text) {
         int at = random.nextInt(text.length());
         int from = text.lastIndexOf('\n', at) + 1;
         int to = text.indexOf('\n', at) + 1;
@@ -291,31 +297,32 @@
         };
     }
 
-    /** By counting anew, not by the guards themselves. */
-    private static void refusedOrWithinTheGuards(Map<String, String> changed) {
-        Configuration old = Samples.read(Samples.set()).configuration();
+    /** Recounts independently rather than calling the guards themselves. */
+    private static void assertRejectedOrWithinGuards(Map<String, String> changed) {
+        Configuration old = Samples.read(Samples.files()).configuration();
         Configuration next = Samples.read(changed).configuration();
         if (next == null) {
             return;
         }
         Membership membership = new Membership();
-        Map<String, PoolList> before = new TreeMap<>(membership.files(0, old.filed()));
-        Map<String, PoolList> after = membership.preview(0, next.filed());
+        Map<String, PoolList> before = new TreeMap<>(membership.files(0, old.configuredNodes()));
+        Map<String, PoolList> after = membership.preview(0, next.configuredNodes());
         List<Guards.Trip> trips = new ArrayList<>();
         after.forEach((pool, list) ->
                 trips.addAll(Guards.trips(next.pools().get(pool).guards(), before.get(pool), list)));
         if (trips.isEmpty()) {
             after.forEach((pool, list) -> {
-                List<String> taking = taking(list, null);
-                long lost = taking(before.get(pool), null).stream().filter(uid -> !taking.contains(uid)).count();
+                List<String> accepting = acceptingHosts(list, null);
+                long lost = acceptingHosts(before.get(pool), null).stream().filter(uid -> !accepting.contains(uid))
+                        .count();
                 assertTrue(lost <= next.pools().get(pool).guards().poolDropMost() * 10, pool + " lost " + lost);
-                assertTrue(!taking(list, "bilbao").isEmpty() && !taking(list, "oviedo").isEmpty(), pool + " lost a zone");
+                assertTrue(!acceptingHosts(list, "bilbao").isEmpty() && !acceptingHosts(list, "oviedo").isEmpty(), pool + " lost a zone");
             });
         }
     }
 
-    private static List<String> taking(PoolList list, String zone) {
-        return list.hosts().stream().filter(Listed::takesNew).filter(host -> zone == null || host.host().zone().equals(zone))
+    private static List<String> acceptingHosts(PoolList poolList, String zone) {
+        return poolList.hosts().stream().filter(Listed::takesNew).filter(host -> zone == null || host.host().zone().equals(zone))
                 .map(host -> host.host().address()).toList();
     }
 }
--- a/src/test/java/mastdrift/config/PeersReaderTest.java
+++ b/src/test/java/mastdrift/config/PeersReaderTest.java
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void whatIsGoodIsRead() {
+    void readsPeersAndAgreedTables() {
         Configuration good = read(GOOD).configuration();
         assertEquals(List.of(), read(GOOD).problems());
         assertEquals(new PeerSettings("127.0.0.1:7401", "norte", List.of(new SecretRef(true, "key")), Map.of("b", "127.0.0.1:7402", "c", "127.0.0.1:7403"), 64, null, null),
@@ -55,7 +55,7 @@
         assertEquals(new AgreedSettings("one", List.of("a", "b", "c"), "agreed", 60_000_000, 60_000_000), good.agreed());
     }
 
-    /** Each mistake is named with its place. */
+    /** Each mistake is reported with its location. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
         "secret_file = \"key\" | secret_fil = \"key\" | did you mean secret_file?",
@@ -67,15 +67,15 @@
         "voters = [\"a\", \"b\", \"c\"] | voters = [\"a\", \"b\"] | expected 1, 3, 5 or 7 gateways, found 2",
         "voters = [\"a\", \"b\", \"c\"] | voters = [\"a\", \"b\", \"d\"] | found \"d\"",
         "begin = \"one\" | begins = \"one\" | did you mean begin?"})
-    void whatIsWrongIsNamed(String good, String bad, String said) {
+    void reportsEachMistakeWithItsLocation(String good, String bad, String expectedProblem) {
         assertTrue(GOOD.contains(good), good);
         ConfigurationReader.Result result = read(GOOD.replace(good, bad));
-        assertTrue(result.configuration() == null && result.problems().stream().anyMatch(line -> line.contains(said)), result.problems().toString());
+        assertTrue(result.configuration() == null && result.problems().stream().anyMatch(line -> line.contains(expectedProblem)), result.problems().toString());
     }
 
     @Test
-    void nothingIsAgreedWithNobody() {
+    void rejectsAgreedWithoutPeers() {
         String alone = GOOD.substring(0, GOOD.indexOf("[peers]")) + GOOD.substring(GOOD.indexOf("[agreed]"));
-        assertTrue(read(alone).problems().toString().contains("expected a table [peers] beside it"));
+        assertTrue(read(alone).problems().toString().contains("expected a table [peers] as well"));
     }
 }
--- a/src/test/java/mastdrift/config/Samples.java
+++ b/src/test/java/mastdrift/config/Samples.java
@@ -64,7 +64,7 @@
         return nodes(name, 6, 4);
     }
 
-    /** So many in each zone. */
+    /** A node list with this many nodes in each zone. */
     public static String nodes(String name, int bilbao, int oviedo) {
         StringBuilder text = new StringBuilder("# " + name + "\n");
         for (int i = 0; i < bilbao + oviedo; i++) {
@@ -76,18 +76,18 @@
         return text + "# end of " + (bilbao + oviedo) + " nodes\n";
     }
 
-    /** The set by file names. */
-    public static Map<String, String> set() {
+    /** The files by name. */
+    public static Map<String, String> files() {
         return new HashMap<>(Map.of("gateway.toml", GATEWAY, "main.toml", nodes("main"), "spare.toml", nodes("spare")));
     }
 
-    /** Reads a set in memory; a file that is not there is a problem. */
-    public static ConfigurationReader.Result read(Map<String, String> set) {
+    /** Reads a set of files in memory; a missing file is a problem. */
+    public static ConfigurationReader.Result read(Map<String, String> files) {
         return ConfigurationReader.read("gateway.toml", (file, problems) -> {
-            if (!set.containsKey(file)) {
+            if (!files.containsKey(file)) {
                 problems.add(new Problem(file, 0, 0, "expected a file, found none"));
             }
-            return set.get(file);
+            return files.get(file);
         });
     }
 }
--- a/src/test/java/mastdrift/config/ZonesReaderTest.java
+++ b/src/test/java/mastdrift/config/ZonesReaderTest.java
@@ -14,7 +14,7 @@
 import mastdrift.zones.ZoneSettings;
 import org.junit.jupiter.api.Test;
 
-/** The table [zones]: what it means, and what is said of what it can't mean. */
+/** The table [zones]: its meaning, and how invalid values are reported. */
 class ZonesReaderTest {
 
     private static final String HEAD = """
@@ -37,13 +37,13 @@
     }
 
     @Test
-    void withoutTheTableThereIsNone() {
+    void zonesAreNullWithoutTheTable() {
         assertNull(read("").configuration().zones());
         assertEquals(List.of(), read("[zones]").configuration().zones().limits());
     }
 
     @Test
-    void allOfItIsRead() {
+    void readsAllTables() {
         ConfigurationReader.Result result = read("""
                 [zones]
                 give_way = ["read"]
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void whatItCantMeanIsSaid() {
+    void reportsInvalidValues() {
         String budget = "[[zones.budget]]\nname = \"b\"\nwindow = \"hour\"\n";
         String[][] table = {
             {"[zones]\ngive_way = [\"reed\"]", "did you mean read"}, {"[zones]\ngive_way = [\"read\", \"read\"]", "expected each once"},
--- a/src/test/java/mastdrift/files/FileWatcherTest.java
+++ b/src/test/java/mastdrift/files/FileWatcherTest.java
@@ -41,7 +41,7 @@
 
     @BeforeEach
     void writeFiles() throws IOException {
-        for (var file : Samples.set().entrySet()) {
+        for (var file : Samples.files().entrySet()) {
             Files.writeString(folder.resolve(file.getKey()), file.getValue());
         }
         watcher = watcher(folder.resolve("gateway.toml"));
@@ -136,7 +136,7 @@
         try (RandomAccessFile writer = new RandomAccessFile(file.toFile(), "rw")) {
             writer.setLength(0);
             writer.write(text.substring(0, text.length() / 2).getBytes(StandardCharsets.UTF_8));
-            assertTrue(awaitProblems().contains("the file may not be whole"));
+            assertTrue(awaitProblems().contains("the file may be truncated"));
             assertNull(applied.peek());
             writer.write(text.substring(text.length() / 2).getBytes(StandardCharsets.UTF_8));
         }
@@ -159,7 +159,7 @@
     void followsASymbolicLinkThatIsSwapped() throws Exception {
         Path one = Files.createDirectory(folder.resolve("v1"));
         Path two = Files.createDirectory(folder.resolve("v2"));
-        for (var file : Samples.set().entrySet()) {
+        for (var file : Samples.files().entrySet()) {
             Files.writeString(one.resolve(file.getKey()), file.getValue());
             Files.writeString(two.resolve(file.getKey()),
                     file.getKey().equals("main.toml") ? Samples.nodes("main", 6, 5) : file.getValue());
@@ -183,7 +183,7 @@
     @Test
     void watchesAFolderThatIsCreatedAgain() throws Exception {
         Path configFolder = Files.createDirectory(folder.resolve("etc"));
-        for (var file : Samples.set().entrySet()) {
+        for (var file : Samples.files().entrySet()) {
             Files.writeString(configFolder.resolve(file.getKey()), file.getValue());
         }
         watcher = watcher(configFolder.resolve("gateway.toml"));
@@ -191,7 +191,7 @@
         Files.move(configFolder, folder.resolve("old"), StandardCopyOption.ATOMIC_MOVE);
         assertTrue(awaitProblems().contains("expected a file, found none"));
         Files.createDirectory(configFolder);
-        for (var file : Samples.set().entrySet()) {
+        for (var file : Samples.files().entrySet()) {
             Files.writeString(configFolder.resolve(file.getKey()), file.getValue());
         }
         Files.writeString(configFolder.resolve("main.toml"), Samples.nodes("main", 6, 5));
