--- a/src/main/java/mastdrift/net/GatewayConfig.java
+++ b/src/main/java/mastdrift/net/GatewayConfig.java
@@ -13,7 +13,7 @@
 import java.util.Objects;
 import java.util.stream.Collectors;
 import mastdrift.Balancer.Settings;
-import mastdrift.settings.Facts;
+import mastdrift.settings.ModuleSettingsReader;
 
 /**
  * The configuration that a gateway starts with; reading an invalid one throws IllegalArgumentException with a message
@@ -29,7 +29,7 @@
         flatten("", root.get("settings"), facts);
         Settings settings;
         try {
-            settings = new Facts(facts).settings(seed(text(root, "seed")));
+            settings = new ModuleSettingsReader(facts).read(seed(text(root, "seed")));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("settings: expected " + e.getMessage(), e);
         }
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Collects the values below a node by dotted paths, as on the simulator's wire, which {@link Facts} reads. */
+    /** Collects the values below a node by dotted paths, as on the simulator's wire, which {@link ModuleSettingsReader} reads. */
     private static void flatten(String path, Object node, Map<String, String> facts) {
         if (node instanceof Map<?, ?> object) {
             object.forEach((name, value) -> flatten(path.isEmpty() ? name.toString() : path + "." + name, value, facts));
--- a/src/main/java/mastdrift/radius/edge/RadiusClients.java
+++ b/src/main/java/mastdrift/radius/edge/RadiusClients.java
@@ -28,14 +28,14 @@
     /** The clients may be given in any order. */
     public RadiusClients(List<Client> clients) {
         this.clients = new ArrayList<>(clients);
-        this.clients.sort(Comparator.comparingInt((Client client) -> client.range.prefix()).reversed());
+        this.clients.sort(Comparator.comparingInt((Client client) -> client.range.prefixLength()).reversed());
     }
 
     /** The client that an address belongs to, or null. */
     public Client find(InetAddress address) {
         byte[] bytes = address.getAddress();
         for (Client client : clients) {
-            if (client.range.holds(bytes)) {
+            if (client.range.contains(bytes)) {
                 return client;
             }
         }
--- a/src/main/java/mastdrift/serve/AgreedService.java
+++ b/src/main/java/mastdrift/serve/AgreedService.java
@@ -58,12 +58,12 @@
             thread.setDaemon(true);
             return thread;
         });
-        log = new RaftLog(new RaftLog.Settings(gatewayName, configuration.peers().installation(), settings.begin(), settings.voters(),
-                file.toAbsolutePath().resolveSibling(settings.folder()), settings.replaceAfter()), peers.transport(), this::onDecision, this::eligible,
+        log = new RaftLog(new RaftLog.Settings(gatewayName, configuration.peers().installation(), settings.logId(), settings.voters(),
+                file.toAbsolutePath().resolveSibling(settings.folder()), settings.replaceAfterMicros()), peers.transport(), this::onDecision, this::eligible,
                 (isWarning, eventName, text, fields) -> event(isWarning ? Level.WARN : Level.INFO, eventName, text,
                         fields));
         peers.logStatus(this::status);
-        long presenceIntervalMicros = settings.rollEvery();
+        long presenceIntervalMicros = settings.livenessIntervalMicros();
         scheduler.scheduleWithFixedDelay(() -> appendPresence(configuration.gateway().zone()), presenceIntervalMicros,
                 presenceIntervalMicros, TimeUnit.MICROSECONDS);
     }
--- a/src/main/java/mastdrift/serve/ConfigDiff.java
+++ b/src/main/java/mastdrift/serve/ConfigDiff.java
@@ -41,26 +41,26 @@
         if (!inForce.tenants().equals(next.tenants())) {
             problems.add("[[tenant]]: expected the tenants that the gateway started with; restart it to change them");
         }
-        if (!inForce.radius().equals(next.radius())) {
+        if (!inForce.radiusListeners().equals(next.radiusListeners())) {
             problems.add("[[radius]]: expected the listeners that the gateway started with; restart it to change them");
         }
         boolean hasZones = inForce.zones() != null;
         if (hasZones != (next.zones() != null) || hasZones && !inForce.zones().samePaths(next.zones())) {
             problems.add("[zones]: expected the table, or none, and the files that the gateway started with; restart the gateway to change them");
         }
-        if ((inForce.peers() == null) != (next.peers() == null) || inForce.peers() != null && !inForce.peers().sameAtStart(next.peers())) {
+        if ((inForce.peers() == null) != (next.peers() == null) || inForce.peers() != null && !inForce.peers().equalsExceptReloadable(next.peers())) {
             problems.add("[peers]: expected the table, or none, as the gateway started with it, except for keys and gateways; restart the gateway to change it");
         }
         if (!Objects.equals(inForce.agreed(), next.agreed())) {
             problems.add("[agreed]: expected what the gateway started with; restart the gateway to change it");
         }
         if (inForce.distribution() != next.distribution()
-                && (inForce.distribution() == null || next.distribution() == null || !inForce.distribution().sameAtStart(next.distribution()))) {
+                && (inForce.distribution() == null || next.distribution() == null || !inForce.distribution().equalsExceptReloadable(next.distribution()))) {
             problems.add("[distribution]: expected the table, or none, as the gateway started with it, except for keys and machines; restart the gateway to change it");
         }
         inForce.pools().forEach((name, pool) -> {
             PoolSettings other = next.pools().get(name);
-            if (other != null && !pool.sameAtStart(other)) {
+            if (other != null && !pool.equalsExceptReloadable(other)) {
                 problems.add("[pool." + name + "]: expected the settings that it started with except nodes and guards; "
                         + "remove the pool or restart the gateway to change them");
             }
@@ -87,8 +87,8 @@
     public static Plan plan(Configuration old, Configuration next) {
         List<String> lines = new ArrayList<>();
         Membership membership = new Membership();
-        Map<String, PoolList> before = new TreeMap<>(membership.applyFiles(0, old.filed()));
-        Map<String, PoolList> after = membership.preview(0, next.filed());
+        Map<String, PoolList> before = new TreeMap<>(membership.applyFiles(0, old.configuredNodes()));
+        Map<String, PoolList> after = membership.preview(0, next.configuredNodes());
         TreeSet<String> pools = new TreeSet<>(before.keySet());
         pools.addAll(after.keySet());
         for (String pool : pools) {
@@ -105,14 +105,14 @@
         }
         List<String> refusals = new ArrayList<>(startOnlyProblems(old, next));
         List<Violation> trips = Control.guardTrips(old, next, before, after);
-        new Overrides().remainingViolations(trips, next.overrides(), old.versions())
-                .forEach(trip -> refusals.add(guardRefusal(trip, old.versions())));
+        new Overrides().remainingViolations(trips, next.overrides(), old.nodeListVersions())
+                .forEach(trip -> refusals.add(guardRefusal(trip, old.nodeListVersions())));
         return new Plan(lines, refusals);
     }
 
     /** Refusals of the guards that apply to a configuration by itself, as when a gateway starts. */
     public static List<String> refusalsAtStart(Configuration configuration) {
-        Map<String, PoolList> lists = new Membership().preview(0, configuration.filed());
+        Map<String, PoolList> lists = new Membership().preview(0, configuration.configuredNodes());
         return Control.guardTrips(null, configuration, null, lists).stream()
                 .map(trip -> guardRefusal(trip, Map.of())).toList();
     }
--- a/src/main/java/mastdrift/serve/Control.java
+++ b/src/main/java/mastdrift/serve/Control.java
@@ -93,15 +93,15 @@
         }
         long now = clock.getAsLong();
         List<Violation> trips = guardTrips(inForce, next, inForce == null ? null : membership.lists(),
-                membership.preview(now, next.filed()));
+                membership.preview(now, next.configuredNodes()));
         List<Violation> unresolved = overrides.remainingViolations(trips, next.overrides(), versions);
         if (!unresolved.isEmpty()) {
             return unresolved.stream().map(trip -> ConfigDiff.guardRefusal(trip, versions)).toList();
         }
         overrides.markUsed(trips, versions);
-        Map<String, PoolList> changed = membership.applyFiles(now, next.filed());
+        Map<String, PoolList> changed = membership.applyFiles(now, next.configuredNodes());
         inForce = next;
-        versions = next.versions();
+        versions = next.nodeListVersions();
         synchronized (pendingUpdates) {
             pendingUpdates.keySet().retainAll(next.pools().keySet());
         }
--- a/src/main/java/mastdrift/serve/ControlClient.java
+++ b/src/main/java/mastdrift/serve/ControlClient.java
@@ -24,7 +24,7 @@
 import mastdrift.distribution.ResourceKind;
 import mastdrift.distribution.edge.ControlCodec;
 import mastdrift.events.Events;
-import mastdrift.files.FileTexts;
+import mastdrift.files.FileContents;
 
 /**
  * Sends an operator's requests to control machines over authenticated links, under a random client name. Calls block,
@@ -64,15 +64,15 @@
     }
 
     private static DistributionSettings readSettings(Path file, List<String> problems) {
-        String text = new FileTexts(file).text(FileTexts.name(file), new Problems());
-        if (text != null && DistributionReader.isControl(FileTexts.name(file), text)) {
+        String text = new FileContents(file).text(FileContents.displayName(file), new Problems());
+        if (text != null && DistributionReader.isControl(FileContents.displayName(file), text)) {
             return ControlMachine.readSettings(file, problems);
         }
-        ConfigurationReader.Result result = FileTexts.read(file);
+        ConfigurationReader.Result result = FileContents.read(file);
         problems.addAll(result.problems());
         Configuration configuration = result.configuration();
         if (configuration != null && configuration.distribution() == null) {
-            problems.add(FileTexts.name(file) + ": expected a table [distribution], found none");
+            problems.add(FileContents.displayName(file) + ": expected a table [distribution], found none");
         }
         return configuration == null ? null : configuration.distribution();
     }
--- a/src/main/java/mastdrift/serve/ControlLinks.java
+++ b/src/main/java/mastdrift/serve/ControlLinks.java
@@ -27,7 +27,7 @@
     /** Kind of the messages of {@link mastdrift.distribution.ControlMessage}. */
     static final byte CONTROL_KIND = 5;
     /** Connections that a gateway or an operator's client may open. */
-    static final int MAX_OUTBOUND_CONNECTIONS = DistributionSettings.MACHINES_MOST;
+    static final int MAX_OUTBOUND_CONNECTIONS = DistributionSettings.MAX_MACHINES;
     private static final long EVENT_INTERVAL_MILLIS = 5_000;
     private static final int MAX_RATE_LIMITED_SENDERS = 1_024;
 
@@ -45,7 +45,7 @@
         this.events = events;
         this.name = name;
         loop = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory(threadName, true), NioIoHandler.newFactory()).next();
-        links = new PeerLinks(loop, settings.installation(), name, Math.max(MAX_OUTBOUND_CONNECTIONS, settings.connections()), new LinkListener(listener));
+        links = new PeerLinks(loop, settings.installation(), name, Math.max(MAX_OUTBOUND_CONNECTIONS, settings.maxConnections()), new LinkListener(listener));
         configure(settings, secrets);
     }
 
--- a/src/main/java/mastdrift/serve/ControlMachine.java
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -44,7 +44,7 @@
 import mastdrift.distribution.edge.Subscription;
 import mastdrift.events.Events;
 import mastdrift.events.Events.Level;
-import mastdrift.files.FileTexts;
+import mastdrift.files.FileContents;
 import mastdrift.net.Addresses;
 
 /**
@@ -77,7 +77,7 @@
     private final Subscription subscription;  // of a relay: always active; of a voter: only while decisions are missing
     private final Store store;  // null at a relay, as is the log
     private final RaftLog log;
-    private final ChangeCheck check = new ChangeCheck(ResourceValues::problem);
+    private final ChangeCheck check = new ChangeCheck(ResourceValues::findProblems);
     private final ScheduledThreadPoolExecutor proposer = new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("control-log", true));
     private final Semaphore decisionPermits = new Semaphore(MAX_QUEUED_DECISIONS);
     private final Map<String, List<PendingApply>> pending = new LinkedHashMap<>();
@@ -123,12 +123,12 @@
      */
     static DistributionSettings readSettings(Path file, List<String> problems) {
         Problems readProblems = new Problems();
-        String text = new FileTexts(file).text(FileTexts.name(file), readProblems);
+        String text = new FileContents(file).text(FileContents.displayName(file), readProblems);
         problems.addAll(readProblems.lines());
         if (text == null) {
             return null;
         }
-        DistributionReader.Result result = DistributionReader.control(FileTexts.name(file), text);
+        DistributionReader.Result result = DistributionReader.readControl(FileContents.displayName(file), text);
         problems.addAll(result.problems());
         return result.settings();
     }
--- a/src/main/java/mastdrift/serve/DistributionService.java
+++ b/src/main/java/mastdrift/serve/DistributionService.java
@@ -77,12 +77,12 @@
         this.swapRoutes = swapRoutes;
         settings = configuration.distribution();
         statusFile = settings.statusFile() == null ? null : new StatusFile(file, settings.statusFile());
-        routes = new ResourceRoutes(new RouteChecks(configuration.radius(), configuration.pools()));
+        routes = new ResourceRoutes(new RouteChecks(configuration.radiusListeners(), configuration.pools()));
         copy = new ConfigCopy(file.toAbsolutePath().resolveSibling(settings.folder()), settings.epoch(), events);
         Table initial = copy.initialTable();
         if (copy.exists()) {
-            routes.all(routesOf(initial));
-            routedPools = new TreeSet<>(routes.pools());
+            routes.applySnapshot(routesOf(initial));
+            routedPools = new TreeSet<>(routes.referencedPools());
             distributedRoutes = tableOf(routes);
         }
         links = new ControlLinks("distribution", settings, settings.name(), secrets, new LinkListener(), events);
@@ -135,10 +135,10 @@
         links.configure(next.distribution(), secrets);
         links.loop().execute(() -> {
             subscription.machines(ControlLinks.subscriptionMachines(next.distribution().publishers()));
-            routes.checks(new RouteChecks(next.radius(), next.pools()));
+            routes.setChecks(new RouteChecks(next.radiusListeners(), next.pools()));
             Table table = subscription.subscriber().table();
             if (revisionInForce != null) {
-                activate(table.revision(), routes.all(routesOf(table)));
+                activate(table.revision(), routes.applySnapshot(routesOf(table)));
             }
         });
     }
@@ -164,10 +164,10 @@
         copy.write(next, deltas);
         boolean changed = false;
         if (deltas.isEmpty()) {
-            changed = routes.all(routesOf(next));
+            changed = routes.applySnapshot(routesOf(next));
         }
         for (Delta each : deltas) {
-            changed |= routes.change(each);
+            changed |= routes.applyDelta(each);
         }
         activate(next.revision(), changed);
     }
@@ -179,7 +179,7 @@
     private void activate(Revision revision, boolean changed) {
         RouteTable next = changed ? tableOf(routes) : null;
         String problem = routes.problem();
-        TreeSet<String> nextPools = changed ? new TreeSet<>(routes.pools()) : routedPools;
+        TreeSet<String> nextPools = changed ? new TreeSet<>(routes.referencedPools()) : routedPools;
         // set before the routes are in force, so that a change of the file that removes one of these pools meanwhile is
         // refused
         routedPools = nextPools;
--- a/src/main/java/mastdrift/serve/PeerService.java
+++ b/src/main/java/mastdrift/serve/PeerService.java
@@ -94,7 +94,7 @@
         gateway = configuration.gateway();
         settings = configuration.peers();
         statusFile = settings.statusFile() == null ? null : new StatusFile(file, settings.statusFile());
-        links = new PeerLinks(loop, settings.installation(), gateway.name(), settings.connections(), new LinkListener());
+        links = new PeerLinks(loop, settings.installation(), gateway.name(), settings.maxConnections(), new LinkListener());
         generation = generation(file);
         Member self = new Member(gateway.name(), generation, gateway.zone(), build(), fingerprint(configuration));
         membership = new MembershipList(self, MembershipSettings.USUAL, seed, nowMicros(), new MembershipActions());
--- a/src/main/java/mastdrift/serve/Secrets.java
+++ b/src/main/java/mastdrift/serve/Secrets.java
@@ -39,8 +39,8 @@
     /** Reads the secrets of a configuration that were not read yet; returns the problems. */
     List<String> read(Configuration configuration) {
         Set<SecretRef> wanted = new LinkedHashSet<>();
-        configuration.pools().values().stream().filter(PoolSettings::radius).forEach(pool -> wanted.add(pool.secret()));
-        configuration.radius().forEach(each -> each.clients().stream().map(RadiusSettings.Client::secret).forEach(wanted::add));
+        configuration.pools().values().stream().filter(PoolSettings::isRadius).forEach(pool -> wanted.add(pool.secret()));
+        configuration.radiusListeners().forEach(each -> each.clients().stream().map(RadiusSettings.Client::secret).forEach(wanted::add));
         if (configuration.peers() != null) {
             wanted.addAll(configuration.peers().keys());
         }
--- a/src/main/java/mastdrift/serve/Service.java
+++ b/src/main/java/mastdrift/serve/Service.java
@@ -45,7 +45,7 @@
 import mastdrift.events.Events;
 import mastdrift.events.Events.Level;
 import mastdrift.files.StatusFile;
-import mastdrift.files.Watcher;
+import mastdrift.files.FileWatcher;
 import mastdrift.membership.PoolList;
 import mastdrift.net.Addresses;
 import mastdrift.net.HttpFront;
@@ -110,7 +110,7 @@
     private final Router router = new Router(Router.MAX_PINS);
     private final Map<String, PoolEntry> pools = new HashMap<>();
     private final Control control = new Control(new ControlListener(), clock::now);
-    private final Watcher watcher;
+    private final FileWatcher watcher;
     private final Secrets secrets;
     private Configuration initialConfiguration;
     private ZoneService zones;  // null if traffic across zones is neither counted nor bounded
@@ -130,16 +130,16 @@
         this.events = events;
         secrets = new Secrets(file, System.getenv());
         ledger.setNotificationReader(this::readNotifications);
-        watcher = new Watcher(file, new Watcher.Taker() {
+        watcher = new FileWatcher(file, new FileWatcher.Listener() {
             @Override
-            public List<String> take(Configuration configuration) {
+            public List<String> apply(Configuration configuration) {
                 List<String> missing = secrets.read(configuration);
                 missing = missing.isEmpty() && distribution != null ? distribution.problems(configuration) : missing;
                 return missing.isEmpty() ? control.offer(configuration) : missing;
             }
 
             @Override
-            public void judged(List<String> problems) {
+            public void onResult(List<String> problems) {
                 report(problems);
             }
         });
@@ -161,7 +161,7 @@
     public static Service start(Path file, Events events, boolean warmUp) {
         Service service = new Service(file, events);
         try {
-            List<String> problems = service.watcher.first();
+            List<String> problems = service.watcher.readInitial();
             if (!problems.isEmpty()) {
                 throw new IllegalArgumentException(String.join("\n", problems));
             }
@@ -190,7 +190,7 @@
      * HTTP pool.
      */
     private void warmUp() {
-        PoolSettings settings = initialConfiguration.pools().values().stream().filter(pool -> !pool.radius())
+        PoolSettings settings = initialConfiguration.pools().values().stream().filter(pool -> !pool.isRadius())
                 .findFirst().orElse(null);
         if (settings == null) {
             return;
@@ -202,10 +202,10 @@
             RequestTracker ledger = new RequestTracker(warmUpLoop.timers(), warmUpLoop.clock(), warmUpLoop.turns(), MAX_OPEN_REQUESTS,
                     this::log);
             Pool pool = new Pool("rehearsal", ledger, new Balance(), moduleSettings,
-                    new HttpTransport(warmUpLoop, moduleSettings, settings.connections(), line -> { }));
+                    new HttpTransport(warmUpLoop, moduleSettings, settings.maxConnections(), line -> { }));
             pool.start(HostListSource.PUSH_ONLY, hosts);
             return new HttpFront(warmUpEventLoop, ledger, (type, tenant, message, key) -> pool, initialConfiguration.classes(), initialConfiguration.tenants(),
-                    gateway.connections(), line -> { });
+                    gateway.maxConnections(), line -> { });
         }, initialConfiguration.classes(), initialConfiguration.tenants(), gateway.zone(),
                 Addresses.parse(gateway.listen()).getAddress(),
                 warmUpEventLoop, this::log);
@@ -318,7 +318,7 @@
             if (distribution != null) {
                 distribution.configure(next, secrets::get);
             }
-            Map<String, String> versions = next.versions();
+            Map<String, String> versions = next.nodeListVersions();
             events.event(Level.INFO, "in_force", "in force: " + next.pools().keySet().stream()
                     .map(pool -> pool + " " + versions.get(pool)).toList() + ", " + next.routes().size()
                     + " routes, changed pools " + changed.keySet(), "changed", changed.keySet());
@@ -345,9 +345,9 @@
             initialConfiguration = next;
             gateway = next.gateway();
             statusFile = gateway.statusFile() == null ? null : new StatusFile(file, gateway.statusFile());
-            httpFront = new HttpFront(loop, ledger, this::route, next.classes(), next.tenants(), gateway.connections(),
+            httpFront = new HttpFront(loop, ledger, this::route, next.classes(), next.tenants(), gateway.maxConnections(),
                     gateway.bounds(), this::log);
-            radiusListeners = next.radius();
+            radiusListeners = next.radiusListeners();
             radiusListeners.forEach(each -> radiusFronts.add(radiusFront(next, each)));
             startZones(next);
             if (peers != null) {
@@ -413,8 +413,8 @@
 
     private PoolEntry openPool(Configuration next, PoolSettings settings) {
         Settings moduleSettings = moduleSettings(next, settings);
-        Transport transport = settings.radius() ? radiusTransport(settings)
-                : new HttpTransport(timedLoop, moduleSettings, settings.connections(), this::log);
+        Transport transport = settings.isRadius() ? radiusTransport(settings)
+                : new HttpTransport(timedLoop, moduleSettings, settings.maxConnections(), this::log);
         Pool pool = new Pool(settings.name(), ledger, new Balance(), moduleSettings, transport);
         DiscoverySource discovery = settings.discovery() == null ? null
                 : new DiscoverySource(loop, pool, Addresses.parse(settings.discovery()), control, this::log);
@@ -428,7 +428,7 @@
         if (discovery != null) {
             discovery.watch(true);
         }
-        return new PoolEntry(pool, discovery, settings.radius());
+        return new PoolEntry(pool, discovery, settings.isRadius());
     }
 
     private Transport radiusTransport(PoolSettings settings) {
@@ -438,8 +438,8 @@
 
     private Settings moduleSettings(Configuration next, PoolSettings pool) {
         GatewaySettings gateway = next.gateway();
-        Limits limits = new Limits(true, pool.probes(), true, false, pool.maxAttempts(), MAX_OPEN_REQUESTS, true, MAX_RETRY_AFTER_MICROS);
-        Site site = new Site(gateway.me(), gateway.gateways(), gateway.zone(), gateway.zones(), List.of(), 0,
+        Limits limits = new Limits(true, pool.probesAllowed(), true, false, pool.maxAttempts(), MAX_OPEN_REQUESTS, true, MAX_RETRY_AFTER_MICROS);
+        Site site = new Site(gateway.gatewayIndex(), gateway.gatewayCount(), gateway.zone(), gateway.zones(), List.of(), 0,
                 List.of());
         Value value = new Value(new Goal(0.4, 0.1, 0.1, 0.4), new Prices(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0), 0.05, false);
         return new Settings(next.classes(), next.tenants(), limits, pool.links(), new Cpu(Long.MAX_VALUE, 0), pool.rules(),
@@ -490,12 +490,12 @@
         RadiusClients radiusClients = new RadiusClients(settings.clients().stream()
                 .map(client -> new RadiusClients.Client(
                 client.name(), client.range(),
-                new Authenticators(secrets.get(client.secret())), client.tenant(), client.signed())).toList());
+                new Authenticators(secrets.get(client.secret())), client.tenant(), client.messageAuthenticatorRequired())).toList());
         return new RadiusFront(loop, ledger, (className, tenant, key) -> radiusPool(classes.get(className), tenant, key), radiusClients,
                 new RadiusFront.Classes(settings.accessClass(), settings.conversationClass(), settings.accountingClass(),
                         classes.get(settings.accessClass()).deadline(),
                         classes.get(settings.accountingClass()).deadline()),
-                new DuplicateCache(settings.kept(), settings.keptMost(), settings.keptMost() * KEPT_ANSWER_BYTES), drops);
+                new DuplicateCache(settings.replyRetentionMicros(), settings.maxRetainedReplies(), settings.maxRetainedReplies() * KEPT_ANSWER_BYTES), drops);
     }
 
     private Pool radiusPool(RequestClass requestClass, String tenant, long key) {
--- a/src/main/java/mastdrift/serve/ZoneService.java
+++ b/src/main/java/mastdrift/serve/ZoneService.java
@@ -38,7 +38,7 @@
      */
     ZoneService(Path file, EventLoop loop, LongSupplier clock, GatewaySettings gateway, ZoneSettings settings, Consumer<String> log) {
         this.clock = clock;
-        zoning = new ZoneBudgetManager(gateway.name(), gateway.zone(), gateway.gateways(), settings, clock.getAsLong(), System.currentTimeMillis());
+        zoning = new ZoneBudgetManager(gateway.name(), gateway.zone(), gateway.gatewayCount(), settings, clock.getAsLong(), System.currentTimeMillis());
         networks = new ClientNetworks(settings.networks());
         files = new ZoneFileStore(file, gateway.name(), settings, word -> loop.execute(() -> zoning.receive(word)), log);
         ZoneSnapshot earlier = files.readSnapshot();
--- a/src/main/java/mastdrift/wire/Adapter.java
+++ b/src/main/java/mastdrift/wire/Adapter.java
@@ -6,7 +6,7 @@
 import mastdrift.Balancer.ListForm;
 import mastdrift.Balancer.LoadReport;
 import mastdrift.Balancer.Outcome;
-import mastdrift.settings.Facts;
+import mastdrift.settings.ModuleSettingsReader;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -105,16 +105,16 @@
     }
 
     private static Balancer.Settings readSettings(Fields fields, long seed) {
-        Facts facts = readFacts(fields);
+        ModuleSettingsReader facts = readFacts(fields);
         try {
-            return facts.settings(seed);
+            return facts.read(seed);
         } catch (IllegalArgumentException e) {
             throw fields.expected(e.getMessage());
         }
     }
 
     /** Reads the rest of the line as settings, {@code path=value}. */
-    static Facts readFacts(Fields fields) {
+    static ModuleSettingsReader readFacts(Fields fields) {
         Map<String, String> values = new HashMap<>();
         for (String pair : fields.remaining()) {
             int separator = pair.indexOf('=');
@@ -123,7 +123,7 @@
             }
             values.put(pair.substring(0, separator), pair.substring(separator + 1));
         }
-        return new Facts(values);
+        return new ModuleSettingsReader(values);
     }
 
     /** Parses the whole event before the module is told of it. */
