--- a/src/main/java/mastdrift/cli/FleetCommand.java
+++ b/src/main/java/mastdrift/cli/FleetCommand.java
@@ -24,139 +24,146 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** What a fleet of gateways did, added up from their logs. */
-@Command(name = "fleet", description = "Adds up what gateways say in their logs: by second, gateway or host. Counts a second are there where the"
-        + " gateway was started with --tally.", mixinStandardHelpOptions = true)
+/** {@code fleet}: aggregates the logs of a fleet of gateways. */
+@Command(name = "fleet", description = "Aggregates the logs of gateways by second, gateway or host. Counts per second need a"
+        + " gateway started with --tally.", mixinStandardHelpOptions = true)
 final class FleetCommand implements Callable<Integer> {
 
-    private static final int REFUSED = 1;
+    private static final int EXIT_ERROR = 1;
 
-    /** What a row is of. */
-    enum By { SECOND, GATEWAY, HOST, MARGIN }
+    /** What a row of the table is about. */
+    enum Grouping { SECOND, GATEWAY, HOST, MARGIN }
 
-    /** How it is written. */
-    enum Form { TEXT, CSV }
+    /** Output format. */
+    enum Format { TEXT, CSV }
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    @Parameters(arity = "1..1024", paramLabel = "LOG", description = "logs, one a gateway; its name is the file's")
+    @Parameters(arity = "1..1024", paramLabel = "LOG",
+            description = "log files, one per gateway, which is named after its file")
     private List<Path> logs;
 
     @Option(names = "--by", paramLabel = "WHAT", defaultValue = "SECOND", description = "second, gateway, host or margin (${DEFAULT-VALUE})")
-    private By by;
+    private Grouping grouping;
 
     @Option(names = "--request", paramLabel = "ID", description = "the steps of one request over all gateways, by its trace id or a part of it")
-    private String request;
+    private String traceId;
 
     @Option(names = "--form", paramLabel = "FORM", defaultValue = "TEXT", description = "text or csv (${DEFAULT-VALUE})")
-    private Form form;
+    private Format format;
 
     @Override
     public Integer call() throws IOException {
         PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
         Fleet fleet = new Fleet();
-        if (request != null) {
-            fleet.follow(request);
+        if (traceId != null) {
+            fleet.traceRequest(traceId);
         }
         for (Path log : logs) {
-            // What a killed gateway wrote last may end within a character.
+            // The last line of a killed gateway may end in the middle of a character; ISO 8859-1 decodes any bytes.
             try (BufferedReader lines = Files.newBufferedReader(log, StandardCharsets.ISO_8859_1)) {
-                int number = 0;
+                int lineNumber = 0;
                 for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                    fleet.read(log.getFileName().toString().replaceFirst("\\.log$", ""), ++number, line);
+                    fleet.readLine(log.getFileName().toString().replaceFirst("\\.log$", ""), ++lineNumber, line);
                 }
-                fleet.end();
+                fleet.endLog();
             } catch (IOException e) {
                 err.println("can't read " + log + ": " + e);
-                return REFUSED;
+                return EXIT_ERROR;
             }
         }
-        fleet.faults().forEach(err::println);
-        if (fleet.faulty() > fleet.faults().size()) {
-            err.println("and " + (fleet.faulty() - fleet.faults().size()) + " lines more that can't be read");
+        fleet.parseErrors().forEach(err::println);
+        if (fleet.parseErrorCount() > fleet.parseErrors().size()) {
+            err.println("and " + (fleet.parseErrorCount() - fleet.parseErrors().size())
+                    + " more lines that can't be read");
         }
-        if (request != null && fleet.seen().isEmpty()) {
-            err.println("expected steps of request " + request + ", found none in " + logs.size() + " logs: written with --tally, and for a part"
-                    + " of the requests where many come");
-            return REFUSED;
+        if (traceId != null && fleet.tracedSteps().isEmpty()) {
+            err.println("expected steps of request " + traceId + ", found none in " + logs.size() + " logs: gateways log steps with --tally, and under high load only"
+                    + " those of some requests");
+            return EXIT_ERROR;
         }
-        List<List<String>> rows = request != null ? ofRequest(fleet) : switch (by) {
-            case SECOND -> bySecond(fleet);
-            case GATEWAY -> byGateway(fleet);
-            case HOST -> byHost(fleet);
+        List<List<String>> rows = traceId != null ? requestRows(fleet) : switch (grouping) {
+            case SECOND -> secondRows(fleet);
+            case GATEWAY -> gatewayRows(fleet);
+            case HOST -> hostRows(fleet);
             case MARGIN -> fleet.margins().rows();
         };
-        if (form == Form.CSV) {
+        if (format == Format.CSV) {
             try (CSVPrinter csv = new CSVPrinter(out, CSVFormat.DEFAULT.builder().setRecordSeparator('\n').get())) {
                 csv.printRecords(rows);
             }
         } else {
-            print(rows, out);
+            printTable(rows, out);
         }
         out.flush();
         return 0;
     }
 
-    /** Counts that are zero throughout are left out. */
-    private static List<Count> counted(Fleet fleet) {
-        Second all = fleet.all();
-        return Arrays.stream(Count.values()).filter(count -> all.of(count) > 0).toList();
+    /** Counters that are above zero in at least one second. */
+    private static List<Count> nonZeroCounters(Fleet fleet) {
+        Second total = fleet.total();
+        return Arrays.stream(Count.values()).filter(counter -> total.count(counter) > 0).toList();
     }
 
-    private static List<String> row(List<Count> counts, Second of, String... ahead) {
-        List<String> row = new ArrayList<>(Arrays.asList(ahead));
-        counts.forEach(count -> row.add(Long.toString(of.of(count))));
+    private static List<String> countsRow(List<Count> counters, Second counts, String... leadingCells) {
+        List<String> row = new ArrayList<>(Arrays.asList(leadingCells));
+        counters.forEach(counter -> row.add(Long.toString(counts.count(counter))));
         return row;
     }
 
-    private static List<String> head(List<Count> counts, String... ahead) {
-        List<String> row = new ArrayList<>(Arrays.asList(ahead));
-        counts.forEach(count -> row.add(count.name().toLowerCase(Locale.ROOT)));
+    private static List<String> headerRow(List<Count> counters, String... leadingCells) {
+        List<String> row = new ArrayList<>(Arrays.asList(leadingCells));
+        counters.forEach(counter -> row.add(counter.name().toLowerCase(Locale.ROOT)));
         return row;
     }
 
-    private static List<List<String>> bySecond(Fleet fleet) {
-        List<Count> counts = counted(fleet);
-        List<List<String>> rows = new ArrayList<>(List.of(head(counts, "second", "gateways")));
-        long first = fleet.seconds().keySet().stream().findFirst().orElse(0L);
-        fleet.seconds().forEach((at, second) ->
-                rows.add(row(counts, second, Long.toString(at - first), Integer.toString(fleet.counting(at)))));
-        rows.add(row(counts, fleet.all(), "all", Integer.toString(fleet.gateways().size())));
+    private static List<List<String>> secondRows(Fleet fleet) {
+        List<Count> counters = nonZeroCounters(fleet);
+        List<List<String>> rows = new ArrayList<>(List.of(headerRow(counters, "second", "gateways")));
+        long firstSecond = fleet.seconds().keySet().stream().findFirst().orElse(0L);
+        fleet.seconds().forEach((unixSeconds, counts) ->
+                rows.add(countsRow(counters, counts, Long.toString(unixSeconds - firstSecond),
+                        Integer.toString(fleet.reportingGateways(unixSeconds)))));
+        rows.add(countsRow(counters, fleet.total(), "all", Integer.toString(fleet.gateways().size())));
         return rows;
     }
 
-    private static List<List<String>> byGateway(Fleet fleet) {
-        List<Count> counts = counted(fleet);
-        List<List<String>> rows = new ArrayList<>(List.of(head(counts, "gateway", "starts", "lists_said", "failed_said", "unheard_s", "late_ms")));
-        fleet.said().forEach((name, said) -> rows.add(row(counts, fleet.gateways().getOrDefault(name, new Second(0)), name,
-                Integer.toString(said.starts()), Integer.toString(said.changes()), Integer.toString(said.callsFailed()),
-                String.format("%.1f", said.unheardMost()), Long.toString(said.lateMost()))));
+    private static List<List<String>> gatewayRows(Fleet fleet) {
+        List<Count> counters = nonZeroCounters(fleet);
+        List<List<String>> rows = new ArrayList<>(List.of(headerRow(counters, "gateway", "starts", "lists_said", "failed_said", "unheard_s", "late_ms")));
+        fleet.events().forEach((name, events) -> rows.add(countsRow(counters, fleet.gateways().getOrDefault(name, new Second(0)), name,
+                Integer.toString(events.starts()), Integer.toString(events.listUpdates()),
+                Integer.toString(events.failedCalls()),
+                String.format("%.1f", events.maxListGapSeconds()), Long.toString(events.maxLatenessMillis()))));
         return rows;
     }
 
-    private static List<List<String>> ofRequest(Fleet fleet) {
+    /** The steps of the traced request, with times relative to the first one. */
+    private static List<List<String>> requestRows(Fleet fleet) {
         List<List<String>> rows = new ArrayList<>(List.of(List.of("ms", "gateway", "step", "attempt", "host", "what", "span_ms")));
-        long first = fleet.seen().get(0).step().at();
-        for (Fleet.Seen seen : fleet.seen()) {
-            Step step = seen.step();
-            rows.add(List.of(String.format("%.1f", (step.at() - first) / 1e3), seen.gateway(), step.kind().name().toLowerCase(Locale.ROOT),
-                    step.attempt() < 0 ? "" : Integer.toString(step.attempt()), step.host(), step.word(), String.format("%.1f", step.span() / 1e3)));
+        long firstMicros = fleet.tracedSteps().get(0).step().unixMicros();
+        for (Fleet.GatewayStep traced : fleet.tracedSteps()) {
+            Step step = traced.step();
+            rows.add(List.of(String.format("%.1f", (step.unixMicros() - firstMicros) / 1e3), traced.gateway(), step.kind().name().toLowerCase(Locale.ROOT),
+                    step.attempt() < 0 ? "" : Integer.toString(step.attempt()), step.host(), step.detail(), String.format("%.1f", step.spanMicros() / 1e3)));
         }
         return rows;
     }
 
-    private static List<List<String>> byHost(Fleet fleet) {
+    private static List<List<String>> hostRows(Fleet fleet) {
         List<List<String>> rows = new ArrayList<>(List.of(List.of("host", "sends", "lost", "lost_part")));
-        fleet.all().hosts().entrySet().stream()
-                .sorted(Comparator.comparingLong((Map.Entry<String, Second.OfHost> host) -> -host.getValue().lost()))
+        fleet.total().hosts().entrySet().stream()
+                .sorted(Comparator.comparingLong(
+                        (Map.Entry<String, Second.HostCounts> host) -> -host.getValue().lost()))
                 .forEach(host -> rows.add(List.of(host.getKey(), Long.toString(host.getValue().sends()), Long.toString(host.getValue().lost()),
                         String.format("%.3f", host.getValue().lost() / (double) Math.max(1, host.getValue().sends())))));
         return rows;
     }
 
-    private static void print(List<List<String>> rows, PrintWriter out) {
+    /** Prints the rows as a table with right-aligned columns. */
+    private static void printTable(List<List<String>> rows, PrintWriter out) {
         int[] widths = new int[rows.get(0).size()];
         rows.forEach(row -> Arrays.setAll(widths, i -> Math.max(widths[i], row.get(i).length())));
         for (List<String> row : rows) {
--- a/src/main/java/mastdrift/net/Tallying.java
+++ b/src/main/java/mastdrift/net/Tallying.java
@@ -58,7 +58,7 @@
     private void tell() {
         answered();
         second.add(Count.UNFOLLOWED, tracing.unfollowed());
-        String line = second.line();
+        String line = second.formatLine();
         if (line.indexOf('=') != line.lastIndexOf('=')) {
             log.accept(line);
         }
@@ -119,7 +119,7 @@
     public Attempt send(Endpoint to, Call call, long timeout, long leaveWithin, Ended ended) {
         String uid = to.uid();
         second.add(Count.SENDS);
-        second.sent(uid);
+        second.addSend(uid);
         if (cold.contains(uid)) {
             second.add(Count.COLD);
         }
@@ -128,7 +128,7 @@
             public void ended(Outcome outcome, Answer answer, LoadReport report) {
                 second.add(Count.valueOf(outcome.name()));
                 if (outcome != Outcome.DELIVERED && outcome != Outcome.REVOKED && outcome != Outcome.UNUSED) {
-                    second.lost(uid);
+                    second.addLoss(uid);
                 }
                 ended.ended(outcome, answer, report);
             }
--- a/src/main/java/mastdrift/net/Tracing.java
+++ b/src/main/java/mastdrift/net/Tracing.java
@@ -78,7 +78,7 @@
     }
 
     private void tell(String id, Step.Kind kind, int attempt, String host, String word, long span) {
-        log.accept(new Step(clock.now(), id, kind, attempt, host, word, span).line());
+        log.accept(new Step(clock.now(), id, kind, attempt, host, word, span).formatLine());
     }
 
     @Override
@@ -114,11 +114,11 @@
         Long left = leftAt.get(uid);
         long warm = warmAt.getOrDefault(uid, 0L);
         if (left != null) {
-            tell(id, kind, attempt, uid, Step.LEAVING, now - left);
+            tell(id, kind, attempt, uid, Step.STATE_LEAVING, now - left);
         } else if (warm > now) {
-            tell(id, kind, attempt, uid, Step.COLD, now - (warm - warmWithin));
+            tell(id, kind, attempt, uid, Step.STATE_COLD, now - (warm - warmWithin));
         } else {
-            tell(id, kind, attempt, uid, Step.WARM, 0);
+            tell(id, kind, attempt, uid, Step.STATE_WARM, 0);
         }
     }
 
--- a/src/main/java/mastdrift/tally/Count.java
+++ b/src/main/java/mastdrift/tally/Count.java
@@ -2,25 +2,27 @@
 
 import java.util.Locale;
 
-/** What is counted. The names of its values, in small letters, are those of the line. */
+/** Counters of a {@link Second}. Their names in lower case are the keys of the log line. */
 public enum Count {
-    /** Attempts at hosts. */
+    /** Attempts sent to hosts. */
     SENDS,
-    /** Ends of attempts, as {@code Balancer.Outcome} has them. */
+    /** Outcomes of attempts, as in {@code Balancer.Outcome}. */
     DELIVERED, ERROR, SHED, EXPIRED, DIAL_FAILED, DROPPED, REVOKED, UNUSED,
-    /** Connections opened for attempts; those refused are DIAL_FAILED. */
+    /** Connections opened for attempts; refused ones count as DIAL_FAILED. */
     OPENED,
-    /** Attempts at hosts that started less than a warm-up ago. */
+    /** Attempts at hosts that started less than the warm-up time ago. */
     COLD,
+    /** Health probes, and those that failed. */
     PROBES, PROBES_FAILED,
-    /** Calls to discovery, those that failed, and lists that came, whole or changes. */
+    /** Calls to discovery, failed calls, and host lists received (full lists and changes). */
     CALLS, CALLS_FAILED, LISTS,
-    /** Final answers. */
+    /** Final answers to clients. */
     SERVED, REFUSED_HOSTS, REFUSED_SHARE, REFUSED_GATEWAY, REFUSED_ZONES, REFUSED_LIST, FAILED,
-    /** Requests that were taken and not followed: more came in that second than are. */
+    /** Requests that were accepted but not traced, because more arrived in that second than are traced. */
     UNFOLLOWED;
 
-    String word() {
+    /** The key in the log line. */
+    String key() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/mastdrift/tally/Fleet.java
+++ b/src/main/java/mastdrift/tally/Fleet.java
@@ -8,137 +8,145 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Lines of many gateways' logs, added up: by second, by gateway and by host. What a gateway says once (its starts, lists, calls that
-    failed, its own lateness) is counted also where it counts nothing a second. Holds a sum a second, gateway and host, no lines. */
+/**
+ * Aggregates the log lines of many gateways by second, by gateway and by host. Lines that a gateway logs per event
+ * (starts, host lists, failed discovery calls, its own lateness) are counted even if it writes no counts per second.
+ * Keeps sums per second, gateway and host, but no lines.
+ */
 public final class Fleet {
 
-    private static final int FAULTS_MOST = 20;
-    // Cold hosts are looked at in spans of so many microseconds, those of the platform's rule on them.
-    private static final long COLD_SPAN = 2_000_000;
-    // A log's own clock ahead of its lines, in seconds, where there is one.
-    private static final Pattern STAMP = Pattern.compile("^\\s*(\\d+(?:\\.\\d+)?)\\s");
-    private static final Pattern LIST = Pattern.compile("\\blist (\\d+): (\\d+) (hosts|changes)");
-    private static final Pattern LATE = Pattern.compile("the gateway itself is late: whatever comes waits (\\d+) ms");
-
-    /** What one gateway said once. */
-    public static final class Said {
+    private static final int MAX_PARSE_ERRORS = 20;
+    // Window over which sends to cold hosts are counted; the same as that of the platform's rule for cold hosts.
+    private static final long COLD_WINDOW_MICROS = 2_000_000;
+    // Timestamp in seconds at the beginning of a log line, if the log has any.
+    private static final Pattern TIMESTAMP = Pattern.compile("^\\s*(\\d+(?:\\.\\d+)?)\\s");
+    private static final Pattern HOST_LIST_LINE = Pattern.compile("\\blist (\\d+): (\\d+) (hosts|changes)");
+    private static final Pattern LATENESS_LINE =
+            Pattern.compile("the gateway itself is late: whatever comes waits (\\d+) ms");
+
+    /** What one gateway logged per event, outside its counts per second. */
+    public static final class GatewayEvents {
         private int starts;
-        private int changes;
-        private int callsFailed;
-        private long lateMost;
-        private double unheardSince = Double.NaN;
-        private double unheardMost;
+        private int listUpdates;
+        private int failedCalls;
+        private long maxLatenessMillis;
+        private double callsFailSinceSeconds = Double.NaN;
+        private double maxListGapSeconds;
 
-        /** Times that it began to listen. */
+        /** How often it started to listen. */
         public int starts() {
             return starts;
         }
 
-        /** Lists that discovery told, whole or changes. */
-        public int changes() {
-            return changes;
+        /** Host lists received from discovery, full lists and changes. */
+        public int listUpdates() {
+            return listUpdates;
         }
 
-        /** Calls to discovery that failed. */
-        public int callsFailed() {
-            return callsFailed;
+        /** Discovery calls that failed. */
+        public int failedCalls() {
+            return failedCalls;
         }
 
-        /** Its own lateness at most, in milliseconds. */
-        public long lateMost() {
-            return lateMost;
+        /** The gateway's own greatest lateness in milliseconds. */
+        public long maxLatenessMillis() {
+            return maxLatenessMillis;
         }
 
-        /** Seconds from a call that failed to the next list, at most; 0 where lines have no time or none failed. */
-        public double unheardMost() {
-            return unheardMost;
+        /**
+         * Longest time in seconds from a failed discovery call to the next host list; 0 if lines have no timestamp or
+         * no call failed.
+         */
+        public double maxListGapSeconds() {
+            return maxListGapSeconds;
         }
     }
 
     private final Map<Long, Second> seconds = new TreeMap<>();
-    private final Map<Long, Integer> counting = new TreeMap<>();
+    private final Map<Long, Integer> reportingGateways = new TreeMap<>();
     private final Map<String, Second> gateways = new TreeMap<>();
-    private final Map<String, Said> said = new TreeMap<>();
-    private final List<String> faults = new ArrayList<>();
-    private final List<Seen> seen = new ArrayList<>();
-    private final Margins margins = new Margins(COLD_SPAN);
-    private String followed = "";
-    private int faulty;
-
-    /** A step and the gateway whose log it is of. */
-    public record Seen(String gateway, Step step) { }
-
-    /** The steps of requests whose trace id has this in it are kept; before lines are read. */
-    public void follow(String id) {
-        followed = id;
+    private final Map<String, GatewayEvents> eventsByGateway = new TreeMap<>();
+    private final List<String> parseErrors = new ArrayList<>();
+    private final List<GatewayStep> tracedSteps = new ArrayList<>();
+    private final Margins margins = new Margins(COLD_WINDOW_MICROS);
+    private String tracedId = "";
+    private int parseErrorCount;
+
+    /** A step of a request, and the gateway that logged it. */
+    public record GatewayStep(String gateway, Step step) { }
+
+    /** Keeps the steps of requests whose trace id contains {@code id}. Call it before reading lines. */
+    public void traceRequest(String id) {
+        tracedId = id;
     }
 
-    /** One line of a gateway's log. One that can't be read is passed over and told of by {@link #faults}. */
-    public void read(String gateway, int number, String line) {
-        Said of = said.computeIfAbsent(gateway, name -> new Said());
-        boolean step = line.contains(Step.MARK);
-        if (step || line.contains(Second.MARK)) {
+    /** Reads one line of a gateway's log. A malformed line is skipped and reported by {@link #parseErrors}. */
+    public void readLine(String gateway, int lineNumber, String line) {
+        GatewayEvents events = eventsByGateway.computeIfAbsent(gateway, name -> new GatewayEvents());
+        boolean isStep = line.contains(Step.LINE_MARKER);
+        if (isStep || line.contains(Second.LINE_MARKER)) {
             try {
-                if (step) {
-                    read(gateway, Step.parse(line));
+                if (isStep) {
+                    addStep(gateway, Step.parse(line));
                 } else {
-                    read(gateway, Second.parse(line));
+                    addSecond(gateway, Second.parse(line));
                 }
             } catch (IllegalArgumentException e) {
-                if (faulty++ < FAULTS_MOST) {
-                    faults.add(gateway + ":" + number + ": " + e.getMessage());
+                if (parseErrorCount++ < MAX_PARSE_ERRORS) {
+                    parseErrors.add(gateway + ":" + lineNumber + ": " + e.getMessage());
                 }
             }
             return;
         }
-        Matcher stamp = STAMP.matcher(line);
-        double at = stamp.find() ? Double.parseDouble(stamp.group(1)) : Double.NaN;
-        Matcher list = LIST.matcher(line);
-        Matcher late = LATE.matcher(line);
+        Matcher timestamp = TIMESTAMP.matcher(line);
+        double atSeconds = timestamp.find() ? Double.parseDouble(timestamp.group(1)) : Double.NaN;
+        Matcher list = HOST_LIST_LINE.matcher(line);
+        Matcher lateness = LATENESS_LINE.matcher(line);
         if (line.contains("listening on ")) {
-            of.starts++;
-            margins.end();
-            of.unheardSince = Double.NaN;
+            events.starts++;
+            margins.endLog();
+            events.callsFailSinceSeconds = Double.NaN;
         } else if (line.contains("discovery failed: ")) {
-            of.callsFailed++;
-            of.unheardSince = Double.isNaN(of.unheardSince) ? at : of.unheardSince;
+            events.failedCalls++;
+            events.callsFailSinceSeconds = Double.isNaN(events.callsFailSinceSeconds) ? atSeconds
+                    : events.callsFailSinceSeconds;
         } else if (list.find()) {
-            of.changes++;
-            if (of.unheardSince <= at) {
-                of.unheardMost = Math.max(of.unheardMost, at - of.unheardSince);
+            events.listUpdates++;
+            if (events.callsFailSinceSeconds <= atSeconds) {
+                events.maxListGapSeconds = Math.max(events.maxListGapSeconds, atSeconds - events.callsFailSinceSeconds);
             }
-            of.unheardSince = Double.NaN;
-        } else if (late.find()) {
-            of.lateMost = Math.max(of.lateMost, Long.parseLong(late.group(1)));
+            events.callsFailSinceSeconds = Double.NaN;
+        } else if (lateness.find()) {
+            events.maxLatenessMillis = Math.max(events.maxLatenessMillis, Long.parseLong(lateness.group(1)));
         }
     }
 
-    private void read(String gateway, Second second) {
-        seconds.computeIfAbsent(second.at(), Second::new).add(second);
-        counting.merge(second.at(), 1, Integer::sum);
-        gateways.computeIfAbsent(gateway, name -> new Second(second.at())).add(second);
+    private void addSecond(String gateway, Second second) {
+        seconds.computeIfAbsent(second.unixSeconds(), Second::new).add(second);
+        reportingGateways.merge(second.unixSeconds(), 1, Integer::sum);
+        gateways.computeIfAbsent(gateway, name -> new Second(second.unixSeconds())).add(second);
     }
 
-    private void read(String gateway, Step step) {
-        margins.read(step);
-        if (!followed.isEmpty() && step.id().contains(followed)) {
-            seen.add(new Seen(gateway, step));
+    private void addStep(String gateway, Step step) {
+        margins.readStep(step);
+        if (!tracedId.isEmpty() && step.traceId().contains(tracedId)) {
+            tracedSteps.add(new GatewayStep(gateway, step));
         }
     }
 
-    /** The log that was being read has ended. */
-    public void end() {
-        margins.end();
+    /** Marks the end of the log that was being read. */
+    public void endLog() {
+        margins.endLog();
     }
 
-    /** How near the fleet came to its rules, by what it logged of single requests. */
+    /** How close the fleet came to breaking its rules, from the logged steps of requests. */
     public Margins margins() {
         return margins;
     }
 
-    /** The steps of the request that is followed over all gateways, by time. */
-    public List<Seen> seen() {
-        return seen.stream().sorted(Comparator.comparingLong(of -> of.step().at())).toList();
+    /** Steps of the traced requests from all gateways, ordered by time. */
+    public List<GatewayStep> tracedSteps() {
+        return tracedSteps.stream().sorted(Comparator.comparingLong(traced -> traced.step().unixMicros())).toList();
     }
 
     /** Sums over the fleet by second of Unix time. */
@@ -146,35 +154,35 @@
         return seconds;
     }
 
-    /** How many gateways counted in a second. */
-    public int counting(long second) {
-        return counting.getOrDefault(second, 0);
+    /** Number of gateways that logged counts for a second of Unix time. */
+    public int reportingGateways(long second) {
+        return reportingGateways.getOrDefault(second, 0);
     }
 
-    /** Sums over time by gateway, for those that count. */
+    /** Sums over all seconds by gateway, for gateways that log counts. */
     public Map<String, Second> gateways() {
         return gateways;
     }
 
-    /** What every gateway said once. */
-    public Map<String, Said> said() {
-        return said;
+    /** What each gateway logged per event, by gateway. */
+    public Map<String, GatewayEvents> events() {
+        return eventsByGateway;
     }
 
-    /** Sums over all. */
-    public Second all() {
-        Second all = new Second(0);
-        seconds.values().forEach(all::add);
-        return all;
+    /** Sums over all gateways and seconds. */
+    public Second total() {
+        Second total = new Second(0);
+        seconds.values().forEach(total::add);
+        return total;
     }
 
-    /** Lines that could not be read: gateway, line, what was expected and found. At most {@value #FAULTS_MOST}. */
-    public List<String> faults() {
-        return faults;
+    /** Malformed lines: gateway, line number, what was expected and found. At most {@value #MAX_PARSE_ERRORS}. */
+    public List<String> parseErrors() {
+        return parseErrors;
     }
 
-    /** How many there were in all. */
-    public int faulty() {
-        return faulty;
+    /** Number of malformed lines, including those not kept. */
+    public int parseErrorCount() {
+        return parseErrorCount;
     }
 }
--- a/src/main/java/mastdrift/tally/Margins.java
+++ b/src/main/java/mastdrift/tally/Margins.java
@@ -9,179 +9,192 @@
 import java.util.stream.LongStream;
 
 /**
- * How near a fleet came to its rules, from the steps that its gateways logged: figures beside the verdicts. Steps of one gateway come in
- * the order of its log, gateways one after the other. Holds the requests of one gateway that aren't answered yet, and the times of what
- * was sent to each host.
+ * How close a fleet came to breaking its rules, computed from the request steps that its gateways logged. Steps of one
+ * gateway are read in the order of its log, one gateway after the other. Keeps the unanswered requests of the gateway
+ * being read, and the times at which attempts were sent to each host.
  *
- * <p>What a host got is counted in any span by two pointers over its sorted times. A host's capacity is told to nobody: a cold one's
- * count stands beside what warm hosts got in the same span on the mean, with which whoever knows the share of the start compares it.
+ * <p>The greatest number of attempts that a host got in any window is found with two pointers over the sorted times.
+ * The logs don't tell a host's capacity. So the count of a cold host is shown next to the mean that warm hosts got in a
+ * window of the same length, and the reader who knows the share of a starting host compares the two.
  */
 public final class Margins {
 
-    private static final class Open {
-        private final Step taken;
-        private final Map<Integer, String> ended = new HashMap<>();
-        private final Map<Integer, Step> first = new HashMap<>();  // the step at which its first byte left
-        private int last = -1;
+    /** A request that was accepted and isn't answered yet; attempts by number. */
+    private static final class PendingRequest {
+        private final Step acceptedStep;
+        private final Map<Integer, String> outcomes = new HashMap<>();
+        // By attempt, the step at which its first byte was sent.
+        private final Map<Integer, Step> firstByteSteps = new HashMap<>();
+        private int lastAttempt = -1;
 
-        Open(Step taken) {
-            this.taken = taken;
+        PendingRequest(Step acceptedStep) {
+            this.acceptedStep = acceptedStep;
         }
     }
 
-    // Hosts bear least just after their start.
-    private static final long EARLY = 5_000_000;
-
-    private final long span;
-    private final Map<String, Open> open = new HashMap<>();
-    private final Map<String, List<Long>> cold = new HashMap<>();
-    private final Map<String, Long> born = new HashMap<>();
-    private final Map<String, List<Long>> warm = new HashMap<>();
-    private final Map<String, Long> answers = new TreeMap<>();
-    private final Map<String, Long> unsent = new TreeMap<>();
-    private final Map<String, Long> repeats = new TreeMap<>();
-    private long taken;
-    private long unanswered;
-    private long latest = Long.MIN_VALUE;
-    private String latestId = "";
-    private long afterDrain;
-    private String afterDrainOf = "";
-    private long leaving;
-
-    /** Cold hosts are looked at in spans of {@code span} microseconds. */
-    public Margins(long span) {
-        this.span = span;
+    // Hosts have the least capacity just after their start.
+    private static final long EARLY_PERIOD_MICROS = 5_000_000;
+
+    private final long windowMicros;
+    private final Map<String, PendingRequest> pending = new HashMap<>();
+    private final Map<String, List<Long>> coldSendTimes = new HashMap<>();
+    private final Map<String, Long> bornMicros = new HashMap<>();
+    private final Map<String, List<Long>> warmSendTimes = new HashMap<>();
+    private final Map<String, Long> answerCounts = new TreeMap<>();
+    private final Map<String, Long> unsentCounts = new TreeMap<>();
+    private final Map<String, Long> retryCounts = new TreeMap<>();
+    private long acceptedCount;
+    private long unansweredCount;
+    private long maxOverrunMicros = Long.MIN_VALUE;
+    private String maxOverrunTraceId = "";
+    private long maxSendAfterDrainMicros;
+    private String maxSendAfterDrainWhere = "";
+    private long sendsToLeavingHosts;
+
+    /** Counts sends to cold hosts in windows of {@code windowMicros}. */
+    public Margins(long windowMicros) {
+        this.windowMicros = windowMicros;
     }
 
-    /** The next step of the gateway that is being read. */
-    public void read(Step step) {
+    /** Reads the next step of the gateway whose log is being read. */
+    public void readStep(Step step) {
         if (step.kind() == Step.Kind.TAKEN) {
-            taken++;
-            open.put(step.id(), new Open(step));
+            acceptedCount++;
+            pending.put(step.traceId(), new PendingRequest(step));
             return;
         }
-        Open of = open.get(step.id());
-        if (of == null) {
-            return;  // its beginning was not followed, or its end of an attempt came behind its answer
+        PendingRequest request = pending.get(step.traceId());
+        if (request == null) {
+            return;  // the request's beginning was not traced, or the attempt ended after the request was answered
         }
         switch (step.kind()) {
             case SENT -> {
-                of.first.put(step.attempt(), step);
-                if (of.last >= 0) {
-                    String rule = of.taken.word().substring(of.taken.word().lastIndexOf(':') + 1);
-                    repeats.merge(rule + " after " + of.ended.getOrDefault(of.last, "nothing yet"), 1L, Long::sum);
+                request.firstByteSteps.put(step.attempt(), step);
+                if (request.lastAttempt >= 0) {
+                    String repeatRule = request.acceptedStep.detail()
+                            .substring(request.acceptedStep.detail().lastIndexOf(':') + 1);
+                    retryCounts.merge(repeatRule + " after " + request.outcomes
+                            .getOrDefault(request.lastAttempt, "nothing yet"), 1L, Long::sum);
                 }
-                of.last = step.attempt();
+                request.lastAttempt = step.attempt();
             }
-            case OPENED -> of.first.put(step.attempt(), step);
+            case OPENED -> request.firstByteSteps.put(step.attempt(), step);
             case ENDED -> {
-                of.ended.put(step.attempt(), step.word());
-                Step left = of.first.remove(step.attempt());
-                if (left != null && !step.word().equals("UNUSED")) {
-                    left(left);
+                request.outcomes.put(step.attempt(), step.detail());
+                Step firstByteStep = request.firstByteSteps.remove(step.attempt());
+                if (firstByteStep != null && !step.detail().equals("UNUSED")) {
+                    recordFirstByte(firstByteStep);
                 }
             }
-            default -> answered(of, step);
+            default -> recordAnswer(request, step);
         }
     }
 
-    /** The first byte of an attempt. */
-    private void left(Step step) {
-        if (step.word().equals(Step.LEAVING)) {
-            leaving++;
-            if (step.span() > afterDrain) {
-                afterDrain = step.span();
-                afterDrainOf = step.id() + " at " + step.host();
+    /** Records that the first byte of an attempt was sent. */
+    private void recordFirstByte(Step step) {
+        if (step.detail().equals(Step.STATE_LEAVING)) {
+            sendsToLeavingHosts++;
+            if (step.spanMicros() > maxSendAfterDrainMicros) {
+                maxSendAfterDrainMicros = step.spanMicros();
+                maxSendAfterDrainWhere = step.traceId() + " at " + step.host();
             }
         }
-        if (step.word().equals(Step.COLD)) {
-            born.merge(step.host(), step.at() - step.span(), Math::max);
+        if (step.detail().equals(Step.STATE_COLD)) {
+            bornMicros.merge(step.host(), step.unixMicros() - step.spanMicros(), Math::max);
         }
-        (step.word().equals(Step.COLD) ? cold : warm).computeIfAbsent(step.host(), host -> new ArrayList<>()).add(step.at());
+        (step.detail().equals(Step.STATE_COLD) ? coldSendTimes : warmSendTimes)
+                .computeIfAbsent(step.host(), host -> new ArrayList<>()).add(step.unixMicros());
     }
 
-    private void answered(Open of, Step step) {
-        open.remove(step.id());
-        answers.merge(step.word(), 1L, Long::sum);
-        boolean never = of.last < 0 || of.ended.size() > of.last && of.ended.values().stream().allMatch("UNUSED"::equals);
-        if (never && (step.word().equals("FAILED") || step.word().equals("LATE"))) {
-            unsent.merge(step.word(), 1L, Long::sum);
+    private void recordAnswer(PendingRequest request, Step step) {
+        pending.remove(step.traceId());
+        answerCounts.merge(step.detail(), 1L, Long::sum);
+        boolean neverSent = request.lastAttempt < 0 || request.outcomes.size() > request.lastAttempt
+                && request.outcomes.values().stream().allMatch("UNUSED"::equals);
+        if (neverSent && (step.detail().equals("FAILED") || step.detail().equals("LATE"))) {
+            unsentCounts.merge(step.detail(), 1L, Long::sum);
         }
-        if (!step.word().equals("LEFT") && step.span() - of.taken.span() > latest) {
-            latest = step.span() - of.taken.span();
-            latestId = step.id();
+        if (!step.detail().equals("LEFT") && step.spanMicros() - request.acceptedStep.spanMicros() > maxOverrunMicros) {
+            maxOverrunMicros = step.spanMicros() - request.acceptedStep.spanMicros();
+            maxOverrunTraceId = step.traceId();
         }
-        of.first.values().forEach(this::left);  // what is still out has left
+        // Attempts still in flight have sent their first byte, too.
+        request.firstByteSteps.values().forEach(this::recordFirstByte);
     }
 
-    /** The log that was being read has ended: what it had taken and not answered is counted. */
-    public void end() {
-        unanswered += open.size();
-        open.clear();
+    /** Marks the end of the log that was being read: its requests without an answer are counted as unanswered. */
+    public void endLog() {
+        unansweredCount += pending.size();
+        pending.clear();
     }
 
-    /** The most in any span, and when the first such span ended. */
-    private long[] most(List<Long> times) {
+    /** The greatest number of {@code times} in any window, and the end of the first such window. */
+    private long[] maxInWindow(List<Long> times) {
         long[] sorted = times.stream().mapToLong(Long::longValue).sorted().toArray();
-        long[] most = {0, 0};
-        int from = 0;
-        for (int to = 0; to < sorted.length; to++) {
-            while (sorted[to] - sorted[from] > span) {
-                from++;
+        long[] max = {0, 0};
+        int first = 0;
+        for (int last = 0; last < sorted.length; last++) {
+            while (sorted[last] - sorted[first] > windowMicros) {
+                first++;
             }
-            if (to - from + 1 > most[0]) {
-                most[0] = to - from + 1;
-                most[1] = sorted[to];
+            if (last - first + 1 > max[0]) {
+                max[0] = last - first + 1;
+                max[1] = sorted[last];
             }
         }
-        return most;
+        return max;
     }
 
-    private void addCold(List<List<String>> rows, String name, long within) {
-        String seen = "";
+    private void addColdHostRow(List<List<String>> rows, String name, long periodMicros) {
+        String seenAt = "";
         long figure = 0;
-        for (Map.Entry<String, List<Long>> host : cold.entrySet()) {
-            long start = born.get(host.getKey());
-            long[] got = most(host.getValue().stream().filter(at -> at - start <= within).toList());
-            if (got[0] > figure) {
-                figure = got[0];
-                seen = host.getKey() + " " + (got[1] - start) / 1000 + " ms after its start";
+        for (Map.Entry<String, List<Long>> host : coldSendTimes.entrySet()) {
+            long startMicros = bornMicros.get(host.getKey());
+            long[] max = maxInWindow(host.getValue().stream()
+                    .filter(sendMicros -> sendMicros - startMicros <= periodMicros).toList());
+            if (max[0] > figure) {
+                figure = max[0];
+                seenAt = host.getKey() + " " + (max[1] - startMicros) / 1000 + " ms after its start";
             }
         }
-        add(rows, name, figure, seen);
+        addRow(rows, name, figure, seenAt);
     }
 
-    private double meanOfWarm() {
-        long[] all = warm.values().stream().flatMap(List::stream).mapToLong(Long::longValue).toArray();
-        if (all.length == 0) {
+    /** Mean number of sends to a host that is not cold, per window. */
+    private double meanWarmSends() {
+        long[] sendTimes = warmSendTimes.values().stream().flatMap(List::stream).mapToLong(Long::longValue).toArray();
+        if (sendTimes.length == 0) {
             return 0;
         }
-        double spans = Math.max(1, (LongStream.of(all).max().orElse(0) - LongStream.of(all).min().orElse(0)) / (double) span);
-        return all.length / spans / warm.size();
+        double windows = Math.max(1,
+                (LongStream.of(sendTimes).max().orElse(0) - LongStream.of(sendTimes).min().orElse(0))
+                        / (double) windowMicros);
+        return sendTimes.length / windows / warmSendTimes.size();
     }
 
-    /** Rows of name, figure and what it was seen at; figures of time in milliseconds. */
+    /** Rows of name, figure and where it was seen; times are in milliseconds. */
     public List<List<String>> rows() {
         List<List<String>> rows = new ArrayList<>(List.of(List.of("margin", "figure", "seen")));
-        add(rows, "requests followed", taken, "");
-        answers.forEach((word, count) -> add(rows, "answered " + word, count, ""));
-        add(rows, "taken, no answer in the log", unanswered, "");
-        unsent.forEach((word, count) -> add(rows, "never sent, " + word, count, ""));
-        if (latest > Long.MIN_VALUE) {
-            add(rows, "latest answer against its time, ms", Math.round(latest / 1e3), latestId);
+        addRow(rows, "requests followed", acceptedCount, "");
+        answerCounts.forEach((answer, count) -> addRow(rows, "answered " + answer, count, ""));
+        addRow(rows, "taken, no answer in the log", unansweredCount, "");
+        unsentCounts.forEach((answer, count) -> addRow(rows, "never sent, " + answer, count, ""));
+        if (maxOverrunMicros > Long.MIN_VALUE) {
+            addRow(rows, "latest answer against its time, ms", Math.round(maxOverrunMicros / 1e3), maxOverrunTraceId);
         }
-        add(rows, "sends to hosts that leave", leaving, "");
-        add(rows, "last of them after it was told, ms", Math.round(afterDrain / 1e3), afterDrainOf);
-        repeats.forEach((reason, count) -> add(rows, "repeats, " + reason, count, ""));
-        String in = " in " + span / 1000 + " ms";
-        add(rows, "cold hosts", cold.size(), "");
-        addCold(rows, "most sent to a cold host" + in, Long.MAX_VALUE);
-        addCold(rows, "likewise in its first " + EARLY / 1_000_000 + " s", EARLY);
-        rows.add(Arrays.asList("mean sent to a host not cold" + in, String.format("%.1f", meanOfWarm()), ""));
+        addRow(rows, "sends to hosts that leave", sendsToLeavingHosts, "");
+        addRow(rows, "last of them after it was told, ms", Math.round(maxSendAfterDrainMicros / 1e3),
+                maxSendAfterDrainWhere);
+        retryCounts.forEach((reason, count) -> addRow(rows, "repeats, " + reason, count, ""));
+        String inWindow = " in " + windowMicros / 1000 + " ms";
+        addRow(rows, "cold hosts", coldSendTimes.size(), "");
+        addColdHostRow(rows, "most sent to a cold host" + inWindow, Long.MAX_VALUE);
+        addColdHostRow(rows, "likewise in its first " + EARLY_PERIOD_MICROS / 1_000_000 + " s", EARLY_PERIOD_MICROS);
+        rows.add(Arrays.asList("mean sent to a host not cold" + inWindow, String.format("%.1f", meanWarmSends()), ""));
         return rows;
     }
 
-    private static void add(List<List<String>> rows, String name, long figure, String seen) {
-        rows.add(List.of(name, Long.toString(figure), seen));
+    private static void addRow(List<List<String>> rows, String name, long figure, String seenAt) {
+        rows.add(List.of(name, Long.toString(figure), seenAt));
     }
 }
--- a/src/main/java/mastdrift/tally/Second.java
+++ b/src/main/java/mastdrift/tally/Second.java
@@ -8,16 +8,19 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What one gateway counted in one second. Holds up to {@value #HOSTS_MOST} hosts; what others had is under {@value #OTHERS}. */
+/**
+ * Counts of one gateway in one second. Keeps at most {@value #MAX_HOSTS} hosts; the counts of further hosts go to
+ * {@value #OTHER_HOSTS}.
+ */
 public final class Second {
 
-    /** Begins its line, behind whatever the log puts ahead. */
-    public static final String MARK = "tally at=";
-    static final int HOSTS_MOST = 256;
-    static final String OTHERS = "(others)";
+    /** Start of the counts in a log line; the log may put a prefix before it. */
+    public static final String LINE_MARKER = "tally at=";
+    static final int MAX_HOSTS = 256;
+    static final String OTHER_HOSTS = "(others)";
 
-    /** Attempts at one host, and those of them that came to nothing for whatever cause but the gateway's own. */
-    public static final class OfHost {
+    /** Attempts at one host, and how many of them failed for any cause but the gateway's own. */
+    public static final class HostCounts {
         private long sends;
         private long lost;
 
@@ -26,135 +29,140 @@
             return sends;
         }
 
-        /** Attempts that were not answered as they should. */
+        /** Attempts that did not get a proper answer. */
         public long lost() {
             return lost;
         }
     }
 
-    private final long at;
+    private final long unixSeconds;
     private final long[] counts = new long[Count.values().length];
-    private final Map<String, OfHost> hosts = new TreeMap<>();
+    private final Map<String, HostCounts> hosts = new TreeMap<>();
 
-    /** {@code at} is in seconds of Unix time. */
-    public Second(long at) {
-        this.at = at;
+    /** Counts of the second {@code unixSeconds}. */
+    public Second(long unixSeconds) {
+        this.unixSeconds = unixSeconds;
     }
 
     /** Seconds of Unix time. */
-    public long at() {
-        return at;
+    public long unixSeconds() {
+        return unixSeconds;
     }
 
-    /** How often it was counted. */
-    public long of(Count count) {
-        return counts[count.ordinal()];
+    /** The value of a counter. */
+    public long count(Count counter) {
+        return counts[counter.ordinal()];
     }
 
     /** Hosts with attempts, by uid. */
-    public Map<String, OfHost> hosts() {
+    public Map<String, HostCounts> hosts() {
         return hosts;
     }
 
-    /** Counts it once more. */
-    public void add(Count count) {
-        add(count, 1);
+    /** Increments a counter. */
+    public void add(Count counter) {
+        add(counter, 1);
     }
 
-    /** Counts it so many times more. */
-    public void add(Count count, long times) {
-        counts[count.ordinal()] += times;
+    /** Adds {@code amount} to a counter. */
+    public void add(Count counter, long amount) {
+        counts[counter.ordinal()] += amount;
     }
 
-    /** An attempt at a host. */
-    public void sent(String uid) {
-        host(uid).sends++;
+    /** Counts an attempt at a host. */
+    public void addSend(String uid) {
+        hostCounts(uid).sends++;
     }
 
-    /** One that came to nothing. */
-    public void lost(String uid) {
-        host(uid).lost++;
+    /** Counts an attempt at a host that failed. */
+    public void addLoss(String uid) {
+        hostCounts(uid).lost++;
     }
 
-    private OfHost host(String uid) {
-        boolean room = hosts.containsKey(uid) || hosts.size() < HOSTS_MOST;
-        return hosts.computeIfAbsent(room ? uid : OTHERS, name -> new OfHost());
+    private HostCounts hostCounts(String uid) {
+        boolean isKept = hosts.containsKey(uid) || hosts.size() < MAX_HOSTS;
+        return hosts.computeIfAbsent(isKept ? uid : OTHER_HOSTS, name -> new HostCounts());
     }
 
-    /** Adds what another counted. */
+    /** Adds the counts of another second. */
     public void add(Second other) {
         Arrays.setAll(counts, i -> counts[i] + other.counts[i]);
-        other.hosts.forEach((uid, of) -> {
-            OfHost mine = host(uid);
-            mine.sends += of.sends;
-            mine.lost += of.lost;
+        other.hosts.forEach((uid, hostCounts) -> {
+            HostCounts ownCounts = hostCounts(uid);
+            ownCounts.sends += hostCounts.sends;
+            ownCounts.lost += hostCounts.lost;
         });
     }
 
-    /** Its line: {@code tally at=SECOND name=count ... hosts=UID:sends:lost,...}, without what is zero. */
-    public String line() {
-        StringBuilder line = new StringBuilder(MARK).append(at);
-        for (Count count : Count.values()) {
-            if (of(count) != 0) {
-                line.append(' ').append(count.word()).append('=').append(of(count));
+    /** The log line {@code tally at=SECOND name=count ... hosts=UID:sends:lost,...}; counts of zero are left out. */
+    public String formatLine() {
+        StringBuilder line = new StringBuilder(LINE_MARKER).append(unixSeconds);
+        for (Count counter : Count.values()) {
+            if (count(counter) != 0) {
+                line.append(' ').append(counter.key()).append('=').append(count(counter));
             }
         }
-        String before = " hosts=";
-        for (Map.Entry<String, OfHost> host : hosts.entrySet()) {
-            line.append(before).append(URLEncoder.encode(host.getKey(), StandardCharsets.UTF_8)).append(':').append(host.getValue().sends)
+        String separator = " hosts=";
+        for (Map.Entry<String, HostCounts> host : hosts.entrySet()) {
+            line.append(separator).append(URLEncoder.encode(host.getKey(), StandardCharsets.UTF_8))
+                    .append(':').append(host.getValue().sends)
                     .append(':').append(host.getValue().lost);
-            before = ",";
+            separator = ",";
         }
         return line.toString();
     }
 
-    /** Reads a line as {@link #line} writes it, whatever is ahead of its mark. Throws IllegalArgumentException that says what was
-        expected and what was found; counts of names that it doesn't know, from a newer gateway, are passed over. */
+    /**
+     * Parses a line written by {@link #formatLine}, with any prefix before the marker. Counters with unknown names,
+     * from a newer gateway, are skipped.
+     *
+     * @throws IllegalArgumentException saying what was expected and what was found
+     */
     public static Second parse(String line) {
-        int mark = line.indexOf(MARK);
-        if (mark < 0) {
-            throw new IllegalArgumentException("expected " + MARK + ", found none");
+        int markerAt = line.indexOf(LINE_MARKER);
+        if (markerAt < 0) {
+            throw new IllegalArgumentException("expected " + LINE_MARKER + ", found none");
         }
-        String[] words = line.substring(mark + MARK.length()).strip().split(" ");
-        Second second = new Second(number("at", words[0]));
-        for (int i = 1; i < words.length; i++) {
-            int eq = words[i].indexOf('=');
-            if (eq < 0) {
-                throw new IllegalArgumentException("expected name=count, found " + words[i]);
+        String[] fields = line.substring(markerAt + LINE_MARKER.length()).strip().split(" ");
+        Second second = new Second(parseCount("at", fields[0]));
+        for (int i = 1; i < fields.length; i++) {
+            int equalsAt = fields[i].indexOf('=');
+            if (equalsAt < 0) {
+                throw new IllegalArgumentException("expected name=count, found " + fields[i]);
             }
-            String name = words[i].substring(0, eq);
-            String value = words[i].substring(eq + 1);
+            String name = fields[i].substring(0, equalsAt);
+            String value = fields[i].substring(equalsAt + 1);
             if (name.equals("hosts")) {
                 for (String host : value.split(",")) {
-                    second.readHost(host);
+                    second.parseHost(host);
                 }
             } else {
-                long times = number(name, value);
-                Arrays.stream(Count.values()).filter(count -> count.word().equals(name.toLowerCase(Locale.ROOT)))
-                        .forEach(count -> second.add(count, times));
+                long amount = parseCount(name, value);
+                Arrays.stream(Count.values()).filter(counter -> counter.key().equals(name.toLowerCase(Locale.ROOT)))
+                        .forEach(counter -> second.add(counter, amount));
             }
         }
         return second;
     }
 
-    private void readHost(String text) {
+    private void parseHost(String text) {
         String[] parts = text.split(":");
         if (parts.length != 3) {
             throw new IllegalArgumentException("hosts: expected UID:sends:lost, found " + text);
         }
-        OfHost host = host(URLDecoder.decode(parts[0], StandardCharsets.UTF_8));
-        host.sends += number("hosts", parts[1]);
-        host.lost += number("hosts", parts[2]);
+        HostCounts host = hostCounts(URLDecoder.decode(parts[0], StandardCharsets.UTF_8));
+        host.sends += parseCount("hosts", parts[1]);
+        host.lost += parseCount("hosts", parts[2]);
     }
 
-    private static long number(String name, String text) {
+    private static long parseCount(String name, String text) {
         try {
             long number = Long.parseLong(text);
             if (number >= 0) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // said below
+            // reported below
         }
         throw new IllegalArgumentException(name + ": expected a whole number from 0, found " + text);
     }
--- a/src/main/java/mastdrift/tally/package-info.java
+++ b/src/main/java/mastdrift/tally/package-info.java
@@ -1,2 +1,5 @@
-/** What a gateway counts a second, as a line of its log, and what the lines of many gateways add up to. No I/O, no clock of its own. */
+/**
+ * Counts per second and request steps that a gateway writes to its log, and their aggregation over many gateways. No
+ * I/O, no clock of its own.
+ */
 package mastdrift.tally;
--- a/src/test/java/mastdrift/net/TallyingTest.java
+++ b/src/test/java/mastdrift/net/TallyingTest.java
@@ -44,40 +44,40 @@
                 served += node.ask(read(20_000)).status() == 200 ? 1 : 0;
             }
             Fleet fleet = new Fleet();
-            for (int i = 0; fleet.all().of(Count.SERVED) < served || fleet.all().of(Count.CALLS) == 0; i++) {
+            for (int i = 0; fleet.total().count(Count.SERVED) < served || fleet.total().count(Count.CALLS) == 0; i++) {
                 assertTrue(i < Loopback.WAIT_SECONDS * 20, node.log.toString(StandardCharsets.UTF_8));
                 Thread.sleep(50);
                 fleet = new Fleet();
                 String[] lines = node.log.toString(StandardCharsets.UTF_8).split("\n");
                 for (int line = 0; line < lines.length; line++) {
-                    fleet.read("n0", line + 1, lines[line]);
+                    fleet.readLine("n0", line + 1, lines[line]);
                 }
             }
-            Second all = fleet.all();
-            assertEquals(asked.get(), all.of(Count.SENDS));
-            assertEquals(asked.get() / 3, all.of(Count.SHED));
-            assertEquals(served, all.of(Count.DELIVERED));
-            assertEquals(12 - served, all.of(Count.REFUSED_HOSTS));
-            assertEquals(one.accepted.size(), all.of(Count.OPENED));
+            Second all = fleet.total();
+            assertEquals(asked.get(), all.count(Count.SENDS));
+            assertEquals(asked.get() / 3, all.count(Count.SHED));
+            assertEquals(served, all.count(Count.DELIVERED));
+            assertEquals(12 - served, all.count(Count.REFUSED_HOSTS));
+            assertEquals(one.accepted.size(), all.count(Count.OPENED));
             assertEquals(asked.get(), all.hosts().get("s1").sends());
             assertEquals(asked.get() / 3, all.hosts().get("s1").lost());
-            assertEquals(0, fleet.faulty());
+            assertEquals(0, fleet.parseErrorCount());
         }
     }
 
     private static Fleet parsed(String log, String followed) {
         Fleet fleet = new Fleet();
-        fleet.follow(followed);
+        fleet.traceRequest(followed);
         String[] lines = log.split("\n");
         for (int line = 0; line < lines.length; line++) {
-            fleet.read("n0", line + 1, lines[line]);
+            fleet.readLine("n0", line + 1, lines[line]);
         }
         return fleet;
     }
 
     private static Fleet logged(Node node, String followed, String word) throws InterruptedException {
         Fleet fleet = parsed(node.log.toString(StandardCharsets.UTF_8), followed);
-        for (int i = 0; fleet.seen().isEmpty() || !fleet.seen().get(fleet.seen().size() - 1).step().word().startsWith(word); i++) {
+        for (int i = 0; fleet.tracedSteps().isEmpty() || !fleet.tracedSteps().get(fleet.tracedSteps().size() - 1).step().detail().startsWith(word); i++) {
             assertTrue(i < Loopback.WAIT_SECONDS * 20, node.log.toString(StandardCharsets.UTF_8));
             Thread.sleep(50);
             fleet = parsed(node.log.toString(StandardCharsets.UTF_8), followed);
@@ -86,7 +86,7 @@
     }
 
     private static String steps(Fleet fleet) {
-        return fleet.seen().stream().map(seen -> seen.step()).map(step -> step.kind() + " " + step.host() + " " + step.word())
+        return fleet.tracedSteps().stream().map(seen -> seen.step()).map(step -> step.kind() + " " + step.host() + " " + step.detail())
                 .collect(Collectors.joining(", "));
     }
 
@@ -106,7 +106,7 @@
             assertEquals("TAKEN  acme:read:SAFE, SENT s1 warm, OPENED s1 warm, ENDED s1 SHED, ANSWERED  REFUSED HOSTS", steps(fleet));
             assertTrue(fleet.margins().rows().contains(List.of("requests followed", "1", "")));
             assertTrue(fleet.margins().rows().contains(List.of("answered REFUSED HOSTS", "1", "")));
-            assertEquals(0, fleet.faulty());
+            assertEquals(0, fleet.parseErrorCount());
         }
     }
 
@@ -120,16 +120,16 @@
                 node.ask(read(20_000));
             }
             Fleet fleet = new Fleet();
-            for (int i = 0; fleet.all().of(Count.SERVED) < asked; i++) {
+            for (int i = 0; fleet.total().count(Count.SERVED) < asked; i++) {
                 assertTrue(i < Loopback.WAIT_SECONDS * 20, node.log.toString(StandardCharsets.UTF_8));
                 Thread.sleep(50);
                 fleet = parsed(node.log.toString(StandardCharsets.UTF_8), "");
             }
             String log = node.log.toString(StandardCharsets.UTF_8);
-            Map<Long, Long> taken = log.lines().filter(line -> line.contains(Step.MARK)).map(Step::parse).filter(step -> step.kind() == Step.Kind.TAKEN)
-                    .collect(Collectors.groupingBy(step -> step.at() / 1_000_000, Collectors.counting()));
+            Map<Long, Long> taken = log.lines().filter(line -> line.contains(Step.LINE_MARKER)).map(Step::parse).filter(step -> step.kind() == Step.Kind.TAKEN)
+                    .collect(Collectors.groupingBy(step -> step.unixMicros() / 1_000_000, Collectors.counting()));
             assertTrue(taken.values().stream().allMatch(count -> count <= Tracing.NEW_MOST), "followed by second: " + taken);
-            assertEquals(asked, taken.values().stream().mapToLong(Long::longValue).sum() + fleet.all().of(Count.UNFOLLOWED));
+            assertEquals(asked, taken.values().stream().mapToLong(Long::longValue).sum() + fleet.total().count(Count.UNFOLLOWED));
             assertEquals(taken.values().stream().mapToLong(Long::longValue).sum(), log.lines().filter(line -> line.contains(" kind=answered ")).count());
         }
     }
--- a/src/test/java/mastdrift/tally/StepTest.java
+++ b/src/test/java/mastdrift/tally/StepTest.java
@@ -12,15 +12,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Log lines of request steps, and the margins computed from them. */
 class StepTest {
 
     @Property(tries = 300)
-    void linesReadBackWhateverIsInThem(@ForAll String id, @ForAll String host, @ForAll long seed) {
+    void lineParsesBackForAnyIdAndHost(@ForAll String id, @ForAll String host, @ForAll long seed) {
         Random random = new Random(seed);
         Step step = new Step(random.nextLong() >>> 1, id.replaceAll("[\\ud800-\\udfff]", ""),
                 Step.Kind.values()[random.nextInt(Step.Kind.values().length)], random.nextInt(9) - 1, host.replaceAll("[\\ud800-\\udfff]", ""), "a word",
                 random.nextInt());
-        assertEquals(step, Step.parse("12.5 " + step.line()));
+        assertEquals(step, Step.parse("12.5 " + step.formatLine()));
     }
 
     @ParameterizedTest
@@ -28,20 +29,24 @@
         "step at=1 id=a kind=sent n=0 host=h of=warm ms=0 | expected us=, found ms=0",
         "step at=1 id=a kind=flown n=0 host=h of=warm us=0 | kind: expected taken, sent, opened, ended or answered, found flown",
         "step at=x id=a kind=sent n=0 host=h of=warm us=0 | at: expected a whole number, found x"})
-    void whatCantBeReadIsNamedAndPassedOver(String line, String expected) {
-        assertEquals(expected, assertThrows(IllegalArgumentException.class, () -> Step.parse(line)).getMessage());
+    void malformedLineIsReportedAndSkipped(String line, String expected) {
+        assertEquals(expected,
+                assertThrows(IllegalArgumentException.class, () -> Step.parse(line)).getMessage());
         Fleet fleet = new Fleet();
-        fleet.read("n3", 7, line);
-        assertEquals(List.of("n3:7: " + expected), fleet.faults());
+        fleet.readLine("n3", 7, line);
+        assertEquals(List.of("n3:7: " + expected), fleet.parseErrors());
     }
 
     private static String row(Margins margins, String name) {
         return margins.rows().stream().filter(row -> row.get(0).equals(name)).map(row -> row.get(1) + " " + row.get(2)).findFirst().orElse("none");
     }
 
-    /** One life after another, with all that a rule asks about. */
+    /**
+     * Each row that the margins report, from a log with retries, a draining host, an unanswered request and a cold
+     * host.
+     */
     @Test
-    void marginsAreThoseOfTheSteps() {
+    void marginsAreComputedFromSteps() {
         String[] lines = {
             "1000000 id=a kind=taken n=-1 host= of=pay:KEYED us=400000", "1000000 id=a kind=sent n=0 host=h1 of=leaving us=90000",
             "1030000 id=a kind=opened n=0 host=h1 of=leaving us=120000", "1100000 id=a kind=ended n=0 host=h1 of=SHED us=0",
@@ -52,17 +57,22 @@
             "1600000 id=c kind=taken n=-1 host= of=buy:UNSAFE us=400000"};
         Fleet fleet = new Fleet();
         for (String line : lines) {
-            fleet.read("n0", 1, "step at=" + line);
+            fleet.readLine("n0", 1, "step at=" + line);
         }
-        for (int i = 0; i < 6; i++) {  // 3 in any two seconds, though 6 in all
-            long at = 2_000_000 + i * 900_000L;
-            fleet.read("n0", 1, new Step(at, "k" + i, Step.Kind.TAKEN, -1, "", "read:SAFE", 1).line());
-            fleet.read("n0", 1, new Step(at, "k" + i, Step.Kind.SENT, 0, "h9", Step.COLD, i * 900_000L).line());
-            fleet.read("n0", 1, new Step(at, "k" + i, Step.Kind.ANSWERED, -1, "", "LEFT", 900_000).line());
+        for (int i = 0; i < 6; i++) {  // 3 in any two seconds, 6 in all
+            long sendMicros = 2_000_000 + i * 900_000L;
+            fleet.readLine("n0", 1,
+                    new Step(sendMicros, "k" + i, Step.Kind.TAKEN, -1, "", "read:SAFE", 1).formatLine());
+            fleet.readLine("n0", 1,
+                    new Step(sendMicros, "k" + i, Step.Kind.SENT, 0, "h9", Step.STATE_COLD,
+                            i * 900_000L).formatLine());
+            fleet.readLine("n0", 1,
+                    new Step(sendMicros, "k" + i, Step.Kind.ANSWERED, -1, "", "LEFT", 900_000)
+                            .formatLine());
         }
-        fleet.end();
+        fleet.endLog();
         Margins margins = fleet.margins();
-        assertEquals(List.of(), fleet.faults());
+        assertEquals(List.of(), fleet.parseErrors());
         assertEquals("9 ", row(margins, "requests followed"));
         assertEquals("1 ", row(margins, "taken, no answer in the log"));
         assertEquals("1 ", row(margins, "never sent, FAILED"));
