--- a/src/main/java/mastdrift/cli/FleetCommand.java
+++ b/src/main/java/mastdrift/cli/FleetCommand.java
@@ -13,10 +13,10 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import mastdrift.tally.Count;
-import mastdrift.tally.Fleet;
-import mastdrift.tally.Second;
-import mastdrift.tally.Step;
+import mastdrift.tally.Counter;
+import mastdrift.tally.FleetSummary;
+import mastdrift.tally.SecondCounts;
+import mastdrift.tally.RequestStep;
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 import picocli.CommandLine;
@@ -57,7 +57,7 @@
     public Integer call() throws IOException {
         PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
-        Fleet fleet = new Fleet();
+        FleetSummary fleet = new FleetSummary();
         if (traceId != null) {
             fleet.traceRequest(traceId);
         }
@@ -102,25 +102,25 @@
     }
 
     /** Counters that are above zero in at least one second. */
-    private static List<Count> nonZeroCounters(Fleet fleet) {
-        Second total = fleet.total();
-        return Arrays.stream(Count.values()).filter(counter -> total.count(counter) > 0).toList();
+    private static List<Counter> nonZeroCounters(FleetSummary fleet) {
+        SecondCounts total = fleet.total();
+        return Arrays.stream(Counter.values()).filter(counter -> total.count(counter) > 0).toList();
     }
 
-    private static List<String> countsRow(List<Count> counters, Second counts, String... leadingCells) {
+    private static List<String> countsRow(List<Counter> counters, SecondCounts counts, String... leadingCells) {
         List<String> row = new ArrayList<>(Arrays.asList(leadingCells));
         counters.forEach(counter -> row.add(Long.toString(counts.count(counter))));
         return row;
     }
 
-    private static List<String> headerRow(List<Count> counters, String... leadingCells) {
+    private static List<String> headerRow(List<Counter> counters, String... leadingCells) {
         List<String> row = new ArrayList<>(Arrays.asList(leadingCells));
         counters.forEach(counter -> row.add(counter.name().toLowerCase(Locale.ROOT)));
         return row;
     }
 
-    private static List<List<String>> secondRows(Fleet fleet) {
-        List<Count> counters = nonZeroCounters(fleet);
+    private static List<List<String>> secondRows(FleetSummary fleet) {
+        List<Counter> counters = nonZeroCounters(fleet);
         List<List<String>> rows = new ArrayList<>(List.of(headerRow(counters, "second", "gateways")));
         long firstSecond = fleet.seconds().keySet().stream().findFirst().orElse(0L);
         fleet.seconds().forEach((unixSeconds, counts) ->
@@ -130,10 +130,10 @@
         return rows;
     }
 
-    private static List<List<String>> gatewayRows(Fleet fleet) {
-        List<Count> counters = nonZeroCounters(fleet);
+    private static List<List<String>> gatewayRows(FleetSummary fleet) {
+        List<Counter> counters = nonZeroCounters(fleet);
         List<List<String>> rows = new ArrayList<>(List.of(headerRow(counters, "gateway", "starts", "lists_said", "failed_said", "unheard_s", "late_ms")));
-        fleet.events().forEach((name, events) -> rows.add(countsRow(counters, fleet.gateways().getOrDefault(name, new Second(0)), name,
+        fleet.events().forEach((name, events) -> rows.add(countsRow(counters, fleet.gateways().getOrDefault(name, new SecondCounts(0)), name,
                 Integer.toString(events.starts()), Integer.toString(events.listUpdates()),
                 Integer.toString(events.failedCalls()),
                 String.format("%.1f", events.maxListGapSeconds()), Long.toString(events.maxLatenessMillis()))));
@@ -141,22 +141,22 @@
     }
 
     /** The steps of the traced request, with times relative to the first one. */
-    private static List<List<String>> requestRows(Fleet fleet) {
+    private static List<List<String>> requestRows(FleetSummary fleet) {
         List<List<String>> rows = new ArrayList<>(List.of(List.of("ms", "gateway", "step", "attempt", "host", "what", "span_ms")));
         long firstMicros = fleet.tracedSteps().get(0).step().unixMicros();
-        for (Fleet.GatewayStep traced : fleet.tracedSteps()) {
-            Step step = traced.step();
+        for (FleetSummary.GatewayStep traced : fleet.tracedSteps()) {
+            RequestStep step = traced.step();
             rows.add(List.of(String.format("%.1f", (step.unixMicros() - firstMicros) / 1e3), traced.gateway(), step.kind().name().toLowerCase(Locale.ROOT),
                     step.attempt() < 0 ? "" : Integer.toString(step.attempt()), step.host(), step.detail(), String.format("%.1f", step.spanMicros() / 1e3)));
         }
         return rows;
     }
 
-    private static List<List<String>> hostRows(Fleet fleet) {
+    private static List<List<String>> hostRows(FleetSummary fleet) {
         List<List<String>> rows = new ArrayList<>(List.of(List.of("host", "sends", "lost", "lost_part")));
         fleet.total().hosts().entrySet().stream()
                 .sorted(Comparator.comparingLong(
-                        (Map.Entry<String, Second.HostCounts> host) -> -host.getValue().lost()))
+                        (Map.Entry<String, SecondCounts.HostCounts> host) -> -host.getValue().lost()))
                 .forEach(host -> rows.add(List.of(host.getKey(), Long.toString(host.getValue().sends()), Long.toString(host.getValue().lost()),
                         String.format("%.3f", host.getValue().lost() / (double) Math.max(1, host.getValue().sends())))));
         return rows;
--- a/src/main/java/mastdrift/net/Tallying.java
+++ b/src/main/java/mastdrift/net/Tallying.java
@@ -17,8 +17,8 @@
 import mastdrift.engine.ServiceCount;
 import mastdrift.engine.Timers;
 import mastdrift.engine.Transport;
-import mastdrift.tally.Count;
-import mastdrift.tally.Second;
+import mastdrift.tally.Counter;
+import mastdrift.tally.SecondCounts;
 
 /** Counts what passes a transport, and writes a line a second in which there was anything. Where it is off, none of it is loaded:
     it stands before the transport, and nothing of the gateway asks whether it is there. */
@@ -35,7 +35,7 @@
     private final Consumer<String> log;
     private final Set<String> cold = new HashSet<>();
     private final long[] answers = new long[2 + Why.values().length];
-    private Second second;
+    private SecondCounts second;
 
     Tallying(Transport transport, TimedLoop timed, long warmWithin, Ledger ledger, Tracing tracing,
             Consumer<String> log) {
@@ -51,13 +51,13 @@
 
     private void begin() {
         long now = clock.now();
-        second = new Second(now / SECOND);
+        second = new SecondCounts(now / SECOND);
         timers.after(SECOND - now % SECOND, this::tell);
     }
 
     private void tell() {
         answered();
-        second.add(Count.UNFOLLOWED, tracing.unfollowed());
+        second.add(Counter.UNFOLLOWED, tracing.unfollowed());
         String line = second.formatLine();
         if (line.indexOf('=') != line.lastIndexOf('=')) {
             log.accept(line);
@@ -75,10 +75,10 @@
                 now[2 + why.ordinal()] += of.refused(why);
             }
         }
-        second.add(Count.SERVED, now[0] - answers[0]);
-        second.add(Count.FAILED, now[1] - answers[1]);
+        second.add(Counter.SERVED, now[0] - answers[0]);
+        second.add(Counter.FAILED, now[1] - answers[1]);
         for (Why why : Why.values()) {
-            second.add(Count.valueOf("REFUSED_" + why.name()), now[2 + why.ordinal()] - answers[2 + why.ordinal()]);
+            second.add(Counter.valueOf("REFUSED_" + why.name()), now[2 + why.ordinal()] - answers[2 + why.ordinal()]);
         }
         System.arraycopy(now, 0, answers, 0, now.length);
     }
@@ -88,7 +88,7 @@
         return new Discovery.Listener() {
             @Override
             public void listed(HostList list) {
-                second.add(Count.LISTS);
+                second.add(Counter.LISTS);
                 then.listed(list);
             }
 
@@ -99,7 +99,7 @@
 
             @Override
             public void failed(String cause) {
-                second.add(Count.CALLS_FAILED);
+                second.add(Counter.CALLS_FAILED);
                 then.failed(cause);
             }
 
@@ -110,7 +110,7 @@
 
             @Override
             public void called() {
-                second.add(Count.CALLS);
+                second.add(Counter.CALLS);
             }
         };
     }
@@ -118,15 +118,15 @@
     @Override
     public Attempt send(Endpoint to, Call call, long timeout, long leaveWithin, Ended ended) {
         String uid = to.uid();
-        second.add(Count.SENDS);
+        second.add(Counter.SENDS);
         second.addSend(uid);
         if (cold.contains(uid)) {
-            second.add(Count.COLD);
+            second.add(Counter.COLD);
         }
         return transport.send(to, call, timeout, leaveWithin, new Ended() {
             @Override
             public void ended(Outcome outcome, Answer answer, LoadReport report) {
-                second.add(Count.valueOf(outcome.name()));
+                second.add(Counter.valueOf(outcome.name()));
                 if (outcome != Outcome.DELIVERED && outcome != Outcome.REVOKED && outcome != Outcome.UNUSED) {
                     second.addLoss(uid);
                 }
@@ -140,7 +140,7 @@
 
             @Override
             public void step() {
-                second.add(Count.OPENED);
+                second.add(Counter.OPENED);
                 ended.step();
             }
 
@@ -153,12 +153,12 @@
 
     @Override
     public void probe(Endpoint at, Probed probed) {
-        second.add(Count.PROBES);
+        second.add(Counter.PROBES);
         transport.probe(at, new Probed() {
             @Override
             public void probed(Outcome outcome, LoadReport report) {
                 if (outcome != Outcome.DELIVERED) {
-                    second.add(Count.PROBES_FAILED);
+                    second.add(Counter.PROBES_FAILED);
                 }
                 probed.probed(outcome, report);
             }
--- a/src/main/java/mastdrift/net/Tracing.java
+++ b/src/main/java/mastdrift/net/Tracing.java
@@ -21,7 +21,7 @@
 import mastdrift.engine.Member;
 import mastdrift.engine.Transport;
 import mastdrift.engine.Witness;
-import mastdrift.tally.Step;
+import mastdrift.tally.RequestStep;
 
 /** Writes a line for each step of a request: taken, each attempt with its host, start and outcome, the final answer with its reason. It
     stands before the transport, as {@link Tallying} does, and nothing of it is loaded where that is off. Follows up to
@@ -77,8 +77,8 @@
         return ((HttpCall) call).message().headers().get("X-Trace-Id");
     }
 
-    private void tell(String id, Step.Kind kind, int attempt, String host, String word, long span) {
-        log.accept(new Step(clock.now(), id, kind, attempt, host, word, span).formatLine());
+    private void tell(String id, RequestStep.Kind kind, int attempt, String host, String word, long span) {
+        log.accept(new RequestStep(clock.now(), id, kind, attempt, host, word, span).formatLine());
     }
 
     @Override
@@ -94,7 +94,7 @@
         }
         begun++;
         lives.put(id(call), new Life(now));
-        tell(id(call), Step.Kind.TAKEN, -1, "", taken(ask), ask.left());
+        tell(id(call), RequestStep.Kind.TAKEN, -1, "", taken(ask), ask.left());
     }
 
     private String taken(Ask ask) {
@@ -105,20 +105,20 @@
     public void ended(Call call, End end, Why why) {
         Life life = lives.remove(id(call));
         if (life != null) {
-            tell(id(call), Step.Kind.ANSWERED, -1, "", why == null ? end.name() : end + " " + why, clock.now() - life.takenAt);
+            tell(id(call), RequestStep.Kind.ANSWERED, -1, "", why == null ? end.name() : end + " " + why, clock.now() - life.takenAt);
         }
     }
 
-    private void tellState(String id, Step.Kind kind, int attempt, String uid) {
+    private void tellState(String id, RequestStep.Kind kind, int attempt, String uid) {
         long now = clock.now();
         Long left = leftAt.get(uid);
         long warm = warmAt.getOrDefault(uid, 0L);
         if (left != null) {
-            tell(id, kind, attempt, uid, Step.STATE_LEAVING, now - left);
+            tell(id, kind, attempt, uid, RequestStep.STATE_LEAVING, now - left);
         } else if (warm > now) {
-            tell(id, kind, attempt, uid, Step.STATE_COLD, now - (warm - warmWithin));
+            tell(id, kind, attempt, uid, RequestStep.STATE_COLD, now - (warm - warmWithin));
         } else {
-            tell(id, kind, attempt, uid, Step.STATE_WARM, 0);
+            tell(id, kind, attempt, uid, RequestStep.STATE_WARM, 0);
         }
     }
 
@@ -131,11 +131,11 @@
             return transport.send(to, call, timeout, leaveWithin, ended);
         }
         int number = life.attempts++;
-        tellState(id, Step.Kind.SENT, number, uid);
+        tellState(id, RequestStep.Kind.SENT, number, uid);
         return transport.send(to, call, timeout, leaveWithin, new Ended() {
             @Override
             public void ended(Outcome outcome, Answer answer, LoadReport report) {
-                tell(id, Step.Kind.ENDED, number, uid, outcome.name(), 0);
+                tell(id, RequestStep.Kind.ENDED, number, uid, outcome.name(), 0);
                 ended.ended(outcome, answer, report);
             }
 
@@ -146,7 +146,7 @@
 
             @Override
             public void step() {
-                tellState(id, Step.Kind.OPENED, number, uid);
+                tellState(id, RequestStep.Kind.OPENED, number, uid);
                 ended.step();
             }
 
--- a/src/main/java/mastdrift/tally/Count.java
+++ b/src/main/java/mastdrift/tally/Counter.java
@@ -2,8 +2,8 @@
 
 import java.util.Locale;
 
-/** Counters of a {@link Second}. Their names in lower case are the keys of the log line. */
-public enum Count {
+/** Counters of a {@link SecondCounts}. Their names in lower case are the keys of the log line. */
+public enum Counter {
     /** Attempts sent to hosts. */
     SENDS,
     /** Outcomes of attempts, as in {@code Balancer.Outcome}. */
--- a/src/main/java/mastdrift/tally/Fleet.java
+++ b/src/main/java/mastdrift/tally/FleetSummary.java
@@ -13,7 +13,7 @@
  * (starts, host lists, failed discovery calls, its own lateness) are counted even if it writes no counts per second.
  * Keeps sums per second, gateway and host, but no lines.
  */
-public final class Fleet {
+public final class FleetSummary {
 
     private static final int MAX_PARSE_ERRORS = 20;
     // Window over which sends to cold hosts are counted; the same as that of the platform's rule for cold hosts.
@@ -62,18 +62,18 @@
         }
     }
 
-    private final Map<Long, Second> seconds = new TreeMap<>();
+    private final Map<Long, SecondCounts> seconds = new TreeMap<>();
     private final Map<Long, Integer> reportingGateways = new TreeMap<>();
-    private final Map<String, Second> gateways = new TreeMap<>();
+    private final Map<String, SecondCounts> gateways = new TreeMap<>();
     private final Map<String, GatewayEvents> eventsByGateway = new TreeMap<>();
     private final List<String> parseErrors = new ArrayList<>();
     private final List<GatewayStep> tracedSteps = new ArrayList<>();
-    private final Margins margins = new Margins(COLD_WINDOW_MICROS);
+    private final RuleMargins margins = new RuleMargins(COLD_WINDOW_MICROS);
     private String tracedId = "";
     private int parseErrorCount;
 
     /** A step of a request, and the gateway that logged it. */
-    public record GatewayStep(String gateway, Step step) { }
+    public record GatewayStep(String gateway, RequestStep step) { }
 
     /** Keeps the steps of requests whose trace id contains {@code id}. Call it before reading lines. */
     public void traceRequest(String id) {
@@ -83,13 +83,13 @@
     /** Reads one line of a gateway's log. A malformed line is skipped and reported by {@link #parseErrors}. */
     public void readLine(String gateway, int lineNumber, String line) {
         GatewayEvents events = eventsByGateway.computeIfAbsent(gateway, name -> new GatewayEvents());
-        boolean isStep = line.contains(Step.LINE_MARKER);
-        if (isStep || line.contains(Second.LINE_MARKER)) {
+        boolean isStep = line.contains(RequestStep.LINE_MARKER);
+        if (isStep || line.contains(SecondCounts.LINE_MARKER)) {
             try {
                 if (isStep) {
-                    addStep(gateway, Step.parse(line));
+                    addStep(gateway, RequestStep.parse(line));
                 } else {
-                    addSecond(gateway, Second.parse(line));
+                    addSecond(gateway, SecondCounts.parse(line));
                 }
             } catch (IllegalArgumentException e) {
                 if (parseErrorCount++ < MAX_PARSE_ERRORS) {
@@ -121,13 +121,13 @@
         }
     }
 
-    private void addSecond(String gateway, Second second) {
-        seconds.computeIfAbsent(second.unixSeconds(), Second::new).add(second);
+    private void addSecond(String gateway, SecondCounts second) {
+        seconds.computeIfAbsent(second.unixSeconds(), SecondCounts::new).add(second);
         reportingGateways.merge(second.unixSeconds(), 1, Integer::sum);
-        gateways.computeIfAbsent(gateway, name -> new Second(second.unixSeconds())).add(second);
+        gateways.computeIfAbsent(gateway, name -> new SecondCounts(second.unixSeconds())).add(second);
     }
 
-    private void addStep(String gateway, Step step) {
+    private void addStep(String gateway, RequestStep step) {
         margins.readStep(step);
         if (!tracedId.isEmpty() && step.traceId().contains(tracedId)) {
             tracedSteps.add(new GatewayStep(gateway, step));
@@ -140,7 +140,7 @@
     }
 
     /** How close the fleet came to breaking its rules, from the logged steps of requests. */
-    public Margins margins() {
+    public RuleMargins margins() {
         return margins;
     }
 
@@ -150,7 +150,7 @@
     }
 
     /** Sums over the fleet by second of Unix time. */
-    public Map<Long, Second> seconds() {
+    public Map<Long, SecondCounts> seconds() {
         return seconds;
     }
 
@@ -160,7 +160,7 @@
     }
 
     /** Sums over all seconds by gateway, for gateways that log counts. */
-    public Map<String, Second> gateways() {
+    public Map<String, SecondCounts> gateways() {
         return gateways;
     }
 
@@ -170,8 +170,8 @@
     }
 
     /** Sums over all gateways and seconds. */
-    public Second total() {
-        Second total = new Second(0);
+    public SecondCounts total() {
+        SecondCounts total = new SecondCounts(0);
         seconds.values().forEach(total::add);
         return total;
     }
--- a/src/main/java/mastdrift/tally/Step.java
+++ b/src/main/java/mastdrift/tally/RequestStep.java
@@ -17,7 +17,7 @@
  * @param spanMicros depends on the kind: time left, time since the host's drain or start, time since the request was
  * accepted, or 0
  */
-public record Step(long unixMicros, String traceId, Kind kind, int attempt, String host, String detail,
+public record RequestStep(long unixMicros, String traceId, Kind kind, int attempt, String host, String detail,
         long spanMicros) {
 
     /** Start of the step in a log line; the log may put a prefix before it. */
@@ -66,7 +66,7 @@
      *
      * @throws IllegalArgumentException saying what was expected and what was found
      */
-    public static Step parse(String line) {
+    public static RequestStep parse(String line) {
         int markerAt = line.indexOf(LINE_MARKER);
         if (markerAt < 0) {
             throw new IllegalArgumentException("expected " + LINE_MARKER + ", found none");
@@ -90,7 +90,7 @@
             throw new IllegalArgumentException("kind: expected taken, sent, opened, ended or answered, found "
                     + fields[2], e);
         }
-        return new Step(parseNumber("at", fields[0]), decode(fields[1]), kind, (int) parseNumber("n", fields[3]),
+        return new RequestStep(parseNumber("at", fields[0]), decode(fields[1]), kind, (int) parseNumber("n", fields[3]),
                 decode(fields[4]), decode(fields[5]),
                 parseNumber("us", fields[6]));
     }
--- a/src/main/java/mastdrift/tally/Margins.java
+++ b/src/main/java/mastdrift/tally/RuleMargins.java
@@ -17,17 +17,17 @@
  * The logs don't tell a host's capacity. So the count of a cold host is shown next to the mean that warm hosts got in a
  * window of the same length, and the reader who knows the share of a starting host compares the two.
  */
-public final class Margins {
+public final class RuleMargins {
 
     /** A request that was accepted and isn't answered yet; attempts by number. */
     private static final class PendingRequest {
-        private final Step acceptedStep;
+        private final RequestStep acceptedStep;
         private final Map<Integer, String> outcomes = new HashMap<>();
         // By attempt, the step at which its first byte was sent.
-        private final Map<Integer, Step> firstByteSteps = new HashMap<>();
+        private final Map<Integer, RequestStep> firstByteSteps = new HashMap<>();
         private int lastAttempt = -1;
 
-        PendingRequest(Step acceptedStep) {
+        PendingRequest(RequestStep acceptedStep) {
             this.acceptedStep = acceptedStep;
         }
     }
@@ -52,13 +52,13 @@
     private long sendsToLeavingHosts;
 
     /** Counts sends to cold hosts in windows of {@code windowMicros}. */
-    public Margins(long windowMicros) {
+    public RuleMargins(long windowMicros) {
         this.windowMicros = windowMicros;
     }
 
     /** Reads the next step of the gateway whose log is being read. */
-    public void readStep(Step step) {
-        if (step.kind() == Step.Kind.TAKEN) {
+    public void readStep(RequestStep step) {
+        if (step.kind() == RequestStep.Kind.TAKEN) {
             acceptedCount++;
             pending.put(step.traceId(), new PendingRequest(step));
             return;
@@ -81,7 +81,7 @@
             case OPENED -> request.firstByteSteps.put(step.attempt(), step);
             case ENDED -> {
                 request.outcomes.put(step.attempt(), step.detail());
-                Step firstByteStep = request.firstByteSteps.remove(step.attempt());
+                RequestStep firstByteStep = request.firstByteSteps.remove(step.attempt());
                 if (firstByteStep != null && !step.detail().equals("UNUSED")) {
                     recordFirstByte(firstByteStep);
                 }
@@ -91,22 +91,22 @@
     }
 
     /** Records that the first byte of an attempt was sent. */
-    private void recordFirstByte(Step step) {
-        if (step.detail().equals(Step.STATE_LEAVING)) {
+    private void recordFirstByte(RequestStep step) {
+        if (step.detail().equals(RequestStep.STATE_LEAVING)) {
             sendsToLeavingHosts++;
             if (step.spanMicros() > maxSendAfterDrainMicros) {
                 maxSendAfterDrainMicros = step.spanMicros();
                 maxSendAfterDrainWhere = step.traceId() + " at " + step.host();
             }
         }
-        if (step.detail().equals(Step.STATE_COLD)) {
+        if (step.detail().equals(RequestStep.STATE_COLD)) {
             bornMicros.merge(step.host(), step.unixMicros() - step.spanMicros(), Math::max);
         }
-        (step.detail().equals(Step.STATE_COLD) ? coldSendTimes : warmSendTimes)
+        (step.detail().equals(RequestStep.STATE_COLD) ? coldSendTimes : warmSendTimes)
                 .computeIfAbsent(step.host(), host -> new ArrayList<>()).add(step.unixMicros());
     }
 
-    private void recordAnswer(PendingRequest request, Step step) {
+    private void recordAnswer(PendingRequest request, RequestStep step) {
         pending.remove(step.traceId());
         answerCounts.merge(step.detail(), 1L, Long::sum);
         boolean neverSent = request.lastAttempt < 0 || request.outcomes.size() > request.lastAttempt
--- a/src/main/java/mastdrift/tally/Second.java
+++ b/src/main/java/mastdrift/tally/SecondCounts.java
@@ -12,7 +12,7 @@
  * Counts of one gateway in one second. Keeps at most {@value #MAX_HOSTS} hosts; the counts of further hosts go to
  * {@value #OTHER_HOSTS}.
  */
-public final class Second {
+public final class SecondCounts {
 
     /** Start of the counts in a log line; the log may put a prefix before it. */
     public static final String LINE_MARKER = "tally at=";
@@ -36,11 +36,11 @@
     }
 
     private final long unixSeconds;
-    private final long[] counts = new long[Count.values().length];
+    private final long[] counts = new long[Counter.values().length];
     private final Map<String, HostCounts> hosts = new TreeMap<>();
 
     /** Counts of the second {@code unixSeconds}. */
-    public Second(long unixSeconds) {
+    public SecondCounts(long unixSeconds) {
         this.unixSeconds = unixSeconds;
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** The value of a counter. */
-    public long count(Count counter) {
+    public long count(Counter counter) {
         return counts[counter.ordinal()];
     }
 
@@ -60,12 +60,12 @@
     }
 
     /** Increments a counter. */
-    public void add(Count counter) {
+    public void add(Counter counter) {
         add(counter, 1);
     }
 
     /** Adds {@code amount} to a counter. */
-    public void add(Count counter, long amount) {
+    public void add(Counter counter, long amount) {
         counts[counter.ordinal()] += amount;
     }
 
@@ -85,7 +85,7 @@
     }
 
     /** Adds the counts of another second. */
-    public void add(Second other) {
+    public void add(SecondCounts other) {
         Arrays.setAll(counts, i -> counts[i] + other.counts[i]);
         other.hosts.forEach((uid, hostCounts) -> {
             HostCounts ownCounts = hostCounts(uid);
@@ -97,7 +97,7 @@
     /** The log line {@code tally at=SECOND name=count ... hosts=UID:sends:lost,...}; counts of zero are left out. */
     public String formatLine() {
         StringBuilder line = new StringBuilder(LINE_MARKER).append(unixSeconds);
-        for (Count counter : Count.values()) {
+        for (Counter counter : Counter.values()) {
             if (count(counter) != 0) {
                 line.append(' ').append(counter.key()).append('=').append(count(counter));
             }
@@ -118,13 +118,13 @@
      *
      * @throws IllegalArgumentException saying what was expected and what was found
      */
-    public static Second parse(String line) {
+    public static SecondCounts parse(String line) {
         int markerAt = line.indexOf(LINE_MARKER);
         if (markerAt < 0) {
             throw new IllegalArgumentException("expected " + LINE_MARKER + ", found none");
         }
         String[] fields = line.substring(markerAt + LINE_MARKER.length()).strip().split(" ");
-        Second second = new Second(parseCount("at", fields[0]));
+        SecondCounts second = new SecondCounts(parseCount("at", fields[0]));
         for (int i = 1; i < fields.length; i++) {
             int equalsAt = fields[i].indexOf('=');
             if (equalsAt < 0) {
@@ -138,7 +138,7 @@
                 }
             } else {
                 long amount = parseCount(name, value);
-                Arrays.stream(Count.values()).filter(counter -> counter.key().equals(name.toLowerCase(Locale.ROOT)))
+                Arrays.stream(Counter.values()).filter(counter -> counter.key().equals(name.toLowerCase(Locale.ROOT)))
                         .forEach(counter -> second.add(counter, amount));
             }
         }
--- a/src/test/java/mastdrift/net/TallyingTest.java
+++ b/src/test/java/mastdrift/net/TallyingTest.java
@@ -19,10 +19,10 @@
 import java.util.stream.Collectors;
 import mastdrift.net.Loopback.Node;
 import mastdrift.net.Loopback.Server;
-import mastdrift.tally.Count;
-import mastdrift.tally.Fleet;
-import mastdrift.tally.Second;
-import mastdrift.tally.Step;
+import mastdrift.tally.Counter;
+import mastdrift.tally.FleetSummary;
+import mastdrift.tally.SecondCounts;
+import mastdrift.tally.RequestStep;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -43,30 +43,30 @@
             for (int i = 0; i < 12; i++) {
                 served += node.ask(read(20_000)).status() == 200 ? 1 : 0;
             }
-            Fleet fleet = new Fleet();
-            for (int i = 0; fleet.total().count(Count.SERVED) < served || fleet.total().count(Count.CALLS) == 0; i++) {
+            FleetSummary fleet = new FleetSummary();
+            for (int i = 0; fleet.total().count(Counter.SERVED) < served || fleet.total().count(Counter.CALLS) == 0; i++) {
                 assertTrue(i < Loopback.WAIT_SECONDS * 20, node.log.toString(StandardCharsets.UTF_8));
                 Thread.sleep(50);
-                fleet = new Fleet();
+                fleet = new FleetSummary();
                 String[] lines = node.log.toString(StandardCharsets.UTF_8).split("\n");
                 for (int line = 0; line < lines.length; line++) {
                     fleet.readLine("n0", line + 1, lines[line]);
                 }
             }
-            Second all = fleet.total();
-            assertEquals(asked.get(), all.count(Count.SENDS));
-            assertEquals(asked.get() / 3, all.count(Count.SHED));
-            assertEquals(served, all.count(Count.DELIVERED));
-            assertEquals(12 - served, all.count(Count.REFUSED_HOSTS));
-            assertEquals(one.accepted.size(), all.count(Count.OPENED));
+            SecondCounts all = fleet.total();
+            assertEquals(asked.get(), all.count(Counter.SENDS));
+            assertEquals(asked.get() / 3, all.count(Counter.SHED));
+            assertEquals(served, all.count(Counter.DELIVERED));
+            assertEquals(12 - served, all.count(Counter.REFUSED_HOSTS));
+            assertEquals(one.accepted.size(), all.count(Counter.OPENED));
             assertEquals(asked.get(), all.hosts().get("s1").sends());
             assertEquals(asked.get() / 3, all.hosts().get("s1").lost());
             assertEquals(0, fleet.parseErrorCount());
         }
     }
 
-    private static Fleet parsed(String log, String followed) {
-        Fleet fleet = new Fleet();
+    private static FleetSummary parsed(String log, String followed) {
+        FleetSummary fleet = new FleetSummary();
         fleet.traceRequest(followed);
         String[] lines = log.split("\n");
         for (int line = 0; line < lines.length; line++) {
@@ -75,8 +75,8 @@
         return fleet;
     }
 
-    private static Fleet logged(Node node, String followed, String word) throws InterruptedException {
-        Fleet fleet = parsed(node.log.toString(StandardCharsets.UTF_8), followed);
+    private static FleetSummary logged(Node node, String followed, String word) throws InterruptedException {
+        FleetSummary fleet = parsed(node.log.toString(StandardCharsets.UTF_8), followed);
         for (int i = 0; fleet.tracedSteps().isEmpty() || !fleet.tracedSteps().get(fleet.tracedSteps().size() - 1).step().detail().startsWith(word); i++) {
             assertTrue(i < Loopback.WAIT_SECONDS * 20, node.log.toString(StandardCharsets.UTF_8));
             Thread.sleep(50);
@@ -85,7 +85,7 @@
         return fleet;
     }
 
-    private static String steps(Fleet fleet) {
+    private static String steps(FleetSummary fleet) {
         return fleet.tracedSteps().stream().map(seen -> seen.step()).map(step -> step.kind() + " " + step.host() + " " + step.detail())
                 .collect(Collectors.joining(", "));
     }
@@ -102,7 +102,7 @@
                 Node node = new Node(environment(folder, discovery, list(1, true, entry("s1", full.address(), "a", "in_service")), SETTINGS), true)) {
             String request = read(20_000);
             assertEquals(503, node.ask(request).status());
-            Fleet fleet = logged(node, trace(request), "REFUSED HOSTS");
+            FleetSummary fleet = logged(node, trace(request), "REFUSED HOSTS");
             assertEquals("TAKEN  acme:read:SAFE, SENT s1 warm, OPENED s1 warm, ENDED s1 SHED, ANSWERED  REFUSED HOSTS", steps(fleet));
             assertTrue(fleet.margins().rows().contains(List.of("requests followed", "1", "")));
             assertTrue(fleet.margins().rows().contains(List.of("answered REFUSED HOSTS", "1", "")));
@@ -119,17 +119,17 @@
             for (int i = 0; i < asked; i++) {
                 node.ask(read(20_000));
             }
-            Fleet fleet = new Fleet();
-            for (int i = 0; fleet.total().count(Count.SERVED) < asked; i++) {
+            FleetSummary fleet = new FleetSummary();
+            for (int i = 0; fleet.total().count(Counter.SERVED) < asked; i++) {
                 assertTrue(i < Loopback.WAIT_SECONDS * 20, node.log.toString(StandardCharsets.UTF_8));
                 Thread.sleep(50);
                 fleet = parsed(node.log.toString(StandardCharsets.UTF_8), "");
             }
             String log = node.log.toString(StandardCharsets.UTF_8);
-            Map<Long, Long> taken = log.lines().filter(line -> line.contains(Step.LINE_MARKER)).map(Step::parse).filter(step -> step.kind() == Step.Kind.TAKEN)
+            Map<Long, Long> taken = log.lines().filter(line -> line.contains(RequestStep.LINE_MARKER)).map(RequestStep::parse).filter(step -> step.kind() == RequestStep.Kind.TAKEN)
                     .collect(Collectors.groupingBy(step -> step.unixMicros() / 1_000_000, Collectors.counting()));
             assertTrue(taken.values().stream().allMatch(count -> count <= Tracing.NEW_MOST), "followed by second: " + taken);
-            assertEquals(asked, taken.values().stream().mapToLong(Long::longValue).sum() + fleet.total().count(Count.UNFOLLOWED));
+            assertEquals(asked, taken.values().stream().mapToLong(Long::longValue).sum() + fleet.total().count(Counter.UNFOLLOWED));
             assertEquals(taken.values().stream().mapToLong(Long::longValue).sum(), log.lines().filter(line -> line.contains(" kind=answered ")).count());
         }
     }
--- a/src/test/java/mastdrift/tally/StepTest.java
+++ b/src/test/java/mastdrift/tally/RequestStepTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Log lines of request steps, and the margins computed from them. */
-class StepTest {
+class RequestStepTest {
 
     @Property(tries = 300)
     void lineParsesBackForAnyIdAndHost(@ForAll String id, @ForAll String host, @ForAll long seed) {
         Random random = new Random(seed);
-        Step step = new Step(random.nextLong() >>> 1, id.replaceAll("[\\ud800-\\udfff]", ""),
-                Step.Kind.values()[random.nextInt(Step.Kind.values().length)], random.nextInt(9) - 1, host.replaceAll("[\\ud800-\\udfff]", ""), "a word",
+        RequestStep step = new RequestStep(random.nextLong() >>> 1, id.replaceAll("[\\ud800-\\udfff]", ""),
+                RequestStep.Kind.values()[random.nextInt(RequestStep.Kind.values().length)], random.nextInt(9) - 1, host.replaceAll("[\\ud800-\\udfff]", ""), "a word",
                 random.nextInt());
-        assertEquals(step, Step.parse("12.5 " + step.formatLine()));
+        assertEquals(step, RequestStep.parse("12.5 " + step.formatLine()));
     }
 
     @ParameterizedTest
@@ -31,13 +31,13 @@
         "step at=x id=a kind=sent n=0 host=h of=warm us=0 | at: expected a whole number, found x"})
     void malformedLineIsReportedAndSkipped(String line, String expected) {
         assertEquals(expected,
-                assertThrows(IllegalArgumentException.class, () -> Step.parse(line)).getMessage());
-        Fleet fleet = new Fleet();
+                assertThrows(IllegalArgumentException.class, () -> RequestStep.parse(line)).getMessage());
+        FleetSummary fleet = new FleetSummary();
         fleet.readLine("n3", 7, line);
         assertEquals(List.of("n3:7: " + expected), fleet.parseErrors());
     }
 
-    private static String row(Margins margins, String name) {
+    private static String row(RuleMargins margins, String name) {
         return margins.rows().stream().filter(row -> row.get(0).equals(name)).map(row -> row.get(1) + " " + row.get(2)).findFirst().orElse("none");
     }
 
@@ -55,23 +55,23 @@
             "1500000 id=b kind=taken n=-1 host= of=buy:UNSAFE us=400000", "1500000 id=b kind=sent n=0 host=h1 of=leaving us=240000",
             "1500000 id=b kind=ended n=0 host=h1 of=UNUSED us=0", "1500000 id=b kind=answered n=-1 host= of=FAILED us=0",
             "1600000 id=c kind=taken n=-1 host= of=buy:UNSAFE us=400000"};
-        Fleet fleet = new Fleet();
+        FleetSummary fleet = new FleetSummary();
         for (String line : lines) {
             fleet.readLine("n0", 1, "step at=" + line);
         }
         for (int i = 0; i < 6; i++) {  // 3 in any two seconds, 6 in all
             long sendMicros = 2_000_000 + i * 900_000L;
             fleet.readLine("n0", 1,
-                    new Step(sendMicros, "k" + i, Step.Kind.TAKEN, -1, "", "read:SAFE", 1).formatLine());
+                    new RequestStep(sendMicros, "k" + i, RequestStep.Kind.TAKEN, -1, "", "read:SAFE", 1).formatLine());
             fleet.readLine("n0", 1,
-                    new Step(sendMicros, "k" + i, Step.Kind.SENT, 0, "h9", Step.STATE_COLD,
+                    new RequestStep(sendMicros, "k" + i, RequestStep.Kind.SENT, 0, "h9", RequestStep.STATE_COLD,
                             i * 900_000L).formatLine());
             fleet.readLine("n0", 1,
-                    new Step(sendMicros, "k" + i, Step.Kind.ANSWERED, -1, "", "LEFT", 900_000)
+                    new RequestStep(sendMicros, "k" + i, RequestStep.Kind.ANSWERED, -1, "", "LEFT", 900_000)
                             .formatLine());
         }
         fleet.endLog();
-        Margins margins = fleet.margins();
+        RuleMargins margins = fleet.margins();
         assertEquals(List.of(), fleet.parseErrors());
         assertEquals("9 ", row(margins, "requests followed"));
         assertEquals("1 ", row(margins, "taken, no answer in the log"));
--- a/src/test/java/mastdrift/tally/TallyTest.java
+++ b/src/test/java/mastdrift/tally/TallyTest.java
@@ -14,9 +14,9 @@
 /** Log lines of counts per second, and their aggregation over gateways. */
 class TallyTest {
 
-    private static Second randomCounts(Random random, long unixSeconds) {
-        Second second = new Second(unixSeconds);
-        for (Count counter : Count.values()) {
+    private static SecondCounts randomCounts(Random random, long unixSeconds) {
+        SecondCounts second = new SecondCounts(unixSeconds);
+        for (Counter counter : Counter.values()) {
             second.add(counter, random.nextInt(3) * random.nextInt(1000));
         }
         for (int i = random.nextInt(6); i > 0; i--) {
@@ -33,17 +33,17 @@
     @Property(tries = 200)
     void linesParseBackAndSumsAddUp(@ForAll long seed) {
         Random random = new Random(seed);
-        Fleet fleet = new Fleet();
-        Second expected = new Second(0);
+        FleetSummary fleet = new FleetSummary();
+        SecondCounts expected = new SecondCounts(0);
         for (int i = 0; i < 20; i++) {
-            Second second = randomCounts(random, 100 + random.nextInt(3));
-            assertEquals(second.formatLine(), Second.parse("17.003 " + second.formatLine()).formatLine());
+            SecondCounts second = randomCounts(random, 100 + random.nextInt(3));
+            assertEquals(second.formatLine(), SecondCounts.parse("17.003 " + second.formatLine()).formatLine());
             fleet.readLine("n" + i % 4, i, i % 2 == 0 ? second.formatLine()
                     : "12.5 " + second.formatLine() + " later_name=7");
             expected.add(second);
         }
         assertEquals(expected.formatLine(), fleet.total().formatLine());
-        Second gateways = new Second(0);
+        SecondCounts gateways = new SecondCounts(0);
         fleet.gateways().values().forEach(gateways::add);
         assertEquals(expected.formatLine(), gateways.formatLine());
         assertEquals(0, fleet.parseErrorCount());
@@ -55,13 +55,13 @@
         "tally at=5 hosts=a:1 | hosts: expected UID:sends:lost, found a:1"})
     void malformedLinesAreReportedAndOthersStillCount(String line, String expected) {
         assertEquals(expected,
-                assertThrows(IllegalArgumentException.class, () -> Second.parse(line)).getMessage());
-        Fleet fleet = new Fleet();
+                assertThrows(IllegalArgumentException.class, () -> SecondCounts.parse(line)).getMessage());
+        FleetSummary fleet = new FleetSummary();
         for (int i = 1; i <= 30; i++) {
             fleet.readLine("n0", i, line);
         }
         fleet.readLine("n0", 31, "tally at=5 sends=2");
-        assertEquals(2, fleet.total().count(Count.SENDS));
+        assertEquals(2, fleet.total().count(Counter.SENDS));
         boolean noTallyLine = line.equals("nothing");
         assertEquals(noTallyLine ? 0 : 30, fleet.parseErrorCount());
         assertEquals(noTallyLine ? 0 : 20, fleet.parseErrors().size(), "number of errors kept");
@@ -70,25 +70,25 @@
 
     @Test
     void hostsBeyondTheMaximumAreCountedTogether() {
-        Second second = new Second(1);
+        SecondCounts second = new SecondCounts(1);
         for (int i = 0; i < 1000; i++) {
             second.addSend("h" + i);
         }
-        assertEquals(Second.MAX_HOSTS + 1, second.hosts().size());
-        assertEquals(1000, second.hosts().values().stream().mapToLong(Second.HostCounts::sends).sum());
+        assertEquals(SecondCounts.MAX_HOSTS + 1, second.hosts().size());
+        assertEquals(1000, second.hosts().values().stream().mapToLong(SecondCounts.HostCounts::sends).sum());
     }
 
     /** Events are counted from the lines that every gateway writes, with or without --tally. */
     @Test
     void eventLinesAreCounted() {
-        Fleet fleet = new Fleet();
+        FleetSummary fleet = new FleetSummary();
         String[] lines = {"2.9 list 0: 60 hosts", "3.0 listening on /10.0.0.1:9000", "10.5 discovery failed: no connection",
             "12.0 discovery failed: status 503", "16.25 list 3: 4 changes", "17.0 the gateway itself is late: whatever comes waits 106 ms at least",
             "18.0 discovery failed: no connection", "20.0 list 4: 60 hosts", "20.1 listening on /10.0.0.1:9000", "21.0 list 5: 1 changes"};
         for (int i = 0; i < lines.length; i++) {
             fleet.readLine("n0", i + 1, lines[i]);
         }
-        Fleet.GatewayEvents events = fleet.events().get("n0");
+        FleetSummary.GatewayEvents events = fleet.events().get("n0");
         assertEquals(2, events.starts());
         assertEquals(4, events.listUpdates());
         assertEquals(3, events.failedCalls());
