--- a/src/main/java/mastdrift/cli/Commands.java
+++ b/src/main/java/mastdrift/cli/Commands.java
@@ -26,23 +26,23 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The commands and their options. */
+/** The root command {@code mastdrift} with its subcommands and their options. */
 @Command(name = "mastdrift", description = "A gateway that spreads requests over pools of hosts.",
         subcommands = {Commands.Serve.class, Commands.Check.class, Commands.Plan.class, Commands.Demo.class, LoadCommand.class, LabCommand.class,
             ZonesCommand.class, FleetCommand.class, PeersCommand.class, ControlCommand.class,
             ConfigCommand.class, Commands.Adapter.class}, mixinStandardHelpOptions = true)
 final class Commands implements Runnable {
 
-    private static final int REFUSED = 1;
-    private static final int WORDS = 2;
-    private static final int GUARDED = 3;
+    private static final int EXIT_REFUSED = 1;
+    private static final int EXIT_USAGE = 2;
+    private static final int EXIT_GUARDED = 3;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
     private Commands() { }
 
-    /** Runs one command; returns its exit status. */
+    /** Runs one command and returns its exit status. */
     static int run(String[] args, PrintStream out, PrintStream err) {
         return new CommandLine(new Commands()).setCaseInsensitiveEnumValuesAllowed(true).setOut(new PrintWriter(out, true, StandardCharsets.UTF_8))
                 .setErr(new PrintWriter(err, true, StandardCharsets.UTF_8)).execute(args);
@@ -53,17 +53,19 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "expected a command");
     }
 
-    /** Reads a file; prints what is wrong with it, and then returns null. */
-    private static Configuration read(Path file, PrintWriter err) {
+    /** Reads a configuration file. Prints its problems, and returns null if it can't be used. */
+    private static Configuration readConfiguration(Path file, PrintWriter err) {
         ConfigurationReader.Result result = FileTexts.read(file);
         result.problems().forEach(err::println);
         return result.configuration();
     }
 
-    @Command(name = "serve", description = "Serves as a file says, until SIGTERM.", mixinStandardHelpOptions = true)
+    /** {@code serve}: runs a gateway until SIGTERM. */
+    @Command(name = "serve", description = "Runs a gateway from a configuration file until SIGTERM.",
+            mixinStandardHelpOptions = true)
     static final class Serve implements Callable<Integer> {
 
-        private static final int STOP_SECONDS = 30;
+        private static final int STOP_TIMEOUT_SECONDS = 30;
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
@@ -71,35 +73,35 @@
         private Path config;
 
         @Option(names = "--log", paramLabel = "FORM", defaultValue = "text",
-                description = "lines of the log on standard output: text or json (${DEFAULT-VALUE})")
-        private String form;
+                description = "format of the log on standard output: text or json (${DEFAULT-VALUE})")
+        private String logFormat;
 
-        @Option(names = "--cold", description = "listen at once, without rehearsing the path of a request first")
-        private boolean cold;
+        @Option(names = "--cold", description = "listen at once, without warming up the request path first")
+        private boolean skipWarmUp;
 
         @Override
         public Integer call() throws InterruptedException {
             LogSetup log;
             Service service;
             try {
-                log = new LogSetup(System.out, LogSetup.Form.parse(form));
+                log = new LogSetup(System.out, LogSetup.Form.parse(logFormat));
             } catch (IllegalArgumentException e) {
                 spec.commandLine().getErr().println("--log: " + e.getMessage());
-                return WORDS;
+                return EXIT_USAGE;
             }
             try {
-                service = Service.start(config, log.events(), !cold);
+                service = Service.start(config, log.events(), !skipWarmUp);
             } catch (IllegalArgumentException e) {
                 log.close();
                 spec.commandLine().getErr().println(e.getMessage());
-                return REFUSED;
+                return EXIT_REFUSED;
             }
             CountDownLatch stopped = new CountDownLatch(1);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
                 try {
-                    boolean all = service.stop(STOP_SECONDS);
-                    log.events().event(all ? Events.Level.INFO : Events.Level.WARN, "stopped",
-                            all ? "stopped" : "stopped with requests unanswered");
+                    boolean allAnswered = service.stop(STOP_TIMEOUT_SECONDS);
+                    log.events().event(allAnswered ? Events.Level.INFO : Events.Level.WARN, "stopped",
+                            allAnswered ? "stopped" : "stopped with requests unanswered");
                     log.close();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
@@ -112,7 +114,8 @@
         }
     }
 
-    @Command(name = "check", description = "Checks a gateway's file and the node lists that it includes, or a control machine's file.",
+    /** {@code check}: validates the configuration file of a gateway or control machine. */
+    @Command(name = "check", description = "Validates a gateway's file and the node lists that it includes, or a control machine's file.",
             mixinStandardHelpOptions = true)
     static final class Check implements Callable<Integer> {
 
@@ -126,19 +129,19 @@
         public Integer call() {
             PrintWriter out = spec.commandLine().getOut();
             PrintWriter err = spec.commandLine().getErr();
-            String control = new FileTexts(file).text(FileTexts.name(file), new Problems());
-            if (control != null && DistributionReader.isControl(FileTexts.name(file), control)) {
-                DistributionReader.Result result = DistributionReader.control(FileTexts.name(file), control);
+            String controlText = new FileTexts(file).text(FileTexts.name(file), new Problems());
+            if (controlText != null && DistributionReader.isControl(FileTexts.name(file), controlText)) {
+                DistributionReader.Result result = DistributionReader.control(FileTexts.name(file), controlText);
                 result.problems().forEach(err::println);
                 if (result.settings() != null) {
                     out.println("control machine " + result.settings().name() + ": " + result.settings().role().name().toLowerCase(Locale.ROOT) + " in " + result.settings().zone()
                             + ", one of " + result.settings().machines().size() + ", epoch " + result.settings().epoch());
                 }
-                return result.settings() == null ? REFUSED : 0;
+                return result.settings() == null ? EXIT_REFUSED : 0;
             }
-            Configuration configuration = read(file, err);
+            Configuration configuration = readConfiguration(file, err);
             if (configuration == null) {
-                return REFUSED;
+                return EXIT_REFUSED;
             }
             configuration.versions().forEach((pool, version) -> out.println("pool " + pool + ": version " + version + ", "
                     + configuration.nodes().get(pool).size() + " nodes"));
@@ -147,11 +150,12 @@
                     + (route.fallback() == null ? "" : ", else " + route.fallback())));
             List<String> refusals = Changes.refusalsAtStart(configuration);
             refusals.forEach(err::println);
-            status(configuration, out);
-            return refusals.isEmpty() ? 0 : GUARDED;
+            printStatus(configuration, out);
+            return refusals.isEmpty() ? 0 : EXIT_GUARDED;
         }
 
-        private void status(Configuration configuration, PrintWriter out) {
+        /** Prints what a running gateway wrote to its status file, if there is one. */
+        private void printStatus(Configuration configuration, PrintWriter out) {
             String name = configuration.gateway().statusFile();
             Map<String, Object> status = name == null ? null : new StatusFile(file, name).read();
             if (status != null) {
@@ -163,36 +167,38 @@
         }
     }
 
-    @Command(name = "plan", description = "Says what a change of files would do, and whether a guard would hold it back.",
+    /** {@code plan}: shows the effect of a configuration change without applying it. */
+    @Command(name = "plan", description = "Shows what a change of the configuration would do, and whether a guard would refuse it.",
             mixinStandardHelpOptions = true)
     static final class Plan implements Callable<Integer> {
 
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
-        @Parameters(index = "0", paramLabel = "OLD", description = "the gateway's file as it is in force")
-        private Path old;
+        @Parameters(index = "0", paramLabel = "OLD", description = "the gateway's file that is in force")
+        private Path oldFile;
 
-        @Parameters(index = "1", paramLabel = "NEW", description = "the gateway's file as it is to be")
-        private Path next;
+        @Parameters(index = "1", paramLabel = "NEW", description = "the gateway's new file")
+        private Path newFile;
 
         @Override
         public Integer call() {
             PrintWriter out = spec.commandLine().getOut();
             PrintWriter err = spec.commandLine().getErr();
-            Configuration before = read(old, err);
-            Configuration after = read(next, err);
+            Configuration before = readConfiguration(oldFile, err);
+            Configuration after = readConfiguration(newFile, err);
             if (before == null || after == null) {
-                return REFUSED;
+                return EXIT_REFUSED;
             }
             Changes.Plan plan = Changes.plan(before, after);
             plan.lines().forEach(out::println);
             plan.refusals().forEach(err::println);
             out.println(plan.refusals().isEmpty() ? "would be taken" : "would be refused");
-            return plan.refusals().isEmpty() ? 0 : GUARDED;
+            return plan.refusals().isEmpty() ? 0 : EXIT_GUARDED;
         }
     }
 
+    /** {@code demo}: a gateway with stand-in hosts and traffic, or several gateways as processes. */
     @Command(name = "demo", description = "Runs a gateway and four stand-in hosts on loopback, with some traffic.",
             mixinStandardHelpOptions = true)
     static final class Demo implements Callable<Integer> {
@@ -201,14 +207,14 @@
         private CommandLine.Model.CommandSpec spec;
 
         @Option(names = "--seconds", paramLabel = "N", defaultValue = "12",
-                description = "how long the traffic goes on, 4 to 3600 (${DEFAULT-VALUE})")
+                description = "duration of the traffic in seconds, 4 to 3600 (${DEFAULT-VALUE})")
         private int seconds;
 
         @Option(names = "--listen", paramLabel = "ADDRESS:PORT", defaultValue = "127.0.0.1:0",
                 description = "where the gateway listens (a free port of 127.0.0.1)")
-        private String listen;
+        private String listenAddress;
 
-        @Option(names = "--gateways", paramLabel = "N", description = "plays N gateways as processes instead, 3 to 9, with one killed and one cut off, for 40 s")
+        @Option(names = "--gateways", paramLabel = "N", description = "runs N gateways as processes instead, 3 to 9, with one killed and one partitioned, for 40 s")
         private Integer gateways;
 
         @Override
@@ -216,19 +222,20 @@
             if (gateways != null) {
                 if (gateways < 3 || gateways > ChaosPlan.GATEWAYS_MOST) {
                     spec.commandLine().getErr().println("--gateways: expected 3 to " + ChaosPlan.GATEWAYS_MOST + ", found " + gateways);
-                    return WORDS;
+                    return EXIT_USAGE;
                 }
-                return new FleetDemo(gateways, spec.commandLine().getOut()).play();
+                return new FleetDemo(gateways, spec.commandLine().getOut()).run();
             }
             if (seconds < 4 || seconds > 3600) {
                 spec.commandLine().getErr().println("--seconds: expected 4 to 3600, found " + seconds);
-                return WORDS;
+                return EXIT_USAGE;
             }
-            return new DemoRun(listen, seconds, spec.commandLine().getOut(), System.console() != null).play();
+            return new DemoRun(listenAddress, seconds, spec.commandLine().getOut(), System.console() != null).run();
         }
     }
 
-    @Command(name = "adapter", description = "Speaks the simulator's wire on standard input and output.")
+    /** {@code adapter}: the simulator's protocol on standard input and output. */
+    @Command(name = "adapter", description = "Speaks the simulator's protocol on standard input and output.")
     static final class Adapter implements Callable<Integer> {
 
         @Override
--- a/src/main/java/mastdrift/cli/ConfigCommand.java
+++ b/src/main/java/mastdrift/cli/ConfigCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** What operators ask control machines. */
+/** {@code config}: requests of operators to control machines. */
 @Command(name = "config", description = "Changes and shows the configuration that control machines distribute.", mixinStandardHelpOptions = true,
         subcommands = {ConfigCommand.Apply.class, ConfigCommand.Get.class, ConfigCommand.Status.class})
 final class ConfigCommand implements Runnable {
@@ -20,7 +20,8 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "expected apply, get or status");
     }
 
-    @Command(name = "apply", description = "Has a change agreed on, whole or not at all.", mixinStandardHelpOptions = true)
+    /** {@code config apply}: commits a change atomically. */
+    @Command(name = "apply", description = "Commits a change atomically.", mixinStandardHelpOptions = true)
     static final class Apply implements Callable<Integer> {
 
         @CommandLine.Spec
@@ -32,10 +33,10 @@
         @Option(names = "--config", required = true, paramLabel = "FILE", description = "the file of a gateway or control machine, which names the voters and the key")
         private Path config;
 
-        @Option(names = "--id", paramLabel = "ID", description = "the change's id, where its file has none: asked again under the same id it is in once (a random one)")
+        @Option(names = "--id", paramLabel = "ID", description = "the change's id if its file has none; a retry with the same id is applied once (default: random)")
         private String id;
 
-        @Option(names = "--seconds", paramLabel = "N", defaultValue = "30", description = "for how long voters are asked, 1 to 600 (${DEFAULT-VALUE})")
+        @Option(names = "--seconds", paramLabel = "N", defaultValue = "30", description = "how long to retry at voters, 1 to 600 s (${DEFAULT-VALUE})")
         private int seconds;
 
         @Override
@@ -44,6 +45,7 @@
         }
     }
 
+    /** {@code config get}: shows one resource. */
     @Command(name = "get", description = "Shows a resource.", mixinStandardHelpOptions = true)
     static final class Get implements Callable<Integer> {
 
@@ -53,7 +55,7 @@
         @Parameters(index = "0", paramLabel = "KIND", description = "route, pool, tenant or host")
         private String kind;
 
-        @Parameters(index = "1", paramLabel = "NAME", description = "the resource's")
+        @Parameters(index = "1", paramLabel = "NAME", description = "name of the resource")
         private String name;
 
         @Option(names = "--config", required = true, paramLabel = "FILE", description = "the file of a gateway or control machine")
@@ -65,7 +67,8 @@
         }
     }
 
-    @Command(name = "status", description = "Shows what control machines have, and what is in force at their gateways.", mixinStandardHelpOptions = true)
+    /** {@code config status}: shows the state of control machines and what is in force at gateways. */
+    @Command(name = "status", description = "Shows the revisions of control machines, and what is in force at their gateways.", mixinStandardHelpOptions = true)
     static final class Status implements Callable<Integer> {
 
         @CommandLine.Spec
--- a/src/main/java/mastdrift/cli/ConfigRequests.java
+++ b/src/main/java/mastdrift/cli/ConfigRequests.java
@@ -20,12 +20,15 @@
 import mastdrift.files.FileTexts;
 import mastdrift.serve.ControlClient;
 
-/** Requests of {@link ConfigCommand} to control machines, and how it shows the responses. Apart from the commands, whose methods' types are loaded with every command. */
+/**
+ * Sends the requests of {@link ConfigCommand} to control machines and prints the responses. A class of its own, because
+ * types in the method signatures of command classes are loaded with every command.
+ */
 final class ConfigRequests {
 
-    private static final int REFUSED = 1;
-    private static final int WORDS = 2;
-    private static final int NOTHING = 3;
+    private static final int EXIT_REFUSED = 1;
+    private static final int EXIT_USAGE = 2;
+    private static final int EXIT_NO_RESULT = 3;
 
     private final PrintWriter out;
     private final PrintWriter err;
@@ -35,113 +38,114 @@
         this.err = err;
     }
 
+    /** A request to control machines; returns the exit status. */
     private interface Request {
         int send(ControlClient client) throws InterruptedException;
     }
 
-    private int by(Path config, Request request) throws InterruptedException {
+    private int withClient(Path config, Request request) throws InterruptedException {
         try (ControlClient client = ControlClient.by(config)) {
             return request.send(client);
         } catch (IllegalArgumentException e) {
             err.println(e.getMessage());
-            return REFUSED;
+            return EXIT_REFUSED;
         }
     }
 
-    private static String shown(Revision revision) {
+    private static String describe(Revision revision) {
         return revision == null ? "none" : "revision " + revision.number() + " of epoch " + revision.epoch();
     }
 
     int apply(Path config, Path file, String id, int seconds) throws InterruptedException {
         if (seconds < 1 || seconds > 600) {
             err.println("--seconds: expected 1 to 600, found " + seconds);
-            return WORDS;
+            return EXIT_USAGE;
         }
-        Problems unread = new Problems();
-        String text = new FileTexts(file).text(FileTexts.name(file), unread);
-        unread.lines().forEach(err::println);
+        Problems fileProblems = new Problems();
+        String text = new FileTexts(file).text(FileTexts.name(file), fileProblems);
+        fileProblems.lines().forEach(err::println);
         if (text == null) {
-            return REFUSED;
+            return EXIT_REFUSED;
         }
-        ChangeReader.Result read = ChangeReader.read(FileTexts.name(file), text, id == null ? Long.toHexString(new SecureRandom().nextLong()) : id);
-        read.problems().forEach(err::println);
-        return read.change() == null ? REFUSED : by(config, client -> answer(read.change().id(), client.apply(read.change(), seconds * 1_000L)));
+        ChangeReader.Result result = ChangeReader.read(FileTexts.name(file), text, id == null ? Long.toHexString(new SecureRandom().nextLong()) : id);
+        result.problems().forEach(err::println);
+        return result.change() == null ? EXIT_REFUSED : withClient(config, client -> printResponse(result.change().id(), client.apply(result.change(), seconds * 1_000L)));
     }
 
-    private int answer(String id, ControlMessage answer) {
-        if (answer instanceof ControlMessage.Applied applied) {
-            out.println("change " + id + ": " + (applied.revision() == null ? "was agreed on before; what it made is no longer known there, see config get" : "in, " + shown(applied.revision())));
+    private int printResponse(String id, ControlMessage response) {
+        if (response instanceof ControlMessage.Applied applied) {
+            out.println("change " + id + ": " + (applied.revision() == null ? "was committed before; its revision is no longer known there, see config get" : "in, " + describe(applied.revision())));
             return 0;
         }
-        if (answer instanceof ControlMessage.Conflicted conflicted) {
+        if (response instanceof ControlMessage.Conflicted conflicted) {
             err.println("change " + id + ": conflict, nothing is changed: " + conflicted.reason());
-            return REFUSED;
+            return EXIT_REFUSED;
         }
-        if (answer instanceof ControlMessage.Refused refused) {
-            refused.problems().forEach(each -> err.println("change " + id + ": refused: " + each));
-            return REFUSED;
+        if (response instanceof ControlMessage.Refused refused) {
+            refused.problems().forEach(problem -> err.println("change " + id + ": refused: " + problem));
+            return EXIT_REFUSED;
         }
-        err.println("change " + id + ": not known whether it is in (" + (answer instanceof ControlMessage.Unknown unknown ? unknown.why() : answer instanceof ControlMessage.AskVoter ask ? ask.why()
-                : "another answer") + "); ask again with --id " + id);
-        return NOTHING;
+        err.println("change " + id + ": not known whether it was committed (" + (response instanceof ControlMessage.Unknown unknown ? unknown.why() : response instanceof ControlMessage.AskVoter askVoter ? askVoter.why()
+                : "unexpected response") + "); retry with --id " + id);
+        return EXIT_NO_RESULT;
     }
 
     int get(Path config, String kind, String name) throws InterruptedException {
-        ResourceKind of = ChangeReader.kind(kind);
-        if (of == null || name.isEmpty() || name.length() > Resource.NAME_MOST) {
-            err.println(of == null ? "KIND: expected route, pool, tenant or host, found \"" + kind + '"' : "NAME: expected 1 to " + Resource.NAME_MOST + " characters, found " + name.length());
-            return WORDS;
+        ResourceKind resourceKind = ChangeReader.kind(kind);
+        if (resourceKind == null || name.isEmpty() || name.length() > Resource.NAME_MOST) {
+            err.println(resourceKind == null ? "KIND: expected route, pool, tenant or host, found \"" + kind + '"' : "NAME: expected 1 to " + Resource.NAME_MOST + " characters, found " + name.length());
+            return EXIT_USAGE;
         }
-        return by(config, client -> {
-            ControlMessage answer = client.get(of, name);
-            if (!(answer instanceof ControlMessage.Found found)) {
+        return withClient(config, client -> {
+            ControlMessage response = client.get(resourceKind, name);
+            if (!(response instanceof ControlMessage.Found found)) {
                 err.println("no control machine answers");
-                return NOTHING;
+                return EXIT_NO_RESULT;
             }
             if (found.resource() == null) {
-                err.println(kind + " " + name + ": none at " + shown(found.revision()));
-                return NOTHING;
+                err.println(kind + " " + name + ": none at " + describe(found.revision()));
+                return EXIT_NO_RESULT;
             }
-            out.println(kind + " " + name + ": version " + found.resource().version() + ", at " + shown(found.revision()));
+            out.println(kind + " " + name + ": version " + found.resource().version() + ", at " + describe(found.revision()));
             out.println(new String(found.resource().value(), StandardCharsets.UTF_8));
             return 0;
         });
     }
 
     int status(Path config) throws InterruptedException {
-        return by(config, this::status);
+        return withClient(config, this::status);
     }
 
     private int status(ControlClient client) throws InterruptedException {
-        List<String> all = new ArrayList<>(client.machines(Role.VOTER));
-        all.addAll(client.machines(Role.RELAY));
-        boolean byVoters = !client.machines(Role.VOTER).isEmpty();
+        List<String> machines = new ArrayList<>(client.machines(Role.VOTER));
+        machines.addAll(client.machines(Role.RELAY));
+        boolean votersOnly = !client.machines(Role.VOTER).isEmpty();
         Summaries zones = new Summaries();
         Revision newest = null;
-        int answers = 0;
-        for (Map.Entry<String, ControlMessage> each : client.status(all).entrySet()) {
-            String name = each.getKey();
-            if (each.getValue() instanceof ControlMessage.Status status) {
-                answers++;
+        int responses = 0;
+        for (Map.Entry<String, ControlMessage> machine : client.status(machines).entrySet()) {
+            String name = machine.getKey();
+            if (machine.getValue() instanceof ControlMessage.Status status) {
+                responses++;
                 newest = newest == null || status.revision().after(newest) ? status.revision() : newest;
-                out.println(String.format(Locale.ROOT, "%-20s %-6s %s, %d subscribers%s%s", name, status.role(), shown(status.revision()), status.subscribers(),
-                        status.leader().isEmpty() ? "" : ", leader " + status.leader(), status.aloneMillis() == 0 ? "" : ", hears nobody for " + status.aloneMillis() / 1_000 + " s"));
-                if (!byVoters || status.role().equals("voter")) {
+                out.println(String.format(Locale.ROOT, "%-20s %-6s %s, %d subscribers%s%s", name, status.role(), describe(status.revision()), status.subscribers(),
+                        status.leader().isEmpty() ? "" : ", leader " + status.leader(), status.aloneMillis() == 0 ? "" : ", isolated for " + status.aloneMillis() / 1_000 + " s"));
+                if (!votersOnly || status.role().equals("voter")) {
                     status.zones().forEach(zones::add);
                 }
             } else {
                 out.println(String.format(Locale.ROOT, "%-20s %-6s no answer", name, client.machines(Role.VOTER).contains(name) ? "voter" : "relay"));
             }
         }
-        for (ZoneSummary each : zones.zones()) {
-            out.println("zone " + each.zone() + ": " + each.subscribers() + " subscribers, lowest in force " + shown(each.lowest()) + ", " + each.refused() + " hold something back"
-                    + (each.lagging().isEmpty() ? "" : ", behind: " + String.join(" ", each.lagging())));
+        for (ZoneSummary zone : zones.zones()) {
+            out.println("zone " + zone.zone() + ": " + zone.subscribers() + " subscribers, lowest in force " + describe(zone.lowest()) + ", " + zone.refused() + " hold something back"
+                    + (zone.lagging().isEmpty() ? "" : ", behind: " + String.join(" ", zone.lagging())));
         }
-        if (answers == 0) {
+        if (responses == 0) {
             err.println("no control machine answers");
-            return NOTHING;
+            return EXIT_NO_RESULT;
         }
-        out.println("newest: " + shown(newest));
+        out.println("newest: " + describe(newest));
         return 0;
     }
 }
--- a/src/main/java/mastdrift/cli/ControlCommand.java
+++ b/src/main/java/mastdrift/cli/ControlCommand.java
@@ -10,12 +10,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** A control machine as a process. */
+/** {@code control}: runs a control machine as a process until SIGTERM. */
 @Command(name = "control", description = "Runs a control machine, which distributes configuration to gateways, until SIGTERM.", mixinStandardHelpOptions = true)
 final class ControlCommand implements Callable<Integer> {
 
-    private static final int REFUSED = 1;
-    private static final int WORDS = 2;
+    private static final int EXIT_REFUSED = 1;
+    private static final int EXIT_USAGE = 2;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -23,28 +23,30 @@
     @Option(names = "--config", required = true, paramLabel = "FILE", description = "the control machine's file")
     private Path config;
 
-    @Option(names = "--log", paramLabel = "FORM", defaultValue = "text", description = "lines of the log on standard output: text or json (${DEFAULT-VALUE})")
-    private String form;
+    @Option(names = "--log", paramLabel = "FORM", defaultValue = "text", description = "format of the log on standard output: text or json (${DEFAULT-VALUE})")
+    private String logFormat;
 
     @Override
     public Integer call() throws InterruptedException {
         LogSetup log;
         try {
-            log = new LogSetup(System.out, LogSetup.Form.parse(form));
+            log = new LogSetup(System.out, LogSetup.Form.parse(logFormat));
         } catch (IllegalArgumentException e) {
             spec.commandLine().getErr().println("--log: " + e.getMessage());
-            return WORDS;
+            return EXIT_USAGE;
         }
-        Runnable end;  // and no machine that a lambda's signature would have loaded with every command
+        // A Runnable, not a ControlMachine: a lambda that captured one would have the type in its signature, and so
+        // have it loaded with every command.
+        Runnable closeMachine;
         try {
-            end = ControlMachine.start(config, log.events())::close;
+            closeMachine = ControlMachine.start(config, log.events())::close;
         } catch (IllegalArgumentException e) {
             log.close();
             spec.commandLine().getErr().println(e.getMessage());
-            return REFUSED;
+            return EXIT_REFUSED;
         }
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            end.run();
+            closeMachine.run();
             log.events().event(Events.Level.INFO, "stopped", "stopped");
             log.close();
             Runtime.getRuntime().halt(0);
--- a/src/main/java/mastdrift/cli/PeersCommand.java
+++ b/src/main/java/mastdrift/cli/PeersCommand.java
@@ -17,15 +17,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Which gateways there are, as one of them sees it. */
+/** {@code peers}: shows the gateways that one gateway knows of. */
 @Command(name = "peers", description = "Shows which gateways a gateway knows of, from the status file of its table [peers].", mixinStandardHelpOptions = true)
 final class PeersCommand implements Callable<Integer> {
 
-    private static final int REFUSED = 1;
-    private static final int NOTHING = 3;
+    private static final int EXIT_ERROR = 1;
+    private static final int EXIT_NO_STATUS = 3;
 
-    /** How it is written. */
-    enum Form { TEXT, JSON }
+    /** Output format. */
+    enum Format { TEXT, JSON }
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -34,7 +34,7 @@
     private Path file;
 
     @Option(names = "--form", paramLabel = "FORM", defaultValue = "TEXT", description = "text or json (${DEFAULT-VALUE})")
-    private Form form;
+    private Format format;
 
     @Override
     public Integer call() throws IOException {
@@ -44,34 +44,34 @@
         result.problems().forEach(err::println);
         Configuration configuration = result.configuration();
         if (configuration == null) {
-            return REFUSED;
+            return EXIT_ERROR;
         }
         String name = configuration.peers() == null ? null : configuration.peers().statusFile();
         if (name == null) {
             err.println(file + ": expected a table [peers] with status_file, found " + (configuration.peers() == null ? "no such table" : "none in it"));
-            return REFUSED;
+            return EXIT_ERROR;
         }
         Map<String, Object> status = new StatusFile(file, name).read();
         if (status == null) {
-            err.println(name + ": expected what a gateway wrote, found nothing; has it been started?");
-            return NOTHING;
+            err.println(name + ": expected the status written by a gateway, found none; is the gateway running?");
+            return EXIT_NO_STATUS;
         }
-        if (form == Form.JSON) {
+        if (format == Format.JSON) {
             out.println(JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asString(status));
         } else {
-            text(status, out);
+            printText(status, out);
         }
         return 0;
     }
 
-    private static void text(Map<String, Object> status, PrintWriter out) {
+    private static void printText(Map<String, Object> status, PrintWriter out) {
         out.println("gateway " + status.get("gateway") + " in " + status.get("zone") + ", life " + status.get("life") + ", build " + status.get("build") + ", settings "
                 + status.get("settings") + ", written at " + status.get("at"));
         if (Boolean.TRUE.equals(status.get("name_taken"))) {
-            out.println("its name is taken: another gateway of this installation answers to it");
+            out.println("name conflict: another gateway of this installation uses the same name");
         }
         if (status.get("health") instanceof Integer health && health > 0) {
-            out.println("it doubts itself: local health " + health + " of 8, 0 is well");
+            out.println("degraded: local health " + health + " of 8, 0 is healthy");
         }
         if (status.get("log") instanceof Map<?, ?> log) {
             out.println("agreed log: " + log.get("part") + ("".equals(log.get("why")) ? "" : " (" + log.get("why") + ")") + ", leader "
@@ -87,13 +87,13 @@
                 String differs = (status.get("settings").equals(member.get("settings")) ? "" : "settings " + member.get("settings") + " ")
                         + (status.get("build").equals(member.get("build")) ? "" : "build");
                 out.printf(Locale.ROOT, "%-20s %-12s %-10s %10s %10s %-18s %-12s %-8s %s%n", member.get("name"), member.get("zone"), member.get("standing"),
-                        seconds(member.get("since_ms")), seconds(member.get("heard_ms")), member.get("life"), member.get("build"), rolls.get(member.get("name")),
+                        formatSeconds(member.get("since_ms")), formatSeconds(member.get("heard_ms")), member.get("life"), member.get("build"), rolls.get(member.get("name")),
                         differs.isEmpty() ? "nothing" : differs.strip());
             }
         }
     }
 
-    private static String seconds(Object millis) {
+    private static String formatSeconds(Object millis) {
         return millis instanceof Number number ? String.format(Locale.ROOT, "%.1f s", number.longValue() / 1e3) : "never";
     }
 }
--- a/src/main/java/mastdrift/cli/ZonesCommand.java
+++ b/src/main/java/mastdrift/cli/ZonesCommand.java
@@ -15,26 +15,26 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** What crossed zones, from the files that gateways write. */
-@Command(name = "zones", description = "Shows what crossed zones, why, and what is left of budgets, by the reports or states of gateways.",
+/** {@code zones}: shows cross-zone traffic from the files that gateways write. */
+@Command(name = "zones", description = "Shows cross-zone traffic, its causes and what is left of budgets, from the reports or states of gateways.",
         mixinStandardHelpOptions = true)
 final class ZonesCommand implements Callable<Integer> {
 
-    private static final int REFUSED = 1;
+    private static final int EXIT_ERROR = 1;
 
-    /** How it is written. */
-    enum Form { TEXT, CSV, JSON }
+    /** Output format. */
+    enum Format { TEXT, CSV, JSON }
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    @Parameters(arity = "1..64", paramLabel = "FILE", description = "reports (report_file) or states of gateways; a file is a moment of one gateway")
+    @Parameters(arity = "1..64", paramLabel = "FILE", description = "reports (report_file) or states of gateways; each file is a snapshot of one gateway")
     private List<Path> files;
 
     @Option(names = "--form", paramLabel = "FORM", defaultValue = "TEXT", description = "text, csv or json (${DEFAULT-VALUE})")
-    private Form form;
+    private Format format;
 
-    @Option(names = "--picture", paramLabel = "FILE", description = "writes bytes by class and cause to an SVG file too")
+    @Option(names = "--picture", paramLabel = "FILE", description = "also writes an SVG chart of bytes by class and cause")
     private Path picture;
 
     @Override
@@ -45,7 +45,7 @@
             for (Path file : files) {
                 snapshots.add(ZoneReports.read(file));
             }
-            switch (form) {
+            switch (format) {
                 case CSV -> out.print(ZoneReports.csv(snapshots));
                 case JSON -> out.print(ZoneReports.json(snapshots));
                 default -> ZoneReports.lines(snapshots).forEach(out::println);
@@ -57,7 +57,7 @@
             return 0;
         } catch (IOException e) {
             spec.commandLine().getErr().println(e.getMessage());
-            return REFUSED;
+            return EXIT_ERROR;
         }
     }
 }
--- a/src/main/java/mastdrift/cli/package-info.java
+++ b/src/main/java/mastdrift/cli/package-info.java
@@ -1,2 +1,5 @@
-/** The command line. Each command loads what it needs, and the simulator's adapter none of it. */
+/**
+ * The command line. Each command loads only the classes that it needs; the simulator's adapter loads none of the
+ * others.
+ */
 package mastdrift.cli;
--- a/src/test/java/mastdrift/cli/CommandsTest.java
+++ b/src/test/java/mastdrift/cli/CommandsTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line: what it prints, and its statuses. */
+/** Output and exit statuses of the commands. */
 class CommandsTest {
 
     @TempDir
@@ -41,16 +41,16 @@
         return status;
     }
 
-    private String set(String name) throws IOException {
-        Path below = Files.createDirectories(folder.resolve(name));
+    private String writeSampleFiles(String name) throws IOException {
+        Path subfolder = Files.createDirectories(folder.resolve(name));
         for (var file : Samples.set().entrySet()) {
-            Files.writeString(below.resolve(file.getKey()), file.getValue());
+            Files.writeString(subfolder.resolve(file.getKey()), file.getValue());
         }
-        return below.resolve("gateway.toml").toString();
+        return subfolder.resolve("gateway.toml").toString();
     }
 
     @Test
-    void theExamplesUnderDeployAreGood() {
+    void checkAcceptsTheDeployExamples() {
         assertEquals(0, run("check", "deploy/gateway.toml"), () -> err);
         assertTrue(out.contains("pool sessions: version "), out);
         assertEquals(0, run("check", "deploy/gateway-radius.toml"), () -> err);
@@ -62,17 +62,19 @@
         assertTrue(out.contains("control machine control-1: voter in bilbao, one of 3, epoch 1"), out);
     }
 
-    /** What a gateway wrote of the others, and files that have none of it. */
+    /**
+     * Peers from a gateway's status file, and an error for a configuration without [peers] or without a status file.
+     */
     @Test
-    void peersShowsWhoIsThere(@TempDir Path own) throws IOException {
+    void peersShowsMembersFromTheStatusFile(@TempDir Path temporaryFolder) throws IOException {
         assertEquals(1, run("peers", "deploy/gateway.toml"));
         assertTrue(err.contains("expected a table [peers] with status_file, found no such table"), err);
         for (String name : List.of("gateway-fleet.toml", "nodes-sessions.toml")) {
-            Files.copy(Path.of("deploy", name), own.resolve(name));
+            Files.copy(Path.of("deploy", name), temporaryFolder.resolve(name));
         }
-        String file = own.resolve("gateway-fleet.toml").toString();
-        assertEquals(3, run("peers", file), "nothing was written yet");
-        Files.writeString(own.resolve("peers.status"), "{\"gateway\":\"bilbao-1\",\"zone\":\"bilbao\",\"life\":7,\"build\":\"1\",\"settings\":\"a\",\"at\":\"now\",\"health\":2,"
+        String file = temporaryFolder.resolve("gateway-fleet.toml").toString();
+        assertEquals(3, run("peers", file), "no status file was written yet");
+        Files.writeString(temporaryFolder.resolve("peers.status"), "{\"gateway\":\"bilbao-1\",\"zone\":\"bilbao\",\"life\":7,\"build\":\"1\",\"settings\":\"a\",\"at\":\"now\",\"health\":2,"
                 + "\"log\":{\"part\":\"aside\",\"why\":\"an older copy\",\"leader\":\"\",\"term\":3,\"last\":9,\"voters\":[\"bilbao-1\"],\"rolls\":{\"oviedo-1\":8}},"
                 + "\"members\":[{\"name\":\"oviedo-1\",\"zone\":\"oviedo\",\"standing\":\"gone\",\"since_ms\":1500,\"heard_ms\":null,\"life\":5,\"build\":\"1\",\"settings\":\"b\"}]}");
         assertEquals(0, run("peers", file), () -> err);
@@ -82,9 +84,12 @@
         assertTrue(out.contains("\"standing\""), out);
     }
 
-    /** Two gateways' reports: what crossed together, each one's budget, and a file that is none. */
+    /**
+     * Cross-zone traffic summed over the reports of two gateways, the budget of each, and an error for a file that is
+     * no report.
+     */
     @Test
-    void zonesShowsWhatCrossed() throws IOException {
+    void zonesShowsCrossZoneTraffic() throws IOException {
         String[] files = new String[2];
         for (int i = 0; i < files.length; i++) {
             Zoning zoning = new Zoning("g" + i, "bilbao", 2, new ZoneSettings(List.of(new Limit("month", Window.MONTH, Limit.Unit.BYTES, 4096,
@@ -110,8 +115,8 @@
     }
 
     @Test
-    void checkNamesWhatIsWrong() throws IOException {
-        String file = set("a");
+    void checkReportsInvalidAndGuardedConfigurations() throws IOException {
+        String file = writeSampleFiles("a");
         assertEquals(0, run("check", file), () -> err);
         assertTrue(out.contains("pool main: version ") && out.contains("route reads: [main 1.0, spare 3.0], else main"), out);
         Files.writeString(Path.of(file).resolveSibling("main.toml"), Samples.nodes("main").replace("weight = 1.5", "weight = x"));
@@ -125,8 +130,8 @@
     }
 
     @Test
-    void checkPrintsWhatAGatewayRefused() throws IOException {
-        String file = set("a");
+    void checkPrintsRefusalsFromTheStatusFile() throws IOException {
+        String file = writeSampleFiles("a");
         Files.writeString(Path.of(file), Samples.GATEWAY.replace("name = \"g\"", "status_file = \"status\""));
         Files.writeString(Path.of(file).resolveSibling("status"),
                 "{\"at\":\"then\",\"in_force\":{\"main\":1},\"refused\":[\"main.toml:1:1: why\"]}");
@@ -135,9 +140,9 @@
     }
 
     @Test
-    void planSaysWhatAChangeWouldDo() throws IOException {
-        String old = set("a");
-        String next = set("b");
+    void planShowsChangesAndGuardRefusals() throws IOException {
+        String old = writeSampleFiles("a");
+        String next = writeSampleFiles("b");
         assertEquals(0, run("plan", old, next), () -> err);
         assertEquals("would be taken\n", out);
         Path list = Path.of(next).resolveSibling("main.toml");
@@ -155,7 +160,7 @@
     }
 
     @Test
-    void wrongWordsAreStatusTwo() {
+    void wrongArgumentsExitWithStatusTwo() {
         assertEquals(2, run());
         assertEquals(2, run("serf"));
         assertEquals(2, run("serve"));
@@ -165,16 +170,16 @@
     }
 
     @Test
-    void serveEndsWithAllThatIsWrong() throws IOException {
-        String file = set("a");
+    void serveReportsAllProblemsOfAnInvalidFile() throws IOException {
+        String file = writeSampleFiles("a");
         Files.writeString(Path.of(file), Samples.GATEWAY.replace("class = \"session-read\"", "class = 1").replace("# end", ""));
         assertEquals(1, run("serve", "--config", file));
         assertEquals(2, err.lines().count(), err);
     }
 
-    /** The demo itself, as short as it can be: everybody gets an answer, and the drained host nothing new. */
+    /** The shortest possible demo: every client gets an answer, and the drained host gets no new requests. */
     @Test
-    void theDemoPlays() {
+    void demoAnswersEveryRequest() {
         assertEquals(0, run("demo", "--seconds", "4"), () -> out + err);
         assertTrue(out.contains("curl -i -H 'X-Trace-Id: mine-1'"), out);
         assertTrue(out.contains("Starts that ran twice: 0."), out);
--- a/src/test/java/mastdrift/cli/DistributionProcessesTest.java
+++ b/src/test/java/mastdrift/cli/DistributionProcessesTest.java
@@ -42,62 +42,65 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three voters, two relays and two gateways as processes on loopback; one installation for all tests, in their order, since seven processes take seconds to start. */
+/**
+ * Three voters, two relays and two gateways as processes on loopback. All tests share one installation and run in
+ * order, since seven processes take seconds to start.
+ */
 @Timeout(180)
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 @TestMethodOrder(MethodOrderer.OrderAnnotation.class)
 class DistributionProcessesTest {
 
-    private static final int WAIT_SECONDS = 40;
-    private static final Pattern NEWEST = Pattern.compile("newest: revision (\\d+) of epoch 1");
+    private static final int TIMEOUT_SECONDS = 40;
+    private static final Pattern NEWEST_REVISION = Pattern.compile("newest: revision (\\d+) of epoch 1");
 
     private Path folder;
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final Effects effects = new Effects(1_500_000);
     private final Map<String, Process> processes = new LinkedHashMap<>();
-    private String net;
+    private String addressPrefix;
     private StandInHost red;
     private StandInHost blue;
     private String out;
     private String err;
 
-    // ---- the installation
+    // Setup of the processes
 
-    private String machines(String more) {
-        StringBuilder text = new StringBuilder(more).append("epoch = 1\ninstallation = \"test\"\n[[distribution.key]]\nsecret_file = \"../key\"\n");
+    private String distributionTables(String head) {
+        StringBuilder text = new StringBuilder(head).append("epoch = 1\ninstallation = \"test\"\n[[distribution.key]]\nsecret_file = \"../key\"\n");
         for (int i = 1; i <= 5; i++) {
-            text.append("[[distribution.machine]]\nname = \"c").append(i).append("\"\naddress = \"").append(net).append(i).append(":7500\"\nzone = \"").append(i % 2 == 0 ? "oviedo" : "bilbao")
+            text.append("[[distribution.machine]]\nname = \"c").append(i).append("\"\naddress = \"").append(addressPrefix).append(i).append(":7500\"\nzone = \"").append(i % 2 == 0 ? "oviedo" : "bilbao")
                     .append("\"\nrole = \"").append(i <= 3 ? "voter" : "relay").append("\"\n");
         }
         return text.toString();
     }
 
     @BeforeAll
-    void files(@TempDir Path own) throws Exception {
-        folder = own;
-        // Addresses of its own, so that two runs side by side don't meet.
-        net = "127." + (64 + ProcessHandle.current().pid() % 128) + ".251.";
+    void writeFilesAndStartProcesses(@TempDir Path temporaryFolder) throws Exception {
+        folder = temporaryFolder;
+        // Loopback addresses by process id, so that two concurrent test runs don't collide.
+        addressPrefix = "127." + (64 + ProcessHandle.current().pid() % 128) + ".251.";
         red = new StandInHost("red", "bilbao", effects, loop, 1_000, 8);
         blue = new StandInHost("blue", "bilbao", effects, loop, 1_000, 8);
         Files.writeString(folder.resolve("key"), "a key of this test");
         for (int i = 1; i <= 5; i++) {
             new GatewayFiles(Files.createDirectory(folder.resolve("c" + i))).save("control.toml",
-                    machines("[distribution]\nname = \"c" + i + "\"\nrole = \"" + (i <= 3 ? "voter" : "relay") + "\"\nfolder = \"state\"\n") + "# end\n");
+                    distributionTables("[distribution]\nname = \"c" + i + "\"\nrole = \"" + (i <= 3 ? "voter" : "relay") + "\"\nfolder = \"state\"\n") + "# end\n");
         }
         for (int i = 1; i <= 3; i++) {
             GatewayFiles files = new GatewayFiles(Files.createDirectory(folder.resolve("g" + i)));
             files.save("red.toml", GatewayFiles.list(List.of(GatewayFiles.node("red", red.endpoint(), "bilbao", ""))));
             files.save("blue.toml", GatewayFiles.list(List.of(GatewayFiles.node("blue", blue.endpoint(), "bilbao", ""))));
-            files.save("gateway.toml", "[gateway]\nname = \"g" + i + "\"\nlisten = \"" + net + (10 + i) + ":8080\"\nzone = \"" + (i == 2 ? "oviedo" : "bilbao")
+            files.save("gateway.toml", "[gateway]\nname = \"g" + i + "\"\nlisten = \"" + addressPrefix + (10 + i) + ":8080\"\nzone = \"" + (i == 2 ? "oviedo" : "bilbao")
                     + "\"\nzones = [\"bilbao\", \"oviedo\"]\n" + GatewayFiles.type("session-read", "safe", "2s", "10s", "") + "[pool.red]\nnodes = [\"red.toml\"]\n[pool.blue]\nnodes = [\"blue.toml\"]\n"
-                    + "[[route]]\nname = \"all\"\npools = { red = 1 }\n" + machines("[distribution]\nrole = \"gateway\"\nfolder = \"state\"\nstatus_file = \"config.status\"\n") + "# end\n");
+                    + "[[route]]\nname = \"all\"\npools = { red = 1 }\n" + distributionTables("[distribution]\nrole = \"gateway\"\nfolder = \"state\"\nstatus_file = \"config.status\"\n") + "# end\n");
         }
         for (int i = 1; i <= 5; i++) {
             start("c" + i);
         }
         start("g1");
         start("g2");
-        await(() -> said("g1", "listening on") && said("g2", "listening on"), "both gateways are ready");
+        await(() -> logContains("g1", "listening on") && logContains("g2", "listening on"), "both gateways to listen");
     }
 
     private void start(String name) throws IOException {
@@ -115,7 +118,7 @@
         return folder.resolve(name).resolve("log");
     }
 
-    private boolean said(String name, String text) {
+    private boolean logContains(String name, String text) {
         try {
             return Files.exists(log(name)) && Files.readString(log(name)).contains(text);
         } catch (IOException e) {
@@ -124,7 +127,7 @@
     }
 
     private void kill(String name) throws InterruptedException {
-        assertTrue(processes.get(name).destroyForcibly().waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
+        assertTrue(processes.get(name).destroyForcibly().waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
     private void signal(String name, String signal) throws Exception {
@@ -132,7 +135,7 @@
     }
 
     @AfterAll
-    void end() throws Exception {
+    void killProcesses() throws Exception {
         for (String each : processes.keySet()) {
             kill(each);
         }
@@ -141,14 +144,15 @@
         loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** What holds, in the end. */
-    private interface Holds {
-        boolean now() throws Exception;
+    /** A condition that becomes true in the end. */
+    private interface Condition {
+        boolean holds() throws Exception;
     }
 
-    private void await(Holds holds, String what) throws Exception {
-        for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS); !holds.now(); Thread.sleep(50)) {
-            assertTrue(System.nanoTime() < until, () -> what + "\n" + out + err + processes.keySet().stream().map(each -> {
+    private void await(Condition condition, String awaited) throws Exception {
+        for (long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS); !condition.holds();
+                Thread.sleep(50)) {
+            assertTrue(System.nanoTime() < deadlineNanos, () -> awaited + "\n" + out + err + processes.keySet().stream().map(each -> {
                 try {
                     return each + ":\n" + Files.readString(log(each));
                 } catch (IOException e) {
@@ -158,7 +162,7 @@
         }
     }
 
-    // ---- operators and clients
+    // Operators and clients
 
     private int run(String... args) {
         ByteArrayOutputStream outBytes = new ByteArrayOutputStream();
@@ -169,32 +173,32 @@
         return status;
     }
 
-    private String gateway() {
+    private String gatewayFile() {
         return folder.resolve("g1").resolve("gateway.toml").toString();
     }
 
-    private void route(String pool) throws IOException {
+    private void applyRoute(String pool) throws IOException {
         Path file = folder.resolve("change.toml");
         Files.writeString(file, "[[upsert]]\nkind = \"route\"\nname = \"all\"\nvalue = { order = 1, pools = [ { pool = \"" + pool + "\", weight = 1 } ] }\n# end\n");
-        assertEquals(0, run("config", "apply", file.toString(), "--config", gateway()), () -> out + err);
+        assertEquals(0, run("config", "apply", file.toString(), "--config", gatewayFile()), () -> out + err);
     }
 
-    private String answering(int gateway) {
-        try (StandInClient client = new StandInClient(new InetSocketAddress(net + (10 + gateway), 8080))) {
+    private String answeringHost(int gateway) {
+        try (StandInClient client = new StandInClient(new InetSocketAddress(addressPrefix + (10 + gateway), 8080))) {
             StandInClient.Answer answer = client.ask(StandInClient.head("session-read", null, "id-" + System.nanoTime(), "object", null, 8_000, 0), "");
             return answer.status() == 200 ? answer.body().split(" ")[0] : "" + answer.status();
         }
     }
 
-    private long newest() {
-        run("config", "status", "--config", gateway());
-        Matcher matcher = NEWEST.matcher(out);
+    private long newestRevision() {
+        run("config", "status", "--config", gatewayFile());
+        Matcher matcher = NEWEST_REVISION.matcher(out);
         return matcher.find() ? Long.parseLong(matcher.group(1)) : -1;
     }
 
-    /** Whether all that control machines tell of is in force at both gateways. */
+    /** Whether the newest revision of the control machines is in force at both gateways. */
     private boolean allInForce() {
-        long newest = newest();
+        long newest = newestRevision();
         return newest > 0 && List.of("bilbao", "oviedo").stream().allMatch(zone -> out.contains("zone " + zone + ": 1 subscribers, lowest in force revision " + newest + " of epoch 1, 0 hold"));
     }
 
@@ -204,45 +208,47 @@
     }
 
     private ControlMessage apply(Change change) throws InterruptedException {
-        try (ControlClient client = ControlClient.by(Path.of(gateway()))) {
-            return client.apply(change, WAIT_SECONDS * 1_000L);
+        try (ControlClient client = ControlClient.by(Path.of(gatewayFile()))) {
+            return client.apply(change, TIMEOUT_SECONDS * 1_000L);
         }
     }
 
-    // ---- what happens
+    // Tests
 
     @Test
     @Order(1)
-    void aRouteIsInForceAtAllGateways() throws Exception {
-        assertEquals("red red", answering(1) + " " + answering(2), "the file's, while resources have none");
-        route("blue");
-        await(() -> answering(1).equals("blue") && answering(2).equals("blue"), "by the new route");
-        await(this::allInForce, "acknowledged");
-        assertEquals(0, run("config", "get", "route", "all", "--config", gateway()), () -> err);
+    void appliedRouteComesIntoForceAtAllGateways() throws Exception {
+        assertEquals("red red", answeringHost(1) + " " + answeringHost(2),
+                "the route of the file, while there is no route resource");
+        applyRoute("blue");
+        await(() -> answeringHost(1).equals("blue") && answeringHost(2).equals("blue"),
+                "requests to follow the new route");
+        await(this::allInForce, "both gateways to acknowledge the revision");
+        assertEquals(0, run("config", "get", "route", "all", "--config", gatewayFile()), () -> err);
         assertTrue(out.contains("\"pool\":\"blue\""), out);
-        assertEquals(3, run("config", "get", "route", "none", "--config", gateway()));
-        assertEquals(2, run("config", "get", "rout", "none", "--config", gateway()));
+        assertEquals(3, run("config", "get", "route", "none", "--config", gatewayFile()));
+        assertEquals(2, run("config", "get", "rout", "none", "--config", gatewayFile()));
         Path file = folder.resolve("bad.toml");
         Files.writeString(file, "[[delete]]\nkind = \"route\"\nname = \"all\"\nexpected = 77\n# end\n");
-        assertEquals(1, run("config", "apply", file.toString(), "--config", gateway()));
+        assertEquals(1, run("config", "apply", file.toString(), "--config", gatewayFile()));
         assertTrue(err.contains("conflict, nothing is changed: edits[0] (route all): expected version 77, found version"), err);
     }
 
-    /** The leader is killed in the middle of a burst: each change is in once, and all are in force. */
+    /** The leader is killed during a burst of changes: each change is applied once, and all come into force. */
     @Test
     @Order(2)
-    void theLeaderIsKilledInABurst() throws Exception {
-        long before = newest();
+    void changesAreAppliedOnceWhenTheLeaderIsKilled() throws Exception {
+        long before = newestRevision();
         Matcher matcher = Pattern.compile("leader (c\\d)").matcher(out);
         assertTrue(matcher.find(), out);
         String leader = matcher.group(1);
         List<CompletableFuture<Void>> writers = new ArrayList<>();
         for (int w = 0; w < 4; w++) {
-            int first = w * 10;
+            int firstChange = w * 10;
             writers.add(CompletableFuture.runAsync(() -> {
-                try (ControlClient client = ControlClient.by(Path.of(gateway()))) {
-                    for (int i = first; i < first + 10; i++) {
-                        ControlMessage answer = client.apply(change(i), WAIT_SECONDS * 1_000L);
+                try (ControlClient client = ControlClient.by(Path.of(gatewayFile()))) {
+                    for (int i = firstChange; i < firstChange + 10; i++) {
+                        ControlMessage answer = client.apply(change(i), TIMEOUT_SECONDS * 1_000L);
                         assertTrue(answer instanceof ControlMessage.Applied, answer.toString());
                         if (i == 3) {
                             kill(leader);
@@ -254,86 +260,94 @@
             }));
         }
         for (CompletableFuture<Void> each : writers) {
-            each.get(WAIT_SECONDS, TimeUnit.SECONDS);
+            each.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
-        assertEquals(before + 40, newest(), () -> "each in once: " + out);
+        assertEquals(before + 40, newestRevision(), () -> "each change applied once: " + out);
         start(leader);
-        await(this::allInForce, "all in force");
+        await(this::allInForce, "all changes to be in force");
         for (int i = 0; i < 40; i += 13) {
-            assertEquals(0, run("config", "get", "tenant", "t-" + i, "--config", gateway()), () -> err);
+            assertEquals(0, run("config", "get", "tenant", "t-" + i, "--config", gatewayFile()), () -> err);
         }
-        String back = leader + " +voter +revision " + (before + 40);
-        await(() -> newest() == before + 40 && Pattern.compile(back).matcher(out).find(), "the one that was killed has them all, too");
+        String restartedStatus = leader + " +voter +revision " + (before + 40);
+        await(() -> newestRevision() == before + 40 && Pattern.compile(restartedStatus).matcher(out).find(), "the restarted leader to have all changes");
     }
 
-    /** Its writer is gone before it hears: the change is asked for again under its id, and is in once. */
+    /** The writer is killed before it gets the response: the change is retried with the same id and is applied once. */
     @Test
     @Order(3)
-    void aWritersChangeIsInOnceThoughItDies() throws Exception {
-        long before = newest();
+    void changeIsAppliedOnceWhenItsWriterIsKilledAndRetries() throws Exception {
+        long before = newestRevision();
         Path file = folder.resolve("once.toml");
         Files.writeString(file, "id = \"once\"\n[[upsert]]\nkind = \"tenant\"\nname = \"once\"\nvalue = { share = 0.1 }\n# end\n");
         Process writer = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), "mastdrift.cli.Main", "config",
-                "apply", file.toString(), "--config", gateway()).redirectErrorStream(true).redirectOutput(folder.resolve("writer").toFile()).start();
-        await(() -> newest() > before, "agreed on");
-        assertTrue(writer.destroyForcibly().waitFor(WAIT_SECONDS, TimeUnit.SECONDS));
-        assertEquals(0, run("config", "apply", file.toString(), "--config", gateway()), () -> err);
+                "apply", file.toString(), "--config", gatewayFile()).redirectErrorStream(true).redirectOutput(folder.resolve("writer").toFile()).start();
+        await(() -> newestRevision() > before, "the change to be committed");
+        assertTrue(writer.destroyForcibly().waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        assertEquals(0, run("config", "apply", file.toString(), "--config", gatewayFile()), () -> err);
         assertTrue(out.contains("change once: in, revision " + (before + 1)), out);
-        assertEquals(before + 1, newest());
-        await(this::allInForce, "in force");
+        assertEquals(before + 1, newestRevision());
+        await(this::allInForce, "the change to be in force");
     }
 
-    /** The relay of a gateway is frozen: it goes to the other one within the bound; woken, the relay takes nobody back. */
+    /**
+     * The relay of a gateway is paused: the gateway moves to the other relay within the bound, and does not go back
+     * once the first one continues.
+     */
     @Test
     @Order(4)
-    void aRelayIsFrozenAndWoken() throws Exception {
-        await(() -> machine() != null, "it is at a relay");
-        String relay = machine();
+    void gatewaySwitchesRelaysWhenItsRelayIsPaused() throws Exception {
+        await(() -> relayOfSecondGateway() != null, "the gateway to be connected to a relay");
+        String relay = relayOfSecondGateway();
         signal(relay, "STOP");
-        route("red");
-        long since = System.nanoTime();
-        await(() -> answering(1).equals("red") && answering(2).equals("red"), "by the other relay");
-        long took = (System.nanoTime() - since) / 1_000_000;
-        assertTrue(took < 12_000, "in force everywhere within 12 s, took " + took + " ms");
-        await(() -> machine() != null && !relay.equals(machine()), "it went to the other one");
-        long number = newest();
+        applyRoute("red");
+        long sinceNanos = System.nanoTime();
+        await(() -> answeringHost(1).equals("red") && answeringHost(2).equals("red"),
+                "the route to arrive over the other relay");
+        long tookMillis = (System.nanoTime() - sinceNanos) / 1_000_000;
+        assertTrue(tookMillis < 12_000, "in force everywhere within 12 s, took " + tookMillis + " ms");
+        await(() -> relayOfSecondGateway() != null && !relay.equals(relayOfSecondGateway()),
+                "the gateway to move to the other relay");
+        long number = newestRevision();
         signal(relay, "CONT");
-        await(() -> newest() == number && Pattern.compile(relay + " +relay +revision " + number).matcher(out).find(), "it has caught up");
-        await(this::allInForce, "nobody went back");
-        assertEquals("red red", answering(1) + " " + answering(2));
+        await(() -> newestRevision() == number && Pattern.compile(relay + " +relay +revision " + number).matcher(out).find(), "the paused relay to catch up");
+        await(this::allInForce, "all gateways to stay where they are, with the newest revision in force");
+        assertEquals("red red", answeringHost(1) + " " + answeringHost(2));
     }
 
-    /** The relay that the second gateway is at, by its status file; null while it is at none. */
-    private String machine() throws IOException {
+    /** The relay that the second gateway is connected to, from its status file; null if there is none. */
+    private String relayOfSecondGateway() throws IOException {
         Matcher matcher = Pattern.compile("\"machine\" : \"(c\\d)\"").matcher(Files.readString(folder.resolve("g2/config.status")));
         return matcher.find() ? matcher.group(1) : null;
     }
 
-    /** No control machine is there: gateways serve on, one that starts with its copy serves by it, one without a copy isn't ready until they are back. */
+    /**
+     * All control machines are down: running gateways keep serving, a gateway that starts with a local copy serves from
+     * it, one without a copy is not ready until they are back.
+     */
     @Test
     @Order(5)
-    void allControlMachinesAreAway() throws Exception {
-        route("blue");
-        await(() -> answering(1).equals("blue") && answering(2).equals("blue"), "in force");
-        await(() -> Files.readString(folder.resolve("g1/config.status")).contains("\"copy\" : " + newest()), "the copy is written");
+    void gatewaysServeFromTheirCopiesWhenAllControlMachinesAreDown() throws Exception {
+        applyRoute("blue");
+        await(() -> answeringHost(1).equals("blue") && answeringHost(2).equals("blue"), "the new route to be in force");
+        await(() -> Files.readString(folder.resolve("g1/config.status")).contains("\"copy\" : " + newestRevision()), "the local copy to be written");
         for (int i = 1; i <= 5; i++) {
             kill("c" + i);
         }
         kill("g1");
         start("g1");
         start("g3");
-        await(() -> said("g1", "listening on") && said("g3", "waits for the configuration"), "one is ready by its copy, the other waits");
-        assertEquals("blue blue", answering(1) + " " + answering(2));
-        await(() -> said("g2", "no control machine is heard since") && Files.readString(folder.resolve("g2/config.status")).contains("\"alone_since\" : \"20"), "it says since when");
-        assertEquals("blue blue", answering(1) + " " + answering(2));
-        assertFalse(said("g3", "listening on"));
-        assertEquals(3, run("config", "status", "--config", gateway()));
+        await(() -> logContains("g1", "listening on") && logContains("g3", "waits for the configuration"), "one gateway to listen from its copy, the other to wait");
+        assertEquals("blue blue", answeringHost(1) + " " + answeringHost(2));
+        await(() -> logContains("g2", "no control machine is heard since") && Files.readString(folder.resolve("g2/config.status")).contains("\"alone_since\" : \"20"), "the gateway to report since when it is disconnected");
+        assertEquals("blue blue", answeringHost(1) + " " + answeringHost(2));
+        assertFalse(logContains("g3", "listening on"));
+        assertEquals(3, run("config", "status", "--config", gatewayFile()));
         for (int i = 1; i <= 5; i++) {
             start("c" + i);
         }
-        await(() -> said("g3", "listening on"), "ready by a snapshot");
-        assertEquals("blue", answering(3));
-        route("red");
-        await(() -> answering(1).equals("red") && answering(2).equals("red") && answering(3).equals("red"), "all follow again");
+        await(() -> logContains("g3", "listening on"), "the gateway to be ready from a snapshot");
+        assertEquals("blue", answeringHost(3));
+        applyRoute("red");
+        await(() -> answeringHost(1).equals("red") && answeringHost(2).equals("red") && answeringHost(3).equals("red"), "all gateways to follow the new route");
     }
 }
