--- a/src/main/java/mastdrift/cli/ChaosCommand.java
+++ b/src/main/java/mastdrift/cli/ChaosCommand.java
@@ -17,14 +17,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code lab chaos}: gateways as processes, with faults between them. */
-@Command(name = "chaos", description = "Plays gateways as processes of this machine, with faults between them, and judges what they did; ends with 1 where a law was broken.",
+/** {@code lab chaos}: runs gateways as processes, injects faults between them and checks invariants. */
+@Command(name = "chaos", description = "Runs gateways as processes on this machine, with faults between them, and checks invariants; exits with 1 if one was broken.",
         mixinStandardHelpOptions = true)
 final class ChaosCommand implements Callable<Integer> {
 
-    private static final int BROKEN = 1;
-    private static final int WORDS = 2;
-    private static final int FAULT = 4;
+    private static final int EXIT_VIOLATION = 1;
+    private static final int EXIT_USAGE = 2;
+    private static final int EXIT_IO_ERROR = 4;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -32,67 +32,67 @@
     @Parameters(paramLabel = "FILE", arity = "0..1", description = "the plan")
     private Path file;
 
-    @Option(names = "--seed", paramLabel = "N", description = "draws by this seed, whatever the file says")
+    @Option(names = "--seed", paramLabel = "N", description = "random seed, instead of the file's")
     private Long seed;
 
-    @Option(names = "--seeds", paramLabel = "N", defaultValue = "1", description = "plays so many seeds one after the other, from the first up (${DEFAULT-VALUE})")
+    @Option(names = "--seeds", paramLabel = "N", defaultValue = "1", description = "number of consecutive seeds to run (${DEFAULT-VALUE})")
     private int seeds;
 
-    @Option(names = "--replay", paramLabel = "DIR", description = "plays again what an earlier run left there")
+    @Option(names = "--replay", paramLabel = "DIR", description = "runs the plan again that an earlier run left there")
     private Path replay;
 
-    @Option(names = "--out", paramLabel = "DIR", defaultValue = "chaos-results", description = "where runs go, a folder each (${DEFAULT-VALUE})")
-    private Path out;
+    @Option(names = "--out", paramLabel = "DIR", defaultValue = "chaos-results", description = "folder for results, with a subfolder for each run (${DEFAULT-VALUE})")
+    private Path resultsFolder;
 
     @Override
     public Integer call() throws InterruptedException {
-        PrintWriter to = spec.commandLine().getOut();
+        PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
         if ((file == null) == (replay == null) || seeds < 1 || seeds > 10_000 || replay != null && (seed != null || seeds > 1)) {
             err.println("expected a FILE, or --replay DIR without --seed and --seeds; and --seeds from 1 to 10000");
-            return WORDS;
+            return EXIT_USAGE;
         }
-        int broken = 0;
+        int brokenRuns = 0;
         for (int i = 0; i < seeds; i++) {
-            ChaosPlan.Result read = ChaosPlan.read(replay == null ? file : replay.resolve("plan.toml"), seed == null ? null : Long.valueOf(seed + i));
-            if (read.plan() != null && seed == null && i > 0) {
-                read = ChaosPlan.read(file, read.plan().seed() + i);
+            ChaosPlan.Result result = ChaosPlan.read(replay == null ? file : replay.resolve("plan.toml"), seed == null ? null : Long.valueOf(seed + i));
+            if (result.plan() != null && seed == null && i > 0) {
+                result = ChaosPlan.read(file, result.plan().seed() + i);
             }
-            read.problems().forEach(err::println);
-            if (read.plan() == null) {
-                return WORDS;
+            result.problems().forEach(err::println);
+            if (result.plan() == null) {
+                return EXIT_USAGE;
             }
-            Path folder = out.resolve(read.plan().name() + "-" + read.plan().seed());
+            Path folder = resultsFolder.resolve(result.plan().name() + "-" + result.plan().seed());
             try {
-                Chaos.Outcome outcome = Chaos.play(read.plan(), folder, to::println);
+                Chaos.Outcome outcome = Chaos.play(result.plan(), folder, out::println);
                 Results.save(folder, "report.html", report(outcome));
-                to.printf("seed %d: %d faults, asked %d, served %d, refused %d, otherwise %d; %s; written to %s%n", read.plan().seed(), read.plan().faults().size(),
-                        outcome.total(0), outcome.total(1), outcome.total(2), outcome.total(3), outcome.broken().isEmpty() ? "no law broken" : "BROKEN", folder);
+                out.printf("seed %d: %d faults, asked %d, served %d, refused %d, otherwise %d; %s; written to %s%n", result.plan().seed(), result.plan().faults().size(),
+                        outcome.total(0), outcome.total(1), outcome.total(2), outcome.total(3), outcome.broken().isEmpty() ? "no invariant broken" : "BROKEN", folder);
                 outcome.broken().forEach(line -> err.println("seed " + outcome.plan().seed() + ": " + line));
-                broken += outcome.broken().isEmpty() ? 0 : 1;
+                brokenRuns += outcome.broken().isEmpty() ? 0 : 1;
             } catch (IOException e) {
                 err.println(e.getMessage());
-                return FAULT;
+                return EXIT_IO_ERROR;
             }
-            to.flush();
+            out.flush();
         }
-        return broken == 0 ? 0 : BROKEN;
+        return brokenRuns == 0 ? 0 : EXIT_VIOLATION;
     }
 
-    /** Service by second, and a lane a process. */
+    /** The HTML report: answers by second, and a lane for each process with its faults. */
     static String report(Chaos.Outcome outcome) {
         List<Band> bands = new ArrayList<>();
         List<Results.FaultMark> marks = new ArrayList<>();
         for (Fault fault : outcome.faults()) {
             double from = fault.from() / 1e6;
             double until = fault.until() / 1e6;
-            fault.gateways().forEach(number -> bands.add(new Band(number, from, until, fault.kind().word(), fault.kind().ordinal())));
+            fault.gateways().forEach(gateway -> bands.add(new Band(gateway, from, until, fault.kind().word(), fault.kind().ordinal())));
             marks.add(new Results.FaultMark(fault.kind().word(), from, until));
         }
         List<double[]> seconds = outcome.seconds().stream().map(second -> new double[] {second[0], second[1], second[2], second[3]}).toList();
         StringBuilder html = new StringBuilder("<!doctype html><html><head><meta charset=\"utf-8\"><title>").append(outcome.plan().name()).append("</title></head><body><h1>")
                 .append(outcome.plan().name()).append(", seed ").append(outcome.plan().seed()).append("</h1>");
-        html.append(outcome.broken().isEmpty() ? "<p>No law was broken.</p>" : "<p>Broken:</p><ul>");
+        html.append(outcome.broken().isEmpty() ? "<p>No invariant was broken.</p>" : "<p>Broken:</p><ul>");
         outcome.broken().forEach(line -> html.append("<li>").append(line.replace("&", "&amp;").replace("<", "&lt;")).append("</li>"));
         html.append(outcome.broken().isEmpty() ? "" : "</ul>");
         html.append(LanesPicture.counts(List.of("asked", "served", "refused", "otherwise"), seconds, marks));
--- a/src/main/java/mastdrift/cli/LoadCommand.java
+++ b/src/main/java/mastdrift/cli/LoadCommand.java
@@ -30,29 +30,30 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code load}: sends requests to a gateway and says what came of them. */
-@Command(name = "load", description = "Sends requests to a gateway at times drawn before, and says what came of them. Latencies "
+/** {@code load}: a load generator that sends requests to a gateway and prints how they ended. */
+@Command(name = "load", description = "Sends requests to a gateway at times drawn in advance, and reports how they ended. Latencies "
         + "count from the time that a request was due.", mixinStandardHelpOptions = true, sortOptions = false)
 final class LoadCommand implements Callable<Integer> {
 
-    private static final int VOID = 1;
-    private static final int WORDS = 2;
-    private static final int SECRET_MOST = 4096;
-    private static final Pattern CLASS = Pattern.compile("([^=:/\\s]+)(?:/([^=:\\s]+))?(?:=(\\d+(?:\\.\\d+)?))?(?::(safe|keyed|unsafe))?");
+    private static final int EXIT_INVALID_RUN = 1;
+    private static final int EXIT_USAGE = 2;
+    private static final int MAX_SECRET_BYTES = 4096;
+    private static final Pattern CLASS_PATTERN = Pattern.compile("([^=:/\\s]+)(?:/([^=:\\s]+))?(?:=(\\d+(?:\\.\\d+)?))?(?::(safe|keyed|unsafe))?");
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    @Option(names = "--to", required = true, paramLabel = "ADDRESS:PORT", description = "the gateway, in digits")
-    private String to;
+    @Option(names = "--to", required = true, paramLabel = "ADDRESS:PORT",
+            description = "numeric address of the gateway")
+    private String gatewayAddress;
 
     @Option(names = "--rate", paramLabel = "CURVE", description = "open loop: " + Curve.FORMS + " (default: 100)")
     private String rate;
 
-    @Option(names = "--closed", paramLabel = "N", description = "closed loop instead: N clients that ask again once answered")
-    private int closed;
+    @Option(names = "--closed", paramLabel = "N", description = "closed loop instead: N clients that send the next request once answered")
+    private int closedLoopClients;
 
-    @Option(names = "--seconds", paramLabel = "N", defaultValue = "10", description = "how long, 0.1 to 86400 (${DEFAULT-VALUE})")
+    @Option(names = "--seconds", paramLabel = "N", defaultValue = "10", description = "duration in seconds, 0.1 to 86400 (${DEFAULT-VALUE})")
     private double seconds;
 
     @Option(names = "--arrivals", paramLabel = "KIND", defaultValue = "poisson",
@@ -60,131 +61,136 @@
     private String arrivals;
 
     @Option(names = "--class", paramLabel = "NAME[/TENANT][=WEIGHT][:EFFECT]", description = "a class of requests, its tenant, its "
-            + "part and its effect: safe, keyed or unsafe; may be given again (default: session-read=2:safe, session-start=1:keyed)")
+            + "weight and its effect: safe, keyed or unsafe; may be repeated (default: session-read=2:safe, session-start=1:keyed)")
     private List<String> classes = List.of("session-read=2:safe", "session-start=1:keyed");
 
     @Option(names = "--deadline", paramLabel = "MS", defaultValue = "1500",
-            description = "how long clients wait, 1 to 600000 ms (${DEFAULT-VALUE})")
-    private long deadline;
+            description = "deadline of a request, 1 to 600000 ms (${DEFAULT-VALUE})")
+    private long deadlineMillis;
 
     @Option(names = "--body", paramLabel = "BYTES", defaultValue = "0", description = "body of each request (${DEFAULT-VALUE})")
-    private int body;
+    private int bodyBytes;
 
-    @Option(names = "--keys", paramLabel = "N", defaultValue = "500", description = "distinct objects (${DEFAULT-VALUE})")
+    @Option(names = "--keys", paramLabel = "N", defaultValue = "500", description = "number of distinct keys (${DEFAULT-VALUE})")
     private int keys;
 
     @Option(names = "--zipf", paramLabel = "X", defaultValue = "0",
-            description = "how uneven the objects are: an exponent, 0 for even (${DEFAULT-VALUE})")
-    private double zipf;
+            description = "Zipf exponent of the keys, 0 for uniform (${DEFAULT-VALUE})")
+    private double zipfExponent;
 
-    @Option(names = "--tries", paramLabel = "N", defaultValue = "1", description = "tries of a request in all (${DEFAULT-VALUE})")
-    private int tries;
+    @Option(names = "--tries", paramLabel = "N", defaultValue = "1", description = "attempts of a request in all (${DEFAULT-VALUE})")
+    private int maxAttempts;
 
     @Option(names = "--pause", paramLabel = "MS", defaultValue = "100",
-            description = "before the second try (${DEFAULT-VALUE})")
-    private long pause;
+            description = "pause before the second attempt (${DEFAULT-VALUE})")
+    private long pauseMillis;
 
-    @Option(names = "--growth", paramLabel = "X", defaultValue = "2", description = "of each further pause (${DEFAULT-VALUE})")
-    private double growth;
+    @Option(names = "--growth", paramLabel = "X", defaultValue = "2", description = "growth factor of each further pause (${DEFAULT-VALUE})")
+    private double pauseGrowth;
 
     @Option(names = "--jitter", paramLabel = "X", defaultValue = "0.5",
-            description = "part of a pause that is drawn, 0 to 1 (${DEFAULT-VALUE})")
-    private double jitter;
+            description = "random part of a pause, 0 to 1 (${DEFAULT-VALUE})")
+    private double jitterFraction;
 
     @Option(names = "--follows", paramLabel = "X", defaultValue = "0",
-            description = "part of clients that wait as long as a refusal asks, 0 to 1 (${DEFAULT-VALUE})")
-    private double follows;
+            description = "fraction of clients that wait as long as a refusal asks, 0 to 1 (${DEFAULT-VALUE})")
+    private double followsRefusalFraction;
 
     @Option(names = "--connections", paramLabel = "N", defaultValue = "64",
-            description = "connections at most; for RADIUS ports with 256 out on each (${DEFAULT-VALUE})")
+            description = "maximum connections; for RADIUS, ports with 256 requests in flight each (${DEFAULT-VALUE})")
     private int connections;
 
     @Option(names = "--opened", description = "open all connections before the first request, and use them in turn")
-    private boolean opened;
+    private boolean openFirst;
 
     @Option(names = "--threads", paramLabel = "N", defaultValue = "1", description = "event loops (${DEFAULT-VALUE})")
     private int threads;
 
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "of all draws (${DEFAULT-VALUE})")
+    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "random seed (${DEFAULT-VALUE})")
     private long seed;
 
     @Option(names = "--radius-secret-file", paramLabel = "FILE",
-            description = "ask over RADIUS, signed with what this file holds: safe classes are cards, keyed ones accounting starts")
-    private Path secret;
+            description = "send over RADIUS, signed with the secret in this file: safe classes are cards, keyed ones accounting starts")
+    private Path secretFile;
 
     @Option(names = "--late-most", paramLabel = "MS", defaultValue = "5",
-            description = "the run counts if 99%% of its requests left within so long of their time (${DEFAULT-VALUE})")
-    private double lateMost;
+            description = "maximum lateness of 99%% of the requests for the run to be valid (${DEFAULT-VALUE})")
+    private double maxLatenessMillis;
 
     @Option(names = "--out", paramLabel = "FOLDER", description = "write load.jsonl and load.hlog there")
-    private Path out;
+    private Path resultsFolder;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         PrintWriter err = spec.commandLine().getErr();
         LoadPlan plan;
         try {
-            plan = plan();
+            plan = buildPlan();
         } catch (IllegalArgumentException e) {
             err.println(e.getMessage());
-            return WORDS;
+            return EXIT_USAGE;
         }
-        LoadResult result = run(plan);
-        print(plan, result);
-        if (out != null) {
-            result.write(out);
+        LoadResult result = runPlan(plan);
+        printResult(plan, result);
+        if (resultsFolder != null) {
+            result.write(resultsFolder);
         }
         result.faults().forEach(fault -> err.println("does not count: " + fault));
-        return result.faults().isEmpty() ? 0 : VOID;
+        return result.faults().isEmpty() ? 0 : EXIT_INVALID_RUN;
     }
 
-    private LoadPlan plan() throws IOException {
+    private LoadPlan buildPlan() throws IOException {
         if (!(seconds >= 0.1 && seconds <= 86_400)) {
             throw new IllegalArgumentException("--seconds: expected 0.1 to 86400, found " + seconds);
         }
-        if (deadline < 1 || deadline > 600_000) {
-            throw new IllegalArgumentException("--deadline: expected 1 to 600000 ms, found " + deadline);
+        if (deadlineMillis < 1 || deadlineMillis > 600_000) {
+            throw new IllegalArgumentException("--deadline: expected 1 to 600000 ms, found " + deadlineMillis);
         }
-        if (rate != null && closed > 0) {
+        if (rate != null && closedLoopClients > 0) {
             throw new IllegalArgumentException("expected --rate or --closed, found both");
         }
-        InetSocketAddress at = Addresses.parse(to);
+        InetSocketAddress address = Addresses.parse(gatewayAddress);
         List<Mix.Part> parts = new ArrayList<>();
         for (String text : classes) {
-            parts.add(part(text));
+            parts.add(parsePart(text));
         }
-        byte[] signs = secret == null ? null : secret();
-        Curve curve = closed > 0 ? null : Curve.parse(rate == null ? "100" : rate, seconds);
-        return new LoadPlan(at, curve, Arrivals.Kind.parse(arrivals), closed, Duration.ofNanos((long) (seconds * 1e9)), parts,
-                new Mix.Keys(keys, zipf), new Tries(tries, pause * 1000, growth, jitter, follows), connections, opened, threads,
-                seed, signs, (long) (lateMost * 1000));
+        byte[] secret = secretFile == null ? null : readSecret();
+        Curve curve = closedLoopClients > 0 ? null : Curve.parse(rate == null ? "100" : rate, seconds);
+        return new LoadPlan(address, curve, Arrivals.Kind.parse(arrivals), closedLoopClients,
+                Duration.ofNanos((long) (seconds * 1e9)), parts, new Mix.Keys(keys, zipfExponent),
+                new Tries(maxAttempts, pauseMillis * 1000, pauseGrowth, jitterFraction, followsRefusalFraction),
+                connections, openFirst, threads,
+                seed, secret, (long) (maxLatenessMillis * 1000));
     }
 
-    private Mix.Part part(String text) {
-        Matcher matcher = CLASS.matcher(text);
+    private Mix.Part parsePart(String text) {
+        Matcher matcher = CLASS_PATTERN.matcher(text);
         if (!matcher.matches()) {
             throw new IllegalArgumentException("--class: expected NAME[/TENANT][=WEIGHT][:safe|keyed|unsafe], found \"" + text + "\"");
         }
         return new Mix.Part(matcher.group(1), matcher.group(2), matcher.group(4) == null ? Repeat.SAFE
                 : Repeat.valueOf(matcher.group(4).toUpperCase(Locale.ROOT)), matcher.group(3) == null ? 1
-                : Double.parseDouble(matcher.group(3)), deadline * 1000, body);
+                : Double.parseDouble(matcher.group(3)), deadlineMillis * 1000, bodyBytes);
     }
 
-    /** As the gateway's own files hold one: a line's end belongs to the file. */
-    private byte[] secret() throws IOException {
-        byte[] bytes = Files.isRegularFile(secret) ? Files.readAllBytes(secret) : new byte[0];
+    /**
+     * Reads the shared secret. Line ends at the end of the file are not part of it, as in the gateway's own secret
+     * files.
+     */
+    private byte[] readSecret() throws IOException {
+        byte[] bytes = Files.isRegularFile(secretFile) ? Files.readAllBytes(secretFile) : new byte[0];
         int length = bytes.length;
         while (length > 0 && (bytes[length - 1] == '\n' || bytes[length - 1] == '\r')) {
             length--;
         }
-        if (length < 1 || length > SECRET_MOST) {
-            throw new IllegalArgumentException("--radius-secret-file " + secret + ": expected a file of 1 to 4096 bytes, found "
+        if (length < 1 || length > MAX_SECRET_BYTES) {
+            throw new IllegalArgumentException("--radius-secret-file " + secretFile + ": expected a file of 1 to 4096 bytes, found "
                     + (bytes.length == 0 ? "none" : length));
         }
         return java.util.Arrays.copyOf(bytes, length);
     }
 
-    private LoadResult run(LoadPlan plan) throws InterruptedException {
+    private LoadResult runPlan(LoadPlan plan) throws InterruptedException {
         if (System.console() == null) {
             return LoadRun.start(plan).join();
         }
@@ -201,21 +207,22 @@
         }
     }
 
-    private void print(LoadPlan plan, LoadResult result) {
-        PrintWriter to = spec.commandLine().getOut();
-        to.printf("%-24s %9s %8s %9s %8s %8s %10s %8s %7s %9s %9s %9s%n", "class", "asked", "repeats", "served", "refused", "failed",
+    private void printResult(LoadPlan plan, LoadResult result) {
+        PrintWriter out = spec.commandLine().getOut();
+        out.printf("%-24s %9s %8s %9s %8s %8s %10s %8s %7s %9s %9s %9s%n", "class", "asked", "repeats", "served", "refused", "failed",
                 "unanswered", "foreign", "unsent", "p50 ms", "p99 ms", "p99.9 ms");
         for (int i = 0; i < plan.parts().size(); i++) {
             int part = i;
-            row(to, plan.parts().get(i).label(), of -> result.count(part, of), q -> result.quantile(part, q));
+            printRow(out, plan.parts().get(i).label(), counter -> result.count(part, counter),
+                    fraction -> result.quantile(part, fraction));
         }
-        row(to, "all", result::count, result::quantile);
-        to.printf(Locale.ROOT, "%.1f served a second; own lateness p99 %.2f ms%n", result.rate(), result.ownLateness(0.99) / 1e3);
+        printRow(out, "all", result::count, result::quantile);
+        out.printf(Locale.ROOT, "%.1f served a second; own lateness p99 %.2f ms%n", result.rate(), result.ownLateness(0.99) / 1e3);
     }
 
-    private static void row(PrintWriter to, String name, java.util.function.ToLongFunction<Counts.Of> count,
+    private static void printRow(PrintWriter out, String name, java.util.function.ToLongFunction<Counts.Of> count,
             java.util.function.DoubleToLongFunction quantile) {
-        to.printf(Locale.ROOT, "%-24s %9d %8d %9d %8d %8d %10d %8d %7d %9.2f %9.2f %9.2f%n", name, count.applyAsLong(Of.ASKED),
+        out.printf(Locale.ROOT, "%-24s %9d %8d %9d %8d %8d %10d %8d %7d %9.2f %9.2f %9.2f%n", name, count.applyAsLong(Of.ASKED),
                 count.applyAsLong(Of.REPEATS), count.applyAsLong(Of.SERVED), count.applyAsLong(Of.REFUSED),
                 count.applyAsLong(Of.FAILED), count.applyAsLong(Of.UNANSWERED), count.applyAsLong(Of.FOREIGN),
                 count.applyAsLong(Of.UNSENT), quantile.applyAsLong(0.5) / 1e3, quantile.applyAsLong(0.99) / 1e3,
--- a/src/main/java/mastdrift/cli/SoakCommand.java
+++ b/src/main/java/mastdrift/cli/SoakCommand.java
@@ -11,50 +11,52 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code lab soak}: the platform's gateways as processes, ends and faults between them, all rules checked. */
-@Command(name = "soak", description = "Plays the platform's gateways as processes: ends, signals, holds, a registry and servers in trouble, idle crowds, clients of every class; "
-        + "ends with 1 where a rule was broken.", mixinStandardHelpOptions = true)
+/** {@code lab soak}: runs gateways as processes with restarts and faults, and checks all rules. */
+@Command(name = "soak", description = "Runs the platform's gateways as processes with stops, signals, pauses, registry and server faults, many idle connections and clients of every class; "
+        + "exits with 1 if a rule was broken.", mixinStandardHelpOptions = true)
 final class SoakCommand implements Callable<Integer> {
 
-    private static final int BROKEN = 1;
-    private static final int SAID_MOST = 6;
+    private static final int EXIT_VIOLATION = 1;
+    private static final int MAX_BREACHES_PRINTED = 6;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "of the first run (${DEFAULT-VALUE})")
+    @Option(names = "--seed", paramLabel = "N", defaultValue = "1",
+            description = "seed of the first run (${DEFAULT-VALUE})")
     private long seed;
 
-    @Option(names = "--plays", paramLabel = "N", defaultValue = "1", description = "runs, each of the next seed (${DEFAULT-VALUE})")
-    private int plays;
+    @Option(names = "--plays", paramLabel = "N", defaultValue = "1", description = "number of runs with consecutive seeds (${DEFAULT-VALUE})")
+    private int runs;
 
-    @Option(names = "--draw", description = "says what each run draws, and plays none")
-    private boolean draw;
+    @Option(names = "--draw", description = "prints what each run would draw, without running it")
+    private boolean drawOnly;
 
-    @Option(names = "--keep", paramLabel = "FOLDER", description = "keeps the processes' logs there, a folder a run")
-    private Path keep;
+    @Option(names = "--keep", paramLabel = "FOLDER",
+            description = "keeps the logs of the processes in this folder, with a subfolder for each run")
+    private Path logsFolder;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
-        int broken = 0;
-        for (long each = seed; each < seed + plays; each++) {
-            SoakPlan plan = SoakPlan.draw(each);
-            if (draw) {
-                out.println("| " + each + " | " + plan.drawn() + " |");
+        int brokenRuns = 0;
+        for (long runSeed = seed; runSeed < seed + runs; runSeed++) {
+            SoakPlan plan = SoakPlan.draw(runSeed);
+            if (drawOnly) {
+                out.println("| " + runSeed + " | " + plan.drawn() + " |");
                 continue;
             }
-            Path folder = keep == null ? Files.createTempDirectory("soak") : Files.createDirectories(keep.resolve("seed-" + each));
+            Path folder = logsFolder == null ? Files.createTempDirectory("soak") : Files.createDirectories(logsFolder.resolve("seed-" + runSeed));
             SoakPlay.Report report = SoakPlay.play(plan, folder, line -> { });
-            out.println("| " + each + " | " + plan.drawn() + " | " + report.requests() + " | " + report.endsOfService() + " | " + report.latestMillis() + " | " + report.verdict() + " | "
+            out.println("| " + runSeed + " | " + plan.drawn() + " | " + report.requests() + " | " + report.endsOfService() + " | " + report.latestMillis() + " | " + report.verdict() + " | "
                     + report.voidBecause() + " |");
-            report.breaches().stream().limit(SAID_MOST).forEach(breach -> out.println("  " + breach));
-            if (report.breaches().size() > SAID_MOST) {
-                out.println("  and " + (report.breaches().size() - SAID_MOST) + " more");
+            report.breaches().stream().limit(MAX_BREACHES_PRINTED).forEach(breach -> out.println("  " + breach));
+            if (report.breaches().size() > MAX_BREACHES_PRINTED) {
+                out.println("  and " + (report.breaches().size() - MAX_BREACHES_PRINTED) + " more");
             }
             out.flush();
-            broken += report.verdict().equals("broken") ? 1 : 0;
+            brokenRuns += report.verdict().equals("broken") ? 1 : 0;
         }
-        return broken == 0 ? 0 : BROKEN;
+        return brokenRuns == 0 ? 0 : EXIT_VIOLATION;
     }
 }
--- a/src/test/java/mastdrift/cli/LabCommandsTest.java
+++ b/src/test/java/mastdrift/cli/LabCommandsTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The commands {@code lab} and {@code load}: words, exit statuses, what is written. */
+/** The commands {@code lab} and {@code load}: arguments, exit statuses and written files. */
 class LabCommandsTest {
 
     @TempDir
@@ -35,11 +35,11 @@
     private String err;
 
     private int run(String... args) {
-        ByteArrayOutputStream to = new ByteArrayOutputStream();
-        ByteArrayOutputStream bad = new ByteArrayOutputStream();
-        int status = Commands.run(args, new PrintStream(to, true, StandardCharsets.UTF_8), new PrintStream(bad, true, StandardCharsets.UTF_8));
-        out = to.toString(StandardCharsets.UTF_8);
-        err = bad.toString(StandardCharsets.UTF_8);
+        ByteArrayOutputStream outBytes = new ByteArrayOutputStream();
+        ByteArrayOutputStream errBytes = new ByteArrayOutputStream();
+        int status = Commands.run(args, new PrintStream(outBytes, true, StandardCharsets.UTF_8), new PrintStream(errBytes, true, StandardCharsets.UTF_8));
+        out = outBytes.toString(StandardCharsets.UTF_8);
+        err = errBytes.toString(StandardCharsets.UTF_8);
         return status;
     }
 
@@ -50,9 +50,9 @@
         return file.toString();
     }
 
-    /** A grid that can't be played says why; one that is small enough is played, judged and written. */
+    /** A grid that can't be run is reported with the reason; a small one is run, judged and written. */
     @Test
-    void aGridIsPlayedJudgedAndWritten() throws IOException {
+    void gridIsRunJudgedAndWritten() throws IOException {
         assertEquals(2, run("lab", "grid", experiment("")));
         assertTrue(err.contains("expected a table [grid], found none"), err);
         String text = Files.readString(Path.of("experiments/grid-small.toml")).replace("seeds = 3", "seeds = 1")
@@ -70,9 +70,9 @@
         }
     }
 
-    /** Every experiment of the repository can be played. */
+    /** Every experiment in the repository is valid. */
     @Test
-    void theExperimentsAreRead() throws IOException {
+    void allExperimentsInTheRepositoryAreValid() throws IOException {
         try (var files = Files.list(Path.of("experiments"))) {
             List<Path> all = files.filter(file -> file.toString().endsWith(".toml")).toList();
             assertTrue(all.size() >= 8);
@@ -81,9 +81,9 @@
         }
     }
 
-    /** What can't be played is refused before anything is started. */
+    /** A plan that can't be run is refused before any process is started. */
     @Test
-    void aScaleRunThatCannotBePlayedIsRefused() throws IOException {
+    void scalePlanThatCannotRunIsRefused() throws IOException {
         Path file = folder.resolve("scale.toml");
         Files.writeString(file, "per_process = 1\n[[size]]\nhollow = 4100\n");
         assertEquals(2, run("lab", "scale", file.toString()));
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void runCompareReplayAndReport() throws IOException {
+    void runCompareReplayAndReportWorkOnTheSameResults() throws IOException {
         String two = "\n[[arm]]\nname = \"module\"\n[[arm]]\nname = \"two\"\npolicy = \"two\"\n";
         Path to = folder.resolve("results");
         assertEquals(0, run("lab", "run", experiment(two), "--out", to.toString(), "--seeds", "3", "--threads", "2"), () -> err);
@@ -105,7 +105,7 @@
         String report = Files.readString(to.resolve("report.html"));
         Files.delete(to.resolve("report.html"));
         assertEquals(0, run("lab", "report", to.toString()));
-        assertEquals(report, Files.readString(to.resolve("report.html")), "the same results, the same bytes");
+        assertEquals(report, Files.readString(to.resolve("report.html")), "the same results give the same bytes");
         assertEquals(0, run("lab", "compare", to + ":module", to + ":two"), () -> err);
         assertTrue(out.contains("goodput") && out.contains("p999 ms"), out);
         assertEquals(2, run("lab", "compare", to.toString(), to + ":two"));
@@ -114,9 +114,9 @@
         assertTrue(out.contains("no rule was broken") && out.contains("try 1 of "), out);
     }
 
-    /** A broken limit is status 1 and names its line; a file that can't be played is 2, with all that is wrong. */
+    /** A broken limit exits with status 1 and names its line; an invalid file exits with 2 and lists all problems. */
     @Test
-    void statusesTellWhatHappened() throws IOException {
+    void exitStatusTellsBrokenInvalidAndUnwritable() throws IOException {
         String to = folder.resolve("r").toString();
         assertEquals(1, run("lab", "run", experiment("\n[[limit]]\nwhat = \"p50\"\nmost = \"1ms\"\n"), "--out", to));
         assertTrue(err.contains("x.toml:60:1: module, seed 1: expected p50 of at most 1000.0 us, found "), err);
@@ -133,9 +133,12 @@
         assertEquals(2, run("lab"));
     }
 
-    /** An arm may be another build's module: here this build's own, from a jar, which decides alike. */
+    /**
+     * An arm may use the module of another build: here this build's own classes from a jar, which gives the same
+     * counts.
+     */
     @Test
-    void anArmMayBeAnotherBuild() throws IOException {
+    void armWithModuleFromAJarGivesTheSameCounts() throws IOException {
         Path jar = folder.resolve("other.jar");
         try (JarOutputStream entries = new JarOutputStream(Files.newOutputStream(jar)); var classes = Files.list(Path.of("target/classes/mastdrift"))) {
             for (Path file : classes.filter(f -> f.getFileName().toString().matches("(Balance|State|IdleTimeout)(\\$.*)?\\.class")).toList()) {
@@ -154,11 +157,12 @@
     }
 
     @Test
-    void loadSaysWhatCameOfIt() throws IOException {
+    void loadReportsResultsAndRejectsWrongArguments() throws IOException {
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         try (StandInHost host = new StandInHost("h", "g", new Effects(60_000_000), loop, 1_000, 64)) {
             String to = folder.resolve("load").toString();
-            // A connection for each request and time for all: a machine that is busy for a moment makes none of them wait, which would be a fault.
+            // One connection per request and a long deadline: otherwise a short stall of the machine would make
+            // requests wait, which counts as a fault.
             assertEquals(0, run("load", "--to", host.endpoint(), "--rate", "100..300", "--seconds", "1", "--class", "a/t=2:safe", "--class", "b:keyed",
                     "--late-most", "5000", "--connections", "512", "--deadline", "20000", "--out", to), () -> out + err);
             assertTrue(out.lines().anyMatch(line -> line.startsWith("a/t ")) && out.contains(" served a second; own lateness p99 "), out);
