--- a/src/main/java/mastdrift/net/RequestTracer.java
+++ b/src/main/java/mastdrift/net/RequestTracer.java
@@ -21,7 +21,7 @@
 import mastdrift.engine.Member;
 import mastdrift.engine.Transport;
 import mastdrift.engine.RequestListener;
-import mastdrift.tally.Step;
+import mastdrift.tally.RequestStep;
 
 /**
  * Logs a line for each step of a request: taken, each attempt with its host, start and outcome, and the final answer
@@ -81,8 +81,8 @@
         return ((HttpCall) call).message().headers().get("X-Trace-Id");
     }
 
-    private void logStep(String id, Step.Kind kind, int attempt, String host, String word, long spanMicros) {
-        log.accept(new Step(clock.now(), id, kind, attempt, host, word, spanMicros).line());
+    private void logStep(String id, RequestStep.Kind kind, int attempt, String host, String word, long spanMicros) {
+        log.accept(new RequestStep(clock.now(), id, kind, attempt, host, word, spanMicros).formatLine());
     }
 
     @Override
@@ -98,7 +98,7 @@
         }
         tracedThisSecond++;
         tracedRequests.put(traceId(call), new TracedRequest(now));
-        logStep(traceId(call), Step.Kind.TAKEN, -1, "", taken(ask), ask.timeLeftMicros());
+        logStep(traceId(call), RequestStep.Kind.TAKEN, -1, "", taken(ask), ask.timeLeftMicros());
     }
 
     /** The word of a TAKEN step: {@code tenant:class:REPEAT}, or without the tenant if there is none. */
@@ -111,21 +111,21 @@
     public void requestEnded(RequestMessage call, Result end, Why why) {
         TracedRequest request = tracedRequests.remove(traceId(call));
         if (request != null) {
-            logStep(traceId(call), Step.Kind.ANSWERED, -1, "", why == null ? end.name() : end + " " + why,
+            logStep(traceId(call), RequestStep.Kind.ANSWERED, -1, "", why == null ? end.name() : end + " " + why,
                     clock.now() - request.takenAtMicros);
         }
     }
 
-    private void logHostState(String id, Step.Kind kind, int attempt, String uid) {
+    private void logHostState(String id, RequestStep.Kind kind, int attempt, String uid) {
         long now = clock.now();
         Long departedAt = departedAtMicros.get(uid);
         long warmFrom = warmAtMicros.getOrDefault(uid, 0L);
         if (departedAt != null) {
-            logStep(id, kind, attempt, uid, Step.LEAVING, now - departedAt);
+            logStep(id, kind, attempt, uid, RequestStep.STATE_LEAVING, now - departedAt);
         } else if (warmFrom > now) {
-            logStep(id, kind, attempt, uid, Step.COLD, now - (warmFrom - warmWithinMicros));
+            logStep(id, kind, attempt, uid, RequestStep.STATE_COLD, now - (warmFrom - warmWithinMicros));
         } else {
-            logStep(id, kind, attempt, uid, Step.WARM, 0);
+            logStep(id, kind, attempt, uid, RequestStep.STATE_WARM, 0);
         }
     }
 
@@ -138,11 +138,11 @@
             return transport.send(to, call, timeoutMicros, sendWithinMicros, listener);
         }
         int attemptNumber = request.attemptCount++;
-        logHostState(id, Step.Kind.SENT, attemptNumber, uid);
+        logHostState(id, RequestStep.Kind.SENT, attemptNumber, uid);
         return transport.send(to, call, timeoutMicros, sendWithinMicros, new CompletionListener() {
             @Override
             public void completed(Outcome outcome, ResponseMessage answer, LoadReport report) {
-                logStep(id, Step.Kind.ENDED, attemptNumber, uid, outcome.name(), 0);
+                logStep(id, RequestStep.Kind.ENDED, attemptNumber, uid, outcome.name(), 0);
                 listener.completed(outcome, answer, report);
             }
 
@@ -153,7 +153,7 @@
 
             @Override
             public void progressed() {
-                logHostState(id, Step.Kind.OPENED, attemptNumber, uid);
+                logHostState(id, RequestStep.Kind.OPENED, attemptNumber, uid);
                 listener.progressed();
             }
 
--- a/src/main/java/mastdrift/net/TallyRecorder.java
+++ b/src/main/java/mastdrift/net/TallyRecorder.java
@@ -17,8 +17,8 @@
 import mastdrift.engine.ServiceCount;
 import mastdrift.engine.Timers;
 import mastdrift.engine.Transport;
-import mastdrift.tally.Count;
-import mastdrift.tally.Second;
+import mastdrift.tally.Counter;
+import mastdrift.tally.SecondCounts;
 
 /**
  * Counts what passes a transport, and logs a line for each second in which there was anything. It wraps the transport,
@@ -37,7 +37,7 @@
     private final Consumer<String> log;
     private final Set<String> coldHosts = new HashSet<>();
     private final long[] countedAnswers = new long[2 + Why.values().length];
-    private Second currentSecond;
+    private SecondCounts currentSecond;
 
     TallyRecorder(Transport transport, TimedEventLoop timedLoop, long warmWithinMicros, RequestTracker ledger, RequestTracer tracing,
             Consumer<String> log) {
@@ -53,14 +53,14 @@
 
     private void startSecond() {
         long now = clock.now();
-        currentSecond = new Second(now / SECOND_MICROS);
+        currentSecond = new SecondCounts(now / SECOND_MICROS);
         timers.after(SECOND_MICROS - now % SECOND_MICROS, this::logSecond);
     }
 
     private void logSecond() {
         countFinalAnswers();
-        currentSecond.add(Count.UNFOLLOWED, tracing.takeUntracedCount());
-        String line = currentSecond.line();
+        currentSecond.add(Counter.UNFOLLOWED, tracing.takeUntracedCount());
+        String line = currentSecond.formatLine();
         if (line.indexOf('=') != line.lastIndexOf('=')) {
             log.accept(line);
         }
@@ -77,10 +77,10 @@
                 totals[2 + why.ordinal()] += classCount.refused(why);
             }
         }
-        currentSecond.add(Count.SERVED, totals[0] - countedAnswers[0]);
-        currentSecond.add(Count.FAILED, totals[1] - countedAnswers[1]);
+        currentSecond.add(Counter.SERVED, totals[0] - countedAnswers[0]);
+        currentSecond.add(Counter.FAILED, totals[1] - countedAnswers[1]);
         for (Why why : Why.values()) {
-            currentSecond.add(Count.valueOf("REFUSED_" + why.name()),
+            currentSecond.add(Counter.valueOf("REFUSED_" + why.name()),
                     totals[2 + why.ordinal()] - countedAnswers[2 + why.ordinal()]);
         }
         System.arraycopy(totals, 0, countedAnswers, 0, totals.length);
@@ -91,7 +91,7 @@
         return new Discovery.Listener() {
             @Override
             public void listAccepted(HostList list) {
-                currentSecond.add(Count.LISTS);
+                currentSecond.add(Counter.LISTS);
                 listener.listAccepted(list);
             }
 
@@ -102,7 +102,7 @@
 
             @Override
             public void callFailed(String cause) {
-                currentSecond.add(Count.CALLS_FAILED);
+                currentSecond.add(Counter.CALLS_FAILED);
                 listener.callFailed(cause);
             }
 
@@ -113,7 +113,7 @@
 
             @Override
             public void callStarted() {
-                currentSecond.add(Count.CALLS);
+                currentSecond.add(Counter.CALLS);
             }
         };
     }
@@ -121,17 +121,17 @@
     @Override
     public Attempt send(Endpoint endpoint, RequestMessage call, long timeoutMicros, long sendWithinMicros, CompletionListener listener) {
         String uid = endpoint.uid();
-        currentSecond.add(Count.SENDS);
-        currentSecond.sent(uid);
+        currentSecond.add(Counter.SENDS);
+        currentSecond.addSend(uid);
         if (coldHosts.contains(uid)) {
-            currentSecond.add(Count.COLD);
+            currentSecond.add(Counter.COLD);
         }
         return transport.send(endpoint, call, timeoutMicros, sendWithinMicros, new CompletionListener() {
             @Override
             public void completed(Outcome outcome, ResponseMessage answer, LoadReport report) {
-                currentSecond.add(Count.valueOf(outcome.name()));
+                currentSecond.add(Counter.valueOf(outcome.name()));
                 if (outcome != Outcome.DELIVERED && outcome != Outcome.REVOKED && outcome != Outcome.UNUSED) {
-                    currentSecond.lost(uid);
+                    currentSecond.addLoss(uid);
                 }
                 listener.completed(outcome, answer, report);
             }
@@ -143,7 +143,7 @@
 
             @Override
             public void progressed() {
-                currentSecond.add(Count.OPENED);
+                currentSecond.add(Counter.OPENED);
                 listener.progressed();
             }
 
@@ -156,12 +156,12 @@
 
     @Override
     public void probe(Endpoint endpoint, ProbeListener listener) {
-        currentSecond.add(Count.PROBES);
+        currentSecond.add(Counter.PROBES);
         transport.probe(endpoint, new ProbeListener() {
             @Override
             public void probed(Outcome outcome, LoadReport report) {
                 if (outcome != Outcome.DELIVERED) {
-                    currentSecond.add(Count.PROBES_FAILED);
+                    currentSecond.add(Counter.PROBES_FAILED);
                 }
                 listener.probed(outcome, report);
             }
--- a/src/test/java/mastdrift/net/TallyRecorderTest.java
+++ b/src/test/java/mastdrift/net/TallyRecorderTest.java
@@ -19,10 +19,10 @@
 import java.util.stream.Collectors;
 import mastdrift.net.Loopback.Node;
 import mastdrift.net.Loopback.Server;
-import mastdrift.tally.Count;
-import mastdrift.tally.Fleet;
-import mastdrift.tally.Second;
-import mastdrift.tally.Step;
+import mastdrift.tally.Counter;
+import mastdrift.tally.FleetSummary;
+import mastdrift.tally.SecondCounts;
+import mastdrift.tally.RequestStep;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -43,41 +43,41 @@
             for (int i = 0; i < 12; i++) {
                 served += node.ask(read(20_000)).status() == 200 ? 1 : 0;
             }
-            Fleet fleet = new Fleet();
-            for (int i = 0; fleet.all().of(Count.SERVED) < served || fleet.all().of(Count.CALLS) == 0; i++) {
+            FleetSummary fleet = new FleetSummary();
+            for (int i = 0; fleet.total().count(Counter.SERVED) < served || fleet.total().count(Counter.CALLS) == 0; i++) {
                 assertTrue(i < Loopback.WAIT_SECONDS * 20, node.log.toString(StandardCharsets.UTF_8));
                 Thread.sleep(50);
-                fleet = new Fleet();
+                fleet = new FleetSummary();
                 String[] lines = node.log.toString(StandardCharsets.UTF_8).split("\n");
                 for (int line = 0; line < lines.length; line++) {
-                    fleet.read("n0", line + 1, lines[line]);
+                    fleet.readLine("n0", line + 1, lines[line]);
                 }
             }
-            Second all = fleet.all();
-            assertEquals(hostRequests.get(), all.of(Count.SENDS));
-            assertEquals(hostRequests.get() / 3, all.of(Count.SHED));
-            assertEquals(served, all.of(Count.DELIVERED));
-            assertEquals(12 - served, all.of(Count.REFUSED_HOSTS));
-            assertEquals(one.accepted.size(), all.of(Count.OPENED));
+            SecondCounts all = fleet.total();
+            assertEquals(hostRequests.get(), all.count(Counter.SENDS));
+            assertEquals(hostRequests.get() / 3, all.count(Counter.SHED));
+            assertEquals(served, all.count(Counter.DELIVERED));
+            assertEquals(12 - served, all.count(Counter.REFUSED_HOSTS));
+            assertEquals(one.accepted.size(), all.count(Counter.OPENED));
             assertEquals(hostRequests.get(), all.hosts().get("s1").sends());
             assertEquals(hostRequests.get() / 3, all.hosts().get("s1").lost());
-            assertEquals(0, fleet.faulty());
+            assertEquals(0, fleet.parseErrorCount());
         }
     }
 
-    private static Fleet parseLog(String log, String traceId) {
-        Fleet fleet = new Fleet();
-        fleet.follow(traceId);
+    private static FleetSummary parseLog(String log, String traceId) {
+        FleetSummary fleet = new FleetSummary();
+        fleet.traceRequest(traceId);
         String[] lines = log.split("\n");
         for (int line = 0; line < lines.length; line++) {
-            fleet.read("n0", line + 1, lines[line]);
+            fleet.readLine("n0", line + 1, lines[line]);
         }
         return fleet;
     }
 
-    private static Fleet awaitStep(Node node, String traceId, String word) throws InterruptedException {
-        Fleet fleet = parseLog(node.log.toString(StandardCharsets.UTF_8), traceId);
-        for (int i = 0; fleet.seen().isEmpty() || !fleet.seen().get(fleet.seen().size() - 1).step().word().startsWith(word); i++) {
+    private static FleetSummary awaitStep(Node node, String traceId, String word) throws InterruptedException {
+        FleetSummary fleet = parseLog(node.log.toString(StandardCharsets.UTF_8), traceId);
+        for (int i = 0; fleet.tracedSteps().isEmpty() || !fleet.tracedSteps().get(fleet.tracedSteps().size() - 1).step().detail().startsWith(word); i++) {
             assertTrue(i < Loopback.WAIT_SECONDS * 20, node.log.toString(StandardCharsets.UTF_8));
             Thread.sleep(50);
             fleet = parseLog(node.log.toString(StandardCharsets.UTF_8), traceId);
@@ -85,8 +85,8 @@
         return fleet;
     }
 
-    private static String steps(Fleet fleet) {
-        return fleet.seen().stream().map(seen -> seen.step()).map(step -> step.kind() + " " + step.host() + " " + step.word())
+    private static String steps(FleetSummary fleet) {
+        return fleet.tracedSteps().stream().map(seen -> seen.step()).map(step -> step.kind() + " " + step.host() + " " + step.detail())
                 .collect(Collectors.joining(", "));
     }
 
@@ -102,11 +102,11 @@
                 Node node = new Node(environment(folder, discovery, list(1, true, entry("s1", full.address(), "a", "in_service")), SETTINGS), true)) {
             String request = read(20_000);
             assertEquals(503, node.ask(request).status());
-            Fleet fleet = awaitStep(node, traceId(request), "REFUSED HOSTS");
+            FleetSummary fleet = awaitStep(node, traceId(request), "REFUSED HOSTS");
             assertEquals("TAKEN  acme:read:SAFE, SENT s1 warm, OPENED s1 warm, ENDED s1 SHED, ANSWERED  REFUSED HOSTS", steps(fleet));
             assertTrue(fleet.margins().rows().contains(List.of("requests followed", "1", "")));
             assertTrue(fleet.margins().rows().contains(List.of("answered REFUSED HOSTS", "1", "")));
-            assertEquals(0, fleet.faulty());
+            assertEquals(0, fleet.parseErrorCount());
         }
     }
 
@@ -121,18 +121,18 @@
             for (int i = 0; i < requestCount; i++) {
                 node.ask(read(20_000));
             }
-            Fleet fleet = new Fleet();
-            for (int i = 0; fleet.all().of(Count.SERVED) < requestCount; i++) {
+            FleetSummary fleet = new FleetSummary();
+            for (int i = 0; fleet.total().count(Counter.SERVED) < requestCount; i++) {
                 assertTrue(i < Loopback.WAIT_SECONDS * 20, node.log.toString(StandardCharsets.UTF_8));
                 Thread.sleep(50);
                 fleet = parseLog(node.log.toString(StandardCharsets.UTF_8), "");
             }
             String log = node.log.toString(StandardCharsets.UTF_8);
-            Map<Long, Long> taken = log.lines().filter(line -> line.contains(Step.MARK)).map(Step::parse).filter(step -> step.kind() == Step.Kind.TAKEN)
-                    .collect(Collectors.groupingBy(step -> step.at() / 1_000_000, Collectors.counting()));
+            Map<Long, Long> taken = log.lines().filter(line -> line.contains(RequestStep.LINE_MARKER)).map(RequestStep::parse).filter(step -> step.kind() == RequestStep.Kind.TAKEN)
+                    .collect(Collectors.groupingBy(step -> step.unixMicros() / 1_000_000, Collectors.counting()));
             assertTrue(taken.values().stream().allMatch(count -> count <= RequestTracer.MAX_TRACED_PER_SECOND), "followed by second: " + taken);
             assertEquals(requestCount, taken.values().stream().mapToLong(Long::longValue).sum()
-                    + fleet.all().of(Count.UNFOLLOWED));
+                    + fleet.total().count(Counter.UNFOLLOWED));
             assertEquals(taken.values().stream().mapToLong(Long::longValue).sum(), log.lines().filter(line -> line.contains(" kind=answered ")).count());
         }
     }
