--- a/src/main/java/mastdrift/lab/scale/HollowGateway.java
+++ b/src/main/java/mastdrift/lab/scale/HollowGateway.java
@@ -36,9 +36,9 @@
         this.upstreams = upstreams.stream().collect(Collectors.toMap(Upstream::name, Upstream::address));
         table = have;
         links = new PeerLinks(loop, Layout.INSTALLATION, name, MACHINES, this);
-        links.keys(List.of(Layout.KEY.getBytes(StandardCharsets.UTF_8)));
-        links.generation(System.nanoTime());
-        links.addresses(this.upstreams);
+        links.setKeys(List.of(Layout.KEY.getBytes(StandardCharsets.UTF_8)));
+        links.setGeneration(System.nanoTime());
+        links.setAddresses(this.upstreams);
         subscription = new Subscription(loop, this, name, zone, have, SubscriberSettings.USUAL, seed, (level, event, text, fields) -> System.err.println(name + ": " + event + ": " + text),
                 this::take);
         subscription.machines(upstreams.stream().map(each -> new Machine(each.name, each.zone)).toList());
@@ -52,7 +52,7 @@
 
     /** Reaches nobody that it follows, or all of them again. */
     void cut(boolean cut) {
-        links.addresses(cut ? Map.of() : upstreams);
+        links.setAddresses(cut ? Map.of() : upstreams);
     }
 
     /** What is in force. */
@@ -89,7 +89,7 @@
 
     @Override
     public void leave(String to) {
-        links.leave(to);
+        links.closeOutbound(to);
     }
 
     @Override
--- a/src/main/java/mastdrift/peers/edge/MessageAuthenticator.java
+++ b/src/main/java/mastdrift/peers/edge/MessageAuthenticator.java
@@ -7,11 +7,14 @@
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 
-/** Message authentication codes of one key, called signatures here and on the pages: HMAC (RFC 2104) with SHA-256, cut to 16 bytes (section 5). Not safe for use by several threads. */
+/**
+ * Message authentication codes under one key, called signatures here: HMAC (RFC 2104) with SHA-256, truncated to 16
+ * bytes (section 5). Not thread-safe.
+ */
 final class MessageAuthenticator {
 
-    /** Bytes of a signature. */
-    static final int BYTES = 16;
+    /** Length of a signature. */
+    static final int SIGNATURE_BYTES = 16;
     private static final String ALGORITHM = "HmacSHA256";
 
     private final Mac mac;
@@ -21,35 +24,36 @@
             mac = Mac.getInstance(ALGORITHM);
             mac.init(new SecretKeySpec(key, ALGORITHM));
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(e);  // every Java has it
+            throw new IllegalStateException(e);  // every Java platform has HmacSHA256
         }
     }
 
-    /** A key for one connection, which both ends derive from their nonces. */
-    MessageAuthenticator derived(byte[]... from) {
-        return new MessageAuthenticator(whole(from));
+    /** Derives the key of one connection from the nonces of both ends. */
+    MessageAuthenticator deriveKey(byte[]... nonces) {
+        return new MessageAuthenticator(fullMac(nonces));
     }
 
     byte[] sign(byte[]... parts) {
-        return Arrays.copyOf(whole(parts), BYTES);
+        return Arrays.copyOf(fullMac(parts), SIGNATURE_BYTES);
     }
 
-    /** Of a message that has its place in its connection. */
-    byte[] sign(long number, byte[]... parts) {
-        mac.update(ByteBuffer.allocate(Long.BYTES).putLong(number).array());
+    /** Signs a message with its sequence number in the connection. */
+    byte[] sign(long sequence, byte[]... parts) {
+        mac.update(ByteBuffer.allocate(Long.BYTES).putLong(sequence).array());
         return sign(parts);
     }
 
-    private byte[] whole(byte[]... parts) {
+    private byte[] fullMac(byte[]... parts) {
         for (byte[] part : parts) {
-            mac.update(ByteBuffer.allocate(Integer.BYTES).putInt(part.length).array());  // or two parts could trade bytes
+            // without lengths, bytes could be moved from one part to the next unnoticed
+            mac.update(ByteBuffer.allocate(Integer.BYTES).putInt(part.length).array());
             mac.update(part);
         }
         return mac.doFinal();
     }
 
-    /** In constant time. */
-    static boolean same(byte[] one, byte[] other) {
-        return MessageDigest.isEqual(one, other);
+    /** Compares in constant time. */
+    static boolean signaturesEqual(byte[] first, byte[] second) {
+        return MessageDigest.isEqual(first, second);
     }
 }
--- a/src/main/java/mastdrift/peers/edge/PeerLinks.java
+++ b/src/main/java/mastdrift/peers/edge/PeerLinks.java
@@ -37,52 +37,63 @@
 import java.util.function.LongSupplier;
 
 /**
- * Connections between gateways, one a direction and pair: what A tells B goes on the one that A opened. Each message is signed. Who accepted a connection may {@link #reply}
- * on it, so that one who opens connections only hears too.
+ * Connections between gateways, one for each direction of each pair: messages from A to B use the one that A opened.
+ * Each message is signed. The accepting end may {@link #reply} on a connection, so that an end that only opens
+ * connections can receive too.
  *
- * <p>Who accepts sends a nonce; who connects answers with who it is, whom it means, a nonce of its own and a signature over all; who accepts signs that. From
- * then on both sign by a key derived from the nonces, each message with its sequence number: what is replayed, left out, swapped or changed fails, and ends the
- * connection. Nothing is secret but the key.
+ * <p>Handshake: the accepting end sends a nonce (challenge); the connecting end answers with its installation, name and
+ * generation, the name of the gateway it wants, a nonce of its own and a signature over all of that and the challenge
+ * (hello); the accepting end signs both nonces in return (welcome). From then on both sign with a key derived from the
+ * nonces, each message with its sequence number: a message that is replayed, omitted, reordered or changed fails the
+ * check and ends the connection. Nothing is encrypted; only the key is secret.
  *
- * <p>Replies are signed by the same key with another label and have sequence numbers of their own, so that neither direction's bytes pass in the other. A build from before replies
- * refuses the first one as an unknown frame and ends the connection; it gets none, since it sends no message that is answered so.
+ * <p>Replies are signed with the same key under another label and have their own sequence numbers, so that bytes of one
+ * direction are not valid in the other. A build from before replies refuses the first one as an unknown frame and ends
+ * the connection; it is sent none, since it sends no message that is answered by a reply.
  *
- * <p>Who accepts says now and then how much it has read, and so does who opened, where there are replies. A connection on which that doesn't move on for
- * {@value #SILENT_MILLIS} ms is closed: the other may have vanished without a word, and what is written would only pile up. A reply that arrives shows that the other is
- * there, but what was sent has to be read within {@value #UNREAD_MILLIS} ms all the same: one direction may be cut alone.
- * Time in which this process didn't run isn't held against the others.
+ * <p>The accepting end acknowledges now and then how many messages it has read, and so does the opening end for
+ * replies. A connection with unacknowledged messages and no progress for {@value #SILENCE_TIMEOUT_MILLIS} ms is closed:
+ * the other end may have vanished without closing, and what is written would only accumulate. A reply that arrives
+ * shows that the other end is alive, but messages have to be acknowledged within {@value #UNREAD_TIMEOUT_MILLIS} ms all
+ * the same: one direction may be cut alone. Time in which this process was paused isn't held against the others.
  *
- * <p>A message to who can't be reached is dropped, and {@link #send} says so where it is known; whoever sends has to bear that any message may be lost. What is bounded: connections in each direction, those
- * not yet known ({@value #UNKNOWN_MOST} or an eighth of the known ones, for {@value #HELLO_MILLIS} ms), a message ({@value #MESSAGE_MOST} bytes), messages read a second from one ({@value #RATE}; then it is read no faster), bytes that wait for a slow
- * one ({@value #WAITING_MOST}).
+ * <p>A message to a gateway that can't be reached is dropped, and {@link #send} reports it where it is known; callers
+ * must tolerate the loss of any message. Bounds: connections in each direction; connections that are not yet
+ * authenticated ({@value #MIN_UNAUTHENTICATED_LIMIT}, or an eighth of the maximum of connections, for {@value
+ * #HANDSHAKE_TIMEOUT_MILLIS} ms); the size of a message ({@value #MAX_MESSAGE_BYTES} bytes); messages read per second
+ * from one gateway ({@value #MAX_MESSAGES_PER_SECOND}; reading pauses beyond that); bytes that wait for a slow reader
+ * ({@value #MAX_PENDING_WRITE_BYTES}).
  *
- * <p>All methods are called on the loop's thread, and so is the listener.
+ * <p>All methods are called on the event loop's thread, and so is the listener.
  */
 public final class PeerLinks implements AutoCloseable {
 
-    /** A message holds at most so many bytes. */
-    public static final int MESSAGE_MOST = 512 << 10;
-    /** Connections whose other end isn't known yet, at most; an eighth of those that may be known, where that is more: a machine's subscribers may all come back at once. */
-    public static final int UNKNOWN_MOST = 64;
-    private static final int UNKNOWN_SHARE = 8;
+    /** Maximum size of a message. */
+    public static final int MAX_MESSAGE_BYTES = 512 << 10;
+    /**
+     * Limit of connections that are not yet authenticated; an eighth of the maximum of connections where that is more,
+     * since the many subscribers of one machine may all reconnect at once.
+     */
+    public static final int MIN_UNAUTHENTICATED_LIMIT = 64;
+    private static final int CONNECTIONS_PER_UNAUTHENTICATED = 8;
     /** Messages a second that are read from one gateway. */
-    public static final int RATE = 4_000;
-    static final int HELLO_MILLIS = 2_000;
-    static final int SILENT_MILLIS = 3_000;
-    static final int UNREAD_MILLIS = 4 * SILENT_MILLIS;
-    /** Bytes that wait for a slow one, at most, but for the message that goes over it. */
-    public static final int WAITING_MOST = 2 << 20;
-    private static final int CONNECT_MILLIS = 1_000;
-    private static final int RETRY_MILLIS = 200;
-    static final int SWEEP_MILLIS = 250;
-    private static final int STOPPED_MILLIS = 1_000;
-    private static final int IDLE_MILLIS = 60_000;
-    private static final int QUEUED_MOST = 64;
-    private static final int NONCE = 16;
-    private static final int HELLO_MOST = 1_024;
-    private static final int VERSION = 1;
-    private static final int OVERHEAD = 64;
-    private static final int BACKLOG = 128;
+    public static final int MAX_MESSAGES_PER_SECOND = 4_000;
+    static final int HANDSHAKE_TIMEOUT_MILLIS = 2_000;
+    static final int SILENCE_TIMEOUT_MILLIS = 3_000;
+    static final int UNREAD_TIMEOUT_MILLIS = 4 * SILENCE_TIMEOUT_MILLIS;
+    /** Bytes that may wait for a slow reader; the message that crosses the limit is still accepted. */
+    public static final int MAX_PENDING_WRITE_BYTES = 2 << 20;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+    private static final int RETRY_DELAY_MILLIS = 200;
+    static final int SWEEP_INTERVAL_MILLIS = 250;
+    private static final int MIN_PAUSE_MILLIS = 1_000;
+    private static final int IDLE_TIMEOUT_MILLIS = 60_000;
+    private static final int MAX_QUEUED_MESSAGES = 64;
+    private static final int NONCE_BYTES = 16;
+    private static final int MAX_HELLO_BYTES = 1_024;
+    private static final int PROTOCOL_VERSION = 1;
+    private static final int FRAME_OVERHEAD_BYTES = 64;
+    private static final int MIN_ACCEPT_BACKLOG = 128;
     private static final byte CHALLENGE = 1;
     private static final byte HELLO = 2;
     private static final byte WELCOME = 3;
@@ -90,51 +101,62 @@
     private static final byte ACK = 5;
     private static final byte REPLY = 6;
     private static final byte REPLY_ACK = 7;
-    private static final byte[] OF_HELLO = {HELLO};
-    private static final byte[] OF_WELCOME = {WELCOME};
-    private static final byte[] OF_SESSION = {'s'};
-    private static final byte[] OF_REPLY = {'r'};
+    private static final byte[] HELLO_LABEL = {HELLO};
+    private static final byte[] WELCOME_LABEL = {WELCOME};
+    private static final byte[] SESSION_LABEL = {'s'};
+    private static final byte[] REPLY_LABEL = {'r'};
     private static final JSON CBOR = JSON.builder(new CBORFactory()).build();
 
-    /** Is told of what comes. */
+    /** Receives messages and events of the connections. */
     public interface Listener {
-        /** A message of a gateway, in one of its generations; 0 for a reply, since who accepts a connection doesn't tell its generation. */
+        /**
+         * A message from a gateway, in one of its generations; 0 for a reply, since the accepting end doesn't send its
+         * generation.
+         */
         void received(String from, long generation, byte kind, byte[] message);
 
-        /** Something is wrong with a connection: a stable word for what, the other's name or address, and more for a person. */
-        void refused(String what, String who, String text);
-
-        /** The connection that was opened to a gateway has ended, or could not be made: what was sent last may be lost, and no more replies come by it. Called in
-            the turn in which it ends; not for those that {@link #leave} or {@link #close} ends. */
+        /**
+         * A connection was refused or broke the protocol: a stable code, the other end's name or address, and a
+         * description for people.
+         */
+        void refused(String code, String peer, String description);
+
+        /**
+         * The outbound connection to a gateway has ended, or could not be opened: the last messages may be lost, and no
+         * more replies arrive on it. Called in the event loop turn in which it ends; not for connections that {@link
+         * #closeOutbound} or {@link #close} ends.
+         */
         default void outboundClosed(String to) { }
 
-        /** The connection that a gateway opened has ended: no reply reaches it until it opens another, which is told of first. Not for those that {@link #drop} or
-            {@link #close} ends. */
+        /**
+         * The connection that a gateway opened has ended: no reply reaches it until it opens another; this is called
+         * before the first message of that one. Not for connections that {@link #closeInbound} or {@link #close} ends.
+         */
         default void inboundClosed(String from) { }
     }
 
-    /** Counts since the start. */
+    /** Counts since the start of the process. */
     public record Counts(long sent, long sentBytes, long received, long receivedBytes, long dropped, long refused) { }
 
     private final EventLoop loop;
     private final String installation;
-    private final String own;
-    private final int most;
-    private final int unknownMost;
+    private final String ownName;
+    private final int maxConnections;
+    private final int maxUnauthenticated;
     private final Listener listener;
-    private final LongSupplier clock;
+    private final LongSupplier clockMillis;
     private final SecureRandom random = new SecureRandom();
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
-    private final Map<String, Outbound> out = new HashMap<>();
-    private final Map<String, Inbound> in = new HashMap<>();
-    private final Set<Channel> accepted = new HashSet<>();
-    private final Map<String, Long> retryAt = new HashMap<>();
-    private final Future<?> sweeps;
+    private final Map<String, Outbound> outbound = new HashMap<>();
+    private final Map<String, Inbound> inbound = new HashMap<>();
+    private final Set<Channel> acceptedChannels = new HashSet<>();
+    private final Map<String, Long> retryAtMillis = new HashMap<>();
+    private final Future<?> sweepTask;
     private List<MessageAuthenticator> keys = List.of();
     private long generation;
-    private long sweptAt;
-    private int unknown;
-    private Channel server;
+    private long sweptAtMillis;
+    private int unauthenticated;
+    private Channel serverChannel;
     private boolean closed;
     private long sent;
     private long sentBytes;
@@ -143,83 +165,94 @@
     private long dropped;
     private long refused;
 
-    /** Of a gateway of an installation, with so many connections in each direction. */
-    public PeerLinks(EventLoop loop, String installation, String own, int most, Listener listener) {
-        this(loop, installation, own, most, listener, () -> System.nanoTime() / 1_000_000);
+    /** For a gateway of an installation, with a maximum of connections in each direction. */
+    public PeerLinks(EventLoop loop, String installation, String ownName, int maxConnections, Listener listener) {
+        this(loop, installation, ownName, maxConnections, listener, () -> System.nanoTime() / 1_000_000);
     }
 
-    /** With a clock in milliseconds, which tests move. */
-    PeerLinks(EventLoop loop, String installation, String own, int most, Listener listener, LongSupplier clock) {
+    /** With a clock in milliseconds, which tests control. */
+    PeerLinks(EventLoop loop, String installation, String ownName, int maxConnections, Listener listener,
+            LongSupplier clockMillis) {
         this.loop = loop;
-        this.clock = clock;
+        this.clockMillis = clockMillis;
         this.installation = installation;
-        this.own = own;
-        this.most = most;
-        unknownMost = Math.max(UNKNOWN_MOST, most / UNKNOWN_SHARE);
+        this.ownName = ownName;
+        this.maxConnections = maxConnections;
+        maxUnauthenticated = Math.max(MIN_UNAUTHENTICATED_LIMIT, maxConnections / CONNECTIONS_PER_UNAUTHENTICATED);
         this.listener = listener;
-        sweptAt = millis();
-        sweeps = loop.scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+        sweptAtMillis = nowMillis();
+        sweepTask = loop.scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
-    /** Keys that are good from now on, the first for what is sent. Connections stay: they were made by a key that was good. */
-    public void keys(List<byte[]> good) {
-        keys = good.stream().map(MessageAuthenticator::new).toList();
+    /**
+     * Replaces the accepted keys; the first one signs. Existing connections stay: they were made with a key that was
+     * accepted then.
+     */
+    public void setKeys(List<byte[]> accepted) {
+        keys = accepted.stream().map(MessageAuthenticator::new).toList();
     }
 
-    /** The own generation from now on; connections that were opened in another are opened anew. */
-    public void generation(long now) {
-        if (now != generation) {
-            generation = now;
-            List.copyOf(out.values()).forEach(each -> each.end("a new generation"));
+    /**
+     * Sets the own generation; outbound connections that were opened in another one are closed, and opened again by the
+     * next message.
+     */
+    public void setGeneration(long newGeneration) {
+        if (newGeneration != generation) {
+            generation = newGeneration;
+            List.copyOf(outbound.values()).forEach(each -> each.end("a new generation"));
         }
     }
 
-    /** Where the others are, from now on. */
-    public void addresses(Map<String, InetSocketAddress> now) {
+    /** Replaces the addresses of the other gateways. */
+    public void setAddresses(Map<String, InetSocketAddress> newAddresses) {
         addresses.clear();
-        addresses.putAll(now);
-        List.copyOf(out.values()).stream().filter(each -> !each.at.equals(addresses.get(each.to))).forEach(each -> each.end("another address"));
+        addresses.putAll(newAddresses);
+        List.copyOf(outbound.values()).stream().filter(each -> !each.address.equals(addresses.get(each.to)))
+                .forEach(each -> each.end("another address"));
     }
 
-    /** Binds; whether that went well is in the future. */
-    public ChannelFuture listen(InetSocketAddress at) {
+    /** Binds to an address; the future has the result. */
+    public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, Math.max(BACKLOG, unknownMost))
+                .option(ChannelOption.SO_BACKLOG, Math.max(MIN_ACCEPT_BACKLOG, maxUnauthenticated))
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(frames(HELLO_MOST), new Inbound(channel));
+                        channel.pipeline().addLast(frameDecoder(MAX_HELLO_BYTES), new Inbound(channel));
                     }
-                }).bind(at);
-        server = bound.channel();
+                }).bind(address);
+        serverChannel = bound.channel();
         return bound;
     }
 
-    /** Where it listens, once it does. */
+    /** The address that it listens on, once it is bound. */
     public InetSocketAddress address() {
-        return (InetSocketAddress) server.localAddress();
+        return (InetSocketAddress) serverChannel.localAddress();
     }
 
-    /** What passed so far. */
+    /** The counts so far. */
     public Counts counts() {
         return new Counts(sent, sentBytes, received, receivedBytes, dropped, refused);
     }
 
-    /** Messages and replies on their way: the other ends haven't said yet that they have read them. */
-    long unread() {
-        return out.values().stream().mapToLong(each -> each.sequence - each.acked).sum() + in.values().stream().mapToLong(each -> each.replies - each.repliesAcked).sum();
+    /** Messages and replies that the other ends have not acknowledged yet. */
+    long unacknowledged() {
+        return outbound.values().stream().mapToLong(each -> each.sequence - each.ackedSequence).sum()
+                + inbound.values().stream().mapToLong(each -> each.repliesSent - each.repliesAcked).sum();
     }
 
-    /** Gateways that messages go to now, by name. */
-    public Map<String, Boolean> links() {
-        Map<String, Boolean> links = new TreeMap<>();
-        out.forEach((name, each) -> links.put(name, each.session != null));
-        return links;
+    /** The gateways with an outbound connection, by name, and whether its handshake is complete. */
+    public Map<String, Boolean> outboundLinks() {
+        Map<String, Boolean> states = new TreeMap<>();
+        outbound.forEach((name, each) -> states.put(name, each.sessionKey != null));
+        return states;
     }
 
-    private static LengthFieldBasedFrameDecoder frames(int body) {
-        return new LengthFieldBasedFrameDecoder(body + OVERHEAD, 0, Integer.BYTES, 0, Integer.BYTES);
+    private static LengthFieldBasedFrameDecoder frameDecoder(int maxBodyBytes) {
+        return new LengthFieldBasedFrameDecoder(maxBodyBytes
+                + FRAME_OVERHEAD_BYTES, 0, Integer.BYTES, 0, Integer.BYTES);
     }
 
     private static ByteBuf frame(Channel channel, byte type, byte[]... parts) {
@@ -234,27 +267,27 @@
         return frame;
     }
 
-    private byte[] nonce() {
-        byte[] nonce = new byte[NONCE];
+    private byte[] newNonce() {
+        byte[] nonce = new byte[NONCE_BYTES];
         random.nextBytes(nonce);
         return nonce;
     }
 
-    private long millis() {
-        return clock.getAsLong();
+    private long nowMillis() {
+        return clockMillis.getAsLong();
     }
 
-    private static byte[] eight(long count) {
+    private static byte[] encodeCount(long count) {
         return ByteBuffer.allocate(Long.BYTES).putLong(count).array();
     }
 
     // ---- sending
 
-    /** Sends a message to a gateway; false where it is known not to arrive. */
+    /** Sends a message to a gateway; false if it is known that it will not arrive. */
     public boolean send(String to, byte kind, byte[] message) {
-        Outbound link = message.length > MESSAGE_MOST || closed ? null : out.get(to);
-        if (link == null && !closed && message.length <= MESSAGE_MOST) {
-            link = open(to);
+        Outbound link = message.length > MAX_MESSAGE_BYTES || closed ? null : outbound.get(to);
+        if (link == null && !closed && message.length <= MAX_MESSAGE_BYTES) {
+            link = openOutbound(to);
         }
         if (link == null || !link.send(new byte[] {kind}, message)) {
             dropped++;
@@ -263,10 +296,13 @@
         return true;
     }
 
-    /** Sends a message back on the connection that a gateway opened. False where there is none, where more than {@link #WAITING_MOST} bytes wait on it already, or the
-        message is too large: it isn't sent then, and whoever sends decides. It may be lost all the same, with its connection. */
+    /**
+     * Sends a message back on the connection that a gateway opened. False if there is none, if more than {@link
+     * #MAX_PENDING_WRITE_BYTES} bytes already wait on it, or if the message is too large: it isn't sent then, and the
+     * caller decides. Even if true, it may be lost with its connection.
+     */
     public boolean reply(String to, byte kind, byte[] message) {
-        Inbound link = message.length > MESSAGE_MOST || closed ? null : in.get(to);
+        Inbound link = message.length > MAX_MESSAGE_BYTES || closed ? null : inbound.get(to);
         if (link == null || !link.reply(new byte[] {kind}, message)) {
             dropped++;
             return false;
@@ -274,109 +310,110 @@
         return true;
     }
 
-    /** Ends the connection that a gateway opened, where there is one. */
-    public void drop(String from) {
-        Inbound link = in.get(from);
+    /** Closes the connection that a gateway opened, if there is one. */
+    public void closeInbound(String from) {
+        Inbound link = inbound.get(from);
         if (link != null) {
-            link.over = true;
-            in.remove(from, link);
+            link.ended = true;
+            inbound.remove(from, link);
             link.channel.close();
         }
     }
 
-    /** Ends the connection that was opened to a gateway, where there is one; the next message to it opens another at once. */
-    public void leave(String to) {
-        Outbound link = out.remove(to);
+    /** Closes the outbound connection to a gateway, if there is one; the next message to it opens another at once. */
+    public void closeOutbound(String to) {
+        Outbound link = outbound.remove(to);
         if (link != null) {
             link.end("left");
         }
     }
 
-    /** Whether more waits in a channel than may. */
-    private static boolean full(Channel channel) {
-        return waiting(channel) > WAITING_MOST;
+    /** Whether more bytes wait in a channel than the limit. */
+    private static boolean isOverPendingLimit(Channel channel) {
+        return pendingWriteBytes(channel) > MAX_PENDING_WRITE_BYTES;
     }
 
-    /** Bytes that wait in a channel for the other end to read; what a closed one held counts as endless. */
-    private static long waiting(Channel channel) {
+    /** Bytes that wait in a channel for the other end to read; infinite (MAX_VALUE) for a closed one. */
+    private static long pendingWriteBytes(Channel channel) {
         ChannelOutboundBuffer buffer = channel.unsafe().outboundBuffer();
         return buffer == null ? Long.MAX_VALUE : buffer.totalPendingWriteBytes();
     }
 
-    private Outbound open(String to) {
-        InetSocketAddress at = addresses.get(to);
-        if (at == null || keys.isEmpty() || millis() < retryAt.getOrDefault(to, Long.MIN_VALUE)) {
+    private Outbound openOutbound(String to) {
+        InetSocketAddress address = addresses.get(to);
+        if (address == null || keys.isEmpty() || nowMillis() < retryAtMillis.getOrDefault(to, Long.MIN_VALUE)) {
             return null;
         }
-        if (out.size() >= most) {
+        if (outbound.size() >= maxConnections) {
             Outbound oldest = null;
-            for (Outbound each : out.values()) {
-                oldest = oldest == null || each.usedAt < oldest.usedAt ? each : oldest;
+            for (Outbound each : outbound.values()) {
+                oldest = oldest == null || each.usedAtMillis < oldest.usedAtMillis ? each : oldest;
             }
             if (oldest != null) {
                 oldest.end("room for another");
             }
-            if (out.size() >= most || out.containsKey(to)) {
-                return out.get(to);  // whoever heard of the end has opened one
+            if (outbound.size() >= maxConnections || outbound.containsKey(to)) {
+                return outbound.get(to);  // the listener may have opened one when it was told of the end
             }
         }
-        Outbound link = new Outbound(to, at);
-        out.put(to, link);
+        Outbound link = new Outbound(to, address);
+        outbound.put(to, link);
         link.connect();
         return link;
     }
 
-    /** Ends what is silent; runs every {@value #SWEEP_MILLIS} ms. */
+    /** Closes connections without progress; runs every {@value #SWEEP_INTERVAL_MILLIS} ms. */
     void sweep() {
-        long now = millis();
-        long late = now - sweptAt - SWEEP_MILLIS;
-        sweptAt = now;
-        if (late > STOPPED_MILLIS) {  // what the others said meanwhile may be lying unread
-            out.values().forEach(each -> each.stopped(now, late));
-            in.values().forEach(each -> each.movedAt = Math.min(now, each.movedAt + late));
-        }
-        List.copyOf(out.values()).forEach(each -> each.sweep(now));
-        List.copyOf(in.values()).forEach(each -> each.sweep(now));
-        retryAt.values().removeIf(at -> at < now);
+        long nowMillis = nowMillis();
+        long lateMillis = nowMillis - sweptAtMillis - SWEEP_INTERVAL_MILLIS;
+        sweptAtMillis = nowMillis;
+        if (lateMillis > MIN_PAUSE_MILLIS) {  // messages that arrived during the pause may still be unread
+            outbound.values().forEach(each -> each.compensateForPause(nowMillis, lateMillis));
+            inbound.values().forEach(each ->
+                    each.progressAtMillis = Math.min(nowMillis, each.progressAtMillis + lateMillis));
+        }
+        List.copyOf(outbound.values()).forEach(each -> each.sweep(nowMillis));
+        List.copyOf(inbound.values()).forEach(each -> each.sweep(nowMillis));
+        retryAtMillis.values().removeIf(at -> at < nowMillis);
     }
 
-    /** What goes to one gateway. */
+    /** The connection that this gateway opened to another. */
     private final class Outbound extends SimpleChannelInboundHandler<ByteBuf> {
 
         private final String to;
-        private final InetSocketAddress at;
-        private long openedAt = millis();
-        private final Deque<byte[][]> queued = new ArrayDeque<>();
+        private final InetSocketAddress address;
+        private long openedAtMillis = nowMillis();
+        private final Deque<byte[][]> queuedMessages = new ArrayDeque<>();
         private Channel channel;
-        private MessageAuthenticator key;
-        private MessageAuthenticator session;  // null until the other is known
+        private MessageAuthenticator handshakeKey;
+        private MessageAuthenticator sessionKey;  // null until the handshake is complete
         private byte[] nonce;
         private byte[] challenge;
         private long sequence;
-        private long acked;
-        private long movedAt;
-        private long usedAt = openedAt;
-        private long replies;
-        private long repliesAt = openedAt;
+        private long ackedSequence;
+        private long progressAtMillis;
+        private long usedAtMillis = openedAtMillis;
+        private long repliesReceived;
+        private long replyAtMillis = openedAtMillis;
         private boolean ackScheduled;
         private final RateLimiter rateLimiter = new RateLimiter();
-        private boolean over;
+        private boolean ended;
 
-        Outbound(String to, InetSocketAddress at) {
+        Outbound(String to, InetSocketAddress address) {
             this.to = to;
-            this.at = at;
+            this.address = address;
         }
 
         void connect() {
             ChannelFuture connecting = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true)
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
-                        protected void initChannel(Channel made) {
-                            made.pipeline().addLast(frames(HELLO_MOST), Outbound.this);
+                        protected void initChannel(Channel newChannel) {
+                            newChannel.pipeline().addLast(frameDecoder(MAX_HELLO_BYTES), Outbound.this);
                         }
-                    }).connect(at);
+                    }).connect(address);
             channel = connecting.channel();
             connecting.addListener((ChannelFutureListener) done -> {
                 if (!done.isSuccess()) {
@@ -386,24 +423,24 @@
         }
 
         boolean send(byte[] kind, byte[] message) {
-            usedAt = millis();
-            if (session == null) {
-                if (queued.size() >= QUEUED_MOST) {
-                    queued.poll();
+            usedAtMillis = nowMillis();
+            if (sessionKey == null) {
+                if (queuedMessages.size() >= MAX_QUEUED_MESSAGES) {
+                    queuedMessages.poll();
                     dropped++;
                 }
-                return queued.add(new byte[][] {kind, message});
+                return queuedMessages.add(new byte[][] {kind, message});
             }
-            if (full(channel)) {
+            if (isOverPendingLimit(channel)) {
                 return false;
             }
-            if (sequence == acked) {
-                movedAt = usedAt;
+            if (sequence == ackedSequence) {
+                progressAtMillis = usedAtMillis;
             }
-            byte[] signature = session.sign(++sequence, OF_SESSION, kind, message);
+            byte[] signature = sessionKey.sign(++sequence, SESSION_LABEL, kind, message);
             channel.writeAndFlush(frame(channel, MESSAGE, kind, message, signature));
             sent++;
-            sentBytes += Integer.BYTES + 2 + message.length + MessageAuthenticator.BYTES;
+            sentBytes += Integer.BYTES + 2 + message.length + MessageAuthenticator.SIGNATURE_BYTES;
             return true;
         }
 
@@ -411,88 +448,100 @@
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) throws IOException {
             byte type = frame.readableBytes() > 0 ? frame.readByte() : 0;
             byte[] body = ByteBufUtil.getBytes(frame);
-            if (type == CHALLENGE && challenge == null && body.length == NONCE + 1 && body[0] == VERSION) {
+            if (type == CHALLENGE && challenge == null && body.length == NONCE_BYTES + 1
+                    && body[0] == PROTOCOL_VERSION) {
                 challenge = Arrays.copyOfRange(body, 1, body.length);
-                nonce = nonce();
-                key = keys.get(0);
-                byte[] hello = CBOR.asBytes(Arrays.asList(installation, own, generation, to, nonce));
-                channel.writeAndFlush(frame(channel, HELLO, hello, key.sign(OF_HELLO, challenge, hello)));
-            } else if (type == WELCOME && session == null && challenge != null && MessageAuthenticator.same(body, key.sign(OF_WELCOME, challenge, nonce))) {
-                session = key.derived(OF_SESSION, challenge, nonce);
-                movedAt = millis();
-                channel.pipeline().replace(LengthFieldBasedFrameDecoder.class, "frames", frames(MESSAGE_MOST));
-                for (byte[][] each = queued.poll(); each != null; each = queued.poll()) {
+                nonce = newNonce();
+                handshakeKey = keys.get(0);
+                byte[] hello = CBOR.asBytes(Arrays.asList(installation, ownName, generation, to, nonce));
+                channel.writeAndFlush(frame(channel, HELLO, hello, handshakeKey.sign(HELLO_LABEL, challenge, hello)));
+            } else if (type == WELCOME && sessionKey == null && challenge != null
+                    && MessageAuthenticator.signaturesEqual(body, handshakeKey.sign(WELCOME_LABEL, challenge, nonce))) {
+                sessionKey = handshakeKey.deriveKey(SESSION_LABEL, challenge, nonce);
+                progressAtMillis = nowMillis();
+                channel.pipeline().replace(LengthFieldBasedFrameDecoder.class, "frames",
+                        frameDecoder(MAX_MESSAGE_BYTES));
+                for (byte[][] each = queuedMessages.poll(); each != null; each = queuedMessages.poll()) {
                     send(each[0], each[1]);
                 }
-            } else if (type == ACK && session != null && body.length == Long.BYTES + MessageAuthenticator.BYTES
-                    && MessageAuthenticator.same(Arrays.copyOfRange(body, Long.BYTES, body.length), session.sign(-1, Arrays.copyOf(body, Long.BYTES)))) {
-                long until = ByteBuffer.wrap(body).getLong();
-                if (until > acked && until <= sequence) {
-                    acked = until;
-                    movedAt = millis();
+            } else if (type == ACK && sessionKey != null && body.length == Long.BYTES
+                    + MessageAuthenticator.SIGNATURE_BYTES
+                    && MessageAuthenticator.signaturesEqual(Arrays.copyOfRange(body, Long.BYTES, body.length),
+                    sessionKey.sign(-1, Arrays.copyOf(body, Long.BYTES)))) {
+                long ackedCount = ByteBuffer.wrap(body).getLong();
+                if (ackedCount > ackedSequence && ackedCount <= sequence) {
+                    ackedSequence = ackedCount;
+                    progressAtMillis = nowMillis();
                 }
-            } else if (type == REPLY && session != null && body.length > MessageAuthenticator.BYTES && !over) {
-                reply(body);
-            } else if (!over) {
-                refuse("peer_unknown", to, "expected a gateway that knows the key, found another answer");
+            } else if (type == REPLY && sessionKey != null && body.length > MessageAuthenticator.SIGNATURE_BYTES
+                    && !ended) {
+                handleReply(body);
+            } else if (!ended) {
+                refuse("peer_unknown", to,
+                        "expected a handshake or acknowledgement signed with the shared key, found another frame");
                 end("another answer");
             }
         }
 
-        private void reply(byte[] body) {
+        private void handleReply(byte[] body) {
             byte[] kind = {body[0]};
-            byte[] message = Arrays.copyOfRange(body, 1, body.length - MessageAuthenticator.BYTES);
-            if (!MessageAuthenticator.same(Arrays.copyOfRange(body, body.length - MessageAuthenticator.BYTES, body.length), session.sign(++replies, OF_REPLY, kind, message))) {
-                refuse("peer_signature", to, "expected the signature of reply " + replies + ", found another");
+            byte[] message = Arrays.copyOfRange(body, 1, body.length - MessageAuthenticator.SIGNATURE_BYTES);
+            if (!MessageAuthenticator.signaturesEqual(Arrays.copyOfRange(body,
+                    body.length - MessageAuthenticator.SIGNATURE_BYTES, body.length),
+                    sessionKey.sign(++repliesReceived, REPLY_LABEL, kind, message))) {
+                refuse("peer_signature", to, "expected the signature of reply " + repliesReceived
+                        + ", found a different one");
                 end("another signature");
                 return;
             }
             received++;
             receivedBytes += Integer.BYTES + 1 + body.length;
-            repliesAt = millis();
-            usedAt = repliesAt;
+            replyAtMillis = nowMillis();
+            usedAtMillis = replyAtMillis;
             if (!ackScheduled) {
                 ackScheduled = true;
-                loop.schedule(this::sendAck, SWEEP_MILLIS / 2, TimeUnit.MILLISECONDS);
+                loop.schedule(this::sendAck, SWEEP_INTERVAL_MILLIS / 2, TimeUnit.MILLISECONDS);
             }
-            rateLimiter.read(channel);
+            rateLimiter.countMessage(channel);
             listener.received(to, 0, kind[0], message);
         }
 
         private void sendAck() {
             ackScheduled = false;
-            if (!over) {
-                byte[] count = eight(replies);
-                channel.writeAndFlush(frame(channel, REPLY_ACK, count, session.sign(-1, OF_REPLY, count)));
+            if (!ended) {
+                byte[] count = encodeCount(repliesReceived);
+                channel.writeAndFlush(frame(channel, REPLY_ACK, count, sessionKey.sign(-1, REPLY_LABEL, count)));
             }
         }
 
-        void stopped(long now, long late) {
-            openedAt = Math.min(now, openedAt + late);
-            movedAt = Math.min(now, movedAt + late);
-            repliesAt = Math.min(now, repliesAt + late);
+        void compensateForPause(long nowMillis, long lateMillis) {
+            openedAtMillis = Math.min(nowMillis, openedAtMillis + lateMillis);
+            progressAtMillis = Math.min(nowMillis, progressAtMillis + lateMillis);
+            replyAtMillis = Math.min(nowMillis, replyAtMillis + lateMillis);
         }
 
-        void sweep(long now) {
-            if (session == null ? now - openedAt > HELLO_MILLIS
-                    : sequence > acked && (now - Math.max(movedAt, repliesAt) > SILENT_MILLIS || now - movedAt > UNREAD_MILLIS)) {
+        void sweep(long nowMillis) {
+            if (sessionKey == null ? nowMillis - openedAtMillis > HANDSHAKE_TIMEOUT_MILLIS
+                    : sequence > ackedSequence
+                            && (nowMillis - Math.max(progressAtMillis, replyAtMillis) > SILENCE_TIMEOUT_MILLIS
+                                    || nowMillis - progressAtMillis > UNREAD_TIMEOUT_MILLIS)) {
                 end("silent");
-            } else if (now - usedAt > IDLE_MILLIS) {
+            } else if (nowMillis - usedAtMillis > IDLE_TIMEOUT_MILLIS) {
                 end("idle");
             }
         }
 
-        void end(String why) {
-            if (!over) {
-                over = true;
-                dropped += queued.size();
-                queued.clear();
-                boolean held = out.remove(to, this);
-                if (held && !why.equals("idle")) {
-                    retryAt.put(to, millis() + RETRY_MILLIS);
+        void end(String reason) {
+            if (!ended) {
+                ended = true;
+                dropped += queuedMessages.size();
+                queuedMessages.clear();
+                boolean registered = outbound.remove(to, this);
+                if (registered && !reason.equals("idle")) {
+                    retryAtMillis.put(to, nowMillis() + RETRY_DELAY_MILLIS);
                 }
                 channel.close();
-                if (held && !closed) {
+                if (registered && !closed) {
                     listener.outboundClosed(to);
                 }
             }
@@ -509,50 +558,51 @@
         }
     }
 
-    private void refuse(String what, String who, String text) {
+    private void refuse(String code, String peer, String description) {
         refused++;
-        listener.refused(what, who, text);
+        listener.refused(code, peer, description);
     }
 
-    /** Who says more than its rate is read again in the next second. */
+    /** Pauses reading from a channel that exceeds its rate until the next second. */
     private final class RateLimiter {
 
-        private long second;
-        private int inSecond;
+        private long currentSecond;
+        private int messagesInSecond;
 
-        void read(Channel channel) {
-            long now = millis();
-            if (now / 1_000 != second) {
-                second = now / 1_000;
-                inSecond = 0;
+        void countMessage(Channel channel) {
+            long nowMillis = nowMillis();
+            if (nowMillis / 1_000 != currentSecond) {
+                currentSecond = nowMillis / 1_000;
+                messagesInSecond = 0;
             }
-            if (++inSecond >= RATE) {
+            if (++messagesInSecond >= MAX_MESSAGES_PER_SECOND) {
                 channel.config().setAutoRead(false);
-                loop.schedule(() -> channel.config().setAutoRead(true), 1_000 - now % 1_000, TimeUnit.MILLISECONDS);
+                loop.schedule(() -> channel.config().setAutoRead(true), 1_000 - nowMillis % 1_000,
+                        TimeUnit.MILLISECONDS);
             }
         }
     }
 
     // ---- receiving
 
-    /** What comes from one gateway. */
+    /** A connection that another gateway opened. */
     private final class Inbound extends SimpleChannelInboundHandler<ByteBuf> {
 
         private final Channel channel;
-        private final byte[] challenge = nonce();
-        private String from;  // null until it is known
+        private final byte[] challenge = newNonce();
+        private String peerName;  // null until it is authenticated
         private long peerGeneration;
-        private MessageAuthenticator session;
+        private MessageAuthenticator sessionKey;
         private long sequence;
-        private long ackSent;
+        private long ackedSequence;
         private boolean ackScheduled;
         private final RateLimiter rateLimiter = new RateLimiter();
-        private long replies;
+        private long repliesSent;
         private long repliesAcked;
-        private long movedAt;
-        private long waited;  // at the last sweep
-        private long since;  // bytes written since then
-        private boolean over;
+        private long progressAtMillis;
+        private long pendingAtSweepBytes;
+        private long writtenSinceSweepBytes;
+        private boolean ended;
 
         Inbound(Channel channel) {
             this.channel = channel;
@@ -560,195 +610,214 @@
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            accepted.add(channel);
-            if (++unknown > unknownMost) {
-                refuse("peer_flood", String.valueOf(channel.remoteAddress()), "expected at most " + unknownMost + " connections that say nothing");
+            acceptedChannels.add(channel);
+            if (++unauthenticated > maxUnauthenticated) {
+                refuse("peer_flood", String.valueOf(channel.remoteAddress()), "expected at most " + maxUnauthenticated
+                        + " unauthenticated connections");
                 channel.close();
                 return;
             }
-            channel.writeAndFlush(frame(channel, CHALLENGE, new byte[] {VERSION}, challenge));
+            channel.writeAndFlush(frame(channel, CHALLENGE, new byte[] {PROTOCOL_VERSION}, challenge));
             loop.schedule(() -> {
-                if (from == null) {
+                if (peerName == null) {
                     channel.close();
                 }
-            }, HELLO_MILLIS, TimeUnit.MILLISECONDS);
+            }, HANDSHAKE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
             byte type = frame.readableBytes() > 0 ? frame.readByte() : 0;
             byte[] body = ByteBufUtil.getBytes(frame);
-            if (from == null) {
-                hello(type, body);
-            } else if (type == REPLY_ACK && body.length == Long.BYTES + MessageAuthenticator.BYTES) {
-                replyAck(body);
-            } else if (type != MESSAGE || body.length < 1 + MessageAuthenticator.BYTES) {
-                fails("peer_malformed", "expected a message, found type " + type + " of " + body.length + " bytes");
+            if (peerName == null) {
+                handleHello(type, body);
+            } else if (type == REPLY_ACK && body.length == Long.BYTES + MessageAuthenticator.SIGNATURE_BYTES) {
+                handleReplyAck(body);
+            } else if (type != MESSAGE || body.length < 1 + MessageAuthenticator.SIGNATURE_BYTES) {
+                refuseAndClose("peer_malformed", "expected a message frame, found type " + type + " of " + body.length
+                        + " bytes");
             } else {
-                message(body);
+                handleMessage(body);
             }
         }
 
-        private void message(byte[] body) {
+        private void handleMessage(byte[] body) {
             byte[] kind = {body[0]};
-            byte[] message = Arrays.copyOfRange(body, 1, body.length - MessageAuthenticator.BYTES);
-            byte[] signature = Arrays.copyOfRange(body, body.length - MessageAuthenticator.BYTES, body.length);
-            if (!MessageAuthenticator.same(signature, session.sign(++sequence, OF_SESSION, kind, message))) {
-                fails("peer_signature", "expected the signature of message " + sequence + ", found another");
+            byte[] message = Arrays.copyOfRange(body, 1, body.length - MessageAuthenticator.SIGNATURE_BYTES);
+            byte[] signature = Arrays.copyOfRange(body, body.length - MessageAuthenticator.SIGNATURE_BYTES,
+                    body.length);
+            if (!MessageAuthenticator.signaturesEqual(signature,
+                    sessionKey.sign(++sequence, SESSION_LABEL, kind, message))) {
+                refuseAndClose("peer_signature", "expected the signature of message " + sequence
+                        + ", found a different one");
                 return;
             }
             received++;
             receivedBytes += Integer.BYTES + 1 + body.length;
             if (!ackScheduled) {
                 ackScheduled = true;
-                loop.schedule(this::sendAck, SWEEP_MILLIS / 2, TimeUnit.MILLISECONDS);
+                loop.schedule(this::sendAck, SWEEP_INTERVAL_MILLIS / 2, TimeUnit.MILLISECONDS);
             }
-            rateLimiter.read(channel);
-            if (!over) {
-                listener.received(from, peerGeneration, kind[0], message);
+            rateLimiter.countMessage(channel);
+            if (!ended) {
+                listener.received(peerName, peerGeneration, kind[0], message);
             }
         }
 
-        private void replyAck(byte[] body) {
+        private void handleReplyAck(byte[] body) {
             byte[] count = Arrays.copyOf(body, Long.BYTES);
-            long until = ByteBuffer.wrap(count).getLong();
-            if (!MessageAuthenticator.same(Arrays.copyOfRange(body, Long.BYTES, body.length), session.sign(-1, OF_REPLY, count)) || until > replies) {
-                fails("peer_signature", "expected the signature of how many of " + replies + " replies were read, found another");
-            } else if (until > repliesAcked) {
-                repliesAcked = until;
-                movedAt = millis();
+            long ackedCount = ByteBuffer.wrap(count).getLong();
+            if (!MessageAuthenticator.signaturesEqual(Arrays.copyOfRange(body, Long.BYTES, body.length),
+                    sessionKey.sign(-1, REPLY_LABEL, count)) || ackedCount > repliesSent) {
+                refuseAndClose("peer_signature", "expected a signed acknowledgement of at most " + repliesSent
+                        + " replies, found a different one");
+            } else if (ackedCount > repliesAcked) {
+                repliesAcked = ackedCount;
+                progressAtMillis = nowMillis();
             }
         }
 
         boolean reply(byte[] kind, byte[] message) {
-            if (full(channel)) {
+            if (isOverPendingLimit(channel)) {
                 return false;
             }
-            if (replies == repliesAcked) {
-                movedAt = millis();
+            if (repliesSent == repliesAcked) {
+                progressAtMillis = nowMillis();
             }
-            byte[] signature = session.sign(++replies, OF_REPLY, kind, message);
+            byte[] signature = sessionKey.sign(++repliesSent, REPLY_LABEL, kind, message);
             channel.writeAndFlush(frame(channel, REPLY, kind, message, signature));
-            int bytes = Integer.BYTES + 2 + message.length + MessageAuthenticator.BYTES;
-            since += bytes;
+            int bytes = Integer.BYTES + 2 + message.length + MessageAuthenticator.SIGNATURE_BYTES;
+            writtenSinceSweepBytes += bytes;
             sent++;
             sentBytes += bytes;
             return true;
         }
 
-        /** A large reply on a slow way is acknowledged late, but the bytes before it move: what waits grows less than what is written. */
-        void sweep(long now) {
-            long waiting = waiting(channel);
-            if (waited > 0 && waiting < waited + since) {
-                movedAt = now;
+        /**
+         * A large reply on a slow connection is acknowledged late, but its bytes drain: if fewer bytes wait than waited
+         * before plus those written since, there is progress.
+         */
+        void sweep(long nowMillis) {
+            long pendingBytes = pendingWriteBytes(channel);
+            if (pendingAtSweepBytes > 0 && pendingBytes < pendingAtSweepBytes + writtenSinceSweepBytes) {
+                progressAtMillis = nowMillis;
             }
-            waited = waiting;
-            since = 0;
-            if (replies > repliesAcked && now - movedAt > SILENT_MILLIS) {
+            pendingAtSweepBytes = pendingBytes;
+            writtenSinceSweepBytes = 0;
+            if (repliesSent > repliesAcked && nowMillis - progressAtMillis > SILENCE_TIMEOUT_MILLIS) {
                 channel.close();
             }
         }
 
         private void sendAck() {
             ackScheduled = false;
-            if (sequence > ackSent && channel.isActive()) {
-                ackSent = sequence;
-                byte[] count = eight(sequence);
-                channel.writeAndFlush(frame(channel, ACK, count, session.sign(-1, count)));
+            if (sequence > ackedSequence && channel.isActive()) {
+                ackedSequence = sequence;
+                byte[] count = encodeCount(sequence);
+                channel.writeAndFlush(frame(channel, ACK, count, sessionKey.sign(-1, count)));
             }
         }
 
-        private void hello(byte type, byte[] body) {
-            if (type != HELLO || body.length < MessageAuthenticator.BYTES) {
-                fails("peer_malformed", "expected who it is, found type " + type + " of " + body.length + " bytes");
+        private void handleHello(byte type, byte[] body) {
+            if (type != HELLO || body.length < MessageAuthenticator.SIGNATURE_BYTES) {
+                refuseAndClose("peer_malformed", "expected a hello frame, found type " + type + " of " + body.length
+                        + " bytes");
                 return;
             }
-            byte[] hello = Arrays.copyOf(body, body.length - MessageAuthenticator.BYTES);
+            byte[] hello = Arrays.copyOf(body, body.length - MessageAuthenticator.SIGNATURE_BYTES);
             byte[] signature = Arrays.copyOfRange(body, hello.length, body.length);
-            MessageAuthenticator by = null;
+            MessageAuthenticator signingKey = null;
             for (MessageAuthenticator each : keys) {
-                by = MessageAuthenticator.same(signature, each.sign(OF_HELLO, challenge, hello)) && by == null ? each : by;
+                signingKey = MessageAuthenticator.signaturesEqual(signature, each.sign(HELLO_LABEL, challenge, hello))
+                        && signingKey == null ? each : signingKey;
             }
-            if (by == null) {
-                fails("peer_signature", "expected a signature by a key that is good here, found another");
+            if (signingKey == null) {
+                refuseAndClose("peer_signature", "expected a signature by an accepted key, found a different one");
                 return;
             }
-            Object read;
+            Object decoded;
             try {
-                read = CBOR.anyFrom(hello);
+                decoded = CBOR.anyFrom(hello);
             } catch (IOException e) {
-                read = null;
-            }
-            if (!(read instanceof List<?> said) || said.size() != 5 || !(said.get(0) instanceof String of) || !(said.get(1) instanceof String name)
-                    || !(said.get(2) instanceof Number started) || !(said.get(3) instanceof String to) || !(said.get(4) instanceof byte[] nonce)) {
-                fails("peer_malformed", "expected installation, name, generation, whom it means and a nonce, found another hello");
+                decoded = null;
+            }
+            if (!(decoded instanceof List<?> fields) || fields.size() != 5
+                    || !(fields.get(0) instanceof String peerInstallation) || !(fields.get(1) instanceof String name)
+                    || !(fields.get(2) instanceof Number startedGeneration)
+                    || !(fields.get(3) instanceof String recipient) || !(fields.get(4) instanceof byte[] nonce)) {
+                refuseAndClose("peer_malformed",
+                        "expected installation, name, generation, recipient and nonce, found a different hello");
                 return;
             }
-            if (!of.equals(installation) || !to.equals(own) || name.equals(own) || name.isEmpty()) {
-                fails(name.equals(own) ? "peer_own_name" : "peer_elsewhere", "expected a gateway of " + installation + " that means " + own + ", found " + name + " of " + of
-                        + " that means " + to);
+            if (!peerInstallation.equals(installation) || !recipient.equals(ownName) || name.equals(ownName)
+                    || name.isEmpty()) {
+                refuseAndClose(name.equals(ownName) ? "peer_own_name" : "peer_elsewhere", "expected a gateway of "
+                        + installation + " addressing " + ownName + ", found " + name + " of " + peerInstallation
+                        + " addressing " + recipient);
                 return;
             }
-            if (in.size() >= most && !in.containsKey(name)) {
-                fails("peer_too_many", "expected at most " + most + " gateways, found " + name + " beside them");
+            if (inbound.size() >= maxConnections && !inbound.containsKey(name)) {
+                refuseAndClose("peer_too_many", "expected at most " + maxConnections + " gateways, found " + name
+                        + " beside them");
                 return;
             }
-            from = name;
-            peerGeneration = started.longValue();
-            unknown--;
-            session = by.derived(OF_SESSION, challenge, nonce);
-            Inbound before = in.get(from);
-            if (before != null) {
-                before.unregister();
-                before.channel.close();
+            peerName = name;
+            peerGeneration = startedGeneration.longValue();
+            unauthenticated--;
+            sessionKey = signingKey.deriveKey(SESSION_LABEL, challenge, nonce);
+            Inbound previous = inbound.get(peerName);
+            if (previous != null) {
+                previous.unregister();
+                previous.channel.close();
             }
-            in.put(from, this);
-            channel.pipeline().replace(LengthFieldBasedFrameDecoder.class, "frames", frames(MESSAGE_MOST));
-            channel.writeAndFlush(frame(channel, WELCOME, by.sign(OF_WELCOME, challenge, nonce)));
+            inbound.put(peerName, this);
+            channel.pipeline().replace(LengthFieldBasedFrameDecoder.class, "frames", frameDecoder(MAX_MESSAGE_BYTES));
+            channel.writeAndFlush(frame(channel, WELCOME, signingKey.sign(WELCOME_LABEL, challenge, nonce)));
         }
 
-        private void fails(String what, String text) {
-            refuse(what, from == null ? String.valueOf(channel.remoteAddress()) : from, text);
+        private void refuseAndClose(String code, String description) {
+            refuse(code, peerName == null ? String.valueOf(channel.remoteAddress()) : peerName, description);
             channel.close();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            if (accepted.remove(channel) && from == null) {
-                unknown--;
+            if (acceptedChannels.remove(channel) && peerName == null) {
+                unauthenticated--;
             }
-            if (from != null) {
+            if (peerName != null) {
                 unregister();
             }
         }
 
         private void unregister() {
-            in.remove(from, this);
-            if (!over && !closed) {
-                over = true;
-                listener.inboundClosed(from);
+            inbound.remove(peerName, this);
+            if (!ended && !closed) {
+                ended = true;
+                listener.inboundClosed(peerName);
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (cause instanceof TooLongFrameException) {
-                fails("peer_too_large", "expected a message of at most " + MESSAGE_MOST + " bytes, found a larger one");
+                refuseAndClose("peer_too_large", "expected a message of at most " + MAX_MESSAGE_BYTES
+                        + " bytes, found a larger one");
             } else {
                 channel.close();
             }
         }
     }
 
-    /** Ends at once. */
+    /** Closes all connections and the listening socket at once. */
     @Override
     public void close() {
         closed = true;
-        sweeps.cancel(false);
-        List.copyOf(out.values()).forEach(each -> each.end("closed"));
-        if (server != null) {
-            server.close();
+        sweepTask.cancel(false);
+        List.copyOf(outbound.values()).forEach(each -> each.end("closed"));
+        if (serverChannel != null) {
+            serverChannel.close();
         }
-        List.copyOf(accepted).forEach(Channel::close);
+        List.copyOf(acceptedChannels).forEach(Channel::close);
     }
 }
--- a/src/main/java/mastdrift/serve/ControlLinks.java
+++ b/src/main/java/mastdrift/serve/ControlLinks.java
@@ -121,12 +121,12 @@
 
             @Override
             public void leave(String to) {
-                links.leave(to);
+                links.closeOutbound(to);
             }
 
             @Override
             public void drop(String from) {
-                links.drop(from);
+                links.closeInbound(from);
             }
         };
     }
@@ -138,9 +138,9 @@
         settings.machines().forEach(each -> addresses.put(each.name(), Addresses.parse(each.address())));
         addresses.remove(name);
         loop.execute(() -> {
-            links.generation(1);  // a reply says 0
-            links.keys(keys);
-            links.addresses(addresses);
+            links.setGeneration(1);  // a reply says 0
+            links.setKeys(keys);
+            links.setAddresses(addresses);
         });
     }
 
--- a/src/main/java/mastdrift/serve/PeerService.java
+++ b/src/main/java/mastdrift/serve/PeerService.java
@@ -104,7 +104,7 @@
         long next;
         try {
             kept = new GenerationFile(file.toAbsolutePath().resolveSibling(settings.folder()));
-            next = kept.next(wall);
+            next = kept.nextGeneration(wall);
         } catch (IOException e) {
             events.event(Level.WARN, "peers_folder", "the folder of peers can't be used, this start goes by its clock: " + e.getMessage());
             return wall;
@@ -175,9 +175,9 @@
     private void put(Configuration next) {
         Map<String, InetSocketAddress> addresses = new HashMap<>();
         next.peers().gateways().forEach((name, at) -> addresses.put(name, Addresses.parse(at)));
-        links.generation(membership.self().generation());
-        links.keys(next.peers().keys().stream().map(secrets).toList());
-        links.addresses(addresses);
+        links.setGeneration(membership.self().generation());
+        links.setKeys(next.peers().keys().stream().map(secrets).toList());
+        links.setAddresses(addresses);
         membership.configured(addresses.keySet());
     }
 
@@ -268,7 +268,7 @@
             events.event(bad ? Level.WARN : Level.INFO, "peer_" + name, "gateway " + of.member().name() + " " + name.replace('_', ' ')
                     + (event == MembershipList.Event.SUSPECTED || event == MembershipList.Event.GONE ? ", by " + of.by() : ""), "peer", of.member().name(), "zone", of.member().zone(),
                     "life", of.member().generation(), "incarnation", of.incarnation(), "by", of.by(), "mono_us", now());
-            loop.execute(() -> links.generation(membership.self().generation()));
+            loop.execute(() -> links.setGeneration(membership.self().generation()));
         }
     }
 
@@ -360,7 +360,7 @@
             members.add(member);
         }
         all.put("members", members);
-        all.put("links", links.links());
+        all.put("links", links.outboundLinks());
         all.put("log", log.get());
         PeerLinks.Counts counts = links.counts();
         all.put("counts", new LinkedHashMap<>(Map.of("sent", counts.sent(), "sent_bytes", counts.sentBytes(), "received", counts.received(),
--- a/src/test/java/mastdrift/distribution/edge/MessageCodecTest.java
+++ b/src/test/java/mastdrift/distribution/edge/MessageCodecTest.java
@@ -173,7 +173,7 @@
 
     @Test
     void whatIsBeyondABoundIsNotWritten() {
-        assertEquals(PeerLinks.MESSAGE_MOST, MessageCodec.BYTES_MOST, "as much as a link carries");
+        assertEquals(PeerLinks.MAX_MESSAGE_BYTES, MessageCodec.BYTES_MOST, "as much as a link carries");
         Random random = new Random(1);
         List<Resource> resources = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
@@ -183,7 +183,7 @@
         }
         assertTrue(unwritten(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, resources)), true)).startsWith("a message: expected at most 524288 bytes, found 65"));
         byte[] fits = MessageCodec.bytes(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, resources.subList(0, 31))), true));
-        assertTrue(fits.length <= PeerLinks.MESSAGE_MOST);
+        assertTrue(fits.length <= PeerLinks.MAX_MESSAGE_BYTES);
         List<Resource> alike = Collections.nCopies(200, resource("n", Resource.VALUE_MOST));
         assertTrue(unwritten(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, alike)), true)).startsWith("a message: expected at most 2097152 bytes before they are deflated"));
         assertTrue(unwritten(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(1_024, List.of())), true)).startsWith("shard: expected at most 1023, found 1024"));
--- a/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
+++ b/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
@@ -67,8 +67,8 @@
             links = new PeerLinks(loop, "test", name, 64, this);
             table = Table.empty(1);
             on(() -> {
-                links.generation(1);
-                links.keys(List.of(key));
+                links.setGeneration(1);
+                links.setKeys(List.of(key));
                 return null;
             });
             nodes.add(this);
@@ -89,7 +89,7 @@
         Node subscribes(Table have, Map<String, InetSocketAddress> at) {
             table = have;
             on(() -> {
-                links.addresses(at);
+                links.setAddresses(at);
                 subscription = new Subscription(loop, this, name, "z", have, SUBSCRIBER, name.hashCode(), (level, what, text, fields) -> events.add(what), this::taken);
                 subscription.machines(at.keySet().stream().map(machine -> new Machine(machine, "z")).toList());
                 return null;
@@ -189,12 +189,12 @@
 
         @Override
         public void leave(String to) {
-            links.leave(to);
+            links.closeOutbound(to);
         }
 
         @Override
         public void drop(String from) {
-            links.drop(from);
+            links.closeInbound(from);
         }
     }
 
@@ -338,7 +338,7 @@
         follow(List.of(gateway));
         Node mad = new Node("mad", KEY);
         mad.on(() -> {
-            mad.links.addresses(Map.of("voter", voter.address()));
+            mad.links.setAddresses(Map.of("voter", voter.address()));
             return null;
         });
         Random random = new Random(5);
--- a/src/test/java/mastdrift/peers/edge/PeerLinksReplyTest.java
+++ b/src/test/java/mastdrift/peers/edge/PeerLinksReplyTest.java
@@ -30,45 +30,48 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Messages back on the connection that the other end opened: theirs arrive, what isn't theirs ends the connection, and who doesn't read costs a bounded amount. */
+/**
+ * Replies on a connection that the other end opened: authentic ones arrive, others close the connection, and a peer
+ * that doesn't read costs a bounded amount.
+ */
 class PeerLinksReplyTest {
 
-    private static final int WAIT_SECONDS = 30;
+    private static final int MAX_WAIT_SECONDS = 30;
     private static final byte[] KEY = "one key".getBytes(StandardCharsets.UTF_8);
-    private static final byte[] OF_REPLY = {'r'};
+    private static final byte[] REPLY_LABEL = {'r'};
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-    private final List<End> ends = new ArrayList<>();
-    private final AtomicLong clock = new AtomicLong(1_000_000);
+    private final List<TestPeer> peers = new ArrayList<>();
+    private final AtomicLong clockMillis = new AtomicLong(1_000_000);
 
-    private final class End implements PeerLinks.Listener {
-        private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-        private final BlockingQueue<String> refused = new LinkedBlockingQueue<>();
-        private final BlockingQueue<String> over = new LinkedBlockingQueue<>();
+    private final class TestPeer implements PeerLinks.Listener {
+        private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
+        private final BlockingQueue<String> refusals = new LinkedBlockingQueue<>();
+        private final BlockingQueue<String> closures = new LinkedBlockingQueue<>();
         private final PeerLinks links;
 
-        End(String name) {
+        TestPeer(String name) {
             this(name, 8);
         }
 
-        End(String name, int most) {
-            links = new PeerLinks(loop, "norte", name, most, this, clock::get);
-            on(() -> {
-                links.generation(5);
-                links.keys(List.of(KEY));
+        TestPeer(String name, int maxConnections) {
+            links = new PeerLinks(loop, "norte", name, maxConnections, this, clockMillis::get);
+            onLoop(() -> {
+                links.setGeneration(5);
+                links.setKeys(List.of(KEY));
                 return null;
             });
-            ends.add(this);
+            peers.add(this);
         }
 
-        End listens() {
+        TestPeer listen() {
             links.listen(new InetSocketAddress("127.0.0.1", 0)).syncUninterruptibly();
             return this;
         }
 
-        End knows(String name, InetSocketAddress at) {
-            on(() -> {
-                links.addresses(Map.of(name, at));
+        TestPeer setAddress(String name, InetSocketAddress address) {
+            onLoop(() -> {
+                links.setAddresses(Map.of(name, address));
                 return null;
             });
             return this;
@@ -76,332 +79,360 @@
 
         @Override
         public void received(String from, long generation, byte kind, byte[] message) {
-            heard.add(from + " " + generation + " " + kind + " " + (message.length > 100 ? message.length : new String(message, StandardCharsets.UTF_8)));
+            received.add(from + " " + generation + " " + kind + " "
+                    + (message.length > 100 ? message.length : new String(message, StandardCharsets.UTF_8)));
         }
 
         @Override
-        public void refused(String what, String who, String text) {
-            refused.add(what + " " + who);
+        public void refused(String code, String peer, String description) {
+            refusals.add(code + " " + peer);
         }
 
         @Override
         public void outboundClosed(String to) {
-            over.add("ended " + to);
+            closures.add("outbound closed " + to);
         }
 
         @Override
         public void inboundClosed(String from) {
-            over.add("gone " + from);
+            closures.add("inbound closed " + from);
         }
 
         boolean send(String to, String text) {
-            return on(() -> links.send(to, (byte) 7, text.getBytes(StandardCharsets.UTF_8)));
+            return onLoop(() -> links.send(to, (byte) 7, text.getBytes(StandardCharsets.UTF_8)));
         }
 
         boolean reply(String to, String text) {
-            return on(() -> links.reply(to, (byte) 8, text.getBytes(StandardCharsets.UTF_8)));
+            return onLoop(() -> links.reply(to, (byte) 8, text.getBytes(StandardCharsets.UTF_8)));
         }
     }
 
-    private <T> T on(Callable<T> call) {
+    private <T> T onLoop(Callable<T> call) {
         return loop.submit(call).syncUninterruptibly().getNow();
     }
 
-    /** Some time passes, and whatever is silent by then is found so. */
-    private void passes(long millis) {
-        for (long left = millis; left > 0; left -= PeerLinks.SWEEP_MILLIS) {
-            jumps(Math.min(left, PeerLinks.SWEEP_MILLIS));
+    /** Advances the clock in steps of the sweep interval, with a sweep after each. */
+    private void advanceTime(long millis) {
+        for (long remaining = millis; remaining > 0; remaining -= PeerLinks.SWEEP_INTERVAL_MILLIS) {
+            jumpTime(Math.min(remaining, PeerLinks.SWEEP_INTERVAL_MILLIS));
         }
     }
 
-    /** As for a process that was stopped meanwhile. */
-    private void jumps(long millis) {
-        on(() -> {
-            clock.addAndGet(millis);
-            ends.forEach(end -> end.links.sweep());
+    /** Advances the clock at once with a single sweep, as for a process that was paused meanwhile. */
+    private void jumpTime(long millis) {
+        onLoop(() -> {
+            clockMillis.addAndGet(millis);
+            peers.forEach(peer -> peer.links.sweep());
             return null;
         });
     }
 
     @AfterEach
     void close() {
-        loop.submit(() -> ends.forEach(end -> end.links.close())).syncUninterruptibly();
+        loop.submit(() -> peers.forEach(peer -> peer.links.close())).syncUninterruptibly();
         loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
     private static String next(BlockingQueue<String> queue) throws InterruptedException {
-        return queue.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+        return queue.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Sends until one arrives: a connection that was refused or has ended is tried again after a moment. */
-    private void through(End from, String to, End at, String text) throws InterruptedException {
-        String heard = null;
-        for (int tries = 0; heard == null && tries < 300; tries++) {
-            heard = from.send(to, text) ? next(at.heard) : null;
-            clock.addAndGet(50);  // it may have to wait before it is tried again
+    /** Sends until one message arrives: a connection that was refused or has ended is retried after a delay. */
+    private void sendUntilReceived(TestPeer sender, String to, TestPeer receiver,
+            String text) throws InterruptedException {
+        String message = null;
+        for (int tries = 0; message == null && tries < 300; tries++) {
+            message = sender.send(to, text) ? next(receiver.received) : null;
+            clockMillis.addAndGet(50);  // the retry delay may not be over yet
         }
-        assertTrue(heard != null && heard.endsWith(text), heard);
+        assertTrue(message != null && message.endsWith(text), message);
     }
 
-    /** Who opens needs no listener; both directions run at once, up to the largest message. */
+    /** The opening end needs no listening socket; both directions run at once, up to the largest message. */
     @Test
-    void repliesArriveInOrderByTheConnectionThatTheOtherOpened() throws Exception {
-        End b = new End("b").listens();
-        End a = new End("a").knows("b", b.links.address());
-        assertFalse(b.reply("a", "too soon"), "nobody has opened a connection");
+    void repliesArriveInOrderOnTheConnectionThatTheOtherEndOpened() throws Exception {
+        TestPeer b = new TestPeer("b").listen();
+        TestPeer a = new TestPeer("a").setAddress("b", b.links.address());
+        assertFalse(b.reply("a", "too soon"), "no connection open yet");
         assertTrue(a.send("b", "first"));
-        assertEquals("a 5 7 first", next(b.heard));
+        assertEquals("a 5 7 first", next(b.received));
         for (int i = 0; i < 100; i++) {
             assertTrue(b.reply("a", "r" + i));
             assertTrue(a.send("b", "m" + i));
         }
         for (int i = 0; i < 100; i++) {
-            assertEquals("b 0 8 r" + i, next(a.heard));
-            assertEquals("a 5 7 m" + i, next(b.heard));
+            assertEquals("b 0 8 r" + i, next(a.received));
+            assertEquals("a 5 7 m" + i, next(b.received));
         }
-        assertTrue(on(() -> b.links.reply("a", (byte) 9, new byte[PeerLinks.MESSAGE_MOST])));
-        assertEquals("b 0 9 " + PeerLinks.MESSAGE_MOST, next(a.heard));
-        assertFalse(on(() -> b.links.reply("a", (byte) 9, new byte[PeerLinks.MESSAGE_MOST + 1])), "too large");
-        PeerLinks.Counts counts = on(b.links::counts);
+        assertTrue(onLoop(() -> b.links.reply("a", (byte) 9, new byte[PeerLinks.MAX_MESSAGE_BYTES])));
+        assertEquals("b 0 9 " + PeerLinks.MAX_MESSAGE_BYTES, next(a.received));
+        assertFalse(onLoop(() -> b.links.reply("a", (byte) 9, new byte[PeerLinks.MAX_MESSAGE_BYTES + 1])), "too large");
+        PeerLinks.Counts counts = onLoop(b.links::counts);
         assertEquals(101, counts.sent());
-        assertEquals(on(a.links::counts).receivedBytes(), counts.sentBytes());
-        assertTrue(a.refused.isEmpty() && b.refused.isEmpty() && a.over.isEmpty() && b.over.isEmpty());
+        assertEquals(onLoop(a.links::counts).receivedBytes(), counts.sentBytes());
+        assertTrue(a.refusals.isEmpty() && b.refusals.isEmpty() && a.closures.isEmpty() && b.closures.isEmpty());
     }
 
     @Test
-    void whoeverEndsAConnectionTheOtherIsToldAndNothingGoesToItAnyMore() throws Exception {
-        End b = new End("b").listens();
-        End a = new End("a").knows("b", b.links.address());
-        through(a, "b", b, "one");
-        on(() -> {
-            a.links.leave("b");
+    void closingAConnectionIsReportedToTheOtherEndAndStopsReplies() throws Exception {
+        TestPeer b = new TestPeer("b").listen();
+        TestPeer a = new TestPeer("a").setAddress("b", b.links.address());
+        sendUntilReceived(a, "b", b, "one");
+        onLoop(() -> {
+            a.links.closeOutbound("b");
             return null;
         });
-        assertEquals("gone a", next(b.over));
+        assertEquals("inbound closed a", next(b.closures));
         assertFalse(b.reply("a", "lost"));
         assertTrue(a.send("b", "two"), "at once");
-        assertEquals("a 5 7 two", next(b.heard));
-        on(() -> {
-            b.links.drop("a");
+        assertEquals("a 5 7 two", next(b.received));
+        onLoop(() -> {
+            b.links.closeInbound("a");
             return null;
         });
         assertFalse(b.reply("a", "lost"));
-        assertEquals("ended b", next(a.over));
-        through(a, "b", b, "three");
-        End twin = new End("a").knows("b", b.links.address());
-        through(twin, "b", b, "four");
-        assertEquals("gone a", next(b.over), "the connection before it, and before the message");
+        assertEquals("outbound closed b", next(a.closures));
+        sendUntilReceived(a, "b", b, "three");
+        TestPeer twin = new TestPeer("a").setAddress("b", b.links.address());
+        sendUntilReceived(twin, "b", b, "four");
+        assertEquals("inbound closed a", next(b.closures),
+                "the previous connection is reported closed before the message");
         assertTrue(b.reply("a", "to the twin"));
-        assertEquals("b 0 8 to the twin", next(twin.heard));
-        assertEquals("ended b", next(a.over));
-        on(() -> {
+        assertEquals("b 0 8 to the twin", next(twin.received));
+        assertEquals("outbound closed b", next(a.closures));
+        onLoop(() -> {
             b.links.close();
             return null;
         });
-        assertEquals("ended b", next(twin.over));
+        assertEquals("outbound closed b", next(twin.closures));
         assertFalse(b.reply("a", "closed"));
-        assertTrue(a.heard.isEmpty());
+        assertTrue(a.received.isEmpty());
     }
 
-    /** By hand: who accepts replies well, then with what is forged, comes again, is left out, swapped, or is the other direction's own. */
+    /**
+     * A scripted acceptor sends a valid reply, then ones that are replayed, of another connection, after an omitted
+     * one, reordered, changed, reflected from the other direction, unsigned or too large.
+     */
     @Test
-    void aReplyThatIsNotTheNextOneEndsTheConnection() throws Exception {
-        try (HandAccepts hand = new HandAccepts()) {
-            End a = new End("a").knows("hand", hand.address());
-            byte[] good = hand.session(a).reply(1, "good");
-            hand.write(good);
-            assertEquals("hand 0 8 good", next(a.heard));
-            hand.write(good);
-            ends(hand, a);
-            hand.session(a).write(good);  // of another connection
-            ends(hand, a);
-            hand.session(a).write(hand.reply(2, "the first is left out"));
-            ends(hand, a);
-            byte[] first = hand.session(a).reply(1, "x");
-            hand.write(hand.reply(2, "y"), first);
-            ends(hand, a);
-            byte[] changed = hand.session(a).reply(1, "good");
+    void replyThatIsForgedReplayedOrOutOfOrderClosesTheConnection() throws Exception {
+        try (ScriptedAcceptor peer = new ScriptedAcceptor()) {
+            TestPeer a = new TestPeer("a").setAddress("hand", peer.address());
+            byte[] good = peer.acceptSession(a).reply(1, "good");
+            peer.write(good);
+            assertEquals("hand 0 8 good", next(a.received));
+            peer.write(good);
+            assertRefusedAndClosed(peer, a);
+            peer.acceptSession(a).write(good);  // of another connection
+            assertRefusedAndClosed(peer, a);
+            peer.acceptSession(a).write(peer.reply(2, "the first is left out"));
+            assertRefusedAndClosed(peer, a);
+            byte[] first = peer.acceptSession(a).reply(1, "x");
+            peer.write(peer.reply(2, "y"), first);
+            assertRefusedAndClosed(peer, a);
+            byte[] changed = peer.acceptSession(a).reply(1, "good");
             changed[6] ^= 1;
-            hand.write(changed);
-            ends(hand, a);
-            byte[] own = hand.session(a).heard.clone();  // what it said itself
+            peer.write(changed);
+            assertRefusedAndClosed(peer, a);
+            byte[] own = peer.acceptSession(a).firstMessage.clone();  // the opening end's own message
             own[0] = 6;
-            hand.write(HandAccepts.framed(own));
-            ends(hand, a);
-            hand.session(a).write(HandAccepts.framed(new byte[] {6, 8}));  // no signature
-            assertEquals("peer_unknown hand", next(a.refused));
-            assertEquals("ended hand", next(a.over));
-            hand.session(a).write(ByteBuffer.allocate(4).putInt(10 << 20).array());
-            assertEquals("ended hand", next(a.over));
-            hand.session(a).write(hand.reply(1, "and still"));
-            assertEquals("hand 0 8 and still", next(a.heard));
-            assertTrue(a.heard.isEmpty());
+            peer.write(ScriptedAcceptor.framed(own));
+            assertRefusedAndClosed(peer, a);
+            peer.acceptSession(a).write(ScriptedAcceptor.framed(new byte[] {6, 8}));  // no signature
+            assertEquals("peer_unknown hand", next(a.refusals));
+            assertEquals("outbound closed hand", next(a.closures));
+            peer.acceptSession(a).write(ByteBuffer.allocate(4).putInt(10 << 20).array());
+            assertEquals("outbound closed hand", next(a.closures));
+            peer.acceptSession(a).write(peer.reply(1, "and still"));
+            assertEquals("hand 0 8 and still", next(a.received));
+            assertTrue(a.received.isEmpty());
         }
     }
 
-    private void ends(HandAccepts hand, End a) throws Exception {
-        assertEquals("peer_signature hand", next(a.refused));
-        assertEquals("ended hand", next(a.over));
-        assertTrue(hand.ended());
+    private void assertRefusedAndClosed(ScriptedAcceptor peer, TestPeer a) throws Exception {
+        assertEquals("peer_signature hand", next(a.refusals));
+        assertEquals("outbound closed hand", next(a.closures));
+        assertTrue(peer.awaitClosed());
     }
 
-    /** As a build from before replies takes one: a frame that it doesn't know is refused by name, the connection ends, the next one is made and serves. */
+    /**
+     * As a build from before replies treats one: a frame of an unknown type is refused with its code and the connection
+     * closed; the next one is opened and works.
+     */
     @Test
-    void aFrameOfALaterBuildEndsTheConnectionAndTheNextOneServes() throws Exception {
-        try (HandAccepts hand = new HandAccepts()) {
-            End a = new End("a").knows("hand", hand.address());
-            hand.session(a).write(HandAccepts.framed(new byte[] {99, 1, 2, 3}));
-            assertEquals("peer_unknown hand", next(a.refused));
-            assertEquals("ended hand", next(a.over));
-            assertTrue(hand.ended());
-            hand.session(a).write(hand.reply(1, "as before"));
-            assertEquals("hand 0 8 as before", next(a.heard));
+    void unknownFrameTypeClosesTheConnectionAndTheNextOneWorks() throws Exception {
+        try (ScriptedAcceptor peer = new ScriptedAcceptor()) {
+            TestPeer a = new TestPeer("a").setAddress("hand", peer.address());
+            peer.acceptSession(a).write(ScriptedAcceptor.framed(new byte[] {99, 1, 2, 3}));
+            assertEquals("peer_unknown hand", next(a.refusals));
+            assertEquals("outbound closed hand", next(a.closures));
+            assertTrue(peer.awaitClosed());
+            peer.acceptSession(a).write(peer.reply(1, "as before"));
+            assertEquals("hand 0 8 as before", next(a.received));
         }
     }
 
-    /** Forged news of how much was heard doesn't keep a connection. */
+    /**
+     * An acknowledgement of replies that is forged, or that counts more than were sent, doesn't keep a connection open.
+     */
     @Test
-    void forgedNewsOfWhatWasHeardEndsTheConnection() throws Exception {
-        End b = new End("b").listens();
-        try (HandOpens hand = new HandOpens(b)) {
-            hand.write((byte) 7, new byte[24]);
-            assertEquals("peer_signature hand", next(b.refused));
-            assertEquals("gone hand", next(b.over));
-        }
-        try (HandOpens hand = new HandOpens(b)) {
+    void forgedReplyAckClosesTheConnection() throws Exception {
+        TestPeer b = new TestPeer("b").listen();
+        try (ScriptedConnector peer = new ScriptedConnector(b)) {
+            peer.write((byte) 7, new byte[24]);
+            assertEquals("peer_signature hand", next(b.refusals));
+            assertEquals("inbound closed hand", next(b.closures));
+        }
+        try (ScriptedConnector peer = new ScriptedConnector(b)) {
             byte[] count = ByteBuffer.allocate(8).putLong(1).array();  // nothing was replied
-            hand.write((byte) 7, count, hand.session.sign(-1, OF_REPLY, count));
-            assertEquals("peer_signature hand", next(b.refused));
+            peer.write((byte) 7, count, peer.session.sign(-1, REPLY_LABEL, count));
+            assertEquals("peer_signature hand", next(b.refusals));
         }
     }
 
-    /** Who takes nothing in costs no more than the bound, is told so to whoever replies, and is let go. */
+    /**
+     * A peer that reads nothing costs no more than the bound, replies to it are refused then, and it is disconnected.
+     */
     @Test
-    void aSlowReaderCostsNoMoreThanTheBoundAndIsLetGo() throws Exception {
-        End b = new End("b").listens();
-        try (HandOpens hand = new HandOpens(b)) {
-            hand.write((byte) 4, hand.message(1, "here"));
-            assertEquals("hand 5 7 here", next(b.heard));
+    void slowReaderIsBoundedInPendingBytesAndDisconnected() throws Exception {
+        TestPeer b = new TestPeer("b").listen();
+        try (ScriptedConnector peer = new ScriptedConnector(b)) {
+            peer.write((byte) 4, peer.message(1, "here"));
+            assertEquals("hand 5 7 here", next(b.received));
             byte[] large = new byte[64 << 10];
-            int taken = 0;
-            while (on(() -> b.links.reply("hand", (byte) 8, large))) {
-                assertTrue(++taken < 1_024, "bounded");
+            int acceptedReplies = 0;
+            while (onLoop(() -> b.links.reply("hand", (byte) 8, large))) {
+                assertTrue(++acceptedReplies < 1_024, "bounded");
             }
-            assertTrue((long) taken * large.length > PeerLinks.WAITING_MOST, "not before");
-            passes(PeerLinks.SILENT_MILLIS);
-            assertTrue(b.over.isEmpty(), "not yet");
-            passes(1);
-            assertEquals("gone hand", next(b.over), "it doesn't move on");
+            assertTrue((long) acceptedReplies * large.length > PeerLinks.MAX_PENDING_WRITE_BYTES,
+                    "accepted up to the limit");
+            advanceTime(PeerLinks.SILENCE_TIMEOUT_MILLIS);
+            assertTrue(b.closures.isEmpty(), "before the timeout");
+            advanceTime(1);
+            assertEquals("inbound closed hand", next(b.closures), "no progress");
             assertFalse(b.reply("hand", "x"));
-            assertTrue(b.refused.isEmpty());
+            assertTrue(b.refusals.isEmpty());
         }
     }
 
-    /** One that only hears isn't taken for silent, nor is one that is told nothing for longer than that. */
+    /**
+     * Neither an end that only receives nor one that receives nothing for longer than the silence timeout is taken for
+     * silent.
+     */
     @Test
-    void aConnectionThatOnlyHearsStays() throws Exception {
-        End b = new End("b").listens();
-        End a = new End("a").knows("b", b.links.address());
-        End quiet = new End("quiet").knows("b", b.links.address());
-        through(a, "b", b, "one");
-        through(quiet, "b", b, "one");
+    void connectionThatOnlyReceivesStaysOpen() throws Exception {
+        TestPeer b = new TestPeer("b").listen();
+        TestPeer a = new TestPeer("a").setAddress("b", b.links.address());
+        TestPeer quiet = new TestPeer("quiet").setAddress("b", b.links.address());
+        sendUntilReceived(a, "b", b, "one");
+        sendUntilReceived(quiet, "b", b, "one");
         for (int i = 0; i < 10; i++) {
             assertTrue(b.reply("a", "r" + i));
-            assertEquals("b 0 8 r" + i, next(a.heard));
-            passes(PeerLinks.SILENT_MILLIS * 2 / 3);
-            settled(a, b);
+            assertEquals("b 0 8 r" + i, next(a.received));
+            advanceTime(PeerLinks.SILENCE_TIMEOUT_MILLIS * 2 / 3);
+            awaitAcknowledged(a, b);
         }
-        passes(PeerLinks.SILENT_MILLIS * 2);
+        advanceTime(PeerLinks.SILENCE_TIMEOUT_MILLIS * 2);
         assertTrue(b.reply("quiet", "at last"));
-        assertEquals("b 0 8 at last", next(quiet.heard));
-        assertTrue(a.over.isEmpty() && b.over.isEmpty() && quiet.over.isEmpty());
+        assertEquals("b 0 8 at last", next(quiet.received));
+        assertTrue(a.closures.isEmpty() && b.closures.isEmpty() && quiet.closures.isEmpty());
     }
 
     /** Waits until each end knows what the other has read. */
-    private void settled(End opened, End accepted) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
-        while (on(() -> opened.links.unread() + accepted.links.unread()) > 0) {
-            assertTrue(System.nanoTime() < until, "settled");
+    private void awaitAcknowledged(TestPeer opened, TestPeer accepted) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_WAIT_SECONDS);
+        while (onLoop(() -> opened.links.unacknowledged() + accepted.links.unacknowledged()) > 0) {
+            assertTrue(System.nanoTime() < deadlineNanos, "not all acknowledged");
             Thread.sleep(1);
         }
     }
 
-    /** Both ends of a connection are stopped for longer than a silent one is kept, with something unread in each direction: it stays, and a silent one still ends. */
+    /**
+     * Both ends of a connection are paused for longer than the silence timeout, with unread messages in each direction:
+     * it stays; a connection that is silent afterwards still ends.
+     */
     @Test
-    void aProcessThatWasStoppedHoldsItAgainstNobody() throws Exception {
-        End b = new End("b").listens();
-        try (HandAccepts accepts = new HandAccepts(); HandOpens opens = new HandOpens(b)) {
-            End a = new End("a").knows("hand", accepts.address());
-            accepts.session(a);  // sent something, which is never said to be read
-            opens.write((byte) 4, opens.message(1, "here"));
-            assertEquals("hand 5 7 here", next(b.heard));
+    void pauseOfThisProcessClosesNoConnection() throws Exception {
+        TestPeer b = new TestPeer("b").listen();
+        try (ScriptedAcceptor acceptor = new ScriptedAcceptor();
+                ScriptedConnector connector = new ScriptedConnector(b)) {
+            TestPeer a = new TestPeer("a").setAddress("hand", acceptor.address());
+            acceptor.acceptSession(a);  // sends a message that is never acknowledged
+            connector.write((byte) 4, connector.message(1, "here"));
+            assertEquals("hand 5 7 here", next(b.received));
             assertTrue(b.reply("hand", "never heard"));
-            jumps(PeerLinks.SILENT_MILLIS * 4L);
-            assertTrue(a.over.isEmpty() && b.over.isEmpty());
-            passes(PeerLinks.SILENT_MILLIS + 1);
-            assertEquals("ended hand", next(a.over));
-            assertEquals("gone hand", next(b.over));
+            jumpTime(PeerLinks.SILENCE_TIMEOUT_MILLIS * 4L);
+            assertTrue(a.closures.isEmpty() && b.closures.isEmpty());
+            advanceTime(PeerLinks.SILENCE_TIMEOUT_MILLIS + 1);
+            assertEquals("outbound closed hand", next(a.closures));
+            assertEquals("inbound closed hand", next(b.closures));
         }
     }
 
-    /** As many may come at once as an eighth of those that there may be; from then on a connection that says nothing is one too many. */
+    /**
+     * As many unauthenticated connections are accepted at once as an eighth of the connection limit; one more is
+     * refused.
+     */
     @Test
-    void aMachineOfManyTakesManyAtOnce() throws Exception {
-        End b = new End("b", 8 * (PeerLinks.UNKNOWN_MOST + 36)).listens();
-        List<Socket> flood = new ArrayList<>();
+    void unauthenticatedLimitGrowsWithTheConnectionLimit() throws Exception {
+        TestPeer b = new TestPeer("b", 8 * (PeerLinks.MIN_UNAUTHENTICATED_LIMIT + 36)).listen();
+        List<Socket> sockets = new ArrayList<>();
         try {
-            for (int i = 0; i < PeerLinks.UNKNOWN_MOST + 36; i++) {
+            for (int i = 0; i < PeerLinks.MIN_UNAUTHENTICATED_LIMIT + 36; i++) {
                 Socket socket = new Socket();
-                flood.add(socket);
+                sockets.add(socket);
                 socket.connect(b.links.address());
-                assertEquals(1, frame(socket)[0], "challenged, and so counted");
+                assertEquals(1, readFrame(socket)[0], "challenge received, so the connection is counted");
             }
-            assertTrue(b.refused.isEmpty());
+            assertTrue(b.refusals.isEmpty());
             Socket more = new Socket();
-            flood.add(more);
+            sockets.add(more);
             more.connect(b.links.address());
-            assertTrue(next(b.refused).startsWith("peer_flood"));
+            assertTrue(next(b.refusals).startsWith("peer_flood"));
         } finally {
-            for (Socket socket : flood) {
+            for (Socket socket : sockets) {
                 socket.close();
             }
         }
     }
 
-    /** Whoever vanished without a word: the one who replies to it lets it go, and so does the one who sends to it. */
+    /**
+     * A peer that vanished without closing is disconnected by the end that replies to it and by the end that sends to
+     * it.
+     */
     @Test
-    void whoVanishedIsLetGoByBothEnds() throws Exception {
-        End b = new End("b").listens();
-        End a = new End("a");
+    void vanishedPeerIsDisconnectedByBothEnds() throws Exception {
+        TestPeer b = new TestPeer("b").listen();
+        TestPeer a = new TestPeer("a");
         try (Relay relay = new Relay(loop, b.links.address(), 1)) {
-            a.knows("b", relay.address());
-            through(a, "b", b, "one");
+            a.setAddress("b", relay.address());
+            sendUntilReceived(a, "b", b, "one");
             assertTrue(b.reply("a", "here"));
-            assertEquals("b 0 8 here", next(a.heard));
+            assertEquals("b 0 8 here", next(a.received));
             relay.weather(Relay.Weather.SILENT);
             b.reply("a", "lost");
             a.send("b", "lost");
-            passes(PeerLinks.SILENT_MILLIS + 1);
-            assertEquals("gone a", next(b.over));
-            assertEquals("ended b", next(a.over));
+            advanceTime(PeerLinks.SILENCE_TIMEOUT_MILLIS + 1);
+            assertEquals("inbound closed a", next(b.closures));
+            assertEquals("outbound closed b", next(a.closures));
         }
     }
 
-    /** Replies come, but nothing of what is sent is read: not kept for good. */
+    /** Replies arrive, but no message is acknowledged: the connection isn't kept for ever. */
     @Test
-    void repliesAloneDoNotKeepAConnectionOnWhichNothingIsRead() throws Exception {
-        try (HandAccepts hand = new HandAccepts()) {
-            End a = new End("a").knows("hand", hand.address());
-            hand.session(a);
+    void repliesAloneDoNotKeepAConnectionWithUnreadMessagesOpen() throws Exception {
+        try (ScriptedAcceptor peer = new ScriptedAcceptor()) {
+            TestPeer a = new TestPeer("a").setAddress("hand", peer.address());
+            peer.acceptSession(a);
             int number = 0;
-            for (long passed = 0; passed < PeerLinks.UNREAD_MILLIS; passed += PeerLinks.SILENT_MILLIS / 2) {
-                hand.write(hand.reply(++number, "r"));
-                assertEquals("hand 0 8 r", next(a.heard));
-                assertTrue(a.over.isEmpty(), "after " + passed);
-                passes(PeerLinks.SILENT_MILLIS / 2);
+            for (long passed = 0; passed < PeerLinks.UNREAD_TIMEOUT_MILLIS;
+                    passed += PeerLinks.SILENCE_TIMEOUT_MILLIS / 2) {
+                peer.write(peer.reply(++number, "r"));
+                assertEquals("hand 0 8 r", next(a.received));
+                assertTrue(a.closures.isEmpty(), "after " + passed);
+                advanceTime(PeerLinks.SILENCE_TIMEOUT_MILLIS / 2);
             }
-            passes(1);
-            assertEquals("ended hand", next(a.over));
+            advanceTime(1);
+            assertEquals("outbound closed hand", next(a.closures));
         }
     }
 
@@ -412,47 +443,48 @@
         return frame.array();
     }
 
-    private static byte[] frame(Socket socket) throws IOException {
+    private static byte[] readFrame(Socket socket) throws IOException {
         DataInputStream in = new DataInputStream(socket.getInputStream());
         return in.readNBytes(in.readInt());
     }
 
-    /** Who accepts, by hand, as the protocol is written down; one connection at a time. */
-    private final class HandAccepts implements AutoCloseable {
+    /** The accepting end, scripted after the protocol's specification; one connection at a time. */
+    private final class ScriptedAcceptor implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
         private Socket socket = new Socket();
         private MessageAuthenticator session;
-        private byte[] heard;
+        private byte[] firstMessage;
 
-        HandAccepts() throws IOException {
-            server.setSoTimeout(WAIT_SECONDS * 1_000);
+        ScriptedAcceptor() throws IOException {
+            server.setSoTimeout(MAX_WAIT_SECONDS * 1_000);
         }
 
         InetSocketAddress address() {
             return (InetSocketAddress) server.getLocalSocketAddress();
         }
 
-        /** A new connection of an end, up to its first message. */
-        HandAccepts session(End of) throws Exception {
+        /** Accepts a new connection of a peer, up to its first message. */
+        ScriptedAcceptor acceptSession(TestPeer peer) throws Exception {
             socket.close();
-            for (int tries = 0; !of.send("hand", "hello"); tries++) {
+            for (int tries = 0; !peer.send("hand", "hello"); tries++) {
                 assertTrue(tries < 300, "no connection");
-                clock.addAndGet(50);  // it has to wait before it is tried again
+                clockMillis.addAndGet(50);  // the retry delay has to pass first
             }
             socket = server.accept();
-            socket.setSoTimeout(WAIT_SECONDS * 1_000);
+            socket.setSoTimeout(MAX_WAIT_SECONDS * 1_000);
             byte[] challenge = new byte[16];
             Arrays.fill(challenge, (byte) 3);
             challenge[0] = (byte) System.nanoTime();
             write(PeerLinksReplyTest.framed(new byte[] {1, 1}, challenge));
-            byte[] hello = frame(socket);
-            Object said = JSON.builder(new CBORFactory()).build().anyFrom(Arrays.copyOfRange(hello, 1, hello.length - MessageAuthenticator.BYTES));
-            byte[] nonce = (byte[]) ((List<?>) said).get(4);
+            byte[] hello = readFrame(socket);
+            Object decoded = JSON.builder(new CBORFactory()).build()
+                    .anyFrom(Arrays.copyOfRange(hello, 1, hello.length - MessageAuthenticator.SIGNATURE_BYTES));
+            byte[] nonce = (byte[]) ((List<?>) decoded).get(4);
             MessageAuthenticator key = new MessageAuthenticator(KEY);
             write(PeerLinksReplyTest.framed(new byte[] {3}, key.sign(new byte[] {3}, challenge, nonce)));
-            session = key.derived(new byte[] {'s'}, challenge, nonce);
-            heard = frame(socket);
-            of.over.clear();
+            session = key.deriveKey(new byte[] {'s'}, challenge, nonce);
+            firstMessage = readFrame(socket);
+            peer.closures.clear();
             return this;
         }
 
@@ -460,10 +492,11 @@
             return PeerLinksReplyTest.framed(frame);
         }
 
-        byte[] reply(long number, String text) {
+        byte[] reply(long sequence, String text) {
             byte[] kind = {8};
             byte[] message = text.getBytes(StandardCharsets.UTF_8);
-            return PeerLinksReplyTest.framed(new byte[] {6}, kind, message, session.sign(number, OF_REPLY, kind, message));
+            return PeerLinksReplyTest.framed(new byte[] {6}, kind, message,
+                    session.sign(sequence, REPLY_LABEL, kind, message));
         }
 
         void write(byte[]... frames) throws IOException {
@@ -472,7 +505,7 @@
             }
         }
 
-        boolean ended() {
+        boolean awaitClosed() {
             try {
                 while (socket.getInputStream().read() >= 0) {
                     continue;
@@ -490,29 +523,31 @@
         }
     }
 
-    /** Who opens, by hand, with little room for what it doesn't read. */
-    private static final class HandOpens implements AutoCloseable {
+    /** The opening end, scripted, with a small receive buffer for what it doesn't read. */
+    private static final class ScriptedConnector implements AutoCloseable {
         private final Socket socket = new Socket();
         private final MessageAuthenticator session;
 
-        HandOpens(End at) throws IOException {
+        ScriptedConnector(TestPeer peer) throws IOException {
             socket.setReceiveBufferSize(4_096);
-            socket.connect(at.links.address());
-            socket.setSoTimeout(WAIT_SECONDS * 1_000);
-            byte[] challenge = Arrays.copyOfRange(frame(socket), 2, 18);
+            socket.connect(peer.links.address());
+            socket.setSoTimeout(MAX_WAIT_SECONDS * 1_000);
+            byte[] challenge = Arrays.copyOfRange(readFrame(socket), 2, 18);
             byte[] nonce = new byte[16];
-            byte[] hello = JSON.builder(new CBORFactory()).build().asBytes(Arrays.asList("norte", "hand", 5L, "b", nonce));
+            byte[] hello = JSON.builder(new CBORFactory()).build()
+                    .asBytes(Arrays.asList("norte", "hand", 5L, "b", nonce));
             MessageAuthenticator key = new MessageAuthenticator(KEY);
             write((byte) 2, hello, key.sign(new byte[] {2}, challenge, hello));
-            assertEquals(3, frame(socket)[0]);
-            session = key.derived(new byte[] {'s'}, challenge, nonce);
+            assertEquals(3, readFrame(socket)[0]);
+            session = key.deriveKey(new byte[] {'s'}, challenge, nonce);
         }
 
-        byte[] message(long number, String text) {
+        byte[] message(long sequence, String text) {
             byte[] message = text.getBytes(StandardCharsets.UTF_8);
             byte[] kind = {7};
-            byte[] signature = session.sign(number, new byte[] {'s'}, kind, message);
-            return ByteBuffer.allocate(1 + message.length + signature.length).put(kind).put(message).put(signature).array();
+            byte[] signature = session.sign(sequence, new byte[] {'s'}, kind, message);
+            return ByteBuffer.allocate(1 + message.length + signature.length).put(kind).put(message).put(signature)
+                    .array();
         }
 
         void write(byte type, byte[]... parts) throws IOException {
--- a/src/test/java/mastdrift/peers/edge/PeerLinksTest.java
+++ b/src/test/java/mastdrift/peers/edge/PeerLinksTest.java
@@ -25,47 +25,49 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Signed connections over loopback: what is theirs arrives, what is not is refused and named. */
+/** Signed connections over loopback: authentic messages arrive, others are refused with their code. */
 class PeerLinksTest {
 
-    private static final int WAIT_SECONDS = 30;
+    private static final int MAX_WAIT_SECONDS = 30;
     private static final byte[] KEY = "one key".getBytes(StandardCharsets.UTF_8);
-    private static final byte[] NEXT = "the next key".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] NEXT_KEY = "the next key".getBytes(StandardCharsets.UTF_8);
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-    private final List<End> ends = new ArrayList<>();
+    private final List<TestPeer> peers = new ArrayList<>();
 
-    private final class End implements PeerLinks.Listener {
-        private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-        private final BlockingQueue<String> refused = new LinkedBlockingQueue<>();
+    private final class TestPeer implements PeerLinks.Listener {
+        private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
+        private final BlockingQueue<String> refusals = new LinkedBlockingQueue<>();
         private final PeerLinks links;
 
-        End(String installation, String name, byte[]... keys) {
+        TestPeer(String installation, String name, byte[]... keys) {
             links = new PeerLinks(loop, installation, name, 8, this);
             loop.submit(() -> {
-                links.generation(name.hashCode() & 0xFF);
-                links.keys(List.of(keys));
+                links.setGeneration(name.hashCode() & 0xFF);
+                links.setKeys(List.of(keys));
             }).syncUninterruptibly();
             links.listen(new InetSocketAddress("127.0.0.1", 0)).syncUninterruptibly();
-            ends.add(this);
+            peers.add(this);
         }
 
         @Override
         public void received(String from, long generation, byte kind, byte[] message) {
-            heard.add(from + " " + kind + " " + (message.length > 100 ? message.length : new String(message, StandardCharsets.UTF_8)));
+            received.add(from + " " + kind + " " + (message.length > 100 ? message.length
+                    : new String(message, StandardCharsets.UTF_8)));
         }
 
         @Override
-        public void refused(String what, String who, String text) {
-            refused.add(what);
+        public void refused(String code, String peer, String description) {
+            refusals.add(code);
         }
 
-        void knows(String name, InetSocketAddress at) {
-            loop.submit(() -> links.addresses(Map.of(name, at))).syncUninterruptibly();
+        void setAddress(String name, InetSocketAddress address) {
+            loop.submit(() -> links.setAddresses(Map.of(name, address))).syncUninterruptibly();
         }
 
         boolean send(String to, String text) {
-            return loop.submit(() -> links.send(to, (byte) 7, text.getBytes(StandardCharsets.UTF_8))).syncUninterruptibly().getNow();
+            return loop.submit(() -> links.send(to, (byte) 7, text.getBytes(StandardCharsets.UTF_8)))
+                    .syncUninterruptibly().getNow();
         }
 
         PeerLinks.Counts counts() {
@@ -75,173 +77,183 @@
 
     @AfterEach
     void close() {
-        loop.submit(() -> ends.forEach(end -> end.links.close())).syncUninterruptibly();
+        loop.submit(() -> peers.forEach(peer -> peer.links.close())).syncUninterruptibly();
         loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
     private static String next(BlockingQueue<String> queue) throws InterruptedException {
-        return queue.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+        return queue.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Sends until one arrives: a connection that was refused or reset is tried again after a moment. */
-    private static String through(End from, String to, End at, String text) throws InterruptedException {
+    /** Sends until one message arrives: a connection that was refused or reset is retried after a delay. */
+    private static String sendUntilReceived(TestPeer sender, String to, TestPeer receiver,
+            String text) throws InterruptedException {
         for (int tries = 0; tries < 100; tries++) {
-            from.send(to, text);
-            String heard = at.heard.poll(100, TimeUnit.MILLISECONDS);
-            if (heard != null) {
-                return heard;
+            sender.send(to, text);
+            String message = receiver.received.poll(100, TimeUnit.MILLISECONDS);
+            if (message != null) {
+                return message;
             }
         }
         return null;
     }
 
     @Test
-    void messagesArriveInOrderAndAKeyIsReplacedWhileTheyRun() throws Exception {
-        End a = new End("norte", "a", KEY);
-        End b = new End("norte", "b", KEY, NEXT);
-        a.knows("b", b.links.address());
+    void messagesArriveInOrderWhileAKeyIsReplaced() throws Exception {
+        TestPeer a = new TestPeer("norte", "a", KEY);
+        TestPeer b = new TestPeer("norte", "b", KEY, NEXT_KEY);
+        a.setAddress("b", b.links.address());
         for (int i = 0; i < 50; i++) {
             assertTrue(a.send("b", "m" + i));
         }
         for (int i = 0; i < 50; i++) {
-            assertEquals("a 7 m" + i, next(b.heard));
+            assertEquals("a 7 m" + i, next(b.received));
         }
         loop.submit(() -> {
-            a.links.keys(List.of(NEXT));
-            a.links.generation(1_000);  // opens anew
+            a.links.setKeys(List.of(NEXT_KEY));
+            a.links.setGeneration(1_000);  // opens a new connection
         }).syncUninterruptibly();
-        assertEquals("a 7 by the next key", through(a, "b", b, "by the next key"));
-        loop.submit(() -> b.links.keys(List.of(NEXT))).syncUninterruptibly();
-        assertEquals("a 7 after it", through(a, "b", b, "after it"));
-        assertEquals(0, b.refused.size());
+        assertEquals("a 7 by the next key", sendUntilReceived(a, "b", b, "by the next key"));
+        loop.submit(() -> b.links.setKeys(List.of(NEXT_KEY))).syncUninterruptibly();
+        assertEquals("a 7 after it", sendUntilReceived(a, "b", b, "after it"));
+        assertEquals(0, b.refusals.size());
     }
 
     @Test
-    void whoDoesNotBelongIsRefusedByName() throws Exception {
-        End b = new End("norte", "b", KEY);
-        End stranger = new End("norte", "c", NEXT);
-        stranger.knows("b", b.links.address());
+    void connectionsWithAWrongKeyInstallationOrNameAreRefused() throws Exception {
+        TestPeer b = new TestPeer("norte", "b", KEY);
+        TestPeer stranger = new TestPeer("norte", "c", NEXT_KEY);
+        stranger.setAddress("b", b.links.address());
         stranger.send("b", "x");
-        assertEquals("peer_signature", next(b.refused));
-        End elsewhere = new End("sur", "c", KEY);
-        elsewhere.knows("b", b.links.address());
+        assertEquals("peer_signature", next(b.refusals));
+        TestPeer elsewhere = new TestPeer("sur", "c", KEY);
+        elsewhere.setAddress("b", b.links.address());
         elsewhere.send("b", "x");
-        assertEquals("peer_elsewhere", next(b.refused));
-        End twin = new End("norte", "b", KEY);
-        twin.knows("b", b.links.address());
+        assertEquals("peer_elsewhere", next(b.refusals));
+        TestPeer twin = new TestPeer("norte", "b", KEY);
+        twin.setAddress("b", b.links.address());
         twin.send("b", "x");
-        assertEquals("peer_own_name", next(b.refused));
-        End misled = new End("norte", "d", KEY);
-        misled.knows("e", b.links.address());
+        assertEquals("peer_own_name", next(b.refusals));
+        TestPeer misled = new TestPeer("norte", "d", KEY);
+        misled.setAddress("e", b.links.address());
         misled.send("e", "x");
-        assertEquals("peer_elsewhere", next(b.refused));
-        assertEquals(0, b.heard.size());
-        assertFalse(b.send("nobody", "x"), "an address that isn't known");
+        assertEquals("peer_elsewhere", next(b.refusals));
+        assertEquals(0, b.received.size());
+        assertFalse(b.send("nobody", "x"), "unknown address");
     }
 
-    /** By hand: a good hello, then messages that are forged, of 10 MB, cut short, or none at all. */
+    /**
+     * A scripted connector sends a valid hello, then messages that are replayed, of another connection, changed, of 10
+     * MB or truncated.
+     */
     @Test
-    void whatIsForgedReplayedTooLargeOrCutShortEndsItsConnection() throws Exception {
-        End b = new End("norte", "b", KEY);
+    void messageThatIsForgedReplayedTooLargeOrTruncatedClosesTheConnection() throws Exception {
+        TestPeer b = new TestPeer("norte", "b", KEY);
         byte[] first;
-        try (Hand hand = new Hand(b)) {
-            first = hand.message(1, "good");
-            hand.out.write(first);
-            assertEquals("hand 7 good", next(b.heard));
-            hand.out.write(first);  // again
-            assertEquals("peer_signature", next(b.refused));
-            assertTrue(hand.ended());
+        try (ScriptedConnector connector = new ScriptedConnector(b)) {
+            first = connector.message(1, "good");
+            connector.out.write(first);
+            assertEquals("hand 7 good", next(b.received));
+            connector.out.write(first);  // replayed
+            assertEquals("peer_signature", next(b.refusals));
+            assertTrue(connector.awaitClosed());
         }
-        try (Hand hand = new Hand(b)) {
-            hand.out.write(first);  // of another connection
-            assertEquals("peer_signature", next(b.refused));
+        try (ScriptedConnector connector = new ScriptedConnector(b)) {
+            connector.out.write(first);  // of another connection
+            assertEquals("peer_signature", next(b.refusals));
         }
-        try (Hand hand = new Hand(b)) {
-            byte[] changed = hand.message(1, "good");
+        try (ScriptedConnector connector = new ScriptedConnector(b)) {
+            byte[] changed = connector.message(1, "good");
             changed[6] ^= 1;
-            hand.out.write(changed);
-            assertEquals("peer_signature", next(b.refused));
+            connector.out.write(changed);
+            assertEquals("peer_signature", next(b.refusals));
         }
-        try (Hand hand = new Hand(b)) {
-            hand.out.write(ByteBuffer.allocate(4).putInt(10 << 20).array());
-            assertEquals("peer_too_large", next(b.refused));
-            assertTrue(hand.ended());
+        try (ScriptedConnector connector = new ScriptedConnector(b)) {
+            connector.out.write(ByteBuffer.allocate(4).putInt(10 << 20).array());
+            assertEquals("peer_too_large", next(b.refusals));
+            assertTrue(connector.awaitClosed());
         }
-        try (Hand hand = new Hand(b)) {
-            hand.out.write(Arrays.copyOf(hand.message(1, "cut"), 9));
+        try (ScriptedConnector connector = new ScriptedConnector(b)) {
+            connector.out.write(Arrays.copyOf(connector.message(1, "cut"), 9));
         }
-        try (Hand hand = new Hand(b)) {
-            hand.out.write(hand.message(1, "still there"));
-            assertEquals("hand 7 still there", next(b.heard));
+        try (ScriptedConnector connector = new ScriptedConnector(b)) {
+            connector.out.write(connector.message(1, "still there"));
+            assertEquals("hand 7 still there", next(b.received));
         }
     }
 
-    /** Connections that say nothing: no more than the bound are held, and those who belong come through. */
+    /** Connections that send no hello: no more than the bound are held, and authentic peers are still accepted. */
     @Test
-    void aFloodOfSilentConnectionsIsBounded() throws Exception {
-        End b = new End("norte", "b", KEY);
-        End a = new End("norte", "a", KEY);
-        a.knows("b", b.links.address());
-        List<Socket> flood = new ArrayList<>();
+    void numberOfUnauthenticatedConnectionsIsBounded() throws Exception {
+        TestPeer b = new TestPeer("norte", "b", KEY);
+        TestPeer a = new TestPeer("norte", "a", KEY);
+        a.setAddress("b", b.links.address());
+        List<Socket> sockets = new ArrayList<>();
         try {
-            for (int i = 0; i < 2 * PeerLinks.UNKNOWN_MOST; i++) {
+            for (int i = 0; i < 2 * PeerLinks.MIN_UNAUTHENTICATED_LIMIT; i++) {
                 Socket socket = new Socket();
                 socket.connect(b.links.address());
-                flood.add(socket);
+                sockets.add(socket);
             }
-            assertEquals("peer_flood", next(b.refused));
-            assertEquals("a 7 through", through(a, "b", b, "through"));
+            assertEquals("peer_flood", next(b.refusals));
+            assertEquals("a 7 through", sendUntilReceived(a, "b", b, "through"));
         } finally {
-            for (Socket socket : flood) {
+            for (Socket socket : sockets) {
                 socket.close();
             }
         }
     }
 
-    /** Who takes what is sent and says nothing any more has vanished: its connection is closed, and the next one tried. */
+    /**
+     * A peer that takes what is sent and no longer answers has vanished: its connection is closed, and a new one is
+     * tried.
+     */
     @Test
-    void aSilentEndIsLetGo() throws Exception {
-        End a = new End("norte", "a", KEY);
-        End b = new End("norte", "b", KEY);
+    void silentPeerIsDisconnectedAndReconnected() throws Exception {
+        TestPeer a = new TestPeer("norte", "a", KEY);
+        TestPeer b = new TestPeer("norte", "b", KEY);
         try (Relay relay = new Relay(loop, b.links.address(), 1)) {
-            a.knows("b", relay.address());
-            assertEquals("a 7 one", through(a, "b", b, "one"));
+            a.setAddress("b", relay.address());
+            assertEquals("a 7 one", sendUntilReceived(a, "b", b, "one"));
             relay.weather(Relay.Weather.SILENT);
             a.send("b", "lost");
-            long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
-            while (loop.submit(() -> Boolean.TRUE.equals(a.links.links().get("b"))).syncUninterruptibly().getNow()) {
-                assertTrue(System.nanoTime() < until, "let go");
+            long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_WAIT_SECONDS);
+            while (loop.submit(() -> Boolean.TRUE.equals(a.links.outboundLinks().get("b"))).syncUninterruptibly()
+                    .getNow()) {
+                assertTrue(System.nanoTime() < deadlineNanos, "not disconnected");
                 Thread.sleep(20);
             }
             relay.weather(Relay.Weather.FAIR);
-            String heard = through(a, "b", b, "two");  // what was held back on the way may come late, ahead of it
-            assertEquals("a 7 two", "a 7 lost".equals(heard) ? through(a, "b", b, "two") : heard);
+            // a message that the relay held back may arrive late, before this one
+            String message = sendUntilReceived(a, "b", b, "two");
+            assertEquals("a 7 two", "a 7 lost".equals(message) ? sendUntilReceived(a, "b", b, "two") : message);
         }
     }
 
-    /** A gateway by hand, as the protocol is written down. */
-    private static final class Hand implements AutoCloseable {
+    /** A gateway's opening end, scripted after the protocol's specification. */
+    private static final class ScriptedConnector implements AutoCloseable {
         private final Socket socket = new Socket();
         private final OutputStream out;
         private final DataInputStream in;
         private final MessageAuthenticator session;
 
-        Hand(End at) throws IOException {
-            socket.connect(at.links.address());
-            socket.setSoTimeout(WAIT_SECONDS * 1_000);
+        ScriptedConnector(TestPeer peer) throws IOException {
+            socket.connect(peer.links.address());
+            socket.setSoTimeout(MAX_WAIT_SECONDS * 1_000);
             out = socket.getOutputStream();
             in = new DataInputStream(socket.getInputStream());
-            byte[] challenge = Arrays.copyOfRange(frame(), 2, 18);
+            byte[] challenge = Arrays.copyOfRange(readFrame(), 2, 18);
             byte[] nonce = new byte[16];
-            byte[] hello = com.fasterxml.jackson.jr.ob.JSON.builder(new com.fasterxml.jackson.dataformat.cbor.CBORFactory()).build()
+            byte[] hello = com.fasterxml.jackson.jr.ob.JSON
+                    .builder(new com.fasterxml.jackson.dataformat.cbor.CBORFactory()).build()
                     .asBytes(Arrays.asList("norte", "hand", 5L, "b", nonce));
             MessageAuthenticator key = new MessageAuthenticator(KEY);
             write((byte) 2, hello, key.sign(new byte[] {2}, challenge, hello));
-            assertEquals(3, frame()[0]);
-            session = key.derived(new byte[] {'s'}, challenge, nonce);
+            assertEquals(3, readFrame()[0]);
+            session = key.deriveKey(new byte[] {'s'}, challenge, nonce);
         }
 
-        private byte[] frame() throws IOException {
+        private byte[] readFrame() throws IOException {
             return in.readNBytes(in.readInt());
         }
 
@@ -256,16 +268,16 @@
             return frame.array();
         }
 
-        byte[] message(long number, String text) {
+        byte[] message(long sequence, String text) {
             byte[] kind = {7};
             byte[] message = text.getBytes(StandardCharsets.UTF_8);
-            return framed((byte) 4, kind, message, session.sign(number, new byte[] {'s'}, kind, message));
+            return framed((byte) 4, kind, message, session.sign(sequence, new byte[] {'s'}, kind, message));
         }
 
-        boolean ended() throws IOException {
+        boolean awaitClosed() throws IOException {
             try {
                 while (in.read() >= 0) {
-                    continue;  // how much it had read, perhaps
+                    continue;  // acknowledgements, perhaps
                 }
             } catch (IOException e) {
                 return true;
