--- a/src/main/java/mastdrift/engine/Pool.java
+++ b/src/main/java/mastdrift/engine/Pool.java
@@ -10,7 +10,7 @@
 import mastdrift.Balancer.RequestClass;
 import mastdrift.Balancer.Settings;
 import mastdrift.Balancer.Why;
-import mastdrift.peers.OwnWork;
+import mastdrift.peers.LocalLoad;
 import mastdrift.zones.PoolZones;
 
 /** A list of hosts, the one module that decides on them, and the transport to them. Drives the module: hands it events and
@@ -31,7 +31,7 @@
     private final Transport transport;
     private final EndpointGate gate = new EndpointGate(this::listHolds);
     private PoolZones zones;
-    private OwnWork work;
+    private LocalLoad work;
     private Source source = Source.TELLS;
     private int living;
     private boolean closed;
@@ -52,7 +52,7 @@
     }
 
     /** What is out is counted for peers, and the module sees what they have out; before {@link #start}. */
-    public void peers(OwnWork counted, Balancer.Elsewhere others) {
+    public void peers(LocalLoad counted, Balancer.Elsewhere others) {
         work = counted;
         module.elsewhere(others);
     }
@@ -196,7 +196,7 @@
             number = exchange.attempts.size();
             leg = exchange.pass == null ? null : exchange.pass.sent(sentAt, uid, number);
             if (work != null) {
-                work.sent(uid);
+                work.requestSent(uid);
             }
         }
 
@@ -221,7 +221,7 @@
         @Override
         public void ended(Outcome outcome, Answer answer, LoadReport report) {
             if (work != null) {
-                work.ended(uid);
+                work.requestEnded(uid);
             }
             long now = ledger.now();
             long all = now - sentAt;
--- a/src/main/java/mastdrift/lab/model/ModelGateway.java
+++ b/src/main/java/mastdrift/lab/model/ModelGateway.java
@@ -22,7 +22,7 @@
 import mastdrift.membership.Node;
 import mastdrift.membership.PoolList;
 import mastdrift.peers.Digest;
-import mastdrift.peers.OwnWork;
+import mastdrift.peers.LocalLoad;
 import mastdrift.peers.PeerView;
 import mastdrift.routing.RouteTable;
 import mastdrift.routing.Router;
@@ -63,7 +63,7 @@
         private final Membership membership;
         private final Map<String, Boolean> somebody = new HashMap<>();
         private final Zoning zoning;
-        private final OwnWork work;
+        private final LocalLoad work;
         private final PeerView peers;
         private boolean over;
         private long busyUntil;
@@ -80,7 +80,7 @@
             zoning = scenario.zones() == null ? null : new Zoning("gateway-" + ModelGateway.this.number, zone, scenario.site().gateways(),
                     scenario.zones().settings(), time.now(), wall());
             String name = "gateway-" + ModelGateway.this.number;
-            work = scenario.peers() == null ? null : new OwnWork(name, time.now());
+            work = scenario.peers() == null ? null : new LocalLoad(name, time.now());
             peers = scenario.peers() == null ? null : new PeerView(name);
             Map<String, Membership.Filed> filed = new HashMap<>();
             for (String poolName : poolNames) {
@@ -266,15 +266,15 @@
         if (life == null) {
             return null;
         }
-        Digest digest = life.work.digest();
-        life.peers.tick(time.now(), digest.total());
+        Digest digest = life.work.nextDigest();
+        life.peers.tick(time.now(), digest.outstandingTotal());
         return digest;
     }
 
     /** What a peer tells. */
     void heard(Digest digest) {
         if (life != null) {
-            life.peers.told(time.now(), digest);
+            life.peers.addDigest(time.now(), digest);
         }
     }
 
--- a/src/main/java/mastdrift/lab/model/World.java
+++ b/src/main/java/mastdrift/lab/model/World.java
@@ -158,7 +158,7 @@
             return;
         }
         UniformRandomProvider telling = streams.stream("peers");
-        long every = PeerView.every(gateways.size());
+        long every = PeerView.digestIntervalMicros(gateways.size());
         for (ModelGateway gateway : gateways) {
             boolean silent = telling.nextDouble() < scenario.peers().silent();
             boolean lying = telling.nextDouble() < scenario.peers().lying();
@@ -173,8 +173,8 @@
             return;
         }
         Map<String, Integer> out = new HashMap<>();
-        digest.out().forEach((uid, count) -> out.put(uid, lying ? LIE * count : count));
-        Digest told = new Digest(digest.name(), digest.generation(), digest.sequence(), out, lying ? LIE * digest.total() : digest.total());
+        digest.outstandingByHost().forEach((uid, count) -> out.put(uid, lying ? LIE * count : count));
+        Digest told = new Digest(digest.name(), digest.generation(), digest.sequence(), out, lying ? LIE * digest.outstandingTotal() : digest.outstandingTotal());
         time.after(scenario.peers().delay(), () -> gateways.forEach(other -> {
             if (other != gateway && telling.nextDouble() >= scenario.peers().loss()) {
                 other.heard(told);
--- a/src/main/java/mastdrift/peers/Digest.java
+++ b/src/main/java/mastdrift/peers/Digest.java
@@ -3,16 +3,18 @@
 import java.util.Map;
 
 /**
- * What a gateway tells of itself, some times a second.
+ * The load that a gateway reports to its peers, several times a second.
  *
- * @param name of the gateway
- * @param generation when it started, in microseconds on its own clock: a later start has a larger number
+ * @param name name of the gateway
+ * @param generation when it started, in microseconds of its own clock: a later start has a larger number
  * @param sequence grows with each digest of a generation
- * @param out requests out at each host by its uid; at most {@link #HOSTS_MOST}, the most burdened ones
- * @param total requests out at all hosts, also at those that {@code out} leaves away
+ * @param outstandingByHost outstanding requests at each host, by the host's uid; at most {@link #MAX_HOSTS} hosts,
+ * those with the most requests
+ * @param outstandingTotal outstanding requests at all hosts, also at those that {@code outstandingByHost} leaves out
  */
-public record Digest(String name, long generation, long sequence, Map<String, Integer> out, int total) {
+public record Digest(String name, long generation, long sequence, Map<String, Integer> outstandingByHost,
+        int outstandingTotal) {
 
-    /** Hosts that a digest tells of, at most. */
-    public static final int HOSTS_MOST = 1_024;
+    /** Maximum number of hosts in a digest. */
+    public static final int MAX_HOSTS = 1_024;
 }
--- a/src/main/java/mastdrift/peers/PeerView.java
+++ b/src/main/java/mastdrift/peers/PeerView.java
@@ -9,150 +9,163 @@
 import mastdrift.Balancer;
 
 /**
- * The work that peers have out, by host, as far as they have told it lately.
+ * The outstanding requests of the peers by host, according to their recent digests.
  *
- * <p>A digest is kept as it came, the newest of each peer; {@link #tick} puts them together anew, so that nothing can drift: what is wrong is
- * gone with the next digest, what is old is gone with time. Costs one step for each host that a peer tells of, once a tick.
+ * <p>Only the newest digest of each peer is kept, unchanged; {@link #tick} recomputes the sums from them, so that
+ * errors can't accumulate: a wrong value is replaced with the next digest, an old one expires. Costs one step for each
+ * host in each peer's digest, once a tick.
  *
- * <p>Ages are by the time at which a digest came, on the own clock: a peer's clock may be anything. A digest counts whole for a period and then less,
- * evenly, until it is three periods old: work lasts less than that.
+ * <p>The age of a digest counts from its arrival, on the local clock, because a peer's clock may be anything. A digest
+ * has full weight for one period, then a linearly decreasing one until it is three periods old: requests don't last as
+ * long as that.
  *
- * <p>Peers may lie. At one host a peer counts for {@link #HOST_MOST} at most, since an honest module holds no more there than its part of all that it has
- * out, or two; and all of a peer together for four times the median of all, or of what is out from here where that is more, so that half of
- * the peers have to lie alike before the others' work counts for nothing. What is negative counts as nothing.
+ * <p>Peers may report false numbers. A peer counts for at most {@link #MAX_REQUESTS_PER_HOST} requests at one host,
+ * since an honest module has no more there than its part of all its outstanding requests, or two. All of a peer's
+ * requests together count for at most four times the median of all totals, or four times the local total where that is
+ * more, so that half of the peers have to report the same false numbers before the others' load is drowned out.
+ * Negative counts are taken as 0.
  */
 public final class PeerView implements Balancer.Elsewhere {
 
-    /** Peers, at most; further ones are not listened to. */
-    public static final int PEERS_MOST = 2_000;
-    /** Digests a second that a gateway hears at most; with more peers each tells less often. */
-    public static final int HEARD_MOST = 400;
-    /** Requests at one host that one peer counts for. */
-    public static final int HOST_MOST = 8;
-    private static final long LEAST_EVERY = 250_000;
-    private static final double TOTAL_TIMES = 4;
-    private static final int KEPT_PERIODS = 3;
+    /** Maximum number of peers; digests of further ones are rejected. */
+    public static final int MAX_PEERS = 2_000;
+    /** Maximum number of digests that a gateway receives per second; with more peers each one sends less often. */
+    public static final int MAX_DIGESTS_PER_SECOND = 400;
+    /** Maximum number of requests at one host that one peer counts for. */
+    public static final int MAX_REQUESTS_PER_HOST = 8;
+    private static final long MIN_INTERVAL_MICROS = 250_000;
+    private static final double MAX_TOTAL_TO_MEDIAN_RATIO = 4;
+    private static final int MAX_AGE_PERIODS = 3;
 
-    /** Why a digest isn't taken. */
-    public enum Refused {
-        /** The own name: another gateway has it too, or the own digest came back. */
+    /** Why a digest is rejected. */
+    public enum RejectReason {
+        /** It has this gateway's name: another gateway has the same name, or the own digest came back. */
         OWN_NAME,
-        /** It was heard before, or a later one was. */
+        /** It has been received before, or a later one has. */
         REPLAYED,
-        /** Of a start of the peer before the one that is known. */
+        /** It is of an earlier start of the peer than the one that is known. */
         OLDER_GENERATION,
-        /** As many peers as are listened to have spoken. */
+        /** The maximum number of peers is reached. */
         TOO_MANY,
-        /** It tells of more hosts than a digest holds. */
+        /** It has more hosts than a digest may hold. */
         TOO_LARGE
     }
 
-    private record Told(Digest digest, long at, long since) { }
+    private record ReceivedDigest(Digest digest, long receivedMicros, long firstHeardMicros) { }
 
     /**
-     * A peer, for operators.
+     * A peer, as shown to operators.
      *
-     * @param name of it
-     * @param generation its start, on its clock
-     * @param since when it was first heard in that generation, on the own clock
-     * @param at when it was last heard
-     * @param total requests that it said to have out
+     * @param name its name
+     * @param generation its generation: when it started, by its own clock
+     * @param firstHeardMicros when it was first heard in that generation, by the local clock
+     * @param lastHeardMicros when it was last heard
+     * @param outstandingTotal the outstanding requests that it reported
      */
-    public record Peer(String name, long generation, long since, long at, int total) { }
+    public record Peer(String name, long generation, long firstHeardMicros, long lastHeardMicros,
+            int outstandingTotal) { }
 
-    private final String own;
-    private final Map<String, Told> told = new TreeMap<>();
-    private Map<String, Double> out = Map.of();
-    private double total;
+    private final String ownName;
+    private final Map<String, ReceivedDigest> digestsByPeer = new TreeMap<>();
+    private Map<String, Double> outstandingByHost = Map.of();
+    private double outstandingTotal;
 
-    /** Of the gateway with this name. */
-    public PeerView(String own) {
-        this.own = own;
+    /** For the gateway with this name. */
+    public PeerView(String ownName) {
+        this.ownName = ownName;
     }
 
-    /** How often to tell, in microseconds, among so many peers: at least four times a second, unless all would hear more than
-        {@link #HEARD_MOST} digests a second. */
-    public static long every(int peers) {
-        return Math.max(LEAST_EVERY, 1_000_000L * peers / HEARD_MOST);
+    /**
+     * The interval between digests in microseconds for this many peers: 250 ms, or longer where all would receive more
+     * than {@link #MAX_DIGESTS_PER_SECOND} digests a second.
+     */
+    public static long digestIntervalMicros(int peers) {
+        return Math.max(MIN_INTERVAL_MICROS, 1_000_000L * peers / MAX_DIGESTS_PER_SECOND);
     }
 
-    /** A digest has come; null where it is taken. Counts from the next tick on. */
-    public Refused told(long now, Digest digest) {
-        if (digest.name().equals(own)) {
-            return Refused.OWN_NAME;
+    /** Takes in a digest, which counts from the next tick on. Returns null if it is accepted. */
+    public RejectReason addDigest(long nowMicros, Digest digest) {
+        if (digest.name().equals(ownName)) {
+            return RejectReason.OWN_NAME;
         }
-        if (digest.out().size() > Digest.HOSTS_MOST) {
-            return Refused.TOO_LARGE;
+        if (digest.outstandingByHost().size() > Digest.MAX_HOSTS) {
+            return RejectReason.TOO_LARGE;
         }
-        Told before = told.get(digest.name());
-        if (before == null && told.size() >= PEERS_MOST) {
-            return Refused.TOO_MANY;
+        ReceivedDigest previous = digestsByPeer.get(digest.name());
+        if (previous == null && digestsByPeer.size() >= MAX_PEERS) {
+            return RejectReason.TOO_MANY;
         }
-        if (before != null && digest.generation() < before.digest.generation()) {
-            return Refused.OLDER_GENERATION;
+        if (previous != null && digest.generation() < previous.digest.generation()) {
+            return RejectReason.OLDER_GENERATION;
         }
-        boolean same = before != null && digest.generation() == before.digest.generation();
-        if (same && digest.sequence() <= before.digest.sequence()) {
-            return Refused.REPLAYED;
+        boolean sameGeneration = previous != null && digest.generation() == previous.digest.generation();
+        if (sameGeneration && digest.sequence() <= previous.digest.sequence()) {
+            return RejectReason.REPLAYED;
         }
-        told.put(digest.name(), new Told(digest, now, same ? before.since : now));
+        digestsByPeer.put(digest.name(),
+                new ReceivedDigest(digest, nowMicros, sameGeneration ? previous.firstHeardMicros : nowMicros));
         return null;
     }
 
-    /** Puts together what counts now, beside so many requests that are out from here. Forgets who was not heard for ten minutes. */
-    public void tick(long now, int ownTotal) {
-        told.values().removeIf(each -> now - each.at > 600_000_000L);
-        long every = every(told.size());
-        List<Told> fresh = new ArrayList<>();
-        for (Told each : told.values()) {
-            if (now - each.at < KEPT_PERIODS * every) {
+    /**
+     * Recomputes the sums, given the number of this gateway's own outstanding requests. Removes peers that were not
+     * heard for ten minutes.
+     */
+    public void tick(long nowMicros, int ownOutstandingTotal) {
+        digestsByPeer.values().removeIf(each -> nowMicros - each.receivedMicros > 600_000_000L);
+        long intervalMicros = digestIntervalMicros(digestsByPeer.size());
+        List<ReceivedDigest> fresh = new ArrayList<>();
+        for (ReceivedDigest each : digestsByPeer.values()) {
+            if (nowMicros - each.receivedMicros < MAX_AGE_PERIODS * intervalMicros) {
                 fresh.add(each);
             }
         }
         double[] totals = new double[fresh.size() + 1];
-        totals[0] = ownTotal;
+        totals[0] = ownOutstandingTotal;
         for (int i = 0; i < fresh.size(); i++) {
-            totals[i + 1] = Math.max(0, fresh.get(i).digest.total());
+            totals[i + 1] = Math.max(0, fresh.get(i).digest.outstandingTotal());
         }
         Arrays.sort(totals);
-        double most = TOTAL_TIMES * Math.max(Math.max(1, ownTotal), totals[totals.length / 2]);
+        double maxPerPeer = MAX_TOTAL_TO_MEDIAN_RATIO
+                * Math.max(Math.max(1, ownOutstandingTotal), totals[totals.length / 2]);
         Map<String, Double> sums = new HashMap<>();
-        total = 0;
-        for (Told each : fresh) {
-            double weight = Math.min(1, (KEPT_PERIODS - (now - each.at) / (double) every) / (KEPT_PERIODS - 1));
-            double said = 0;
-            for (int count : each.digest.out().values()) {
-                said += bounded(count);
+        outstandingTotal = 0;
+        for (ReceivedDigest each : fresh) {
+            double weight = Math.min(1, (MAX_AGE_PERIODS - (nowMicros - each.receivedMicros) / (double) intervalMicros)
+                    / (MAX_AGE_PERIODS - 1));
+            double boundedSum = 0;
+            for (int count : each.digest.outstandingByHost().values()) {
+                boundedSum += clampCount(count);
             }
-            double all = Math.max(said, Math.max(0, each.digest.total()));
-            double scale = weight * Math.min(1, most / Math.max(1, said));
-            each.digest.out().forEach((uid, count) -> {
+            double reportedTotal = Math.max(boundedSum, Math.max(0, each.digest.outstandingTotal()));
+            double scale = weight * Math.min(1, maxPerPeer / Math.max(1, boundedSum));
+            each.digest.outstandingByHost().forEach((uid, count) -> {
                 if (count > 0) {
-                    sums.merge(uid, scale * bounded(count), Double::sum);
+                    sums.merge(uid, scale * clampCount(count), Double::sum);
                 }
             });
-            total += weight * Math.min(most, all);
+            outstandingTotal += weight * Math.min(maxPerPeer, reportedTotal);
         }
-        out = sums;
+        outstandingByHost = sums;
     }
 
-    private static int bounded(int count) {
-        return Math.max(0, Math.min(HOST_MOST, count));
+    private static int clampCount(int count) {
+        return Math.max(0, Math.min(MAX_REQUESTS_PER_HOST, count));
     }
 
     @Override
-    public double out(String address) {
-        return out.getOrDefault(address, 0.0);
+    public double out(String uid) {
+        return outstandingByHost.getOrDefault(uid, 0.0);
     }
 
     @Override
     public double total() {
-        return total;
+        return outstandingTotal;
     }
 
-    /** Who has been heard, by name. */
+    /** The peers that have been heard, by name. */
     public List<Peer> peers() {
-        return told.values().stream().map(each -> new Peer(each.digest.name(), each.digest.generation(), each.since, each.at,
-                each.digest.total())).toList();
+        return digestsByPeer.values().stream().map(each -> new Peer(each.digest.name(), each.digest.generation(),
+                each.firstHeardMicros, each.receivedMicros, each.digest.outstandingTotal())).toList();
     }
 }
--- a/src/main/java/mastdrift/peers/edge/PeerMessageCodec.java
+++ b/src/main/java/mastdrift/peers/edge/PeerMessageCodec.java
@@ -65,7 +65,7 @@
 
     /** A digest as bytes. */
     public static byte[] bytes(Digest digest) {
-        return versioned(Arrays.asList(digest.name(), digest.generation(), digest.sequence(), digest.total(), digest.out()));
+        return versioned(Arrays.asList(digest.name(), digest.generation(), digest.sequence(), digest.outstandingTotal(), digest.outstandingByHost()));
     }
 
     private static byte[] versioned(List<?> array) {
@@ -126,8 +126,8 @@
         if (!(item(array, 4, "out") instanceof Map<?, ?> told)) {
             throw expected("a table", array.get(4), "out");
         }
-        if (told.size() > Digest.HOSTS_MOST) {
-            throw new IllegalArgumentException("out: expected at most " + Digest.HOSTS_MOST + " hosts, found " + told.size());
+        if (told.size() > Digest.MAX_HOSTS) {
+            throw new IllegalArgumentException("out: expected at most " + Digest.MAX_HOSTS + " hosts, found " + told.size());
         }
         told.forEach((host, count) -> {
             if (!(host instanceof String name) || !(count instanceof Integer number)) {
--- a/src/main/java/mastdrift/serve/PeerWork.java
+++ b/src/main/java/mastdrift/serve/PeerWork.java
@@ -5,7 +5,7 @@
 import java.util.function.LongSupplier;
 import mastdrift.engine.Pool;
 import mastdrift.peers.Digest;
-import mastdrift.peers.OwnWork;
+import mastdrift.peers.LocalLoad;
 import mastdrift.peers.PeerView;
 
 /** What this gateway has out, told to the others, and what they have out, for the modules of all pools. On the loop's thread. */
@@ -14,16 +14,16 @@
     private final EventLoop loop;
     private final LongSupplier clock;
     private final PeerService service;
-    private final OwnWork work;
+    private final LocalLoad work;
     private final PeerView view;
 
     PeerWork(EventLoop loop, LongSupplier clock, PeerService service, String name) {
         this.loop = loop;
         this.clock = clock;
         this.service = service;
-        work = new OwnWork(name, service.generation());
+        work = new LocalLoad(name, service.generation());
         view = new PeerView(name);
-        service.works(digest -> loop.execute(() -> view.told(clock.getAsLong(), digest)));
+        service.works(digest -> loop.execute(() -> view.addDigest(clock.getAsLong(), digest)));
         loop.execute(this::tell);
     }
 
@@ -32,9 +32,9 @@
     }
 
     private void tell() {
-        Digest digest = work.digest();
-        view.tick(clock.getAsLong(), digest.total());
+        Digest digest = work.nextDigest();
+        view.tick(clock.getAsLong(), digest.outstandingTotal());
         service.tell(digest);
-        loop.schedule(this::tell, PeerView.every(view.peers().size() + 1), TimeUnit.MICROSECONDS);
+        loop.schedule(this::tell, PeerView.digestIntervalMicros(view.peers().size() + 1), TimeUnit.MICROSECONDS);
     }
 }
