--- a/src/main/java/mastdrift/lab/model/PeerWorld.java
+++ b/src/main/java/mastdrift/lab/model/PeerWorld.java
@@ -46,7 +46,7 @@
 
         /** So many gateways, with up to eight faults of the seed, over by {@code quiet}. */
         public static Plan drawn(long seed, int gateways, long micros, long quiet) {
-            return new Plan(gateways, micros, 1_000, PeerFault.drawn(seed, gateways, quiet, 8), MembershipSettings.USUAL, 2_000_000, false);
+            return new Plan(gateways, micros, 1_000, PeerFault.drawn(seed, gateways, quiet, 8), MembershipSettings.DEFAULT, 2_000_000, false);
         }
     }
 
@@ -86,7 +86,7 @@
                             happened(Gateway.this, event, of);
                         }
                     });
-            membership.configured(IntStream.range(0, plan.gateways).mapToObj(PeerWorld::name).toList());
+            membership.setConfiguredNames(IntStream.range(0, plan.gateways).mapToObj(PeerWorld::name).toList());
             generation = membership.self().generation();
             downSince = Long.MIN_VALUE;
             free = now();
@@ -130,7 +130,7 @@
             if (membership == null) {
                 return;
             }
-            long next = runs(Math.max(inbox.isEmpty() ? Math.max(now(), membership.dueAt()) : now(), free));
+            long next = runs(Math.max(inbox.isEmpty() ? Math.max(now(), membership.nextTickMicros()) : now(), free));
             if (next != armedFor) {
                 if (armed != null) {
                     armed.cancel();
@@ -147,7 +147,7 @@
         }
 
         private void run() {
-            Envelope envelope = now() >= membership.dueAt() ? null : inbox.poll();
+            Envelope envelope = now() >= membership.nextTickMicros() ? null : inbox.poll();
             free = now() + HANDLING;
             if (envelope != null) {
                 membership.received(now(), name(envelope.from), envelope.generation, envelope.message);
@@ -283,7 +283,7 @@
     private void happened(Gateway at, MembershipList.Event event, Update of) {
         if (plan.talk && events.size() < EVENTS_MOST) {
             events.add(now() / 1000 + " ms " + name(at.number) + ": " + event + " " + of.member().name() + " generation " + of.member().generation() % 1_000_000_000L
-                    + " incarnation " + of.incarnation() + " by " + of.by());
+                    + " incarnation " + of.incarnation() + " by " + of.reporter());
         }
         if (event != MembershipList.Event.GONE) {
             return;
@@ -295,7 +295,7 @@
             if (waiting != null && waiting.remove(at.number) && well(at.number, gone.downSince, now())) {
                 deaths.add(now() - gone.downSince);
             }
-        } else if (gone.generation == of.member().generation() && of.by().equals(name(at.number))) {
+        } else if (gone.generation == of.member().generation() && of.reporter().equals(name(at.number))) {
             falseDeaths++;
             if (well(subject, now() - AFTER, now()) && well(at.number, now() - AFTER, now())) {
                 wronged++;
--- a/src/main/java/mastdrift/measure/MembershipMeasurement.java
+++ b/src/main/java/mastdrift/measure/MembershipMeasurement.java
@@ -27,15 +27,15 @@
     private MembershipMeasurement() { }
 
     private static PeerRun play(int gateways, long seconds, long spread, long seed, PeerFault... faults) {
-        return PeerWorld.play(new Plan(gateways, seconds * SECOND, 1_000, List.of(faults), MembershipSettings.USUAL, spread, false), seed);
+        return PeerWorld.play(new Plan(gateways, seconds * SECOND, 1_000, List.of(faults), MembershipSettings.DEFAULT, spread, false), seed);
     }
 
     /** Prints lines of a table. */
     public static void main(String[] args) {
         int seeds = args.length > 0 ? Integer.parseInt(args[0]) : 3;
         Update update = new Update(new Member("gateway-bilbao-17", 1_767_225_600_000_000L, "bilbao", "0.1.0", "0123456789ab"), 3, MemberState.ALIVE, "gateway-bilbao-17");
-        double empty = PeerMessageCodec.bytes(new PeerMessage.Ping(1_000_000, List.of())).length + FRAME;
-        double each = PeerMessageCodec.bytes(new PeerMessage.Ping(1_000_000, List.of(update))).length + FRAME - empty;
+        double empty = PeerMessageCodec.encode(new PeerMessage.Ping(1_000_000, List.of())).length + FRAME;
+        double each = PeerMessageCodec.encode(new PeerMessage.Ping(1_000_000, List.of(update))).length + FRAME - empty;
         int[] sizes = args.length > 1 ? Arrays.stream(args).skip(1).mapToInt(Integer::parseInt).toArray() : new int[] {100, 1_000};
         for (int gateways : sizes) {
             for (long seed = 1; seed <= seeds; seed++) {
--- a/src/main/java/mastdrift/peers/MemberState.java
+++ b/src/main/java/mastdrift/peers/MemberState.java
@@ -1,13 +1,16 @@
 package mastdrift.peers;
 
-/** The state of a member (SWIM, section 4.2); a later one wins over an earlier one, where both speak of the same generation and incarnation. */
+/**
+ * The state of a member (SWIM, section 4.2). A state that is declared later overrides one that is declared earlier, for
+ * the same generation and incarnation.
+ */
 public enum MemberState {
-    /** It answers. */
+    /** It answers probes. */
     ALIVE,
-    /** It gave somebody no ack, and may yet refute that. */
+    /** It did not acknowledge a probe, and may still refute the suspicion. */
     SUSPECT,
-    /** It did not refute that in time. */
+    /** It did not refute the suspicion in time. */
     FAULTY,
-    /** It said so itself, at its end. */
+    /** It announced its own shutdown. */
     LEFT
 }
--- a/src/main/java/mastdrift/peers/MembershipList.java
+++ b/src/main/java/mastdrift/peers/MembershipList.java
@@ -14,301 +14,330 @@
 import java.util.TreeMap;
 
 /**
- * Which gateways are there: SWIM (Das, Gupta, Motivala, "SWIM: Scalable weakly-consistent infection-style process group membership protocol", 2002)
- * with Lifeguard's local health, suspicions and buddies (Dadgar, Phillips, Currey, "Lifeguard: Local health awareness for more accurate failure
- * detection", 2018).
+ * Group membership and failure detection among gateways: SWIM (Das, Gupta, Motivala, "SWIM: Scalable weakly-consistent
+ * infection-style process group membership protocol", 2002) with Lifeguard's local health, dynamic suspicion timeouts
+ * and buddy system (Dadgar, Phillips, Currey, "Lifeguard: Local health awareness for more accurate failure detection",
+ * 2018).
  *
- * <p>Once an interval it probes one other member, each in its turn, and has some more probe it where the ack is late. Who gives none is suspected, and faulty if it
- * doesn't refute that in time. Costs one probe an interval, however many there are; updates are piggybacked on what is sent anyway.
+ * <p>Once an interval it probes one other member, in round-robin order, and asks some others to probe it too where the
+ * ack is late. A member that gives no ack is suspected, and becomes faulty if it doesn't refute the suspicion in time.
+ * Costs one probe an interval, however many members there are; updates are piggybacked on the messages that are sent
+ * anyway.
  *
- * <p>A gateway that is starved or was stopped doubts itself first. It probes less often and waits longer the worse it does (local health, 0 to
- * {@value #HEALTH_MOST}). And time in which it did not run at all is not held against anybody: whoever comes later than it wanted to moves all that it
- * waits for by as much, since answers may be lying unread.
+ * <p>A gateway that is short of CPU or was paused raises its own health score (0 to {@value #MAX_HEALTH_SCORE}) before
+ * it suspects others: the higher the score, the less often it probes and the longer it waits. A pause of the process is
+ * not held against other members: when a call comes later than requested, all deadlines move by as much, since answers
+ * may be waiting unread.
  *
- * <p>Beyond the papers: what it believes is exchanged whole now and then (anti-entropy); who is faulty is tried again and again, or two halves that were cut apart would
- * never meet; and what wins is one total order ({@link Update}).
+ * <p>Beyond the papers: the whole list is exchanged now and then (anti-entropy); reconnects to faulty members are
+ * retried without end, since two sides of a healed partition would otherwise never find each other; and updates have
+ * one total order ({@link Update}).
  *
- * <p>A start with a generation below one that its peers remember, because a clock was set back and the folder lost, takes a larger one as soon as that generation is
- * faulty. Where it goes on answering, the name is taken: this gateway says so and says nothing else to its peers. Of two with one name the later wins.
+ * <p>A process that starts with a generation below one that its peers remember, because its clock was set back and its
+ * directory was lost, takes a larger generation as soon as that one is faulty. As long as that one goes on answering,
+ * the name is taken: this gateway reports that and sends its peers only empty requests for their lists. Of two gateways
+ * with the same name the later one wins.
  *
- * <p>Bounded: {@value #GATEWAYS_MOST} gateways, {@link PeerMessage#UPDATES_MOST} updates a message, {@value #PROBES_MOST} probes for others. No I/O, no thread, no clock; not safe
- * for use by several threads. Times are microseconds of one clock that doesn't run back.
+ * <p>Bounds: {@value #MAX_GATEWAYS} gateways, {@link PeerMessage#MAX_UPDATES} updates a message, {@value #MAX_PROBES}
+ * probes at a time before requests of others are declined. No I/O, no thread, no clock; not thread-safe. Times are
+ * microseconds of one monotonic clock.
  */
 public final class MembershipList {
 
-    /** Gateways that it knows of, itself among them; further ones are not heard. */
-    public static final int GATEWAYS_MOST = 2_000;
-    /** Local health: 0 is well. */
-    public static final int HEALTH_MOST = 8;
-    /** Probes at a time beyond which it makes none for others. */
-    public static final int PROBES_MOST = 256;
-    private static final int SEEN_MOST = 64;  // those who suspect the same one, as far as they count
+    /** Maximum number of known gateways, this one included; updates about further ones are ignored. */
+    public static final int MAX_GATEWAYS = 2_000;
+    /** Maximum of the local health score; 0 is healthy (Lifeguard's local health multiplier). */
+    public static final int MAX_HEALTH_SCORE = 8;
+    /** Number of probes in progress from which on ping requests of others are ignored. */
+    public static final int MAX_PROBES = 256;
+    private static final int MAX_SUSPECTING_MEMBERS = 64;  // recorded for one suspect; further ones are not counted
     private static final int RETRANSMIT_FACTOR = 4;  // the lambda of SWIM, section 4.1
-    private static final long JOIN_EVERY = 500_000;
-    private static final double NACK_PART = 0.8;  // of the time of a probe for another, then that one is told that there is no ack yet
+    private static final long JOIN_INTERVAL_MICROS = 500_000;
+    // of the probe interval minus the ack timeout; if there is no ack by then, a nack is sent
+    private static final double NACK_TIMEOUT_FRACTION = 0.8;
 
-    /** What it wants done. Called in the middle of an event: what it leads to comes as another. */
+    /**
+     * Output of the list. Called while an event is being processed: whatever an action leads to is passed in as a
+     * separate event.
+     */
     public interface Actions {
-        /** A message to a gateway; whether it arrives is not known. */
+        /** Sends a message to a gateway; delivery is not guaranteed. */
         void send(String to, PeerMessage message);
 
-        /** Something happened to a gateway. */
-        void event(Event event, Update of);
+        /** Reports a change of a gateway's state, with the update that caused it. */
+        void event(Event event, Update update);
     }
 
-    /** What may happen to a gateway, by names that stay. */
+    /** State changes of a gateway. The constants' names leave the process and must not change. */
     public enum Event {
-        /** It is there and was not before. */
+        /** It is present and was not known before. */
         JOINED,
-        /** It started anew; the generation before is over. */
+        /** It restarted; the previous generation has ended. */
         RESTARTED,
-        /** Somebody has no answer from it. */
+        /** A member got no answer from it. */
         SUSPECTED,
-        /** It answers after all. */
+        /** It refuted the suspicion. */
         REFUTED,
-        /** It did not contradict in time. */
+        /** It did not refute the suspicion in time and is now faulty. */
         GONE,
-        /** It is there again, in the generation that was called gone. */
+        /** It is alive again, in the generation that had been declared faulty. */
         RETURNED,
-        /** It said that it ends. */
+        /** It announced its shutdown. */
         LEFT,
-        /** Another gateway has this one's name. */
+        /** Another gateway uses this gateway's name. */
         NAME_TAKEN,
-        /** This one has its name for itself now. */
+        /** No other gateway uses this gateway's name any more. */
         NAME_FREE
     }
 
     /**
-     * A gateway as this one sees it: an entry of the list.
+     * Another gateway as this one sees it.
      *
-     * @param update what is believed
-     * @param since when that began, by the own clock
-     * @param heardAt when it last said something to this one; 0 for never
+     * @param update the latest update about it
+     * @param stateSinceMicros when it entered its state or generation, by the local clock
+     * @param lastHeardMicros when it last sent a message to this gateway; 0 for never
      */
-    public record Entry(Update update, long since, long heardAt) { }
+    public record Entry(Update update, long stateSinceMicros, long lastHeardMicros) { }
 
-    private static final class Tracked {
+    private static final class TrackedMember {
         private Update update;
-        private long since;
-        private long heardAt;
-        private long suspectedAt;
+        private long stateSinceMicros;
+        private long lastHeardMicros;
+        private long suspectedAtMicros;
         private final Set<String> suspectedBy = new LinkedHashSet<>();
-        private int transmissions = Integer.MAX_VALUE;  // of this update; that many when there is nothing to tell
+        // of this update; MAX_VALUE when there is nothing to disseminate
+        private int transmissions = Integer.MAX_VALUE;
     }
 
-    /** A probe of another member, or one on behalf of another. */
+    /** A probe of another member, by this gateway or on behalf of another. */
     private static final class Probe {
         private final String target;
-        private final String requester;  // null for one of its own
-        private final long sequence;  // of the requester
-        private long due;  // the next step is due
-        private long over;
-        private int asked;
+        private final String requester;  // null for this gateway's own probes
+        private final long sequence;  // the requester's sequence number
+        private long nextStepMicros;  // when to send the ping requests or the nack; afterwards the same as endMicros
+        private long endMicros;
+        private int indirectProbesSent;
         private final Set<String> nacks = new HashSet<>();
-        private boolean passedOn;  // to others; or back, that there is no ack yet
+        private boolean escalated;  // whether the ping requests are sent, or, for another's probe, the nack
 
-        Probe(String target, String requester, long sequence, long due, long over) {
+        Probe(String target, String requester, long sequence, long nextStepMicros, long endMicros) {
             this.target = target;
             this.requester = requester;
             this.sequence = sequence;
-            this.due = due;
-            this.over = over;
+            this.nextStepMicros = nextStepMicros;
+            this.endMicros = endMicros;
         }
     }
 
     private final MembershipSettings settings;
     private final Actions actions;
     private final Random random;
-    private final Map<String, Tracked> known = new TreeMap<>();
-    private final Set<String> configured = new LinkedHashSet<>();
+    private final Map<String, TrackedMember> members = new TreeMap<>();
+    private final Set<String> configuredNames = new LinkedHashSet<>();
     private final Map<Long, Probe> probes = new HashMap<>();
     private final List<String> probeOrder = new ArrayList<>();
     private Member self;
     private long incarnation;
-    private boolean taken;
+    private boolean nameTaken;
     private boolean leaving;
-    private long takenBy;
-    private boolean joined;
+    private long nameTakenGeneration;
+    private boolean syncReceived;
     private long lastSequence;
-    private int health;
-    private long probeAt;
-    private long syncAt;
-    private long reconnectAt;
-    private long wanted;  // when it wanted to be called at the latest
-
-    /** Of a gateway in one generation; {@code seed} is for whom it probes. {@link #tick} comes first, and again by {@link #dueAt}. */
-    public MembershipList(Member self, MembershipSettings settings, long seed, long now, Actions actions) {
+    private int healthScore;
+    private long nextProbeMicros;
+    private long nextSyncMicros;
+    private long nextReconnectMicros;
+    private long nextTickMicros;  // when tick has to be called at the latest
+
+    /**
+     * For a gateway in one generation; {@code seed} determines the order of probes. Call {@link #tick} first, and again
+     * by {@link #nextTickMicros}.
+     */
+    public MembershipList(Member self, MembershipSettings settings, long seed, long nowMicros, Actions actions) {
         this.self = self;
         this.settings = settings;
         this.actions = actions;
         random = new Random(seed);
-        probeAt = now;
-        syncAt = now + settings.sync();
-        reconnectAt = now;
-        wanted = now;
+        nextProbeMicros = nowMicros;
+        nextSyncMicros = nowMicros + settings.syncIntervalMicros();
+        nextReconnectMicros = nowMicros;
+        nextTickMicros = nowMicros;
         lastSequence = random.nextInt(1 << 20);
     }
 
-    // ---- what is known
+    // ---- queries
 
-    /** What it says of itself. */
+    /** This gateway's description of itself. */
     public Member self() {
         return self;
     }
 
-    /** Whether another has its name: it says nothing to its peers then. */
+    /**
+     * Whether another gateway uses this gateway's name: it then sends its peers only empty requests for their lists.
+     */
     public boolean nameTaken() {
-        return taken;
+        return nameTaken;
     }
 
-    /** How badly this gateway itself does: 0 is well, {@value #HEALTH_MOST} the worst. */
-    public int health() {
-        return health;
+    /** This gateway's local health score: 0 is healthy, {@value #MAX_HEALTH_SCORE} the worst. */
+    public int healthScore() {
+        return healthScore;
     }
 
-    /** All gateways that it knows of but itself, by name. */
+    /** All known gateways except this one, by name. */
     public List<Entry> entries() {
-        return known.values().stream().map(each -> new Entry(each.update, each.since, each.heardAt)).toList();
+        return members.values().stream().map(each -> new Entry(each.update, each.stateSinceMicros,
+                each.lastHeardMicros)).toList();
     }
 
-    /** What it believes of one; null where it knows none of that name. */
+    /** The entry of one gateway; null if it isn't known. */
     public Entry entry(String name) {
-        Tracked of = known.get(name);
-        return of == null ? null : new Entry(of.update, of.since, of.heardAt);
+        TrackedMember member = members.get(name);
+        return member == null ? null : new Entry(member.update, member.stateSinceMicros, member.lastHeardMicros);
     }
 
-    /** Gateways that it takes for there, suspected ones among them, and itself. */
+    /** Number of gateways that are alive or suspect, this one included. */
     public int present() {
         int present = 1;
-        for (Tracked each : known.values()) {
+        for (TrackedMember each : members.values()) {
             present += present(each) ? 1 : 0;
         }
         return present;
     }
 
-    private static boolean present(Tracked of) {
-        return of.update.state() == MemberState.ALIVE || of.update.state() == MemberState.SUSPECT;
+    private static boolean present(TrackedMember member) {
+        return member.update.state() == MemberState.ALIVE || member.update.state() == MemberState.SUSPECT;
     }
 
     // ---- events
 
-    /** Names that the operator's file has, whether they are there or not; replaces those before. */
-    public void configured(Collection<String> names) {
-        configured.clear();
-        names.stream().filter(name -> !name.equals(self.name())).limit(GATEWAYS_MOST).forEach(configured::add);
+    /** Replaces the names of the gateways that are configured, whether they are present or not. */
+    public void setConfiguredNames(Collection<String> names) {
+        configuredNames.clear();
+        names.stream().filter(name -> !name.equals(self.name())).limit(MAX_GATEWAYS).forEach(configuredNames::add);
     }
 
-    /** Its own fingerprint has changed, or its build's name. */
-    public void changed(String build, String fingerprint) {
-        self = new Member(self.name(), self.generation(), self.zone(), build, fingerprint);
+    /** Changes this gateway's build or settings fingerprint, in a new incarnation. */
+    public void updateSelf(String build, String settingsFingerprint) {
+        self = new Member(self.name(), self.generation(), self.zone(), build, settingsFingerprint);
         incarnation++;
     }
 
-    /** When it wants to be called at the latest. */
-    public long dueAt() {
-        return wanted;
+    /** When {@link #tick} has to be called at the latest. */
+    public long nextTickMicros() {
+        return nextTickMicros;
     }
 
-    /** Time has passed. */
-    public void tick(long now) {
-        stopped(now);
-        checkProbes(now);
-        checkSuspicions(now);
+    /** Runs what is due: time-outs of probes and suspicions, reconnects, anti-entropy and the next probe. */
+    public void tick(long nowMicros) {
+        compensateForPause(nowMicros);
+        checkProbes(nowMicros);
+        checkSuspicions(nowMicros);
         if (!leaving) {
-            reconnect(now);
-            if (now >= syncAt) {
-                syncAt = now + settings.sync();
-                String other = randomPresent(Set.of());
+            reconnect(nowMicros);
+            if (nowMicros >= nextSyncMicros) {
+                nextSyncMicros = nowMicros + settings.syncIntervalMicros();
+                String other = randomAliveMember(Set.of());
                 if (other != null) {
-                    send(other, new PeerMessage.Sync(true, all()));
+                    send(other, new PeerMessage.Sync(true, allUpdates()));
                 }
             }
-            if (now >= probeAt) {
-                probe(now);
+            if (nowMicros >= nextProbeMicros) {
+                startProbe(nowMicros);
             }
         }
-        forget(now);
-        wants(now);
+        removeExpired(nowMicros);
+        scheduleNextTick(nowMicros);
     }
 
-    /** A message has come from a gateway, in one of its generations; that it is that gateway has been checked. */
-    public void received(long now, String from, long generation, PeerMessage message) {
-        stopped(now);
+    /** Handles a message from a gateway in one of its generations; the caller has authenticated the sender. */
+    public void received(long nowMicros, String from, long generation, PeerMessage message) {
+        compensateForPause(nowMicros);
         if (!from.equals(self.name())) {
             for (Update update : message.updates()) {
-                apply(now, update);
+                apply(nowMicros, update);
             }
-            Tracked sender = known.get(from);
+            TrackedMember sender = members.get(from);
             if (sender != null && sender.update.member().generation() == generation) {
-                sender.heardAt = now;
+                sender.lastHeardMicros = nowMicros;
             }
             if (!leaving) {
-                handle(now, from, generation, message);
+                handle(nowMicros, from, generation, message);
             }
         }
-        wants(now);
+        scheduleNextTick(nowMicros);
     }
 
-    /** It ends: says so to those that are there, or to some of them where they are many, and answers nobody any more. */
+    /**
+     * Leaves the group: announces that to the present members, or to some of them where there are more than four times
+     * {@link PeerMessage#MAX_UPDATES}, and answers no more messages.
+     */
     public void leave() {
         leaving = true;
-        List<Update> last = List.of(new Update(self, incarnation, MemberState.LEFT, self.name()));
-        List<String> others = new ArrayList<>(known.keySet().stream().filter(name -> present(known.get(name))).toList());
+        List<Update> lastUpdates = List.of(new Update(self, incarnation, MemberState.LEFT, self.name()));
+        List<String> others = new ArrayList<>(members.keySet().stream().filter(name -> present(members.get(name)))
+                .toList());
         Collections.shuffle(others, random);
-        others.stream().limit(PeerMessage.UPDATES_MOST * 4L).forEach(name -> send(name, new PeerMessage.Sync(false, last)));
+        others.stream().limit(PeerMessage.MAX_UPDATES * 4L).forEach(name ->
+                send(name, new PeerMessage.Sync(false, lastUpdates)));
     }
 
-    /** It came later than it wanted to: nobody else is to blame for what was not heard meanwhile, and it does badly itself. */
-    private void stopped(long now) {
-        long late = now - wanted;
-        if (late <= settings.timeout()) {
+    /**
+     * Moves all deadlines if the call came later than requested by more than an ack timeout: messages that arrived
+     * during the pause may still be unread, so nobody is suspected for it. Raises the own health score.
+     */
+    private void compensateForPause(long nowMicros) {
+        long lateMicros = nowMicros - nextTickMicros;
+        if (lateMicros <= settings.ackTimeoutMicros()) {
             return;
         }
-        wanted = now;
-        worse(1);
-        probeAt += late;
-        syncAt += late;
+        nextTickMicros = nowMicros;
+        worsenHealth(1);
+        nextProbeMicros += lateMicros;
+        nextSyncMicros += lateMicros;
         probes.values().forEach(each -> {
-            each.due += late;
-            each.over += late;
+            each.nextStepMicros += lateMicros;
+            each.endMicros += lateMicros;
         });
-        known.values().forEach(each -> each.suspectedAt += late);
+        members.values().forEach(each -> each.suspectedAtMicros += lateMicros);
     }
 
-    private void wants(long now) {
-        long next = Math.min(Math.min(probeAt, syncAt), reconnectAt);
+    private void scheduleNextTick(long nowMicros) {
+        long nextMicros = Math.min(Math.min(nextProbeMicros, nextSyncMicros), nextReconnectMicros);
         for (Probe each : probes.values()) {
-            next = Math.min(next, Math.min(each.due, each.over));
+            nextMicros = Math.min(nextMicros, Math.min(each.nextStepMicros, each.endMicros));
         }
-        wanted = leaving ? Long.MAX_VALUE : Math.min(next, now + settings.interval());
+        nextTickMicros = leaving ? Long.MAX_VALUE : Math.min(nextMicros, nowMicros + settings.probeIntervalMicros());
     }
 
     // ---- probing
 
-    private long slowly(long span) {
-        return span * (1 + health);
+    private long scaledByHealth(long micros) {
+        return micros * (1 + healthScore);
     }
 
-    private void probe(long now) {
-        probeAt = now + slowly(settings.interval());
-        if (taken) {
+    private void startProbe(long nowMicros) {
+        nextProbeMicros = nowMicros + scaledByHealth(settings.probeIntervalMicros());
+        if (nameTaken) {
             return;
         }
-        String target = nextTarget();
+        String target = nextProbeTarget();
         if (target == null) {
             return;
         }
         long sequence = ++lastSequence;
-        probes.put(sequence, new Probe(target, null, sequence, now + slowly(settings.timeout()), now + slowly(settings.interval())));
-        send(target, new PeerMessage.Ping(sequence, piggyback(target)));
+        probes.put(sequence, new Probe(target, null, sequence,
+                nowMicros + scaledByHealth(settings.ackTimeoutMicros()),
+                nowMicros + scaledByHealth(settings.probeIntervalMicros())));
+        send(target, new PeerMessage.Ping(sequence, piggybackedUpdates(target)));
     }
 
-    /** Everybody in turn, in an order drawn anew each round (SWIM, section 4.3). */
-    private String nextTarget() {
-        for (int tries = known.size() + 1; tries > 0; tries--) {
+    /** Round robin over the present members, reshuffled each round (SWIM, section 4.3). */
+    private String nextProbeTarget() {
+        for (int remainingTries = members.size() + 1; remainingTries > 0; remainingTries--) {
             if (probeOrder.isEmpty()) {
-                known.forEach((name, of) -> {
-                    if (present(of)) {
+                members.forEach((name, member) -> {
+                    if (present(member)) {
                         probeOrder.add(name);
                     }
                 });
@@ -318,282 +347,308 @@
                 return null;
             }
             String name = probeOrder.remove(probeOrder.size() - 1);
-            Tracked of = known.get(name);
-            if (of != null && present(of)) {
+            TrackedMember member = members.get(name);
+            if (member != null && present(member)) {
                 return name;
             }
         }
         return null;
     }
 
-    private void checkProbes(long now) {
+    private void checkProbes(long nowMicros) {
         for (Map.Entry<Long, Probe> entry : List.copyOf(probes.entrySet())) {
-            Probe each = entry.getValue();
-            if (each.requester != null) {
-                if (now >= each.due && !each.passedOn) {
-                    each.passedOn = true;
-                    each.due = each.over;
-                    send(each.requester, new PeerMessage.Nack(each.sequence, List.of()));
+            Probe probe = entry.getValue();
+            if (probe.requester != null) {
+                if (nowMicros >= probe.nextStepMicros && !probe.escalated) {
+                    probe.escalated = true;
+                    probe.nextStepMicros = probe.endMicros;
+                    send(probe.requester, new PeerMessage.Nack(probe.sequence, List.of()));
                 }
-                if (now >= each.over) {
+                if (nowMicros >= probe.endMicros) {
                     probes.remove(entry.getKey());
                 }
-            } else if (now >= each.over) {
+            } else if (nowMicros >= probe.endMicros) {
                 probes.remove(entry.getKey());
-                failed(now, each);
-            } else if (now >= each.due && !each.passedOn) {
-                each.passedOn = true;
-                each.due = each.over;
-                Set<String> asked = new HashSet<>(Set.of(each.target));
+                handleProbeTimeout(nowMicros, probe);
+            } else if (nowMicros >= probe.nextStepMicros && !probe.escalated) {
+                probe.escalated = true;
+                probe.nextStepMicros = probe.endMicros;
+                Set<String> excluded = new HashSet<>(Set.of(probe.target));
                 for (int i = 0; i < settings.indirectProbes(); i++) {
-                    String other = randomPresent(asked);
+                    String other = randomAliveMember(excluded);
                     if (other != null) {
-                        asked.add(other);
-                        each.asked++;
-                        send(other, new PeerMessage.PingRequest(entry.getKey(), each.target, piggyback(other)));
+                        excluded.add(other);
+                        probe.indirectProbesSent++;
+                        send(other, new PeerMessage.PingRequest(entry.getKey(), probe.target,
+                                piggybackedUpdates(other)));
                     }
                 }
             }
         }
     }
 
-    private void failed(long now, Probe each) {
-        // Those who were asked and did not even say that they have no ack: it may be this one that doesn't hear.
-        worse(each.asked == 0 ? 1 : each.asked - each.nacks.size());
-        Tracked of = known.get(each.target);
-        if (of != null && of.update.state() == MemberState.ALIVE) {
-            apply(now, new Update(of.update.member(), of.update.incarnation(), MemberState.SUSPECT, self.name()));
-        } else if (of != null && of.update.state() == MemberState.SUSPECT) {
-            confirm(of, self.name());
+    private void handleProbeTimeout(long nowMicros, Probe probe) {
+        // Asked members that sent not even a nack: it may be this gateway that doesn't receive.
+        worsenHealth(probe.indirectProbesSent == 0 ? 1 : probe.indirectProbesSent - probe.nacks.size());
+        TrackedMember member = members.get(probe.target);
+        if (member != null && member.update.state() == MemberState.ALIVE) {
+            apply(nowMicros, new Update(member.update.member(), member.update.incarnation(), MemberState.SUSPECT,
+                    self.name()));
+        } else if (member != null && member.update.state() == MemberState.SUSPECT) {
+            addConfirmation(member, self.name());
         }
     }
 
-    private void worse(int by) {
-        health = Math.min(HEALTH_MOST, health + Math.max(0, by));
+    private void worsenHealth(int amount) {
+        healthScore = Math.min(MAX_HEALTH_SCORE, healthScore + Math.max(0, amount));
     }
 
-    private void better() {
-        health = Math.max(0, health - 1);
+    private void improveHealth() {
+        healthScore = Math.max(0, healthScore - 1);
     }
 
-    private void handle(long now, String from, long generation, PeerMessage message) {
+    private void handle(long nowMicros, String from, long generation, PeerMessage message) {
         if (message instanceof PeerMessage.Ping ping) {
-            send(from, new PeerMessage.Ack(ping.sequence(), piggyback(from)));
+            send(from, new PeerMessage.Ack(ping.sequence(), piggybackedUpdates(from)));
         } else if (message instanceof PeerMessage.Ack ack) {
-            Probe each = probes.get(ack.sequence());
-            if (each != null && (each.requester == null || each.target.equals(from)) && acknowledged(each, from, generation)) {
+            Probe probe = probes.get(ack.sequence());
+            if (probe != null && (probe.requester == null || probe.target.equals(from))
+                    && isFromProbedGeneration(probe, from, generation)) {
                 probes.remove(ack.sequence());
-                if (each.requester == null) {
-                    better();
+                if (probe.requester == null) {
+                    improveHealth();
                 } else {
-                    send(each.requester, new PeerMessage.Ack(each.sequence, List.of()));
+                    send(probe.requester, new PeerMessage.Ack(probe.sequence, List.of()));
                 }
             }
         } else if (message instanceof PeerMessage.Nack nack) {
-            Probe each = probes.get(nack.sequence());
-            if (each != null && each.requester == null) {
-                each.nacks.add(from);
+            Probe probe = probes.get(nack.sequence());
+            if (probe != null && probe.requester == null) {
+                probe.nacks.add(from);
             }
         } else if (message instanceof PeerMessage.PingRequest request) {
-            if (known.containsKey(request.target()) && probes.size() < PROBES_MOST) {
+            if (members.containsKey(request.target()) && probes.size() < MAX_PROBES) {
                 long sequence = ++lastSequence;
-                long span = settings.interval() - settings.timeout();
-                probes.put(sequence, new Probe(request.target(), from, request.sequence(), now + (long) (span * NACK_PART), now + 2 * settings.interval()));
-                send(request.target(), new PeerMessage.Ping(sequence, piggyback(request.target())));
+                long indirectMicros = settings.probeIntervalMicros() - settings.ackTimeoutMicros();
+                probes.put(sequence, new Probe(request.target(), from, request.sequence(),
+                        nowMicros + (long) (indirectMicros * NACK_TIMEOUT_FRACTION),
+                        nowMicros + 2 * settings.probeIntervalMicros()));
+                send(request.target(), new PeerMessage.Ping(sequence, piggybackedUpdates(request.target())));
             }
         } else if (message instanceof PeerMessage.Sync sync) {
-            joined = true;
-            if (sync.wanted()) {
-                send(from, new PeerMessage.Sync(false, all()));
+            syncReceived = true;
+            if (sync.replyRequested()) {
+                send(from, new PeerMessage.Sync(false, allUpdates()));
             }
         }
     }
 
-    /** Whether the ack is by the generation that was probed: another one at its place is no sign of it. */
-    private boolean acknowledged(Probe each, String from, long generation) {
-        Tracked of = known.get(each.target);
-        return !from.equals(each.target) || of == null || of.update.member().generation() <= generation;
+    /**
+     * Whether the ack is from the probed generation or a later one: an earlier process at the target's address doesn't
+     * prove that the target is alive.
+     */
+    private boolean isFromProbedGeneration(Probe probe, String from, long generation) {
+        TrackedMember member = members.get(probe.target);
+        return !from.equals(probe.target) || member == null || member.update.member().generation() <= generation;
     }
 
-    // ---- joining, and meeting again
+    // ---- joining and reconnecting
 
-    private void reconnect(long now) {
-        if (now < reconnectAt) {
+    private void reconnect(long nowMicros) {
+        if (nowMicros < nextReconnectMicros) {
             return;
         }
-        List<String> away = new ArrayList<>();
-        for (String name : configured) {
-            if (!known.containsKey(name)) {
-                away.add(name);
+        List<String> unreachable = new ArrayList<>();
+        for (String name : configuredNames) {
+            if (!members.containsKey(name)) {
+                unreachable.add(name);
             }
         }
-        known.forEach((name, of) -> {
-            if (of.update.state() == MemberState.FAULTY || taken) {
-                away.add(name);
+        members.forEach((name, member) -> {
+            if (member.update.state() == MemberState.FAULTY || nameTaken) {
+                unreachable.add(name);
             }
         });
-        reconnectAt = now + (joined && !taken ? settings.reconnect() : Math.min(settings.reconnect(), JOIN_EVERY));
-        if (!away.isEmpty()) {
-            String name = away.get(random.nextInt(away.size()));
-            actions.send(name, new PeerMessage.Sync(true, taken ? List.of() : all()));
+        nextReconnectMicros = nowMicros + (syncReceived && !nameTaken
+                ? settings.reconnectIntervalMicros()
+                : Math.min(settings.reconnectIntervalMicros(), JOIN_INTERVAL_MICROS));
+        if (!unreachable.isEmpty()) {
+            String name = unreachable.get(random.nextInt(unreachable.size()));
+            actions.send(name, new PeerMessage.Sync(true, nameTaken ? List.of() : allUpdates()));
         }
     }
 
     // ---- dissemination
 
     private void send(String to, PeerMessage message) {
-        if (!taken) {
+        if (!nameTaken) {
             actions.send(to, message);
         }
     }
 
-    private Update own() {
+    private Update ownUpdate() {
         return new Update(self, incarnation, MemberState.ALIVE, self.name());
     }
 
-    private List<Update> all() {
-        List<Update> all = new ArrayList<>(known.size() + 1);
-        all.add(own());
-        known.values().forEach(each -> all.add(each.update));
-        return all;
+    private List<Update> allUpdates() {
+        List<Update> updates = new ArrayList<>(members.size() + 1);
+        updates.add(ownUpdate());
+        members.values().forEach(each -> updates.add(each.update));
+        return updates;
     }
 
-    /** What was sent least often goes first; to one who is suspected, that it is, before all (Lifeguard's buddies, section IV.C). */
-    private List<Update> piggyback(String to) {
-        int most = (int) Math.ceil(RETRANSMIT_FACTOR * Math.log10(known.size() + 2.0)) + 1;
-        List<Tracked> fresh = new ArrayList<>();
-        Tracked other = known.get(to);
-        if (other != null && other.update.state() != MemberState.ALIVE) {
-            fresh.add(other);
+    /**
+     * The updates to piggyback on a message: those that were sent least often first. A recipient that is not alive here
+     * is always told so, before all others (Lifeguard's buddy system, section IV.C).
+     */
+    private List<Update> piggybackedUpdates(String to) {
+        int maxTransmissions = (int) Math.ceil(RETRANSMIT_FACTOR * Math.log10(members.size() + 2.0)) + 1;
+        List<TrackedMember> selected = new ArrayList<>();
+        TrackedMember recipient = members.get(to);
+        if (recipient != null && recipient.update.state() != MemberState.ALIVE) {
+            selected.add(recipient);
         }
-        known.values().stream().filter(each -> each.transmissions < most && each != other).sorted(Comparator.comparingInt(each -> each.transmissions))
-                .limit(PeerMessage.UPDATES_MOST - 2L).forEach(fresh::add);
+        members.values().stream().filter(each -> each.transmissions < maxTransmissions && each != recipient)
+                .sorted(Comparator.comparingInt(each -> each.transmissions))
+                .limit(PeerMessage.MAX_UPDATES - 2L).forEach(selected::add);
         List<Update> updates = new ArrayList<>();
-        updates.add(own());
-        fresh.forEach(each -> {
-            each.transmissions = Math.min(most, each.transmissions + 1);
+        updates.add(ownUpdate());
+        selected.forEach(each -> {
+            each.transmissions = Math.min(maxTransmissions, each.transmissions + 1);
             updates.add(each.update);
         });
         return updates;
     }
 
-    private String randomPresent(Set<String> but) {
+    private String randomAliveMember(Set<String> excluded) {
         List<String> names = new ArrayList<>();
-        known.forEach((name, of) -> {
-            if (of.update.state() == MemberState.ALIVE && !but.contains(name)) {
+        members.forEach((name, member) -> {
+            if (member.update.state() == MemberState.ALIVE && !excluded.contains(name)) {
                 names.add(name);
             }
         });
         return names.isEmpty() ? null : names.get(random.nextInt(names.size()));
     }
 
-    private void apply(long now, Update update) {
+    private void apply(long nowMicros, Update update) {
         String name = update.member().name();
         if (name.equals(self.name())) {
-            applyToSelf(now, update);
+            applyToSelf(nowMicros, update);
             return;
         }
-        Tracked of = known.get(name);
-        if (of == null) {
-            // What is over and was forgotten, or never known, is no news: it would go round for good.
-            if (update.state() == MemberState.FAULTY || update.state() == MemberState.LEFT || known.size() + 1 >= GATEWAYS_MOST) {
+        TrackedMember member = members.get(name);
+        if (member == null) {
+            // An ended member that was forgotten, or never known, is not added: the update would circulate for ever.
+            if (update.state() == MemberState.FAULTY || update.state() == MemberState.LEFT
+                    || members.size() + 1 >= MAX_GATEWAYS) {
                 return;
             }
-            of = new Tracked();
-            known.put(name, of);
+            member = new TrackedMember();
+            members.put(name, member);
             probeOrder.add(random.nextInt(probeOrder.size() + 1), name);
-            become(now, of, update, Event.JOINED);
-        } else if (update.overrides(of.update)) {
-            become(now, of, update, event(of.update, update));
-        } else if (update.state() == MemberState.SUSPECT && of.update.state() == MemberState.SUSPECT
-                && update.member().generation() == of.update.member().generation() && update.incarnation() == of.update.incarnation()) {
-            confirm(of, update.by());
+            replaceUpdate(nowMicros, member, update, Event.JOINED);
+        } else if (update.overrides(member.update)) {
+            replaceUpdate(nowMicros, member, update, eventOf(member.update, update));
+        } else if (update.state() == MemberState.SUSPECT && member.update.state() == MemberState.SUSPECT
+                && update.member().generation() == member.update.member().generation()
+                && update.incarnation() == member.update.incarnation()) {
+            addConfirmation(member, update.reporter());
         }
     }
 
-    private static Event event(Update before, Update now) {
-        boolean anew = now.member().generation() != before.member().generation();
-        return switch (now.state()) {
-            case ALIVE -> anew ? Event.RESTARTED : before.state() == MemberState.FAULTY ? Event.RETURNED
-                    : before.state() == MemberState.SUSPECT ? Event.REFUTED : null;
+    private static Event eventOf(Update previous, Update nowMicros) {
+        boolean newGeneration = nowMicros.member().generation() != previous.member().generation();
+        return switch (nowMicros.state()) {
+            case ALIVE -> newGeneration ? Event.RESTARTED : previous.state() == MemberState.FAULTY ? Event.RETURNED
+                    : previous.state() == MemberState.SUSPECT ? Event.REFUTED : null;
             case SUSPECT -> Event.SUSPECTED;
             case FAULTY -> Event.GONE;
             case LEFT -> Event.LEFT;
         };
     }
 
-    private void become(long now, Tracked of, Update update, Event event) {
-        if (of.update == null || of.update.state() != update.state() || of.update.member().generation() != update.member().generation()) {
-            of.since = now;
+    private void replaceUpdate(long nowMicros, TrackedMember member, Update update, Event event) {
+        if (member.update == null || member.update.state() != update.state()
+                || member.update.member().generation() != update.member().generation()) {
+            member.stateSinceMicros = nowMicros;
         }
-        of.update = update;
-        of.transmissions = 0;
-        of.suspectedBy.clear();
+        member.update = update;
+        member.transmissions = 0;
+        member.suspectedBy.clear();
         if (update.state() == MemberState.SUSPECT) {
-            of.suspectedAt = now;
-            of.suspectedBy.add(update.by());
+            member.suspectedAtMicros = nowMicros;
+            member.suspectedBy.add(update.reporter());
         }
         if (event != null) {
             actions.event(event, update);
         }
     }
 
-    /** One more has no answer from it: that is news too, up to the number of confirmations that counts. */
-    private void confirm(Tracked of, String by) {
-        if (of.suspectedBy.size() < SEEN_MOST && of.suspectedBy.add(by) && of.suspectedBy.size() - 1 <= settings.confirmations()) {
-            of.update = new Update(of.update.member(), of.update.incarnation(), MemberState.SUSPECT, by);
-            of.transmissions = 0;
+    /**
+     * Records one more member that suspects this one; disseminated too, up to the number of confirmations that shorten
+     * the suspicion timeout.
+     */
+    private void addConfirmation(TrackedMember member, String reporter) {
+        if (member.suspectedBy.size() < MAX_SUSPECTING_MEMBERS && member.suspectedBy.add(reporter)
+                && member.suspectedBy.size() - 1 <= settings.confirmations()) {
+            member.update = new Update(member.update.member(), member.update.incarnation(), MemberState.SUSPECT,
+                    reporter);
+            member.transmissions = 0;
         }
     }
 
-    private void checkSuspicions(long now) {
-        if (taken) {
+    private void checkSuspicions(long nowMicros) {
+        if (nameTaken) {
             return;
         }
         int gateways = present();
-        for (Tracked each : List.copyOf(known.values())) {
+        for (TrackedMember each : List.copyOf(members.values())) {
             if (each.update.state() != MemberState.SUSPECT
-                    || now - each.suspectedAt < slowly(settings.suspicion(gateways, each.suspectedBy.size() - 1))) {
+                    || nowMicros - each.suspectedAtMicros < scaledByHealth(settings.suspicionMicros(gateways,
+                    each.suspectedBy.size() - 1))) {
                 continue;
             }
-            if (each.heardAt > each.suspectedAt) {
-                each.suspectedAt = now;  // it speaks, though it may not hear: that is not faulty
+            if (each.lastHeardMicros > each.suspectedAtMicros) {
+                each.suspectedAtMicros = nowMicros;  // it sends, though it may not receive: that is not faulty
             } else {
-                become(now, each, new Update(each.update.member(), each.update.incarnation(), MemberState.FAULTY, self.name()), Event.GONE);
+                replaceUpdate(nowMicros, each, new Update(each.update.member(), each.update.incarnation(),
+                        MemberState.FAULTY, self.name()), Event.GONE);
             }
         }
     }
 
-    private void applyToSelf(long now, Update update) {
+    private void applyToSelf(long nowMicros, Update update) {
         long generation = update.member().generation();
-        boolean over = update.state() == MemberState.FAULTY || update.state() == MemberState.LEFT;
+        boolean ended = update.state() == MemberState.FAULTY || update.state() == MemberState.LEFT;
         if (generation > self.generation()) {
-            if (over) {  // an earlier start of its own, by a clock that was ahead
-                self = new Member(self.name(), generation + 1, self.zone(), self.build(), self.settings());
+            if (ended) {  // an earlier start of this gateway, by a clock that was ahead
+                self = new Member(self.name(), generation + 1, self.zone(), self.build(), self.settingsFingerprint());
                 incarnation = 0;
-                free();
-            } else if (!taken) {
-                taken = true;
-                takenBy = generation;
+                reclaimName();
+            } else if (!nameTaken) {
+                nameTaken = true;
+                nameTakenGeneration = generation;
                 probes.clear();
                 actions.event(Event.NAME_TAKEN, update);
             } else {
-                takenBy = Math.max(takenBy, generation);
+                nameTakenGeneration = Math.max(nameTakenGeneration, generation);
             }
-        } else if (generation == self.generation() && !leaving && update.state() != MemberState.ALIVE && update.incarnation() >= incarnation) {
+        } else if (generation == self.generation() && !leaving && update.state() != MemberState.ALIVE
+                && update.incarnation() >= incarnation) {
             incarnation = update.incarnation() + 1;
-            worse(1);
+            worsenHealth(1);
         }
     }
 
-    private void free() {
-        if (taken && self.generation() > takenBy) {
-            taken = false;
-            actions.event(Event.NAME_FREE, own());
+    private void reclaimName() {
+        if (nameTaken && self.generation() > nameTakenGeneration) {
+            nameTaken = false;
+            actions.event(Event.NAME_FREE, ownUpdate());
         }
     }
 
-    private void forget(long now) {
-        known.values().removeIf(each -> !present(each) && now - each.since > settings.forget());
+    private void removeExpired(long nowMicros) {
+        members.values()
+                .removeIf(each -> !present(each) && nowMicros - each.stateSinceMicros > settings.retentionMicros());
     }
 }
--- a/src/main/java/mastdrift/peers/MembershipSettings.java
+++ b/src/main/java/mastdrift/peers/MembershipSettings.java
@@ -1,36 +1,46 @@
 package mastdrift.peers;
 
 /**
- * How a {@link MembershipList} asks and for how long it waits; times in microseconds.
+ * Timing and limits of the failure detector in {@link MembershipList}; times in microseconds.
  *
- * @param interval from one probe to the next, while the gateway itself is well (SWIM's protocol period)
- * @param timeout for a direct ack, less than the interval; the rest of the interval is for acks by way of others
- * @param indirectProbes gateways that are asked to ping the one that gave no ack, at most (SWIM's k)
- * @param alpha the least time of a suspicion is so many intervals, times the decimal logarithm of the number of gateways where that is over 1
- * @param beta the longest time of a suspicion, in least times
- * @param confirmations so many others who suspect as well bring a suspicion down to its least time
- * @param sync from one exchange of all that is believed (anti-entropy) to the next
- * @param reconnect from one attempt to reach a gateway that is faulty, or was never heard, to the next
- * @param forget what is faulty or has left is remembered for so long
+ * @param probeIntervalMicros from one probe to the next, while the gateway's own health score is 0 (SWIM's protocol
+ * period)
+ * @param ackTimeoutMicros how long to wait for a direct ack, less than the interval; the rest of the interval is for
+ * acks of indirect probes
+ * @param indirectProbes maximum number of gateways that are asked to ping a member that gave no direct ack (SWIM's k)
+ * @param alpha the minimum suspicion timeout is this many intervals, times the decimal logarithm of the number of
+ * gateways where that is over 1
+ * @param beta the maximum suspicion timeout, as a multiple of the minimum
+ * @param confirmations number of other members that have to suspect the same member to bring its suspicion timeout down
+ * to the minimum
+ * @param syncIntervalMicros from one exchange of the whole list (anti-entropy) to the next
+ * @param reconnectIntervalMicros from one attempt to reach a gateway that is faulty, or was never heard, to the next
+ * @param retentionMicros how long members that are faulty or have left are remembered
  */
-public record MembershipSettings(long interval, long timeout, int indirectProbes, double alpha, double beta, int confirmations, long sync, long reconnect, long forget) {
+public record MembershipSettings(long probeIntervalMicros, long ackTimeoutMicros, int indirectProbes, double alpha,
+        double beta, int confirmations, long syncIntervalMicros, long reconnectIntervalMicros, long retentionMicros) {
 
-    /** For gateways of one installation over a few data centres: a death is known within about 5 s among a hundred. */
-    public static final MembershipSettings USUAL = new MembershipSettings(300_000, 120_000, 3, 4, 4, 3, 10_000_000, 2_000_000, 600_000_000);
+    /** For gateways of one installation over a few data centres: a crash is known within about 5 s among a hundred. */
+    public static final MembershipSettings DEFAULT = new MembershipSettings(300_000, 120_000, 3, 4, 4, 3, 10_000_000,
+            2_000_000, 600_000_000);
 
-    /** The least time of a suspicion among so many gateways, itself among them. */
-    public long suspicionLeast(int gateways) {
-        return (long) (alpha * Math.max(1, Math.log10(Math.max(1, gateways))) * interval);
+    /** The minimum suspicion timeout for a group of this many gateways, this one included. */
+    public long minSuspicionMicros(int gateways) {
+        return (long) (alpha * Math.max(1, Math.log10(Math.max(1, gateways))) * probeIntervalMicros);
     }
 
-    /** The time of a suspicion that so many others share: from the longest down to the least, by the logarithm (Lifeguard, section IV.B). */
-    public long suspicion(int gateways, int confirmed) {
-        long least = suspicionLeast(gateways);
-        int possible = Math.min(confirmations, gateways - 2);  // neither itself nor the suspect
-        if (possible <= 0) {
-            return least;
+    /**
+     * The timeout of a suspicion that this many others confirmed: falls from the maximum to the minimum with the
+     * logarithm of their number (Lifeguard, section IV.B).
+     */
+    public long suspicionMicros(int gateways, int confirmationCount) {
+        long minMicros = minSuspicionMicros(gateways);
+        // neither this gateway nor the suspect can confirm
+        int maxConfirmations = Math.min(confirmations, gateways - 2);
+        if (maxConfirmations <= 0) {
+            return minMicros;
         }
-        double part = Math.log(Math.min(confirmed, possible) + 1) / Math.log(possible + 1);
-        return Math.max(least, (long) (least * (beta - (beta - 1) * part)));
+        double fraction = Math.log(Math.min(confirmationCount, maxConfirmations) + 1) / Math.log(maxConfirmations + 1);
+        return Math.max(minMicros, (long) (minMicros * (beta - (beta - 1) * fraction)));
     }
 }
--- a/src/main/java/mastdrift/peers/PeerMessage.java
+++ b/src/main/java/mastdrift/peers/PeerMessage.java
@@ -2,27 +2,33 @@
 
 import java.util.List;
 
-/** What gateways say to each other about who is there. Each message has some updates piggybacked, so that these need no messages of their own (SWIM, section 4.1). */
+/**
+ * A message of the membership protocol between gateways. Each one carries some piggybacked updates, so that these need
+ * no messages of their own (SWIM, section 4.1).
+ */
 public sealed interface PeerMessage {
 
-    /** Updates in a message other than {@link Sync}, at most. */
-    int UPDATES_MOST = 16;
+    /** Maximum number of updates in a message other than {@link Sync}. */
+    int MAX_UPDATES = 16;
 
-    /** Updates that came along. */
+    /** The piggybacked updates. */
     List<Update> updates();
 
-    /** Are you there? Answered by {@link Ack} with the same sequence number. */
+    /** Probes a member; answered by {@link Ack} with the same sequence number. */
     record Ping(long sequence, List<Update> updates) implements PeerMessage { }
 
-    /** Yes; or, from one who was asked to ping another, that the other is. */
+    /** Answers a {@link Ping}; or tells the sender of a {@link PingRequest} that the target acknowledged. */
     record Ack(long sequence, List<Update> updates) implements PeerMessage { }
 
-    /** From one who was asked to ping another: no ack yet, but it is there itself (Lifeguard, section IV.A). */
+    /**
+     * Tells the sender of a {@link PingRequest} that the target has not acknowledged yet, but that the relaying member
+     * itself is alive (Lifeguard, section IV.A).
+     */
     record Nack(long sequence, List<Update> updates) implements PeerMessage { }
 
-    /** Ping that gateway, and pass its ack on (SWIM's ping-req). */
+    /** Asks the receiver to ping the target and to relay its ack (SWIM's ping-req). */
     record PingRequest(long sequence, String target, List<Update> updates) implements PeerMessage { }
 
-    /** All that the sender believes; {@code wanted}: the same is wanted in return. */
-    record Sync(boolean wanted, List<Update> updates) implements PeerMessage { }
+    /** All that the sender believes (anti-entropy); {@code replyRequested} asks for the receiver's list in return. */
+    record Sync(boolean replyRequested, List<Update> updates) implements PeerMessage { }
 }
--- a/src/main/java/mastdrift/peers/Update.java
+++ b/src/main/java/mastdrift/peers/Update.java
@@ -1,20 +1,23 @@
 package mastdrift.peers;
 
 /**
- * What is said of a member, by itself or others (SWIM's membership update).
+ * A statement about a member, by itself or by others (SWIM's membership update).
  *
- * <p>Updates of one member are in one order, whatever way they come: by generation, then whether it has left, then by incarnation, then by state. Who keeps the
- * greatest has the same in the end, heard late, twice or out of turn (a join semilattice; Shapiro, Preguica, Baquero, Zawirski, "Conflict-free
+ * <p>The updates of one member have a total order, independent of the order in which they arrive: by generation, then
+ * whether it has left, then by incarnation, then by state. Gateways that each keep the greatest converge, even if
+ * updates arrive late, twice or out of order (a join semilattice; Shapiro, Preguica, Baquero, Zawirski, "Conflict-free
  * replicated data types", 2011).
  *
- * @param member of whom
- * @param incarnation grows each time the gateway refutes what is said of it; its alone (SWIM's incarnation number, section 4.2); from 0 in each generation
- * @param state what is said
- * @param by who says so: the name of the gateway that suspects or gave up; its own name for what it says itself
+ * @param member the member concerned
+ * @param incarnation grows each time the member refutes a statement about itself, and only the member raises it (SWIM's
+ * incarnation number, section 4.2); from 0 in each generation
+ * @param state the state that the member is said to be in
+ * @param reporter name of the gateway that suspects the member or declared it faulty; the member's own name where it
+ * speaks for itself
  */
-public record Update(Member member, long incarnation, MemberState state, String by) {
+public record Update(Member member, long incarnation, MemberState state, String reporter) {
 
-    /** Whether this one is to be believed where the other was. */
+    /** Whether this update replaces the one that is known. */
     public boolean overrides(Update known) {
         if (member.generation() != known.member.generation()) {
             return member.generation() > known.member.generation();
--- a/src/main/java/mastdrift/serve/AgreedService.java
+++ b/src/main/java/mastdrift/serve/AgreedService.java
@@ -75,7 +75,7 @@
         List<Voters.Eligible> all = new ArrayList<>(List.of(new Voters.Eligible(name, zone(name), 0)));
         for (MembershipList.Entry each : peers.seen()) {
             boolean there = each.update().state() == MemberState.ALIVE || each.update().state() == MemberState.SUSPECT;
-            all.add(new Voters.Eligible(each.update().member().name(), each.update().member().zone(), there ? 0 : Math.max(1, now - each.since())));
+            all.add(new Voters.Eligible(each.update().member().name(), each.update().member().zone(), there ? 0 : Math.max(1, now - each.stateSinceMicros())));
         }
         return all;
     }
--- a/src/main/java/mastdrift/serve/PeerService.java
+++ b/src/main/java/mastdrift/serve/PeerService.java
@@ -91,7 +91,7 @@
         links = new PeerLinks(loop, settings.installation(), gateway.name(), settings.connections(), new LinkListener());
         generation = generation(file);
         Member self = new Member(gateway.name(), generation, gateway.zone(), build(), fingerprint(configuration));
-        membership = new MembershipList(self, MembershipSettings.USUAL, seed, now(), new MembershipActions());
+        membership = new MembershipList(self, MembershipSettings.DEFAULT, seed, now(), new MembershipActions());
         loop.submit(() -> put(configuration)).syncUninterruptibly();
     }
 
@@ -166,8 +166,8 @@
     void configure(Configuration next) {
         loop.execute(() -> {
             put(next);
-            if (!fingerprint(next).equals(membership.self().settings())) {
-                membership.changed(build(), fingerprint(next));
+            if (!fingerprint(next).equals(membership.self().settingsFingerprint())) {
+                membership.updateSelf(build(), fingerprint(next));
             }
         });
     }
@@ -178,7 +178,7 @@
         links.setGeneration(membership.self().generation());
         links.setKeys(next.peers().keys().stream().map(secrets).toList());
         links.setAddresses(addresses);
-        membership.configured(addresses.keySet());
+        membership.setConfiguredNames(addresses.keySet());
     }
 
     // ---- work out
@@ -191,7 +191,7 @@
     /** Tells the others. */
     void tell(Digest digest) {
         loop.execute(() -> {
-            byte[] bytes = PeerMessageCodec.bytes(digest);
+            byte[] bytes = PeerMessageCodec.encode(digest);
             List<MembershipList.Entry> present = membership.entries().stream().filter(each -> each.update().state() == MemberState.ALIVE).toList();
             for (int i = 0; i < Math.min(TOLD_MOST, present.size()) && !membership.nameTaken(); i++) {
                 links.send(present.get(told++ % present.size()).update().member().name(), DIGEST, bytes);
@@ -240,7 +240,7 @@
     }
 
     private void arm() {
-        long due = membership.dueAt();
+        long due = membership.nextTickMicros();
         if (due != armedFor) {
             if (armed != null) {
                 armed.cancel(false);
@@ -257,7 +257,7 @@
 
         @Override
         public void send(String to, PeerMessage message) {
-            links.send(to, MEMBERSHIP, PeerMessageCodec.bytes(message));
+            links.send(to, MEMBERSHIP, PeerMessageCodec.encode(message));
         }
 
         @Override
@@ -266,8 +266,8 @@
             boolean bad = event == MembershipList.Event.GONE || event == MembershipList.Event.SUSPECTED || event == MembershipList.Event.NAME_TAKEN;
             String name = event.name().toLowerCase(Locale.ROOT);
             events.event(bad ? Level.WARN : Level.INFO, "peer_" + name, "gateway " + of.member().name() + " " + name.replace('_', ' ')
-                    + (event == MembershipList.Event.SUSPECTED || event == MembershipList.Event.GONE ? ", by " + of.by() : ""), "peer", of.member().name(), "zone", of.member().zone(),
-                    "life", of.member().generation(), "incarnation", of.incarnation(), "by", of.by(), "mono_us", now());
+                    + (event == MembershipList.Event.SUSPECTED || event == MembershipList.Event.GONE ? ", by " + of.reporter() : ""), "peer", of.member().name(), "zone", of.member().zone(),
+                    "life", of.member().generation(), "incarnation", of.incarnation(), "by", of.reporter(), "mono_us", now());
             loop.execute(() -> links.setGeneration(membership.self().generation()));
         }
     }
@@ -278,10 +278,10 @@
         public void received(String from, long generation, byte kind, byte[] message) {
             try {
                 if (kind == MEMBERSHIP) {
-                    membership.received(now(), from, generation, PeerMessageCodec.message(message));
+                    membership.received(now(), from, generation, PeerMessageCodec.decodeMessage(message));
                     arm();
                 } else if (kind == DIGEST) {
-                    Digest digest = PeerMessageCodec.digest(message);
+                    Digest digest = PeerMessageCodec.decodeDigest(message);
                     if (digest.name().equals(from)) {
                         works.accept(digest);
                     }
@@ -341,22 +341,22 @@
         all.put("zone", gateway.zone());
         all.put("life", membership.self().generation());
         all.put("build", membership.self().build());
-        all.put("settings", membership.self().settings());
+        all.put("settings", membership.self().settingsFingerprint());
         all.put("name_taken", membership.nameTaken());
-        all.put("health", membership.health());
+        all.put("health", membership.healthScore());
         List<Map<String, Object>> members = new ArrayList<>();
         for (MembershipList.Entry each : membership.entries()) {
             Map<String, Object> member = new LinkedHashMap<>();
             Member of = each.update().member();
             member.put("name", of.name());
             member.put("standing", standing(each.update().state()));
-            member.put("since_ms", (now - each.since()) / 1_000);
-            member.put("heard_ms", each.heardAt() == 0 ? null : (now - each.heardAt()) / 1_000);
+            member.put("since_ms", (now - each.stateSinceMicros()) / 1_000);
+            member.put("heard_ms", each.lastHeardMicros() == 0 ? null : (now - each.lastHeardMicros()) / 1_000);
             member.put("zone", of.zone());
             member.put("life", of.generation());
-            member.put("by", each.update().by());
+            member.put("by", each.update().reporter());
             member.put("build", of.build());
-            member.put("settings", of.settings());
+            member.put("settings", of.settingsFingerprint());
             members.add(member);
         }
         all.put("members", members);
--- a/src/test/java/mastdrift/lab/model/PeerWorldTest.java
+++ b/src/test/java/mastdrift/lab/model/PeerWorldTest.java
@@ -17,7 +17,7 @@
     private static final long SECOND = 1_000_000;
 
     private static Plan plan(int gateways, long seconds, PeerFault... faults) {
-        return new Plan(gateways, seconds * SECOND, 1_000, List.of(faults), MembershipSettings.USUAL, 2 * SECOND, true);
+        return new Plan(gateways, seconds * SECOND, 1_000, List.of(faults), MembershipSettings.DEFAULT, 2 * SECOND, true);
     }
 
     /** Whatever happened, views agree with the truth a while after it is over, and who had no fault was wronged by nobody. */
--- a/src/test/java/mastdrift/peers/UpdateTest.java
+++ b/src/test/java/mastdrift/peers/UpdateTest.java
@@ -11,33 +11,36 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
+/** Order of the updates of one member. */
 class UpdateTest {
 
-    private static Update drawn(Random random) {
-        return new Update(new Member("g", random.nextInt(3), "z", "b", "s"), random.nextInt(3), MemberState.values()[random.nextInt(4)], "by");
+    private static Update randomUpdate(Random random) {
+        return new Update(new Member("g", random.nextInt(3), "z", "b", "s"), random.nextInt(3),
+                MemberState.values()[random.nextInt(4)], "by");
     }
 
-    private static Update kept(List<Update> heard) {
-        Update kept = heard.get(0);
-        for (Update each : heard) {
-            kept = each.overrides(kept) ? each : kept;
+    private static Update merge(List<Update> received) {
+        Update result = received.get(0);
+        for (Update each : received) {
+            result = each.overrides(result) ? each : result;
         }
-        return kept;
+        return result;
     }
 
-    /** Heard in any order, any of them twice or more: what is believed in the end is the same. */
+    /** Updates in any order of arrival, any of them several times: the result is the same. */
     @Property(tries = 2_000)
-    void theOrderOfHearingDoesNotMatter(@ForAll long seed) {
+    void mergeGivesTheSameResultInAnyOrder(@ForAll long seed) {
         Random random = new Random(seed);
-        List<Update> heard = new ArrayList<>();
+        List<Update> received = new ArrayList<>();
         for (int i = 0; i < 2 + random.nextInt(8); i++) {
-            heard.add(drawn(random));
+            received.add(randomUpdate(random));
         }
-        Update kept = kept(heard);
-        heard.add(heard.get(random.nextInt(heard.size())));
-        Collections.shuffle(heard, random);
-        assertEquals(kept, kept(heard));
-        assertTrue(heard.stream().noneMatch(each -> each.overrides(kept)), "and nothing that was heard would change it");
-        assertFalse(kept.overrides(kept));
+        Update result = merge(received);
+        received.add(received.get(random.nextInt(received.size())));
+        Collections.shuffle(received, random);
+        assertEquals(result, merge(received));
+        assertTrue(received.stream().noneMatch(each -> each.overrides(result)),
+                "no received update would replace the result");
+        assertFalse(result.overrides(result));
     }
 }
