--- a/src/main/java/mastdrift/engine/Pool.java
+++ b/src/main/java/mastdrift/engine/Pool.java
@@ -10,7 +10,7 @@
 import mastdrift.Balancer.RequestClass;
 import mastdrift.Balancer.Settings;
 import mastdrift.Balancer.Why;
-import mastdrift.peers.OwnWork;
+import mastdrift.peers.LocalLoad;
 import mastdrift.zones.PoolCrossings;
 
 /**
@@ -34,7 +34,7 @@
     private final Transport transport;
     private final EndpointGate gate = new EndpointGate(this::isHostListValid);
     private PoolCrossings zones;
-    private OwnWork ownWork;
+    private LocalLoad ownWork;
     private HostListSource hostListSource = HostListSource.PUSH_ONLY;
     private int liveExchanges;
     private boolean closed;
@@ -59,7 +59,7 @@
      * Counts requests in flight for the digests to peers, and gives the module what peers have in flight. Called before
      * {@link #start}.
      */
-    public void setPeers(OwnWork work, Balancer.Elsewhere peerWork) {
+    public void setPeers(LocalLoad work, Balancer.Elsewhere peerWork) {
         ownWork = work;
         module.elsewhere(peerWork);
     }
@@ -213,7 +213,7 @@
             attemptNumber = exchange.attempts.size();
             attemptTraffic = exchange.crossing == null ? null : exchange.crossing.startAttempt(sentAt, uid, attemptNumber);
             if (ownWork != null) {
-                ownWork.sent(uid);
+                ownWork.requestSent(uid);
             }
         }
 
@@ -238,7 +238,7 @@
         @Override
         public void completed(Outcome outcome, ResponseMessage response, LoadReport report) {
             if (ownWork != null) {
-                ownWork.ended(uid);
+                ownWork.requestEnded(uid);
             }
             long now = requestTracker.now();
             long totalMicros = now - sentAt;
--- a/src/main/java/mastdrift/serve/AgreedService.java
+++ b/src/main/java/mastdrift/serve/AgreedService.java
@@ -83,7 +83,7 @@
         for (MembershipList.Entry each : peers.members()) {
             boolean isPresent = each.update().state() == MemberState.ALIVE
                     || each.update().state() == MemberState.SUSPECT;
-            eligible.add(new Voters.Eligible(each.update().member().name(), each.update().member().zone(), isPresent ? 0 : Math.max(1, nowMicros - each.since())));
+            eligible.add(new Voters.Eligible(each.update().member().name(), each.update().member().zone(), isPresent ? 0 : Math.max(1, nowMicros - each.stateSinceMicros())));
         }
         return eligible;
     }
--- a/src/main/java/mastdrift/serve/ControlLinks.java
+++ b/src/main/java/mastdrift/serve/ControlLinks.java
@@ -125,12 +125,12 @@
 
             @Override
             public void leave(String to) {
-                links.leave(to);
+                links.closeOutbound(to);
             }
 
             @Override
             public void drop(String from) {
-                links.drop(from);
+                links.closeInbound(from);
             }
         };
     }
@@ -142,9 +142,9 @@
         settings.machines().forEach(each -> addresses.put(each.name(), Addresses.parse(each.address())));
         addresses.remove(name);
         loop.execute(() -> {
-            links.generation(1);  // 0 marks a reply
-            links.keys(keys);
-            links.addresses(addresses);
+            links.setGeneration(1);  // 0 marks a reply
+            links.setKeys(keys);
+            links.setAddresses(addresses);
         });
     }
 
--- a/src/main/java/mastdrift/serve/PeerLoadExchange.java
+++ b/src/main/java/mastdrift/serve/PeerLoadExchange.java
@@ -5,7 +5,7 @@
 import java.util.function.LongSupplier;
 import mastdrift.engine.Pool;
 import mastdrift.peers.Digest;
-import mastdrift.peers.OwnWork;
+import mastdrift.peers.LocalLoad;
 import mastdrift.peers.PeerView;
 
 /**
@@ -17,16 +17,16 @@
     private final EventLoop loop;
     private final LongSupplier clock;
     private final PeerService service;
-    private final OwnWork ownWork;
+    private final LocalLoad ownWork;
     private final PeerView view;
 
     PeerLoadExchange(EventLoop loop, LongSupplier clock, PeerService service, String name) {
         this.loop = loop;
         this.clock = clock;
         this.service = service;
-        ownWork = new OwnWork(name, service.generation());
+        ownWork = new LocalLoad(name, service.generation());
         view = new PeerView(name);
-        service.onDigest(digest -> loop.execute(() -> view.told(clock.getAsLong(), digest)));
+        service.onDigest(digest -> loop.execute(() -> view.addDigest(clock.getAsLong(), digest)));
         loop.execute(this::exchange);
     }
 
@@ -35,9 +35,9 @@
     }
 
     private void exchange() {
-        Digest digest = ownWork.digest();
-        view.tick(clock.getAsLong(), digest.total());
+        Digest digest = ownWork.nextDigest();
+        view.tick(clock.getAsLong(), digest.outstandingTotal());
         service.sendDigest(digest);
-        loop.schedule(this::exchange, PeerView.every(view.peers().size() + 1), TimeUnit.MICROSECONDS);
+        loop.schedule(this::exchange, PeerView.digestIntervalMicros(view.peers().size() + 1), TimeUnit.MICROSECONDS);
     }
 }
--- a/src/main/java/mastdrift/serve/PeerService.java
+++ b/src/main/java/mastdrift/serve/PeerService.java
@@ -97,7 +97,7 @@
         links = new PeerLinks(loop, settings.installation(), gateway.name(), settings.maxConnections(), new LinkListener());
         generation = generation(file);
         Member self = new Member(gateway.name(), generation, gateway.zone(), build(), fingerprint(configuration));
-        membership = new MembershipList(self, MembershipSettings.USUAL, seed, nowMicros(), new MembershipActions());
+        membership = new MembershipList(self, MembershipSettings.DEFAULT, seed, nowMicros(), new MembershipActions());
         loop.submit(() -> applySettings(configuration)).syncUninterruptibly();
     }
 
@@ -110,7 +110,7 @@
         long next;
         try {
             generationFile = new GenerationFile(file.toAbsolutePath().resolveSibling(settings.folder()));
-            next = generationFile.next(wallMicros);
+            next = generationFile.nextGeneration(wallMicros);
         } catch (IOException e) {
             events.event(Level.WARN, "peers_folder", "the folder of peers can't be used, the generation of this start is taken from the clock: " + e.getMessage());
             return wallMicros;
@@ -176,8 +176,8 @@
     void configure(Configuration next) {
         loop.execute(() -> {
             applySettings(next);
-            if (!fingerprint(next).equals(membership.self().settings())) {
-                membership.changed(build(), fingerprint(next));
+            if (!fingerprint(next).equals(membership.self().settingsFingerprint())) {
+                membership.updateSelf(build(), fingerprint(next));
             }
         });
     }
@@ -185,10 +185,10 @@
     private void applySettings(Configuration next) {
         Map<String, InetSocketAddress> addresses = new HashMap<>();
         next.peers().gateways().forEach((name, at) -> addresses.put(name, Addresses.parse(at)));
-        links.generation(membership.self().generation());
-        links.keys(next.peers().keys().stream().map(secrets).toList());
-        links.addresses(addresses);
-        membership.configured(addresses.keySet());
+        links.setGeneration(membership.self().generation());
+        links.setKeys(next.peers().keys().stream().map(secrets).toList());
+        links.setAddresses(addresses);
+        membership.setConfiguredNames(addresses.keySet());
     }
 
     // ---- load digests
@@ -201,7 +201,7 @@
     /** Sends this gateway's digest to others. */
     void sendDigest(Digest digest) {
         loop.execute(() -> {
-            byte[] bytes = PeerMessageCodec.bytes(digest);
+            byte[] bytes = PeerMessageCodec.encode(digest);
             List<MembershipList.Entry> present = membership.entries().stream().filter(each -> each.update().state() == MemberState.ALIVE).toList();
             for (int i = 0; i < Math.min(MAX_DIGEST_RECIPIENTS, present.size()) && !membership.nameTaken(); i++) {
                 links.send(present.get(digestRotation++ % present.size()).update().member().name(), DIGEST_KIND, bytes);
@@ -250,7 +250,7 @@
     }
 
     private void scheduleTick() {
-        long dueMicros = membership.dueAt();
+        long dueMicros = membership.nextTickMicros();
         if (dueMicros != scheduledTickAtMicros) {
             if (scheduledTick != null) {
                 scheduledTick.cancel(false);
@@ -267,7 +267,7 @@
 
         @Override
         public void send(String to, PeerMessage message) {
-            links.send(to, MEMBERSHIP_KIND, PeerMessageCodec.bytes(message));
+            links.send(to, MEMBERSHIP_KIND, PeerMessageCodec.encode(message));
         }
 
         @Override
@@ -276,10 +276,10 @@
             boolean isWarning = event == MembershipList.Event.GONE || event == MembershipList.Event.SUSPECTED || event == MembershipList.Event.NAME_TAKEN;
             String name = event.name().toLowerCase(Locale.ROOT);
             events.event(isWarning ? Level.WARN : Level.INFO, "peer_" + name, "gateway " + update.member().name() + " " + name.replace('_', ' ')
-                    + (event == MembershipList.Event.SUSPECTED || event == MembershipList.Event.GONE ? ", by " + update.by() : ""), "peer", update.member().name(), "zone", update.member().zone(),
-                    "life", update.member().generation(), "incarnation", update.incarnation(), "by", update.by(),
+                    + (event == MembershipList.Event.SUSPECTED || event == MembershipList.Event.GONE ? ", by " + update.reporter() : ""), "peer", update.member().name(), "zone", update.member().zone(),
+                    "life", update.member().generation(), "incarnation", update.incarnation(), "by", update.reporter(),
                     "mono_us", nowMicros());
-            loop.execute(() -> links.generation(membership.self().generation()));
+            loop.execute(() -> links.setGeneration(membership.self().generation()));
         }
     }
 
@@ -289,10 +289,10 @@
         public void received(String from, long generation, byte kind, byte[] message) {
             try {
                 if (kind == MEMBERSHIP_KIND) {
-                    membership.received(nowMicros(), from, generation, PeerMessageCodec.message(message));
+                    membership.received(nowMicros(), from, generation, PeerMessageCodec.decodeMessage(message));
                     scheduleTick();
                 } else if (kind == DIGEST_KIND) {
-                    Digest digest = PeerMessageCodec.digest(message);
+                    Digest digest = PeerMessageCodec.decodeDigest(message);
                     if (digest.name().equals(from)) {
                         digestConsumer.accept(digest);
                     }
@@ -352,26 +352,26 @@
         fields.put("zone", gateway.zone());
         fields.put("life", membership.self().generation());
         fields.put("build", membership.self().build());
-        fields.put("settings", membership.self().settings());
+        fields.put("settings", membership.self().settingsFingerprint());
         fields.put("name_taken", membership.nameTaken());
-        fields.put("health", membership.health());
+        fields.put("health", membership.healthScore());
         List<Map<String, Object>> members = new ArrayList<>();
         for (MembershipList.Entry each : membership.entries()) {
             Map<String, Object> member = new LinkedHashMap<>();
             Member of = each.update().member();
             member.put("name", of.name());
             member.put("standing", statusName(each.update().state()));
-            member.put("since_ms", (nowMicros - each.since()) / 1_000);
-            member.put("heard_ms", each.heardAt() == 0 ? null : (nowMicros - each.heardAt()) / 1_000);
+            member.put("since_ms", (nowMicros - each.stateSinceMicros()) / 1_000);
+            member.put("heard_ms", each.lastHeardMicros() == 0 ? null : (nowMicros - each.lastHeardMicros()) / 1_000);
             member.put("zone", of.zone());
             member.put("life", of.generation());
-            member.put("by", each.update().by());
+            member.put("by", each.update().reporter());
             member.put("build", of.build());
-            member.put("settings", of.settings());
+            member.put("settings", of.settingsFingerprint());
             members.add(member);
         }
         fields.put("members", members);
-        fields.put("links", links.links());
+        fields.put("links", links.outboundLinks());
         fields.put("log", logStatus.get());
         PeerLinks.Counts counts = links.counts();
         fields.put("counts", new LinkedHashMap<>(Map.of("sent", counts.sent(), "sent_bytes", counts.sentBytes(), "received", counts.received(),
