--- a/src/main/java/mastdrift/distribution/edge/CborReader.java
+++ b/src/main/java/mastdrift/distribution/edge/CborReader.java
@@ -6,177 +6,186 @@
 import java.io.IOException;
 
 /**
- * Reads nested arrays of CBOR (RFC 8949) field by field, as whoever knows their order asks; no tree is built, since a snapshot has some hundred thousand resources. What isn't
- * as asked for gives an IllegalArgumentException that names the place, what was expected and what was found. Bounded in all by how many items it reads.
+ * Streaming reader of nested CBOR arrays (RFC 8949). The caller reads the fields in the order in which they were
+ * written; no tree is built, since a snapshot has some hundred thousand resources. Unexpected input throws an
+ * IllegalArgumentException that names the path of the field, what was expected and what was found. The total number of
+ * list items is bounded.
  */
 final class CborReader {
 
     private static final CBORFactory FACTORY = new CBORFactory();
-    private static final int DEEPEST = 8;
-    private static final int SHOWN_MOST = 40;
+    private static final int MAX_DEPTH = 8;
+    private static final int MAX_SHOWN_CHARS = 40;
 
     private final JsonParser parser;
-    private final int itemsMost;
-    private final String[] names = new String[DEEPEST];
-    private final int[] indices = new int[DEEPEST];  // -1 in an array of fields
+    private final int maxItems;
+    private final String[] fieldNames = new String[MAX_DEPTH];
+    // index of the current list item, counted from 1; -1 in an array of fields
+    private final int[] itemIndices = new int[MAX_DEPTH];
     private int depth;
-    private int items;
-    private JsonToken ahead;
-
-    /** Of some bytes, which hold at most so many items of lists. */
-    CborReader(byte[] bytes, int from, int itemsMost) {
-        this.itemsMost = itemsMost;
+    private int itemCount;
+    private JsonToken lookahead;
+
+    /**
+     * Reads from {@code offset} to the end of {@code bytes}; more than {@code maxItems} list items in total are
+     * refused.
+     */
+    CborReader(byte[] bytes, int offset, int maxItems) {
+        this.maxItems = maxItems;
         try {
-            parser = FACTORY.createParser(bytes, from, bytes.length - from);
+            parser = FACTORY.createParser(bytes, offset, bytes.length - offset);
         } catch (IOException e) {
             throw new IllegalArgumentException("expected CBOR, found " + e.getMessage(), e);
         }
     }
 
-    private JsonToken token(String what) {
-        if (ahead != null) {
-            JsonToken token = ahead;
-            ahead = null;
+    private JsonToken nextToken(String field) {
+        if (lookahead != null) {
+            JsonToken token = lookahead;
+            lookahead = null;
             return token;
         }
         try {
             return parser.nextToken();
         } catch (IOException | RuntimeException e) {
-            throw broken(what, e);
+            throw malformed(field, e);
         }
     }
 
-    private IllegalArgumentException broken(String what, Exception e) {
-        return new IllegalArgumentException(place(what) + ": expected CBOR, found " + e.getClass().getSimpleName(), e);
+    private IllegalArgumentException malformed(String field, Exception e) {
+        return new IllegalArgumentException(path(field) + ": expected CBOR, found " + e.getClass().getSimpleName(), e);
     }
 
-    /** Into an array of fields, which {@link #close} leaves. */
-    void open(String what) {
-        enter(what, -1);
+    /** Enters an array of fields, which {@link #exitArray} leaves. */
+    void enterArray(String field) {
+        enter(field, -1);
     }
 
-    /** Into a list, whose items {@link #next} goes through. */
-    void list(String what) {
-        enter(what, 0);
+    /** Enters a list, whose items {@link #nextItem} iterates over. */
+    void enterList(String field) {
+        enter(field, 0);
     }
 
-    private void enter(String what, int index) {
-        JsonToken token = token(what);
+    private void enter(String field, int index) {
+        JsonToken token = nextToken(field);
         if (token != JsonToken.START_ARRAY) {
-            throw expected("an array", what, token);
+            throw unexpected("an array", field, token);
         }
-        names[depth] = what;
-        indices[depth++] = index;
+        fieldNames[depth] = field;
+        itemIndices[depth++] = index;
     }
 
-    /** Out of an array of fields. */
-    void close() {
-        JsonToken token = token("end");
+    /** Leaves an array of fields. */
+    void exitArray() {
+        JsonToken token = nextToken("end");
         if (token != JsonToken.END_ARRAY) {
-            throw expected("the end of the array", "end", token);
+            throw unexpected("the end of the array", "end", token);
         }
         depth--;
     }
 
-    /** Whether the list that it is in has another item; leaves the list where it hasn't. Refuses more of them than so many. */
-    boolean next(int most) {
-        ahead = token("item");
-        if (ahead == JsonToken.END_ARRAY) {
-            ahead = null;
+    /**
+     * Advances to the next item of the current list; returns false and leaves the list at its end. Refuses lists of
+     * more than {@code max} items.
+     */
+    boolean nextItem(int max) {
+        lookahead = nextToken("item");
+        if (lookahead == JsonToken.END_ARRAY) {
+            lookahead = null;
             depth--;
             return false;
         }
-        if (++indices[depth - 1] > most) {
-            throw new IllegalArgumentException(place("items") + ": expected at most " + most + ", found more");
+        if (++itemIndices[depth - 1] > max) {
+            throw new IllegalArgumentException(path("items") + ": expected at most " + max + ", found more");
         }
-        if (++items > itemsMost) {
-            throw new IllegalArgumentException(place("items") + ": expected at most " + itemsMost + " in all, found more");
+        if (++itemCount > maxItems) {
+            throw new IllegalArgumentException(path("items") + ": expected at most " + maxItems + " in all, found more");
         }
         return true;
     }
 
-    long whole(String what, long least, long most) {
-        JsonToken token = token(what);
+    long readLong(String field, long min, long max) {
+        JsonToken token = nextToken(field);
         try {
             if (token == JsonToken.VALUE_NUMBER_INT && parser.getNumberType() != JsonParser.NumberType.BIG_INTEGER) {
                 long value = parser.getLongValue();
-                if (value >= least && value <= most) {
+                if (value >= min && value <= max) {
                     return value;
                 }
             }
         } catch (IOException | RuntimeException e) {
-            throw broken(what, e);
+            throw malformed(field, e);
         }
-        throw expected("a whole number from " + least + " to " + most, what, token);
+        throw unexpected("a whole number from " + min + " to " + max, field, token);
     }
 
-    boolean flag(String what) {
-        JsonToken token = token(what);
+    boolean readBoolean(String field) {
+        JsonToken token = nextToken(field);
         if (token == JsonToken.VALUE_TRUE || token == JsonToken.VALUE_FALSE) {
             return token == JsonToken.VALUE_TRUE;
         }
-        throw expected("true or false", what, token);
+        throw unexpected("true or false", field, token);
     }
 
-    /** Whether what comes is null, which is then read. */
-    boolean absent(String what) {
-        ahead = token(what);
-        if (ahead == JsonToken.VALUE_NULL) {
-            ahead = null;
+    /** Consumes the next value and returns true if it is null; otherwise leaves it to be read and returns false. */
+    boolean skipNull(String field) {
+        lookahead = nextToken(field);
+        if (lookahead == JsonToken.VALUE_NULL) {
+            lookahead = null;
             return true;
         }
         return false;
     }
 
-    /** Whether what comes is a whole number; it is still to be read. */
-    boolean wholeNext(String what) {
-        ahead = token(what);
-        return ahead == JsonToken.VALUE_NUMBER_INT;
+    /** Whether the next value is an integer; it is not consumed. */
+    boolean isIntegerNext(String field) {
+        lookahead = nextToken(field);
+        return lookahead == JsonToken.VALUE_NUMBER_INT;
     }
 
-    String text(String what, int least, int most) {
-        JsonToken token = token(what);
+    String readString(String field, int minChars, int maxChars) {
+        JsonToken token = nextToken(field);
         try {
             if (token == JsonToken.VALUE_STRING) {
                 String text = parser.getText();
-                if (text.length() >= least && text.length() <= most) {
+                if (text.length() >= minChars && text.length() <= maxChars) {
                     return text;
                 }
             }
         } catch (IOException | RuntimeException e) {
-            throw broken(what, e);
+            throw malformed(field, e);
         }
-        throw expected("a text of " + least + " to " + most + " characters", what, token);
+        throw unexpected("a text of " + minChars + " to " + maxChars + " characters", field, token);
     }
 
-    byte[] bytes(String what, int most) {
-        JsonToken token = token(what);
-        int found = -1;
+    byte[] readBytes(String field, int maxBytes) {
+        JsonToken token = nextToken(field);
+        int foundBytes = -1;
         try {
             if (token == JsonToken.VALUE_EMBEDDED_OBJECT && parser.getEmbeddedObject() instanceof byte[] bytes) {
-                if (bytes.length <= most) {
+                if (bytes.length <= maxBytes) {
                     return bytes;
                 }
-                found = bytes.length;
+                foundBytes = bytes.length;
             }
         } catch (IOException | RuntimeException e) {
-            throw broken(what, e);
+            throw malformed(field, e);
         }
-        if (found >= 0) {
-            throw new IllegalArgumentException(place(what) + ": expected at most " + most + " bytes, found " + found);
+        if (foundBytes >= 0) {
+            throw new IllegalArgumentException(path(field) + ": expected at most " + maxBytes + " bytes, found " + foundBytes);
         }
-        throw expected("at most " + most + " bytes", what, token);
+        throw unexpected("at most " + maxBytes + " bytes", field, token);
     }
 
-    /** Refuses whatever comes behind. */
-    void end() {
-        JsonToken token = token("end");
+    /** Refuses any data after the message. */
+    void expectEnd() {
+        JsonToken token = nextToken("end");
         if (token != null) {
-            throw expected("nothing more", "end", token);
+            throw unexpected("nothing more", "end", token);
         }
     }
 
-    private IllegalArgumentException expected(String expected, String what, JsonToken token) {
+    private IllegalArgumentException unexpected(String expected, String field, JsonToken token) {
         String found = "nothing";
         if (token != null) {
             try {
@@ -185,19 +194,19 @@
                 found = token.toString();
             }
         }
-        return new IllegalArgumentException(place(what) + ": expected " + expected + ", found " + (found.length() > SHOWN_MOST ? found.substring(0, SHOWN_MOST) + "..." : found));
+        return new IllegalArgumentException(path(field) + ": expected " + expected + ", found " + (found.length() > MAX_SHOWN_CHARS ? found.substring(0, MAX_SHOWN_CHARS) + "..." : found));
     }
 
-    /** Such as {@code deltas[2].upserts[7].name}; items are counted from 0. */
-    private String place(String what) {
-        StringBuilder place = new StringBuilder();
+    /** Path of a field, such as {@code deltas[2].upserts[7].name}; items are counted from 0. */
+    private String path(String field) {
+        StringBuilder path = new StringBuilder();
         for (int i = 0; i < depth; i++) {
-            place.append(names[i]);
-            if (indices[i] > 0) {
-                place.append('[').append(indices[i] - 1).append(']');
+            path.append(fieldNames[i]);
+            if (itemIndices[i] > 0) {
+                path.append('[').append(itemIndices[i] - 1).append(']');
             }
-            place.append('.');
+            path.append('.');
         }
-        return place.append(what).toString();
+        return path.append(field).toString();
     }
 }
--- a/src/main/java/mastdrift/distribution/edge/ControlCodec.java
+++ b/src/main/java/mastdrift/distribution/edge/ControlCodec.java
@@ -13,15 +13,17 @@
 import mastdrift.distribution.ResourceKind;
 import mastdrift.distribution.Revision;
 
-/** Operators' questions and their answers as bytes: a version, then one array in CBOR (RFC 8949). What a later build says, and what is not well-formed, is refused whole, with what was
-    expected and found where. */
+/**
+ * Binary codec for {@link ControlMessage}: a version byte, then one CBOR array (RFC 8949). Messages of a later version
+ * and malformed messages are refused as a whole, with an error that says what was expected, what was found and where.
+ */
 public final class ControlCodec {
 
-    /** Of what it writes, and the latest that it reads. */
+    /** Version that is written, and the latest that is read. */
     public static final int VERSION = 1;
-    /** Bytes, at most: a change, or all zones of a status, and what is around them. */
-    public static final int BYTES_MOST = 256 << 10;
-    private static final int ITEMS_MOST = 1_024;
+    /** Maximum size of an encoded message: room for a change, or for all zones of a status, and the other fields. */
+    public static final int MAX_MESSAGE_BYTES = 256 << 10;
+    private static final int MAX_ITEMS = 1_024;
     private static final int APPLY = 0;
     private static final int GET = 1;
     private static final int GET_STATUS = 2;
@@ -37,159 +39,163 @@
 
     private ControlCodec() { }
 
-    /** A message as bytes. Lines for a person are cut to {@link ControlMessage#TEXT_MOST}; throws IllegalArgumentException for what else is beyond a bound. */
-    public static byte[] bytes(ControlMessage message) {
+    /**
+     * Encodes a message. Human-readable texts and the list of problems are truncated to the limits of {@link
+     * ControlMessage}; throws IllegalArgumentException if any other limit is exceeded.
+     */
+    public static byte[] encode(ControlMessage message) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.write(VERSION);
-        try (JsonGenerator to = FACTORY.createGenerator(out)) {
-            to.writeStartArray();
-            write(message, to);
-            to.writeEndArray();
+        try (JsonGenerator generator = FACTORY.createGenerator(out)) {
+            generator.writeStartArray();
+            write(message, generator);
+            generator.writeEndArray();
         } catch (IOException e) {
-            throw new IllegalArgumentException("expected text in UTF-8, found " + e.getMessage(), e);  // bytes in memory have no other trouble
+            // writing to memory fails for no other reason
+            throw new IllegalArgumentException("expected text in UTF-8, found " + e.getMessage(), e);
         }
-        if (out.size() > BYTES_MOST) {
-            throw new IllegalArgumentException("expected at most " + BYTES_MOST + " bytes, found " + out.size());
+        if (out.size() > MAX_MESSAGE_BYTES) {
+            throw new IllegalArgumentException("expected at most " + MAX_MESSAGE_BYTES + " bytes, found " + out.size());
         }
         return out.toByteArray();
     }
 
-    private static void write(ControlMessage message, JsonGenerator to) throws IOException {
+    private static void write(ControlMessage message, JsonGenerator generator) throws IOException {
         if (message instanceof ControlMessage.Apply apply) {
-            head(APPLY, message, to);
-            to.writeBinary(MessageCodec.bytes(apply.change()));
+            writeHeader(APPLY, message, generator);
+            generator.writeBinary(MessageCodec.encode(apply.change()));
         } else if (message instanceof ControlMessage.Get get) {
-            head(GET, message, to);
-            to.writeNumber(get.kind().ordinal());
-            to.writeString(get.name());
+            writeHeader(GET, message, generator);
+            generator.writeNumber(get.kind().ordinal());
+            generator.writeString(get.name());
         } else if (message instanceof ControlMessage.GetStatus) {
-            head(GET_STATUS, message, to);
+            writeHeader(GET_STATUS, message, generator);
         } else if (message instanceof ControlMessage.Applied applied) {
-            head(APPLIED, message, to);
-            write(applied.revision(), to);
+            writeHeader(APPLIED, message, generator);
+            write(applied.revision(), generator);
         } else if (message instanceof ControlMessage.Conflicted conflicted) {
-            head(CONFLICTED, message, to);
-            text(conflicted.reason(), to);
+            writeHeader(CONFLICTED, message, generator);
+            text(conflicted.reason(), generator);
         } else if (message instanceof ControlMessage.Refused refused) {
-            head(REFUSED, message, to);
-            to.writeStartArray();
-            for (String each : refused.problems().subList(0, Math.min(refused.problems().size(), ControlMessage.PROBLEMS_MOST))) {
-                text(each, to);
+            writeHeader(REFUSED, message, generator);
+            generator.writeStartArray();
+            for (String problem : refused.problems().subList(0, Math.min(refused.problems().size(), ControlMessage.PROBLEMS_MOST))) {
+                text(problem, generator);
             }
-            to.writeEndArray();
+            generator.writeEndArray();
         } else if (message instanceof ControlMessage.Unknown unknown) {
-            head(UNKNOWN, message, to);
-            text(unknown.why(), to);
+            writeHeader(UNKNOWN, message, generator);
+            text(unknown.why(), generator);
         } else if (message instanceof ControlMessage.AskVoter ask) {
-            head(ASK_VOTER, message, to);
-            text(ask.why(), to);
+            writeHeader(ASK_VOTER, message, generator);
+            text(ask.why(), generator);
         } else if (message instanceof ControlMessage.Found found) {
-            head(FOUND, message, to);
-            write(found.revision(), to);
-            to.writeBoolean(found.resource() != null);
+            writeHeader(FOUND, message, generator);
+            write(found.revision(), generator);
+            generator.writeBoolean(found.resource() != null);
             if (found.resource() != null) {
-                to.writeNumber(found.resource().kind().ordinal());
-                to.writeString(found.resource().name());
-                to.writeNumber(found.resource().version());
-                to.writeBinary(found.resource().value());
+                generator.writeNumber(found.resource().kind().ordinal());
+                generator.writeString(found.resource().name());
+                generator.writeNumber(found.resource().version());
+                generator.writeBinary(found.resource().value());
             }
         } else if (message instanceof ControlMessage.Status status) {
-            head(STATUS, message, to);
-            write(status.revision(), to);
-            text(status.role(), to);
-            text(status.leader(), to);
-            to.writeNumber(status.subscribers());
-            to.writeNumber(status.aloneMillis());
-            to.writeBinary(MessageCodec.bytes(new Message.Summary(status.zones())));
+            writeHeader(STATUS, message, generator);
+            write(status.revision(), generator);
+            text(status.role(), generator);
+            text(status.leader(), generator);
+            generator.writeNumber(status.subscribers());
+            generator.writeNumber(status.aloneMillis());
+            generator.writeBinary(MessageCodec.encode(new Message.Summary(status.zones())));
         }
     }
 
-    private static void head(int type, ControlMessage message, JsonGenerator to) throws IOException {
-        to.writeNumber(type);
-        to.writeNumber(message.requestId());
+    private static void writeHeader(int type, ControlMessage message, JsonGenerator generator) throws IOException {
+        generator.writeNumber(type);
+        generator.writeNumber(message.requestId());
     }
 
-    private static void text(String text, JsonGenerator to) throws IOException {
-        to.writeString(text.substring(0, Math.min(text.length(), ControlMessage.TEXT_MOST)));
+    private static void text(String text, JsonGenerator generator) throws IOException {
+        generator.writeString(text.substring(0, Math.min(text.length(), ControlMessage.TEXT_MOST)));
     }
 
-    private static void write(Revision revision, JsonGenerator to) throws IOException {
+    private static void write(Revision revision, JsonGenerator generator) throws IOException {
         if (revision == null) {
-            to.writeNull();
+            generator.writeNull();
             return;
         }
-        to.writeStartArray();
-        to.writeNumber(revision.epoch());
-        to.writeNumber(revision.number());
-        to.writeNumber(revision.high());
-        to.writeNumber(revision.low());
-        to.writeEndArray();
+        generator.writeStartArray();
+        generator.writeNumber(revision.epoch());
+        generator.writeNumber(revision.number());
+        generator.writeNumber(revision.high());
+        generator.writeNumber(revision.low());
+        generator.writeEndArray();
     }
 
-    /** Throws IllegalArgumentException for what is no message. */
-    public static ControlMessage message(byte[] bytes) {
-        if (bytes.length < 2 || bytes.length > BYTES_MOST) {
-            throw new IllegalArgumentException("expected 2 to " + BYTES_MOST + " bytes, found " + bytes.length);
+    /** Decodes a message. Throws IllegalArgumentException if the bytes are not a valid message. */
+    public static ControlMessage decode(byte[] bytes) {
+        if (bytes.length < 2 || bytes.length > MAX_MESSAGE_BYTES) {
+            throw new IllegalArgumentException("expected 2 to " + MAX_MESSAGE_BYTES + " bytes, found " + bytes.length);
         }
         if (bytes[0] != VERSION) {
             throw new IllegalArgumentException("expected messages of version " + VERSION + " at most, found version " + (bytes[0] & 0xFF));
         }
-        CborReader from = new CborReader(bytes, 1, ITEMS_MOST);
-        from.open("control");
-        int type = (int) from.whole("type", APPLY, STATUS);
-        long requestId = from.whole("call", 0, Long.MAX_VALUE);
+        CborReader reader = new CborReader(bytes, 1, MAX_ITEMS);
+        reader.enterArray("control");
+        int type = (int) reader.readLong("type", APPLY, STATUS);
+        long requestId = reader.readLong("call", 0, Long.MAX_VALUE);
         ControlMessage message = switch (type) {
-            case APPLY -> new ControlMessage.Apply(requestId, MessageCodec.change(from.bytes("change", Change.BYTES_MOST)));
-            case GET -> new ControlMessage.Get(requestId, kind(from), from.text("name", 1, Resource.NAME_MOST));
+            case APPLY -> new ControlMessage.Apply(requestId, MessageCodec.decodeChange(reader.readBytes("change", Change.BYTES_MOST)));
+            case GET -> new ControlMessage.Get(requestId, readKind(reader), reader.readString("name", 1, Resource.NAME_MOST));
             case GET_STATUS -> new ControlMessage.GetStatus(requestId);
-            case APPLIED -> new ControlMessage.Applied(requestId, revision(from));
-            case CONFLICTED -> new ControlMessage.Conflicted(requestId, text(from, "reason"));
-            case REFUSED -> new ControlMessage.Refused(requestId, problems(from));
-            case UNKNOWN -> new ControlMessage.Unknown(requestId, text(from, "why"));
-            case ASK_VOTER -> new ControlMessage.AskVoter(requestId, text(from, "why"));
-            case FOUND -> new ControlMessage.Found(requestId, revision(from), from.flag("there") ? resource(from) : null);
-            default -> new ControlMessage.Status(requestId, revision(from), text(from, "role"), text(from, "leader"), (int) from.whole("subscribers", 0, Integer.MAX_VALUE),
-                    from.whole("alone", 0, Long.MAX_VALUE), zones(from));
+            case APPLIED -> new ControlMessage.Applied(requestId, readRevision(reader));
+            case CONFLICTED -> new ControlMessage.Conflicted(requestId, text(reader, "reason"));
+            case REFUSED -> new ControlMessage.Refused(requestId, readProblems(reader));
+            case UNKNOWN -> new ControlMessage.Unknown(requestId, text(reader, "why"));
+            case ASK_VOTER -> new ControlMessage.AskVoter(requestId, text(reader, "why"));
+            case FOUND -> new ControlMessage.Found(requestId, readRevision(reader), reader.readBoolean("there") ? readResource(reader) : null);
+            default -> new ControlMessage.Status(requestId, readRevision(reader), text(reader, "role"), text(reader, "leader"), (int) reader.readLong("subscribers", 0, Integer.MAX_VALUE),
+                    reader.readLong("alone", 0, Long.MAX_VALUE), readZones(reader));
         };
-        from.close();
-        from.end();
+        reader.exitArray();
+        reader.expectEnd();
         return message;
     }
 
-    private static ResourceKind kind(CborReader from) {
-        return KINDS[(int) from.whole("kind", 0, KINDS.length - 1)];
+    private static ResourceKind readKind(CborReader reader) {
+        return KINDS[(int) reader.readLong("kind", 0, KINDS.length - 1)];
     }
 
-    private static String text(CborReader from, String what) {
-        return from.text(what, 0, ControlMessage.TEXT_MOST);
+    private static String text(CborReader reader, String field) {
+        return reader.readString(field, 0, ControlMessage.TEXT_MOST);
     }
 
-    private static Revision revision(CborReader from) {
-        if (from.absent("revision")) {
+    private static Revision readRevision(CborReader reader) {
+        if (reader.skipNull("revision")) {
             return null;
         }
-        from.open("revision");
-        Revision revision = new Revision(from.whole("epoch", 0, Long.MAX_VALUE), from.whole("number", 0, Long.MAX_VALUE), from.whole("high", Long.MIN_VALUE, Long.MAX_VALUE),
-                from.whole("low", Long.MIN_VALUE, Long.MAX_VALUE));
-        from.close();
+        reader.enterArray("revision");
+        Revision revision = new Revision(reader.readLong("epoch", 0, Long.MAX_VALUE), reader.readLong("number", 0, Long.MAX_VALUE), reader.readLong("high", Long.MIN_VALUE, Long.MAX_VALUE),
+                reader.readLong("low", Long.MIN_VALUE, Long.MAX_VALUE));
+        reader.exitArray();
         return revision;
     }
 
-    private static List<String> problems(CborReader from) {
+    private static List<String> readProblems(CborReader reader) {
         List<String> problems = new ArrayList<>();
-        from.list("problems");
-        while (from.next(ControlMessage.PROBLEMS_MOST)) {
-            problems.add(text(from, "problem"));
+        reader.enterList("problems");
+        while (reader.nextItem(ControlMessage.PROBLEMS_MOST)) {
+            problems.add(text(reader, "problem"));
         }
         return problems;
     }
 
-    private static Resource resource(CborReader from) {
-        return new Resource(kind(from), from.text("name", 1, Resource.NAME_MOST), from.whole("version", 0, Long.MAX_VALUE), from.bytes("value", Resource.VALUE_MOST));
+    private static Resource readResource(CborReader reader) {
+        return new Resource(readKind(reader), reader.readString("name", 1, Resource.NAME_MOST), reader.readLong("version", 0, Long.MAX_VALUE), reader.readBytes("value", Resource.VALUE_MOST));
     }
 
-    private static List<Message.ZoneSummary> zones(CborReader from) {
-        if (MessageCodec.message(from.bytes("zones", BYTES_MOST)) instanceof Message.Summary summary) {
+    private static List<Message.ZoneSummary> readZones(CborReader reader) {
+        if (MessageCodec.decodeMessage(reader.readBytes("zones", MAX_MESSAGE_BYTES)) instanceof Message.Summary summary) {
             return summary.zones();
         }
         throw new IllegalArgumentException("control.zones: expected a summary, found another message");
--- a/src/main/java/mastdrift/distribution/edge/DeadlineTimer.java
+++ b/src/main/java/mastdrift/distribution/edge/DeadlineTimer.java
@@ -4,49 +4,52 @@
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** A timer of an event loop with one deadline, the one that a decider asked for last; on the loop's thread. */
+/**
+ * Single-deadline timer on an event loop: a new deadline replaces the one before. All methods except {@link #nowMicros}
+ * are called on the event loop's thread.
+ */
 final class DeadlineTimer {
 
-    private static final long START = System.nanoTime();
+    private static final long START_NANOS = System.nanoTime();
 
     private final EventLoop loop;
     private final Runnable action;
-    private Future<?> scheduled;
-    private long scheduledFor = Long.MAX_VALUE;
+    private Future<?> pendingTimeout;
+    private long pendingDeadlineMicros = Long.MAX_VALUE;
 
     DeadlineTimer(EventLoop loop, Runnable action) {
         this.loop = loop;
         this.action = action;
     }
 
-    /** Microseconds of the monotonic clock, from 1 s on: deciders take 0 for never. */
-    static long now() {
-        return (System.nanoTime() - START) / 1_000 + 1_000_000;
+    /** Monotonic clock in microseconds. It starts at 1 s, since 0 stands for "never" in the protocol state machines. */
+    static long nowMicros() {
+        return (System.nanoTime() - START_NANOS) / 1_000 + 1_000_000;
     }
 
-    /** Instead of the time before; {@link Long#MAX_VALUE} for never. */
-    void schedule(long deadline) {
-        if (deadline == scheduledFor) {
+    /** Replaces the current deadline; {@link Long#MAX_VALUE} for none. */
+    void schedule(long deadlineMicros) {
+        if (deadlineMicros == pendingDeadlineMicros) {
             return;
         }
         cancel();
-        if (deadline != Long.MAX_VALUE) {
-            scheduledFor = deadline;
-            scheduled = loop.schedule(this::fire, Math.max(0, deadline - now()), TimeUnit.MICROSECONDS);
+        if (deadlineMicros != Long.MAX_VALUE) {
+            pendingDeadlineMicros = deadlineMicros;
+            pendingTimeout = loop.schedule(this::fire, Math.max(0, deadlineMicros - nowMicros()), TimeUnit.MICROSECONDS);
         }
     }
 
     void cancel() {
-        if (scheduled != null) {
-            scheduled.cancel(false);
+        if (pendingTimeout != null) {
+            pendingTimeout.cancel(false);
         }
-        scheduled = null;
-        scheduledFor = Long.MAX_VALUE;
+        pendingTimeout = null;
+        pendingDeadlineMicros = Long.MAX_VALUE;
     }
 
     private void fire() {
-        scheduled = null;
-        scheduledFor = Long.MAX_VALUE;
+        pendingTimeout = null;
+        pendingDeadlineMicros = Long.MAX_VALUE;
         action.run();
     }
 }
--- a/src/main/java/mastdrift/distribution/edge/FolderFiles.java
+++ b/src/main/java/mastdrift/distribution/edge/FolderFiles.java
@@ -10,38 +10,40 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** What {@link TableFolder} does with files, step by step, so that a test can end or fail each of them. */
+/** File operations that {@link TableFolder} needs, as an interface so that tests can fail or abort each single step. */
 interface FolderFiles {
 
-    /** A file that is being written. */
+    /** A file that is open for writing. */
     interface Sink extends Closeable {
 
-        /** Behind what is there. */
+        /** Appends the bytes at the current position. */
         void write(byte[] bytes) throws IOException;
 
-        /** On disk once it returns. */
+        /** Flushes the file to disk before it returns. */
         void force() throws IOException;
 
         @Override
         void close() throws IOException;
     }
 
-    /** Bytes of a file; -1 where there is none. */
+    /** Length of a file in bytes; -1 if it doesn't exist. */
     long length(String name) throws IOException;
 
-    /** Of a file that is there. */
-    InputStream read(String name) throws IOException;
+    /** Opens an existing file for reading. */
+    InputStream openForRead(String name) throws IOException;
 
-    /** Writes on from a place; what is behind it is cut off. Makes the file where there is none. */
-    Sink write(String name, long from) throws IOException;
+    /**
+     * Opens a file for writing from an offset; truncates what follows the offset. Creates the file if it doesn't exist.
+     */
+    Sink openForWrite(String name, long offset) throws IOException;
 
-    /** In place of a file that may be there, whole or not; on disk once it returns. */
+    /** Atomically renames a file, replacing an existing target; the rename is on disk when this returns. */
     void rename(String from, String to) throws IOException;
 
-    /** Where it is there. */
+    /** Deletes a file if it exists. */
     void delete(String name) throws IOException;
 
-    /** Of a folder on disk, which is made where it isn't there. */
+    /** Files of a directory on disk, which is created if it doesn't exist. */
     static FolderFiles of(Path folder) throws IOException {
         Files.createDirectories(folder);
         return new FolderFiles() {
@@ -53,15 +55,15 @@
             }
 
             @Override
-            public InputStream read(String name) throws IOException {
+            public InputStream openForRead(String name) throws IOException {
                 return Files.newInputStream(folder.resolve(name));
             }
 
             @Override
-            public Sink write(String name, long from) throws IOException {
+            public Sink openForWrite(String name, long offset) throws IOException {
                 FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
                 try {
-                    channel.truncate(from).position(from);
+                    channel.truncate(offset).position(offset);
                 } catch (IOException e) {
                     channel.close();
                     throw e;
@@ -78,7 +80,7 @@
 
                     @Override
                     public void force() throws IOException {
-                        channel.force(false);  // the length too, which a reader needs
+                        channel.force(false);  // also writes the file length, which a reader needs
                     }
 
                     @Override
@@ -92,7 +94,7 @@
             public void rename(String from, String to) throws IOException {
                 Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
                 try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
-                    directory.force(true);  // or the name may be lost with the machine
+                    directory.force(true);  // without this, a machine crash can lose the rename
                 }
             }
 
--- a/src/main/java/mastdrift/distribution/edge/MessageCodec.java
+++ b/src/main/java/mastdrift/distribution/edge/MessageCodec.java
@@ -24,32 +24,33 @@
 import mastdrift.distribution.Table;
 
 /**
- * Messages, deltas and changes as bytes: a version, a form, then nested arrays in CBOR (RFC 8949), which are deflated (RFC 1951) where that makes a large one smaller. What a
- * later build says, and what is not well-formed, is refused whole, with what was expected and found where. What it writes, it reads; what is beyond a bound is refused when it
- * is written, too.
- *
- * <p>It writes and reads field by field and makes nothing but the objects that it gives: a snapshot at the target is 245,810 resources.
+ * Binary codec for messages, deltas and changes: a version byte, a form byte, then nested CBOR arrays (RFC 8949), which
+ * are deflated (RFC 1951) if they are large and that makes them smaller. Input of a later version and malformed input
+ * are refused as a whole, with an error that says what was expected, what was found and where. The limits are checked
+ * when encoding too, so that whatever is encoded can be decoded.
+ * <p>Encodes and decodes field by field without intermediate objects: a snapshot at the target size has 245,810
+ * resources.
  */
 public final class MessageCodec {
 
-    /** Of what it writes, and the latest that it reads. */
+    /** Version that is written, and the latest that is read. */
     public static final int VERSION = 1;
-    /** Bytes as written, at most: as many as a link carries. */
-    public static final int BYTES_MOST = 512 << 10;
-    /** Bytes of the CBOR within, at most. */
-    public static final int INFLATED_MOST = 2 << 20;
-    /** Deltas, shards, resources and the like in one message, at most. */
-    public static final int ITEMS_MOST = 65_536;
-    /** Characters of a zone's or subscriber's name, at most. */
-    public static final int NAME_MOST = 128;
-    /** Characters of a reason, at most. */
-    public static final int REASON_MOST = 1_024;
-    /** Zones of a summary, at most. */
-    public static final int ZONES_MOST = Summaries.ZONES_MOST;
-    private static final int DEFLATED_LEAST = 1_024;
-    private static final int HEAD = 2;
-    private static final byte PLAIN = 0;
-    private static final byte DEFLATED = 1;
+    /** Maximum size of an encoded message, after compression: as much as a link carries. */
+    public static final int MAX_ENCODED_BYTES = 512 << 10;
+    /** Maximum size of the CBOR before compression. */
+    public static final int MAX_INFLATED_BYTES = 2 << 20;
+    /** Maximum number of list items (deltas, shards, resources and others) in one message. */
+    public static final int MAX_ITEMS = 65_536;
+    /** Maximum length of the name of a zone or subscriber. */
+    public static final int MAX_NAME_CHARS = 128;
+    /** Maximum length of a reason. */
+    public static final int MAX_REASON_CHARS = 1_024;
+    /** Maximum number of zones in a summary. */
+    public static final int MAX_ZONES = Summaries.ZONES_MOST;
+    private static final int MIN_DEFLATE_BYTES = 1_024;
+    private static final int HEADER_BYTES = 2;
+    private static final byte FORM_PLAIN = 0;
+    private static final byte FORM_DEFLATED = 1;
     private static final CBORFactory FACTORY = new CBORFactory();
     private static final ResourceKind[] KINDS = ResourceKind.values();
 
@@ -66,9 +67,10 @@
     private static final int RETRY_AFTER = 10;
     private static final int UPSERT = 0;
     private static final int DELETE = 1;
-    private static final int EPOCH_START = 0;  // where a change has its id: builds before this one read it as no change, and pass over it
+    // stands where a change has its id: earlier builds take it for an invalid change and skip it
+    private static final int EPOCH_START = 0;
 
-    /** Something by a build that says things this one doesn't know. */
+    /** Thrown for input of a version that this build does not know. */
     public static final class UnsupportedVersionException extends IllegalArgumentException {
 
         private static final long serialVersionUID = 1L;
@@ -78,367 +80,377 @@
         }
     }
 
-    /** Writes the array of one message. */
-    private interface Body {
-        void write(JsonGenerator to) throws IOException;
+    /** Writes the CBOR array of one message. */
+    private interface BodyWriter {
+        void write(JsonGenerator generator) throws IOException;
     }
 
     private MessageCodec() { }
 
     // ---- writing
 
-    /** A message as bytes, at most {@link #BYTES_MOST}. Throws IllegalArgumentException for one that is beyond a bound. */
-    public static byte[] bytes(Message message) {
-        return whole("a message", BYTES_MOST, to -> write(message, to));
-    }
-
-    /** A delta as bytes, at most {@link #BYTES_MOST}. Throws IllegalArgumentException for one that is beyond a bound. */
-    public static byte[] bytes(Delta delta) {
-        return whole("a delta", BYTES_MOST, to -> write(delta, to));
-    }
-
-    /** A change as bytes, at most {@link Change#BYTES_MOST}. Throws IllegalArgumentException for one that is beyond a bound. */
-    public static byte[] bytes(Change change) {
-        return whole("a change", Change.BYTES_MOST, to -> {
-            to.writeStartArray(null, 2);
-            text(to, "id", change.id(), 1, Change.ID_MOST);
-            to.writeStartArray(null, bounded("edits", change.edits().size(), Change.EDITS_MOST));
+    /**
+     * Encodes a message, to at most {@link #MAX_ENCODED_BYTES}. Throws IllegalArgumentException if a limit is exceeded.
+     */
+    public static byte[] encode(Message message) {
+        return encodeBody("a message", MAX_ENCODED_BYTES, generator -> write(message, generator));
+    }
+
+    /**
+     * Encodes a delta, to at most {@link #MAX_ENCODED_BYTES}. Throws IllegalArgumentException if a limit is exceeded.
+     */
+    public static byte[] encode(Delta delta) {
+        return encodeBody("a delta", MAX_ENCODED_BYTES, generator -> write(delta, generator));
+    }
+
+    /**
+     * Encodes a change; its encoded size is limited by {@link Change}. Throws IllegalArgumentException if a limit is
+     * exceeded.
+     */
+    public static byte[] encode(Change change) {
+        return encodeBody("a change", Change.BYTES_MOST, generator -> {
+            generator.writeStartArray(null, 2);
+            writeString(generator, "id", change.id(), 1, Change.ID_MOST);
+            generator.writeStartArray(null, checkMax("edits", change.edits().size(), Change.EDITS_MOST));
             for (Edit edit : change.edits()) {
                 boolean upsert = edit instanceof Edit.Upsert;
-                to.writeStartArray(null, upsert ? 5 : 4);
-                to.writeNumber(upsert ? UPSERT : DELETE);
-                to.writeNumber(edit.kind().ordinal());
-                text(to, "name", edit.name(), 1, Resource.NAME_MOST);
-                number(to, "expected", edit.expectedVersion(), Edit.ANY);
-                if (edit instanceof Edit.Upsert with) {
-                    bounded("value", with.value().length, Resource.VALUE_MOST);
-                    to.writeBinary(with.value());
+                generator.writeStartArray(null, upsert ? 5 : 4);
+                generator.writeNumber(upsert ? UPSERT : DELETE);
+                generator.writeNumber(edit.kind().ordinal());
+                writeString(generator, "name", edit.name(), 1, Resource.NAME_MOST);
+                writeNumber(generator, "expected", edit.expectedVersion(), Edit.ANY);
+                if (edit instanceof Edit.Upsert upsertEdit) {
+                    checkMax("value", upsertEdit.value().length, Resource.VALUE_MOST);
+                    generator.writeBinary(upsertEdit.value());
                 }
-                to.writeEndArray();
+                generator.writeEndArray();
             }
-            to.writeEndArray();
-            to.writeEndArray();
+            generator.writeEndArray();
+            generator.writeEndArray();
         });
     }
 
-    /** The beginning of an epoch as bytes. */
-    public static byte[] bytes(EpochStart start) {
-        return whole("an epoch's beginning", Change.BYTES_MOST, to -> {
-            to.writeStartArray(null, 2);
-            to.writeNumber(EPOCH_START);
-            write(start.from(), to);
-            to.writeEndArray();
+    /** Encodes the start of an epoch. */
+    public static byte[] encode(EpochStart start) {
+        return encodeBody("an epoch start", Change.BYTES_MOST, generator -> {
+            generator.writeStartArray(null, 2);
+            generator.writeNumber(EPOCH_START);
+            write(start.from(), generator);
+            generator.writeEndArray();
         });
     }
 
-    private static byte[] whole(String what, int most, Body body) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(DEFLATED_LEAST);
+    private static byte[] encodeBody(String subject, int maxBytes, BodyWriter body) {
+        ByteArrayOutputStream out = new ByteArrayOutputStream(MIN_DEFLATE_BYTES);
         out.write(VERSION);
-        out.write(PLAIN);
-        try (JsonGenerator to = FACTORY.createGenerator(out)) {
-            body.write(to);
+        out.write(FORM_PLAIN);
+        try (JsonGenerator generator = FACTORY.createGenerator(out)) {
+            body.write(generator);
         } catch (IOException e) {
-            throw new IllegalArgumentException(what + ": expected text in UTF-8, found " + e.getMessage(), e);  // bytes in memory have no other trouble
+            // writing to memory fails for no other reason
+            throw new IllegalArgumentException(subject + ": expected text in UTF-8, found " + e.getMessage(), e);
         }
         byte[] plain = out.toByteArray();
-        if (plain.length - HEAD > INFLATED_MOST) {
-            throw new IllegalArgumentException(what + ": expected at most " + INFLATED_MOST + " bytes before they are deflated, found " + (plain.length - HEAD));
+        if (plain.length - HEADER_BYTES > MAX_INFLATED_BYTES) {
+            throw new IllegalArgumentException(subject + ": expected at most " + MAX_INFLATED_BYTES + " bytes before they are deflated, found " + (plain.length - HEADER_BYTES));
         }
-        byte[] all = plain.length < DEFLATED_LEAST ? plain : deflated(plain);
-        if (all.length > most) {
-            throw new IllegalArgumentException(what + ": expected at most " + most + " bytes, found " + all.length);
+        byte[] encoded = plain.length < MIN_DEFLATE_BYTES ? plain : deflate(plain);
+        if (encoded.length > maxBytes) {
+            throw new IllegalArgumentException(subject + ": expected at most " + maxBytes + " bytes, found " + encoded.length);
         }
-        return all;
+        return encoded;
     }
 
-    /** The smaller of both. */
-    private static byte[] deflated(byte[] plain) {
+    /** Deflates an encoded message; returns {@code plain} itself if that does not make it smaller. */
+    private static byte[] deflate(byte[] plain) {
         Deflater deflater = new Deflater(Deflater.BEST_SPEED, true);
         try {
-            deflater.setInput(plain, HEAD, plain.length - HEAD);
+            deflater.setInput(plain, HEADER_BYTES, plain.length - HEADER_BYTES);
             deflater.finish();
-            byte[] all = new byte[plain.length];
-            int at = HEAD + Integer.BYTES;
-            int length = deflater.deflate(all, at, all.length - at);
+            byte[] deflated = new byte[plain.length];
+            int offset = HEADER_BYTES + Integer.BYTES;
+            int length = deflater.deflate(deflated, offset, deflated.length - offset);
             if (!deflater.finished()) {
-                return plain;  // no smaller
+                return plain;  // deflating did not make it smaller
             }
-            ByteBuffer.wrap(all).put((byte) VERSION).put(DEFLATED).putInt(plain.length - HEAD);
-            return Arrays.copyOf(all, at + length);
+            ByteBuffer.wrap(deflated).put((byte) VERSION).put(FORM_DEFLATED).putInt(plain.length - HEADER_BYTES);
+            return Arrays.copyOf(deflated, offset + length);
         } finally {
             deflater.end();
         }
     }
 
-    private static void write(Message message, JsonGenerator to) throws IOException {
-        to.writeStartArray();
+    private static void write(Message message, JsonGenerator generator) throws IOException {
+        generator.writeStartArray();
         if (message instanceof Message.Subscribe subscribe) {
-            to.writeNumber(SUBSCRIBE);
-            write(subscribe.have(), to);
-            text(to, "zone", subscribe.zone(), 0, NAME_MOST);
+            generator.writeNumber(SUBSCRIBE);
+            write(subscribe.have(), generator);
+            writeString(generator, "zone", subscribe.zone(), 0, MAX_NAME_CHARS);
         } else if (message instanceof Message.Fetch fetch) {
-            to.writeNumber(FETCH);
-            ByteBuffer digests = ByteBuffer.allocate(bounded("digests", fetch.digests().length, Table.SHARDS) * Long.BYTES);
+            generator.writeNumber(FETCH);
+            ByteBuffer digests = ByteBuffer.allocate(checkMax("digests", fetch.digests().length, Table.SHARDS) * Long.BYTES);
             digests.asLongBuffer().put(fetch.digests());
-            to.writeBinary(digests.array());
-            number(to, "credit", fetch.credit(), 0);
+            generator.writeBinary(digests.array());
+            writeNumber(generator, "credit", fetch.credit(), 0);
         } else if (message instanceof Message.Credit credit) {
-            to.writeNumber(CREDIT);
-            number(to, "pieces", credit.chunks(), 0);
+            generator.writeNumber(CREDIT);
+            writeNumber(generator, "pieces", credit.chunks(), 0);
         } else if (message instanceof Message.Ack ack) {
-            to.writeNumber(ACK);
-            write(ack.inForce(), to);
+            generator.writeNumber(ACK);
+            write(ack.inForce(), generator);
         } else if (message instanceof Message.Nack nack) {
-            to.writeNumber(NACK);
-            write(nack.refused(), to);
-            write(nack.inForce(), to);
-            text(to, "reason", nack.reason(), 0, REASON_MOST);
+            generator.writeNumber(NACK);
+            write(nack.refused(), generator);
+            write(nack.inForce(), generator);
+            writeString(generator, "reason", nack.reason(), 0, MAX_REASON_CHARS);
         } else if (message instanceof Message.Summary summary) {
-            to.writeNumber(SUMMARY);
-            to.writeStartArray(null, bounded("zones", summary.zones().size(), ZONES_MOST));
+            generator.writeNumber(SUMMARY);
+            generator.writeStartArray(null, checkMax("zones", summary.zones().size(), MAX_ZONES));
             for (Message.ZoneSummary zone : summary.zones()) {
-                write(zone, to);
+                write(zone, generator);
             }
-            to.writeEndArray();
+            generator.writeEndArray();
         } else if (message instanceof Message.Deltas deltas) {
-            to.writeNumber(DELTAS);
-            to.writeStartArray(null, bounded("deltas", deltas.deltas().size(), ITEMS_MOST));
+            generator.writeNumber(DELTAS);
+            generator.writeStartArray(null, checkMax("deltas", deltas.deltas().size(), MAX_ITEMS));
             for (Delta delta : deltas.deltas()) {
-                write(delta, to);
+                write(delta, generator);
             }
-            to.writeEndArray();
+            generator.writeEndArray();
         } else if (message instanceof Message.Heartbeat heartbeat) {
-            to.writeNumber(HEARTBEAT);
-            write(heartbeat.revision(), to);
+            generator.writeNumber(HEARTBEAT);
+            write(heartbeat.revision(), generator);
         } else if (message instanceof Message.SnapshotNeeded needed) {
-            to.writeNumber(SNAPSHOT_NEEDED);
-            write(needed.revision(), to);
-            text(to, "reason", needed.reason(), 0, REASON_MOST);
+            generator.writeNumber(SNAPSHOT_NEEDED);
+            write(needed.revision(), generator);
+            writeString(generator, "reason", needed.reason(), 0, MAX_REASON_CHARS);
         } else if (message instanceof Message.SnapshotChunk chunk) {
-            to.writeNumber(SNAPSHOT_CHUNK);
-            write(chunk.revision(), to);
-            to.writeStartArray(null, bounded("shards", chunk.shards().size(), Table.SHARDS));
+            generator.writeNumber(SNAPSHOT_CHUNK);
+            write(chunk.revision(), generator);
+            generator.writeStartArray(null, checkMax("shards", chunk.shards().size(), Table.SHARDS));
             for (Message.Shard shard : chunk.shards()) {
-                to.writeStartArray(null, 2);
-                to.writeNumber(bounded("shard", shard.number(), Table.SHARDS - 1));
-                write(shard.resources(), to);
-                to.writeEndArray();
+                generator.writeStartArray(null, 2);
+                generator.writeNumber(checkMax("shard", shard.number(), Table.SHARDS - 1));
+                write(shard.resources(), generator);
+                generator.writeEndArray();
             }
-            to.writeEndArray();
-            to.writeBoolean(chunk.last());
+            generator.writeEndArray();
+            generator.writeBoolean(chunk.last());
         } else if (message instanceof Message.RetryAfter retry) {
-            to.writeNumber(RETRY_AFTER);
-            number(to, "millis", retry.millis(), 0);
+            generator.writeNumber(RETRY_AFTER);
+            writeNumber(generator, "millis", retry.millis(), 0);
         }
-        to.writeEndArray();
+        generator.writeEndArray();
     }
 
-    private static void write(Message.ZoneSummary zone, JsonGenerator to) throws IOException {
-        to.writeStartArray(null, 5);
-        text(to, "zone", zone.zone(), 0, NAME_MOST);
-        number(to, "subscribers", zone.subscribers(), 0);
+    private static void write(Message.ZoneSummary zone, JsonGenerator generator) throws IOException {
+        generator.writeStartArray(null, 5);
+        writeString(generator, "zone", zone.zone(), 0, MAX_NAME_CHARS);
+        writeNumber(generator, "subscribers", zone.subscribers(), 0);
         if (zone.lowest() == null) {
-            to.writeNull();
+            generator.writeNull();
         } else {
-            write(zone.lowest(), to);
+            write(zone.lowest(), generator);
         }
-        number(to, "refused", zone.refused(), 0);
-        to.writeStartArray(null, bounded("lagging", zone.lagging().size(), Message.ZoneSummary.LAGGING_MOST));
+        writeNumber(generator, "refused", zone.refused(), 0);
+        generator.writeStartArray(null, checkMax("lagging", zone.lagging().size(), Message.ZoneSummary.LAGGING_MOST));
         for (String name : zone.lagging()) {
-            text(to, "name", name, 0, NAME_MOST);
+            writeString(generator, "name", name, 0, MAX_NAME_CHARS);
         }
-        to.writeEndArray();
-        to.writeEndArray();
+        generator.writeEndArray();
+        generator.writeEndArray();
     }
 
-    private static void write(Delta delta, JsonGenerator to) throws IOException {
-        to.writeStartArray(null, 4);
-        number(to, "from", delta.from(), 0);
-        write(delta.to(), to);
-        write(delta.upserts(), to);
-        to.writeStartArray(null, bounded("deletes", delta.deletes().size(), Change.EDITS_MOST));
+    private static void write(Delta delta, JsonGenerator generator) throws IOException {
+        generator.writeStartArray(null, 4);
+        writeNumber(generator, "from", delta.from(), 0);
+        write(delta.to(), generator);
+        write(delta.upserts(), generator);
+        generator.writeStartArray(null, checkMax("deletes", delta.deletes().size(), Change.EDITS_MOST));
         for (Delta.Deletion deletion : delta.deletes()) {
-            to.writeStartArray(null, 2);
-            to.writeNumber(deletion.kind().ordinal());
-            text(to, "name", deletion.name(), 1, Resource.NAME_MOST);
-            to.writeEndArray();
+            generator.writeStartArray(null, 2);
+            generator.writeNumber(deletion.kind().ordinal());
+            writeString(generator, "name", deletion.name(), 1, Resource.NAME_MOST);
+            generator.writeEndArray();
         }
-        to.writeEndArray();
-        to.writeEndArray();
+        generator.writeEndArray();
+        generator.writeEndArray();
     }
 
-    private static void write(Revision revision, JsonGenerator to) throws IOException {
-        to.writeStartArray(null, 4);
-        number(to, "epoch", revision.epoch(), 0);
-        number(to, "number", revision.number(), 0);
-        to.writeNumber(revision.high());
-        to.writeNumber(revision.low());
-        to.writeEndArray();
+    private static void write(Revision revision, JsonGenerator generator) throws IOException {
+        generator.writeStartArray(null, 4);
+        writeNumber(generator, "epoch", revision.epoch(), 0);
+        writeNumber(generator, "number", revision.number(), 0);
+        generator.writeNumber(revision.high());
+        generator.writeNumber(revision.low());
+        generator.writeEndArray();
     }
 
-    private static void write(List<Resource> resources, JsonGenerator to) throws IOException {
-        to.writeStartArray(null, bounded("resources", resources.size(), ITEMS_MOST));
+    private static void write(List<Resource> resources, JsonGenerator generator) throws IOException {
+        generator.writeStartArray(null, checkMax("resources", resources.size(), MAX_ITEMS));
         for (Resource resource : resources) {
-            to.writeStartArray(null, 4);
-            to.writeNumber(resource.kind().ordinal());
-            to.writeString(resource.name());
-            number(to, "version", resource.version(), 0);
-            to.writeBinary(resource.value());
-            to.writeEndArray();
+            generator.writeStartArray(null, 4);
+            generator.writeNumber(resource.kind().ordinal());
+            generator.writeString(resource.name());
+            writeNumber(generator, "version", resource.version(), 0);
+            generator.writeBinary(resource.value());
+            generator.writeEndArray();
         }
-        to.writeEndArray();
+        generator.writeEndArray();
     }
 
-    private static int bounded(String what, int found, int most) {
-        if (found < 0 || found > most) {
-            throw new IllegalArgumentException(what + ": expected at most " + most + ", found " + found);
+    private static int checkMax(String field, int value, int max) {
+        if (value < 0 || value > max) {
+            throw new IllegalArgumentException(field + ": expected at most " + max + ", found " + value);
         }
-        return found;
+        return value;
     }
 
-    private static void number(JsonGenerator to, String what, long value, long least) throws IOException {
-        if (value < least) {
-            throw new IllegalArgumentException(what + ": expected at least " + least + ", found " + value);
+    private static void writeNumber(JsonGenerator generator, String field, long value, long min) throws IOException {
+        if (value < min) {
+            throw new IllegalArgumentException(field + ": expected at least " + min + ", found " + value);
         }
-        to.writeNumber(value);
+        generator.writeNumber(value);
     }
 
-    private static void text(JsonGenerator to, String what, String text, int least, int most) throws IOException {
-        if (text.length() < least || text.length() > most) {
-            throw new IllegalArgumentException(what + ": expected " + least + " to " + most + " characters, found " + text.length());
+    private static void writeString(JsonGenerator generator, String field, String text, int minChars, int maxChars) throws IOException {
+        if (text.length() < minChars || text.length() > maxChars) {
+            throw new IllegalArgumentException(field + ": expected " + minChars + " to " + maxChars + " characters, found " + text.length());
         }
-        to.writeString(text);
+        generator.writeString(text);
     }
 
     // ---- reading
 
-    /** Throws IllegalArgumentException for what is no message. */
-    public static Message message(byte[] bytes) {
-        CborReader from = reader(bytes, BYTES_MOST);
-        from.open("message");
-        Message message = switch ((int) from.whole("type", SUBSCRIBE, RETRY_AFTER)) {
-            case SUBSCRIBE -> new Message.Subscribe(revision(from, "have"), from.text("zone", 0, NAME_MOST));
-            case FETCH -> new Message.Fetch(digests(from), count(from, "credit"));
-            case CREDIT -> new Message.Credit(count(from, "pieces"));
-            case ACK -> new Message.Ack(revision(from, "in_force"));
-            case NACK -> new Message.Nack(revision(from, "refused"), revision(from, "in_force"), from.text("reason", 0, REASON_MOST));
-            case SUMMARY -> new Message.Summary(zones(from));
-            case DELTAS -> new Message.Deltas(deltas(from));
-            case HEARTBEAT -> new Message.Heartbeat(revision(from, "revision"));
-            case SNAPSHOT_NEEDED -> new Message.SnapshotNeeded(revision(from, "revision"), from.text("reason", 0, REASON_MOST));
-            case SNAPSHOT_CHUNK -> new Message.SnapshotChunk(revision(from, "revision"), shards(from), from.flag("last"));
-            default -> new Message.RetryAfter(count(from, "millis"));
+    /** Decodes a message. Throws IllegalArgumentException if the bytes are not a valid message. */
+    public static Message decodeMessage(byte[] bytes) {
+        CborReader reader = openReader(bytes, MAX_ENCODED_BYTES);
+        reader.enterArray("message");
+        Message message = switch ((int) reader.readLong("type", SUBSCRIBE, RETRY_AFTER)) {
+            case SUBSCRIBE -> new Message.Subscribe(readRevision(reader, "have"), reader.readString("zone", 0, MAX_NAME_CHARS));
+            case FETCH -> new Message.Fetch(readDigests(reader), readCount(reader, "credit"));
+            case CREDIT -> new Message.Credit(readCount(reader, "pieces"));
+            case ACK -> new Message.Ack(readRevision(reader, "in_force"));
+            case NACK -> new Message.Nack(readRevision(reader, "refused"), readRevision(reader, "in_force"), reader.readString("reason", 0, MAX_REASON_CHARS));
+            case SUMMARY -> new Message.Summary(readZones(reader));
+            case DELTAS -> new Message.Deltas(readDeltas(reader));
+            case HEARTBEAT -> new Message.Heartbeat(readRevision(reader, "revision"));
+            case SNAPSHOT_NEEDED -> new Message.SnapshotNeeded(readRevision(reader, "revision"), reader.readString("reason", 0, MAX_REASON_CHARS));
+            case SNAPSHOT_CHUNK -> new Message.SnapshotChunk(readRevision(reader, "revision"), readShards(reader), reader.readBoolean("last"));
+            default -> new Message.RetryAfter(readCount(reader, "millis"));
         };
-        from.close();
-        from.end();
+        reader.exitArray();
+        reader.expectEnd();
         return message;
     }
 
-    /** Throws IllegalArgumentException for what is no delta. */
-    public static Delta delta(byte[] bytes) {
-        CborReader from = reader(bytes, BYTES_MOST);
-        Delta delta = delta(from, "delta");
-        from.end();
+    /** Decodes a delta. Throws IllegalArgumentException if the bytes are not a valid delta. */
+    public static Delta decodeDelta(byte[] bytes) {
+        CborReader reader = openReader(bytes, MAX_ENCODED_BYTES);
+        Delta delta = decodeDelta(reader, "delta");
+        reader.expectEnd();
         return delta;
     }
 
-    /** What voters have agreed on. Throws IllegalArgumentException for what this build can't read. */
-    public static Command command(byte[] bytes) {
-        CborReader from = reader(bytes, Change.BYTES_MOST);
-        from.open("change");
-        if (!from.wholeNext("id")) {
-            return change(from);
+    /**
+     * Decodes a command that the voters have agreed on. Throws IllegalArgumentException if this build can't read it.
+     */
+    public static Command decodeCommand(byte[] bytes) {
+        CborReader reader = openReader(bytes, Change.BYTES_MOST);
+        reader.enterArray("change");
+        if (!reader.isIntegerNext("id")) {
+            return decodeChange(reader);
         }
-        from.whole("type", EPOCH_START, EPOCH_START);
-        EpochStart start = new EpochStart(revision(from, "from"));
-        from.close();
-        from.end();
+        reader.readLong("type", EPOCH_START, EPOCH_START);
+        EpochStart start = new EpochStart(readRevision(reader, "from"));
+        reader.exitArray();
+        reader.expectEnd();
         return start;
     }
 
-    /** Throws IllegalArgumentException for what is no change. */
-    public static Change change(byte[] bytes) {
-        CborReader from = reader(bytes, Change.BYTES_MOST);
-        from.open("change");
-        return change(from);
+    /** Decodes a change. Throws IllegalArgumentException if the bytes are not a valid change. */
+    public static Change decodeChange(byte[] bytes) {
+        CborReader reader = openReader(bytes, Change.BYTES_MOST);
+        reader.enterArray("change");
+        return decodeChange(reader);
     }
 
-    private static Change change(CborReader from) {
-        String id = from.text("id", 1, Change.ID_MOST);
+    private static Change decodeChange(CborReader reader) {
+        String id = reader.readString("id", 1, Change.ID_MOST);
         List<Edit> edits = new ArrayList<>();
-        from.list("edits");
-        while (from.next(Change.EDITS_MOST)) {
-            from.open("edit");
-            boolean upsert = from.whole("type", UPSERT, DELETE) == UPSERT;
-            ResourceKind kind = kind(from);
-            String name = from.text("name", 1, Resource.NAME_MOST);
-            long expected = from.whole("expected", Edit.ANY, Long.MAX_VALUE);
-            edits.add(upsert ? new Edit.Upsert(kind, name, from.bytes("value", Resource.VALUE_MOST), expected) : new Edit.Delete(kind, name, expected));
-            from.close();
+        reader.enterList("edits");
+        while (reader.nextItem(Change.EDITS_MOST)) {
+            reader.enterArray("edit");
+            boolean upsert = reader.readLong("type", UPSERT, DELETE) == UPSERT;
+            ResourceKind kind = readKind(reader);
+            String name = reader.readString("name", 1, Resource.NAME_MOST);
+            long expectedVersion = reader.readLong("expected", Edit.ANY, Long.MAX_VALUE);
+            edits.add(upsert ? new Edit.Upsert(kind, name, reader.readBytes("value", Resource.VALUE_MOST), expectedVersion) : new Edit.Delete(kind, name, expectedVersion));
+            reader.exitArray();
         }
-        from.close();
-        from.end();
+        reader.exitArray();
+        reader.expectEnd();
         return new Change(id, edits);
     }
 
-    private static CborReader reader(byte[] bytes, int most) {
-        if (bytes.length < HEAD || bytes.length > most) {
-            throw new IllegalArgumentException("expected " + HEAD + " to " + most + " bytes, found " + bytes.length);
+    private static CborReader openReader(byte[] bytes, int maxBytes) {
+        if (bytes.length < HEADER_BYTES || bytes.length > maxBytes) {
+            throw new IllegalArgumentException("expected " + HEADER_BYTES + " to " + maxBytes + " bytes, found " + bytes.length);
         }
         if (bytes[0] != VERSION) {
             throw new UnsupportedVersionException(bytes[0] & 0xFF);
         }
-        if (bytes[1] == PLAIN) {
-            return new CborReader(bytes, HEAD, ITEMS_MOST);
+        if (bytes[1] == FORM_PLAIN) {
+            return new CborReader(bytes, HEADER_BYTES, MAX_ITEMS);
         }
-        if (bytes[1] != DEFLATED) {
-            throw new IllegalArgumentException("form: expected " + PLAIN + " or " + DEFLATED + ", found " + bytes[1]);
+        if (bytes[1] != FORM_DEFLATED) {
+            throw new IllegalArgumentException("form: expected " + FORM_PLAIN + " or " + FORM_DEFLATED + ", found " + bytes[1]);
         }
-        return new CborReader(inflated(bytes), 0, ITEMS_MOST);
+        return new CborReader(inflate(bytes), 0, MAX_ITEMS);
     }
 
-    /** Not a byte more than it says, which is bounded. */
-    private static byte[] inflated(byte[] bytes) {
-        int at = HEAD + Integer.BYTES;
-        int length = bytes.length < at ? -1 : ByteBuffer.wrap(bytes).getInt(HEAD);
-        if (length < 0 || length > INFLATED_MOST) {
-            throw new IllegalArgumentException("length: expected at most " + INFLATED_MOST + " bytes when inflated, found " + length);
+    /** Inflates a message body. The stated length is bounded, and the body must inflate to exactly that length. */
+    private static byte[] inflate(byte[] bytes) {
+        int offset = HEADER_BYTES + Integer.BYTES;
+        int length = bytes.length < offset ? -1 : ByteBuffer.wrap(bytes).getInt(HEADER_BYTES);
+        if (length < 0 || length > MAX_INFLATED_BYTES) {
+            throw new IllegalArgumentException("length: expected at most " + MAX_INFLATED_BYTES + " bytes when inflated, found " + length);
         }
         Inflater inflater = new Inflater(true);
         try {
-            inflater.setInput(bytes, at, bytes.length - at);
+            inflater.setInput(bytes, offset, bytes.length - offset);
             byte[] plain = new byte[length];
             int found = inflater.inflate(plain);
             if (found != length || !inflater.finished() && inflater.inflate(new byte[1]) > 0 || !inflater.finished() || inflater.getRemaining() > 0) {
-                throw new IllegalArgumentException("expected " + length + " bytes when inflated and nothing behind them, found "
+                throw new IllegalArgumentException("expected " + length + " bytes when inflated and nothing after them, found "
                         + (found < length ? String.valueOf(found) : "more"));
             }
             return plain;
         } catch (DataFormatException e) {
-            throw new IllegalArgumentException("expected deflated bytes, found others: " + e.getMessage(), e);
+            throw new IllegalArgumentException("expected deflated bytes, found invalid data: " + e.getMessage(), e);
         } finally {
             inflater.end();
         }
     }
 
-    private static int count(CborReader from, String what) {
-        return (int) from.whole(what, 0, Integer.MAX_VALUE);
+    private static int readCount(CborReader reader, String field) {
+        return (int) reader.readLong(field, 0, Integer.MAX_VALUE);
     }
 
-    private static ResourceKind kind(CborReader from) {
-        return KINDS[(int) from.whole("kind", 0, KINDS.length - 1)];
+    private static ResourceKind readKind(CborReader reader) {
+        return KINDS[(int) reader.readLong("kind", 0, KINDS.length - 1)];
     }
 
-    private static Revision revision(CborReader from, String what) {
-        from.open(what);
-        Revision revision = new Revision(from.whole("epoch", 0, Long.MAX_VALUE), from.whole("number", 0, Long.MAX_VALUE), from.whole("high", Long.MIN_VALUE, Long.MAX_VALUE),
-                from.whole("low", Long.MIN_VALUE, Long.MAX_VALUE));
-        from.close();
+    private static Revision readRevision(CborReader reader, String field) {
+        reader.enterArray(field);
+        Revision revision = new Revision(reader.readLong("epoch", 0, Long.MAX_VALUE), reader.readLong("number", 0, Long.MAX_VALUE), reader.readLong("high", Long.MIN_VALUE, Long.MAX_VALUE),
+                reader.readLong("low", Long.MIN_VALUE, Long.MAX_VALUE));
+        reader.exitArray();
         return revision;
     }
 
-    private static long[] digests(CborReader from) {
-        byte[] bytes = from.bytes("digests", Table.SHARDS * Long.BYTES);
+    private static long[] readDigests(CborReader reader) {
+        byte[] bytes = reader.readBytes("digests", Table.SHARDS * Long.BYTES);
         if (bytes.length % Long.BYTES != 0) {
             throw new IllegalArgumentException("digests: expected " + Long.BYTES + " bytes each, found " + bytes.length + " in all");
         }
@@ -447,70 +459,70 @@
         return digests;
     }
 
-    private static List<Message.ZoneSummary> zones(CborReader from) {
+    private static List<Message.ZoneSummary> readZones(CborReader reader) {
         List<Message.ZoneSummary> zones = new ArrayList<>();
-        from.list("zones");
-        while (from.next(ZONES_MOST)) {
-            from.open("zone");
-            String name = from.text("zone", 0, NAME_MOST);
-            int subscribers = count(from, "subscribers");
-            Revision lowest = from.absent("lowest") ? null : revision(from, "lowest");
-            int refused = count(from, "refused");
+        reader.enterList("zones");
+        while (reader.nextItem(MAX_ZONES)) {
+            reader.enterArray("zone");
+            String name = reader.readString("zone", 0, MAX_NAME_CHARS);
+            int subscribers = readCount(reader, "subscribers");
+            Revision lowest = reader.skipNull("lowest") ? null : readRevision(reader, "lowest");
+            int refused = readCount(reader, "refused");
             List<String> lagging = new ArrayList<>();
-            from.list("lagging");
-            while (from.next(Message.ZoneSummary.LAGGING_MOST)) {
-                lagging.add(from.text("name", 0, NAME_MOST));
+            reader.enterList("lagging");
+            while (reader.nextItem(Message.ZoneSummary.LAGGING_MOST)) {
+                lagging.add(reader.readString("name", 0, MAX_NAME_CHARS));
             }
-            from.close();
+            reader.exitArray();
             zones.add(new Message.ZoneSummary(name, subscribers, lowest, refused, lagging));
         }
         return zones;
     }
 
-    private static List<Delta> deltas(CborReader from) {
+    private static List<Delta> readDeltas(CborReader reader) {
         List<Delta> deltas = new ArrayList<>();
-        from.list("deltas");
-        while (from.next(ITEMS_MOST)) {
-            deltas.add(delta(from, "delta"));
+        reader.enterList("deltas");
+        while (reader.nextItem(MAX_ITEMS)) {
+            deltas.add(decodeDelta(reader, "delta"));
         }
         return deltas;
     }
 
-    private static Delta delta(CborReader from, String what) {
-        from.open(what);
-        long number = from.whole("from", 0, Long.MAX_VALUE);
-        Revision to = revision(from, "to");
-        List<Resource> upserts = resources(from, "upserts");
+    private static Delta decodeDelta(CborReader reader, String field) {
+        reader.enterArray(field);
+        long fromNumber = reader.readLong("from", 0, Long.MAX_VALUE);
+        Revision to = readRevision(reader, "to");
+        List<Resource> upserts = readResources(reader, "upserts");
         List<Delta.Deletion> deletes = new ArrayList<>();
-        from.list("deletes");
-        while (from.next(Change.EDITS_MOST)) {
-            from.open("gone");
-            deletes.add(new Delta.Deletion(kind(from), from.text("name", 1, Resource.NAME_MOST)));
-            from.close();
+        reader.enterList("deletes");
+        while (reader.nextItem(Change.EDITS_MOST)) {
+            reader.enterArray("gone");
+            deletes.add(new Delta.Deletion(readKind(reader), reader.readString("name", 1, Resource.NAME_MOST)));
+            reader.exitArray();
         }
-        from.close();
-        return new Delta(number, to, upserts, deletes);
+        reader.exitArray();
+        return new Delta(fromNumber, to, upserts, deletes);
     }
 
-    private static List<Message.Shard> shards(CborReader from) {
+    private static List<Message.Shard> readShards(CborReader reader) {
         List<Message.Shard> shards = new ArrayList<>();
-        from.list("shards");
-        while (from.next(Table.SHARDS)) {
-            from.open("shard");
-            shards.add(new Message.Shard((int) from.whole("number", 0, Table.SHARDS - 1), resources(from, "resources")));
-            from.close();
+        reader.enterList("shards");
+        while (reader.nextItem(Table.SHARDS)) {
+            reader.enterArray("shard");
+            shards.add(new Message.Shard((int) reader.readLong("number", 0, Table.SHARDS - 1), readResources(reader, "resources")));
+            reader.exitArray();
         }
         return shards;
     }
 
-    private static List<Resource> resources(CborReader from, String what) {
+    private static List<Resource> readResources(CborReader reader, String field) {
         List<Resource> resources = new ArrayList<>();
-        from.list(what);
-        while (from.next(ITEMS_MOST)) {
-            from.open("resource");
-            resources.add(new Resource(kind(from), from.text("name", 1, Resource.NAME_MOST), from.whole("version", 0, Long.MAX_VALUE),
-                    from.bytes("value", Resource.VALUE_MOST)));
-            from.close();
+        reader.enterList(field);
+        while (reader.nextItem(MAX_ITEMS)) {
+            reader.enterArray("resource");
+            resources.add(new Resource(readKind(reader), reader.readString("name", 1, Resource.NAME_MOST), reader.readLong("version", 0, Long.MAX_VALUE),
+                    reader.readBytes("value", Resource.VALUE_MOST)));
+            reader.exitArray();
         }
         return resources;
     }
--- a/src/main/java/mastdrift/distribution/edge/Publication.java
+++ b/src/main/java/mastdrift/distribution/edge/Publication.java
@@ -14,117 +14,122 @@
 import mastdrift.events.Events;
 
 /**
- * Runs a {@link Publisher} on an event loop: its messages as replies on the connections that subscribers opened, its time by the loop's timer. Decides nothing. All methods are
- * called on the loop's thread but the constructor.
- *
- * <p>What goes to many is made bytes of once: the last {@value #KEPT_MOST} such messages are kept with their bytes, {@value #KEPT_BYTES_MOST} of them at most. A subscriber on
- * whose connection more waits than a link holds is dropped, and so is one whose message can't be read.
+ * Runs a {@link Publisher} on an event loop: sends its messages as replies on the connections that subscribers opened,
+ * and drives its time by the loop's timer. It makes no protocol decisions. All methods except the constructor are
+ * called on the event loop's thread.
+ * <p>A message that goes to many subscribers is encoded once: up to {@value #MAX_CACHED_MESSAGES} such messages are
+ * cached with their encoded bytes; the cache is cleared when it is full or exceeds {@value #MAX_CACHED_BYTES} bytes. A
+ * subscriber whose connection's send buffer is full is dropped, and so is one whose message can't be decoded.
  */
 public final class Publication implements AutoCloseable {
 
-    /** Messages that are kept as bytes, at most. */
-    public static final int KEPT_MOST = 64;
-    /** Bytes of those, at most, but for the one that goes over it. */
-    public static final int KEPT_BYTES_MOST = 8 << 20;
+    /** Maximum number of messages in the cache. */
+    public static final int MAX_CACHED_MESSAGES = 64;
+    /** Limit for the size of the cached encodings; only the last message added may exceed it. */
+    public static final int MAX_CACHED_BYTES = 8 << 20;
 
     private final EventLoop loop;
-    private final Transport transport;
+    private final ControlTransport transport;
     private final RateLimitedEvents events;
     private final Publisher publisher;
     private final DeadlineTimer timer;
-    private final Map<Message, byte[]> kept = new IdentityHashMap<>();
-    private final Set<String> dropping = new HashSet<>();
-    private int keptBytes;
-    private long encoded;
+    private final Map<Message, byte[]> encodedCache = new IdentityHashMap<>();
+    private final Set<String> pendingDrops = new HashSet<>();
+    private int cachedBytes;
+    private long encodedCount;
     private boolean closed;
 
-    /** Of a table. */
-    public Publication(EventLoop loop, Transport transport, Table table, PublisherSettings settings, Events events) {
+    /** Starts by publishing {@code table}; {@link #publishTable} replaces it. */
+    public Publication(EventLoop loop, ControlTransport transport, Table table, PublisherSettings settings, Events events) {
         this.loop = loop;
         this.transport = transport;
         this.events = new RateLimitedEvents(events);
         publisher = new Publisher(table, settings, new PublisherActions());
         timer = new DeadlineTimer(loop, this::tick);
-        loop.execute(this::arm);
+        loop.execute(this::scheduleTick);
     }
 
-    /** What runs; for reading only. */
+    /** The publisher that this runs; read only. */
     public Publisher publisher() {
         return publisher;
     }
 
-    /** Messages that were made bytes of, since the start. */
-    public long encoded() {
-        return encoded;
+    /** Number of messages encoded since the start. */
+    public long encodedCount() {
+        return encodedCount;
     }
 
-    /** The next table, and what led there from the one before; with no deltas for a jump. */
-    public void table(Table next, List<Delta> deltas) {
-        kept.clear();
-        keptBytes = 0;
-        publisher.table(DeadlineTimer.now(), next, deltas);
-        arm();
+    /**
+     * Publishes the next table. {@code deltas} lead to it from the previous one; an empty list means that they aren't
+     * known.
+     */
+    public void publishTable(Table next, List<Delta> deltas) {
+        encodedCache.clear();
+        cachedBytes = 0;
+        publisher.table(DeadlineTimer.nowMicros(), next, deltas);
+        scheduleTick();
     }
 
-    /** Whether where its table comes from can't be heard. */
-    public void alone(boolean alone) {
-        publisher.alone(DeadlineTimer.now(), alone);
-        arm();
+    /** Sets whether the source of its table is unreachable. */
+    public void setSourceUnreachable(boolean unreachable) {
+        publisher.alone(DeadlineTimer.nowMicros(), unreachable);
+        scheduleTick();
     }
 
-    /** A message of a subscriber, on the connection that it opened. */
-    public void received(String from, byte[] bytes) {
+    /** Handles a message of a subscriber, on the connection that the subscriber opened. */
+    public void received(String subscriber, byte[] bytes) {
         Message message;
         try {
-            message = MessageCodec.message(bytes);
+            message = MessageCodec.decodeMessage(bytes);
         } catch (IllegalArgumentException e) {
-            events.fault(DeadlineTimer.now(), e instanceof MessageCodec.UnsupportedVersionException ? "config_later" : "config_malformed", from, e.getMessage());
-            transport.drop(from);
-            inboundClosed(from);
+            events.fault(DeadlineTimer.nowMicros(), e instanceof MessageCodec.UnsupportedVersionException ? "config_later" : "config_malformed", subscriber, e.getMessage());
+            transport.closeInbound(subscriber);
+            inboundClosed(subscriber);
             return;
         }
-        publisher.received(DeadlineTimer.now(), from, message);
-        arm();
+        publisher.received(DeadlineTimer.nowMicros(), subscriber, message);
+        scheduleTick();
     }
 
-    /** The connection that a subscriber opened has ended. */
-    public void inboundClosed(String from) {
-        publisher.inboundClosed(DeadlineTimer.now(), from);
-        arm();
+    /** Handles the end of a connection that a subscriber opened. */
+    public void inboundClosed(String subscriber) {
+        publisher.inboundClosed(DeadlineTimer.nowMicros(), subscriber);
+        scheduleTick();
     }
 
     private void tick() {
-        publisher.tick(DeadlineTimer.now());
-        arm();
+        publisher.tick(DeadlineTimer.nowMicros());
+        scheduleTick();
     }
 
-    private void arm() {
+    private void scheduleTick() {
         if (!closed) {
             timer.schedule(publisher.dueAt());
         }
     }
 
-    /** Says no more; connections stay for whoever made them to end. */
+    /** Stops sending; the connections are left to their owner to close. */
     @Override
     public void close() {
         closed = true;
         timer.cancel();
     }
 
-    private byte[] bytes(Message message) {
-        byte[] bytes = kept.get(message);
+    private byte[] encode(Message message) {
+        byte[] bytes = encodedCache.get(message);
         if (bytes != null) {
             return bytes;
         }
-        bytes = MessageCodec.bytes(message);
-        encoded++;
-        if (message instanceof Message.Deltas || message instanceof Message.Heartbeat) {  // others are one subscriber's own
-            if (kept.size() >= KEPT_MOST || keptBytes > KEPT_BYTES_MOST) {
-                kept.clear();
-                keptBytes = 0;
+        bytes = MessageCodec.encode(message);
+        encodedCount++;
+        // other messages go to a single subscriber
+        if (message instanceof Message.Deltas || message instanceof Message.Heartbeat) {
+            if (encodedCache.size() >= MAX_CACHED_MESSAGES || cachedBytes > MAX_CACHED_BYTES) {
+                encodedCache.clear();
+                cachedBytes = 0;
             }
-            kept.put(message, bytes);
-            keptBytes += bytes.length;
+            encodedCache.put(message, bytes);
+            cachedBytes += bytes.length;
         }
         return bytes;
     }
@@ -133,28 +138,28 @@
 
         @Override
         public void send(String to, Message message) {
-            if (closed || dropping.contains(to)) {
+            if (closed || pendingDrops.contains(to)) {
                 return;
             }
             try {
-                if (transport.reply(to, bytes(message))) {
+                if (transport.reply(to, encode(message))) {
                     return;
                 }
-                events.fault(DeadlineTimer.now(), "config_subscriber_full", to, "expected room on its connection, found none: it is dropped");
+                events.fault(DeadlineTimer.nowMicros(), "config_subscriber_full", to, "send buffer of its connection is full: subscriber is dropped");
             } catch (IllegalArgumentException e) {
-                events.fault(DeadlineTimer.now(), "config_unwritable", to, e.getMessage());
+                events.fault(DeadlineTimer.nowMicros(), "config_unwritable", to, e.getMessage());
             }
-            dropping.add(to);
-            loop.execute(() -> {  // not in the middle of its turn
-                dropping.remove(to);
-                transport.drop(to);
+            pendingDrops.add(to);
+            loop.execute(() -> {  // deferred: the publisher is still processing an event
+                pendingDrops.remove(to);
+                transport.closeInbound(to);
                 inboundClosed(to);
             });
         }
 
         @Override
-        public void drop(String subscriber, String why) {
-            transport.drop(subscriber);
+        public void drop(String subscriber, String reason) {
+            transport.closeInbound(subscriber);
         }
 
         @Override
--- a/src/main/java/mastdrift/distribution/edge/Subscription.java
+++ b/src/main/java/mastdrift/distribution/edge/Subscription.java
@@ -14,100 +14,111 @@
 import mastdrift.events.Events;
 
 /**
- * Runs a {@link Subscriber} on an event loop: its messages over the links to control machines, its time by the loop's timer. Decides nothing. All methods are called on the
- * loop's thread but the constructor, and so is whoever takes the tables, which must not wait.
- *
- * <p>A message that can't be read changes nothing and is said; a machine of which no other comes is left by the decider as a silent one.
+ * Runs a {@link Subscriber} on an event loop: sends its messages over the links to control machines and drives its time
+ * by the loop's timer. It makes no protocol decisions. All methods except the constructor are called on the event
+ * loop's thread, and so is the consumer of the tables, which must not block.
+ * <p>A message that can't be decoded changes nothing and is reported as an event; the subscriber treats a machine that
+ * sends only such messages as a silent one.
  */
 public final class Subscription implements AutoCloseable {
 
     private final EventLoop loop;
-    private final Transport transport;
+    private final ControlTransport transport;
     private final RateLimitedEvents events;
-    private final BiConsumer<Table, List<Delta>> tables;
+    private final BiConsumer<Table, List<Delta>> tableConsumer;
     private final Subscriber subscriber;
     private final DeadlineTimer timer;
-    private boolean turning;
+    private boolean processingEvent;
     private boolean closed;
 
-    /** Of a process by its name and zone, from the table that it has; {@code tables} takes each next one, with what led there from the one before (nothing for a jump). */
-    public Subscription(EventLoop loop, Transport transport, String name, String zone, Table have, SubscriberSettings settings, long seed, Events events,
-            BiConsumer<Table, List<Delta>> tables) {
+    /**
+     * Subscribes the process {@code name} in {@code zone}, starting from {@code initialTable}; {@code tableConsumer}
+     * receives each new table with the deltas that lead to it from the previous one (an empty list if they aren't
+     * known).
+     */
+    public Subscription(EventLoop loop, ControlTransport transport, String name, String zone, Table initialTable, SubscriberSettings settings, long seed, Events events,
+            BiConsumer<Table, List<Delta>> tableConsumer) {
         this.loop = loop;
         this.transport = transport;
-        this.tables = tables;
+        this.tableConsumer = tableConsumer;
         this.events = new RateLimitedEvents(events);
-        subscriber = new Subscriber(name, zone, have, settings, seed, new SubscriberActions());
-        timer = new DeadlineTimer(loop, () -> turn(subscriber::tick));
+        subscriber = new Subscriber(name, zone, initialTable, settings, seed, new SubscriberActions());
+        timer = new DeadlineTimer(loop, () -> processEvent(subscriber::tick));
     }
 
-    /** What runs; for reading only. */
+    /** The subscriber that this runs; read only. */
     public Subscriber subscriber() {
         return subscriber;
     }
 
-    /** Control machines that there are; replaces those before. The first call begins it. */
-    public void machines(List<Machine> machines) {
-        turn(now -> subscriber.machines(now, machines));
+    /** Replaces the list of control machines. The first call starts the subscription. */
+    public void setMachines(List<Machine> machines) {
+        processEvent(now -> subscriber.machines(now, machines));
     }
 
-    /** A reply of a control machine, on the connection that was opened to it. */
-    public void received(String from, byte[] bytes) {
+    /** Handles a reply of a control machine, on the connection that was opened to it. */
+    public void received(String machine, byte[] bytes) {
         Message message;
         try {
-            message = MessageCodec.message(bytes);
+            message = MessageCodec.decodeMessage(bytes);
         } catch (MessageCodec.UnsupportedVersionException e) {
-            events.fault(DeadlineTimer.now(), "config_later", from, e.getMessage());
+            events.fault(DeadlineTimer.nowMicros(), "config_later", machine, e.getMessage());
             return;
         } catch (IllegalArgumentException e) {
-            events.fault(DeadlineTimer.now(), "config_malformed", from, e.getMessage());
+            events.fault(DeadlineTimer.nowMicros(), "config_malformed", machine, e.getMessage());
             return;
         }
-        turn(now -> subscriber.received(now, from, message));
+        processEvent(now -> subscriber.received(now, machine, message));
     }
 
-    /** The connection that was opened to a control machine has ended, or couldn't be made. */
-    public void outboundClosed(String to) {
-        turn(now -> subscriber.outboundClosed(now, to));
+    /** Handles the end of a connection to a control machine, or a failure to open it. */
+    public void outboundClosed(String machine) {
+        processEvent(now -> subscriber.outboundClosed(now, machine));
     }
 
-    /** A table is in force here, or passed on. */
-    public void inForce(Revision revision) {
-        turn(now -> subscriber.inForce(now, revision));
+    /** Reports that a table has been applied here, or passed on to the subscribers of this process. */
+    public void tableApplied(Revision revision) {
+        processEvent(now -> subscriber.inForce(now, revision));
     }
 
-    /** A table can't be put in force; the one before stays. */
-    public void refused(Revision revision, String reason) {
-        turn(now -> subscriber.refused(now, revision, reason));
+    /** Reports that a table can't be applied; the previous one stays in effect. */
+    public void tableRefused(Revision revision, String reason) {
+        processEvent(now -> subscriber.refused(now, revision, reason));
     }
 
-    /** Tells the control machine how those below do, by who passes on. */
-    public void summary(List<Message.ZoneSummary> zones) {
-        turn(now -> subscriber.summary(zones));
+    /**
+     * Reports the zone summaries of this process's own subscribers to the control machine; for processes that relay
+     * tables.
+     */
+    public void reportZones(List<Message.ZoneSummary> zones) {
+        processEvent(now -> subscriber.summary(zones));
     }
 
-    /** One event at a time: what comes in the middle of one (a table that is in force at once, a connection that made room for another) comes behind it. */
-    private void turn(LongConsumer event) {
-        if (turning) {
-            loop.execute(() -> turn(event));
+    /**
+     * Processes one event at a time. An event that arrives while another is processed (such as a table that is applied
+     * at once, or a connection closed to make room for another) is deferred to a later task of the event loop.
+     */
+    private void processEvent(LongConsumer event) {
+        if (processingEvent) {
+            loop.execute(() -> processEvent(event));
         } else if (!closed) {
-            turning = true;
+            processingEvent = true;
             try {
-                event.accept(DeadlineTimer.now());
+                event.accept(DeadlineTimer.nowMicros());
             } finally {
-                turning = false;
+                processingEvent = false;
             }
             timer.schedule(subscriber.dueAt());
         }
     }
 
-    /** Ends it; the connection goes with it. */
+    /** Ends the subscription and closes its connection. */
     @Override
     public void close() {
         closed = true;
         timer.cancel();
         if (subscriber.machine() != null) {
-            transport.leave(subscriber.machine());
+            transport.closeOutbound(subscriber.machine());
         }
     }
 
@@ -117,13 +128,13 @@
         public void send(String to, Message message) {
             boolean sent = false;
             try {
-                sent = !closed && transport.send(to, MessageCodec.bytes(message));
+                sent = !closed && transport.send(to, MessageCodec.encode(message));
             } catch (IllegalArgumentException e) {
-                events.fault(DeadlineTimer.now(), "config_unwritable", to, e.getMessage());
+                events.fault(DeadlineTimer.nowMicros(), "config_unwritable", to, e.getMessage());
             }
             if (!sent && !closed) {
-                loop.execute(() -> {  // not in the middle of its turn
-                    transport.leave(to);
+                loop.execute(() -> {  // deferred: the subscriber is still processing an event
+                    transport.closeOutbound(to);
                     outboundClosed(to);
                 });
             }
@@ -131,12 +142,12 @@
 
         @Override
         public void leave(String machine) {
-            transport.leave(machine);
+            transport.closeOutbound(machine);
         }
 
         @Override
         public void table(Table next, List<Delta> deltas) {
-            tables.accept(next, deltas);
+            tableConsumer.accept(next, deltas);
         }
 
         @Override
--- a/src/main/java/mastdrift/distribution/edge/TableFolder.java
+++ b/src/main/java/mastdrift/distribution/edge/TableFolder.java
@@ -17,56 +17,58 @@
 import mastdrift.distribution.Table;
 
 /**
- * A table's copy on disk: a snapshot and, behind it, a journal of the deltas that came since, as in a database's checkpoint and log. A process that starts has what it last
- * had, without a word from anybody.
- *
- * <p>Each file is a row of records with length and checksum (CRC32C, RFC 3720 appendix B.4). A snapshot is written beside the one that is there and put in its place when it
- * is on disk; only then is the journal emptied, and what a journal of before repeats is passed over. A journal is read up to its first record that isn't whole or doesn't
- * follow, and written on from there. What is read is a table that was written, by the hash in its revision, or none: a kill at any step, a full disk or spoilt bytes cost the
- * newest deltas or the copy, never its truth.
- *
- * <p>Bounded: the journal is compacted into a new snapshot where it is larger than that and than {@value #COMPACT_LEAST} bytes, or than {@value #COMPACT_MOST}; a snapshot has what a
- * table has; files of more than {@value #FILE_MOST} bytes aren't read. Waits for the disk: not for an event loop. Not safe for use by several threads.
+ * On-disk copy of a table: a snapshot and a journal of the deltas since, like the checkpoint and write-ahead log of a
+ * database. A process that restarts has the table it last had without contacting any other process.
+ * <p>Each file is a sequence of records with length and checksum (CRC32C, RFC 3720 appendix B.4). A snapshot is written
+ * to a temporary file and renamed over the current one once it is on disk; only then is the journal truncated, by the
+ * next append. Journal records that the snapshot already contains are skipped. A journal is read up to its first record
+ * that is incomplete or does not follow the one before, and is appended to from there. What is read is a table that was
+ * written, verified by the hash in its revision, or none: a kill at any step, a full disk or corrupt bytes can cost the
+ * newest deltas or the whole copy, but never yield a wrong table.
+ * <p>Limits: the journal is compacted into a new snapshot when it is larger than both the snapshot and {@value
+ * #COMPACTION_MIN_BYTES} bytes, or larger than {@value #COMPACTION_MAX_BYTES} bytes; a snapshot is bounded by the size
+ * of a table; files larger than {@value #MAX_FILE_BYTES} bytes are not read. The methods block on the disk and must not
+ * be called on an event loop. Not thread-safe.
  */
 public final class TableFolder {
 
-    /** Of what it writes, and the latest that it reads. */
+    /** Format version that is written, and the latest that is read. */
     public static final int VERSION = 1;
-    /** A journal of so many bytes isn't compacted yet. */
-    public static final int COMPACT_LEAST = 64 << 10;
-    /** A journal of more bytes is compacted. */
-    public static final int COMPACT_MOST = 16 << 20;
-    /** Bytes of a file that is read, at most: twice the largest table. */
-    public static final long FILE_MOST = 2 * (Table.VALUE_BYTES_MOST + (long) Table.RESOURCES_MOST * (Resource.NAME_MOST + Table.RESOURCE_BYTES));
+    /** A journal of at most this many bytes is not compacted. */
+    public static final int COMPACTION_MIN_BYTES = 64 << 10;
+    /** A journal of more bytes is always compacted. */
+    public static final int COMPACTION_MAX_BYTES = 16 << 20;
+    /** Maximum size of a file that is read: twice the largest table. */
+    public static final long MAX_FILE_BYTES = 2 * (Table.VALUE_BYTES_MOST + (long) Table.RESOURCES_MOST * (Resource.NAME_MOST + Table.RESOURCE_BYTES));
     static final String SNAPSHOT = "snapshot";
-    static final String ASIDE = "snapshot.new";
+    static final String SNAPSHOT_TEMP = "snapshot.new";
     static final String JOURNAL = "journal";
     private static final byte[] MAGIC = {'p', 'w', 't', 'b'};
-    private static final int HEAD = 2 * Integer.BYTES;
-    private static final int RECORD_MOST = Long.BYTES + MessageCodec.BYTES_MOST;
-    private static final int CHUNK_BYTES = 128 << 10;
+    private static final int RECORD_HEADER_BYTES = 2 * Integer.BYTES;
+    private static final int MAX_RECORD_BYTES = Long.BYTES + MessageCodec.MAX_ENCODED_BYTES;
+    private static final int TARGET_CHUNK_BYTES = 128 << 10;
 
     /**
-     * What a folder held.
-     *
-     * @param table the newest that is whole; null for none
-     * @param writtenAt when, as Unix time in milliseconds by the clock of who wrote it; 0 for none
-     * @param problem what was lost, with place, expected and found; null for nothing
+     * Result of reading a folder.
+     * @param table the newest intact table; null if there is none
+     * @param writtenAtMillis when it was written, as Unix time in milliseconds by the writer's clock; 0 if there is
+     * none
+     * @param problem what was lost, with the place, what was expected and what was found; null if nothing was
      */
-    public record Found(Table table, long writtenAt, String problem) {
+    public record ReadResult(Table table, long writtenAtMillis, String problem) {
 
-        /** Milliseconds since it was written, by a clock that may have been set back since: at least 0. */
-        public long age(long wall) {
-            return Math.max(0, wall - writtenAt);
+        /** Milliseconds since it was written; at least 0, since the clock may have been set back. */
+        public long ageMillis(long nowMillis) {
+            return Math.max(0, nowMillis - writtenAtMillis);
         }
     }
 
     private final FolderFiles files;
-    private Revision written;  // that a reader would find; null where that isn't known or there is none
+    private Revision writtenRevision;  // revision that a reader would find; null if that isn't known or there is none
     private long snapshotBytes;
     private long journalBytes;
 
-    /** In a folder, which is made where it isn't there. */
+    /** Uses a directory, which is created if it doesn't exist. */
     public TableFolder(Path folder) throws IOException {
         this(FolderFiles.of(folder));
     }
@@ -75,42 +77,45 @@
         this.files = files;
     }
 
-    /** Bytes of both files, as far as it has read or written them. */
-    public long bytes() {
+    /** Bytes of both files, as far as they have been read or written. */
+    public long sizeBytes() {
         return snapshotBytes + journalBytes;
     }
 
     // ---- reading
 
-    /** What is there; to be called first, and once. A folder that can't be read is one in which nothing is, with the reason. */
-    public Found read() {
-        Found snapshot;
+    /**
+     * Reads the copy; to be called first, and once. If the snapshot can't be read, the result has no table and gives
+     * the reason.
+     */
+    public ReadResult read() {
+        ReadResult snapshot;
         try {
-            snapshot = snapshot();
+            snapshot = readSnapshot();
         } catch (IOException | IllegalArgumentException e) {
-            return new Found(null, 0, SNAPSHOT + ": " + e.getMessage());
+            return new ReadResult(null, 0, SNAPSHOT + ": " + e.getMessage());
         }
         if (snapshot.table == null) {
             return snapshot;
         }
-        Found found = journal(snapshot);
-        written = found.table.revision();
-        return found;
+        ReadResult result = readJournal(snapshot);
+        writtenRevision = result.table.revision();
+        return result;
     }
 
-    private Found snapshot() throws IOException {
+    private ReadResult readSnapshot() throws IOException {
         long length = files.length(SNAPSHOT);
         if (length < 0) {
-            return new Found(null, 0, null);
+            return new ReadResult(null, 0, null);
         }
-        try (Records records = new Records(SNAPSHOT, length)) {
-            long writtenAt = head(records.next());
+        try (RecordReader records = new RecordReader(SNAPSHOT, length)) {
+            long writtenAtMillis = header(records.nextRecord());
             Table.Assembly assembly = Table.empty(0).assembly();
             boolean last = false;
             while (!last) {
-                byte[] record = records.next();
-                if (record == null || !(MessageCodec.message(record) instanceof Message.SnapshotChunk chunk)) {
-                    throw new IOException("expected a piece at byte " + records.at + ", found " + (record == null ? "the end" : "another message"));
+                byte[] record = records.nextRecord();
+                if (record == null || !(MessageCodec.decodeMessage(record) instanceof Message.SnapshotChunk chunk)) {
+                    throw new IOException("expected a snapshot chunk at byte " + records.offset + ", found " + (record == null ? "the end" : "another message"));
                 }
                 String problem = assembly.add(chunk);
                 if (problem != null) {
@@ -123,40 +128,41 @@
                 throw new IOException(assembly.problem());
             }
             snapshotBytes = length;
-            return new Found(table, writtenAt, null);
+            return new ReadResult(table, writtenAtMillis, null);
         }
     }
 
-    private Found journal(Found snapshot) {
+    private ReadResult readJournal(ReadResult snapshot) {
         Table table = snapshot.table;
-        long writtenAt = snapshot.writtenAt;
+        long writtenAtMillis = snapshot.writtenAtMillis;
         String problem = null;
         try {
             long length = files.length(JOURNAL);
             if (length >= 0) {
-                try (Records records = new Records(JOURNAL, length)) {
-                    head(records.next());
-                    journalBytes = records.at;
-                    for (byte[] record = records.next(); record != null; record = records.next()) {
+                try (RecordReader records = new RecordReader(JOURNAL, length)) {
+                    header(records.nextRecord());
+                    journalBytes = records.offset;
+                    for (byte[] record = records.nextRecord(); record != null; record = records.nextRecord()) {
                         if (record.length < Long.BYTES) {
-                            throw new IOException("expected a time and a delta, found " + record.length + " bytes");
+                            throw new IOException("expected a timestamp and a delta, found " + record.length + " bytes");
                         }
-                        Delta delta = MessageCodec.delta(Arrays.copyOfRange(record, Long.BYTES, record.length));
-                        if (delta.to().after(table.revision())) {  // or the snapshot has it
+                        Delta delta = MessageCodec.decodeDelta(Arrays.copyOfRange(record, Long.BYTES, record.length));
+                        if (delta.to().after(table.revision())) {  // otherwise the snapshot contains it already
                             table = table.with(delta);
-                            writtenAt = ByteBuffer.wrap(record).getLong();
+                            writtenAtMillis = ByteBuffer.wrap(record).getLong();
                         }
-                        journalBytes = records.at;
+                        journalBytes = records.offset;
                     }
                 }
             }
         } catch (IOException | IllegalArgumentException | MismatchException e) {
-            problem = JOURNAL + " behind byte " + journalBytes + ": " + e.getMessage();
+            problem = JOURNAL + " after byte " + journalBytes + ": " + e.getMessage();
         }
-        return new Found(table, writtenAt, problem);
+        return new ReadResult(table, writtenAtMillis, problem);
     }
 
-    private static long head(byte[] record) throws IOException {
+    /** Checks the header record of a file and returns the time in it, as Unix time in milliseconds. */
+    private static long header(byte[] record) throws IOException {
         int length = MAGIC.length + 1 + Long.BYTES;
         if (record == null || record.length < MAGIC.length + 1 || !Arrays.equals(record, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
             throw new IOException("expected a table's copy, found another file");
@@ -165,44 +171,44 @@
             throw new IOException("expected version " + VERSION + " at most, found version " + (record[MAGIC.length] & 0xFF));
         }
         if (record.length != length) {
-            throw new IOException("expected a head of " + length + " bytes, found " + record.length);
+            throw new IOException("expected a header of " + length + " bytes, found " + record.length);
         }
         return ByteBuffer.wrap(record).getLong(MAGIC.length + 1);
     }
 
-    /** Records of a file, up to the first one that isn't whole. */
-    private final class Records implements AutoCloseable {
+    /** Reads the records of a file, up to the first one that is incomplete or corrupt. */
+    private final class RecordReader implements AutoCloseable {
 
         private final DataInputStream in;
         private final long length;
-        private long at;  // of what was read and is whole
+        private long offset;  // end of the last intact record
 
-        Records(String name, long length) throws IOException {
-            if (length > FILE_MOST) {
-                throw new IOException("expected at most " + FILE_MOST + " bytes, found " + length);
+        RecordReader(String name, long length) throws IOException {
+            if (length > MAX_FILE_BYTES) {
+                throw new IOException("expected at most " + MAX_FILE_BYTES + " bytes, found " + length);
             }
             this.length = length;
-            in = new DataInputStream(new BufferedInputStream(files.read(name), CHUNK_BYTES));
+            in = new DataInputStream(new BufferedInputStream(files.openForRead(name), TARGET_CHUNK_BYTES));
         }
 
-        /** The next one; null at the end. */
-        byte[] next() throws IOException {
-            if (at == length) {
+        /** The next record; null at the end of the file. */
+        byte[] nextRecord() throws IOException {
+            if (offset == length) {
                 return null;
             }
-            if (length - at < HEAD) {
-                throw new IOException("expected a record at byte " + at + ", found " + (length - at) + " bytes of one");
+            if (length - offset < RECORD_HEADER_BYTES) {
+                throw new IOException("expected a record at byte " + offset + ", found " + (length - offset) + " bytes of one");
             }
             int size = in.readInt();
-            int sum = in.readInt();
-            if (size < 0 || size > RECORD_MOST || size > length - at - HEAD) {
-                throw new IOException("expected a whole record at byte " + at + ", found one of " + size + " bytes with " + (length - at - HEAD) + " left");
+            int expectedChecksum = in.readInt();
+            if (size < 0 || size > MAX_RECORD_BYTES || size > length - offset - RECORD_HEADER_BYTES) {
+                throw new IOException("expected a complete record at byte " + offset + ", found one of " + size + " bytes with " + (length - offset - RECORD_HEADER_BYTES) + " left");
             }
             byte[] record = in.readNBytes(size);
-            if (record.length < size || sum(record) != sum) {
-                throw new IOException("expected a checksum that fits at byte " + at + ", found another");
+            if (record.length < size || checksum(record) != expectedChecksum) {
+                throw new IOException("expected a matching checksum at byte " + offset + ", found another");
             }
-            at += HEAD + size;
+            offset += RECORD_HEADER_BYTES + size;
             return record;
         }
 
@@ -212,58 +218,62 @@
         }
     }
 
-    private static int sum(byte[] record) {
-        CRC32C sum = new CRC32C();
-        sum.update(ByteBuffer.allocate(Integer.BYTES).putInt(record.length).flip());  // or zeros would be a record
-        sum.update(record);
-        return (int) sum.getValue();
+    private static int checksum(byte[] record) {
+        CRC32C checksum = new CRC32C();
+        // includes the length: else a run of zero bytes would be a valid empty record
+        checksum.update(ByteBuffer.allocate(Integer.BYTES).putInt(record.length).flip());
+        checksum.update(record);
+        return (int) checksum.getValue();
     }
 
     // ---- writing
 
-    /** Puts the whole table in place of what is there; {@code wall} is now, as Unix time in milliseconds. It is on disk once this returns. Throws IOException where it can't
-        be: what was there still is, but for a journal's last records. */
-    public void write(long wall, Table table) throws IOException {
-        written = null;
+    /**
+     * Replaces the copy by the whole table; {@code wallMillis} is the current Unix time in milliseconds. The table is
+     * on disk when this returns. Throws IOException if it can't be written: the previous copy is kept, except perhaps
+     * the last journal records.
+     */
+    public void write(long wallMillis, Table table) throws IOException {
+        writtenRevision = null;
         long length;
-        try (FolderFiles.Sink sink = files.write(ASIDE, 0)) {
-            length = put(sink, head(wall));
+        try (FolderFiles.Sink sink = files.openForWrite(SNAPSHOT_TEMP, 0)) {
+            length = writeRecord(sink, header(wallMillis));
             List<Message.Shard> shards = new ArrayList<>();
-            long bytes = 0;
+            long pendingChunkBytes = 0;
             for (int i = 0; i < Table.SHARDS; i++) {
-                long more = bytes(table.shard(i));
-                if (bytes + more > CHUNK_BYTES && !shards.isEmpty()) {
-                    length += put(sink, MessageCodec.bytes(new Message.SnapshotChunk(table.revision(), shards, false)));
+                long shardBytes = sizeBytes(table.shard(i));
+                if (pendingChunkBytes + shardBytes > TARGET_CHUNK_BYTES && !shards.isEmpty()) {
+                    length += writeRecord(sink, MessageCodec.encode(new Message.SnapshotChunk(table.revision(), shards, false)));
                     shards.clear();
-                    bytes = 0;
+                    pendingChunkBytes = 0;
                 }
-                bytes += more;
-                if (more > 0) {
+                pendingChunkBytes += shardBytes;
+                if (shardBytes > 0) {
                     shards.add(new Message.Shard(i, table.shard(i)));
                 }
             }
-            length += put(sink, MessageCodec.bytes(new Message.SnapshotChunk(table.revision(), shards, true)));
+            length += writeRecord(sink, MessageCodec.encode(new Message.SnapshotChunk(table.revision(), shards, true)));
             sink.force();
         } catch (IOException e) {
-            room(e);
+            deletePartialSnapshot(e);
             throw e;
         }
-        files.rename(ASIDE, SNAPSHOT);
+        files.rename(SNAPSHOT_TEMP, SNAPSHOT);
         snapshotBytes = length;
         journalBytes = 0;
-        written = table.revision();
+        writtenRevision = table.revision();
     }
 
-    /** What couldn't be written whole takes no room. */
-    private void room(IOException because) {
+    /** Deletes the incomplete snapshot, so that it takes no disk space. */
+    private void deletePartialSnapshot(IOException cause) {
         try {
-            files.delete(ASIDE);
+            files.delete(SNAPSHOT_TEMP);
         } catch (IOException e) {
-            because.addSuppressed(e);
+            cause.addSuppressed(e);
         }
     }
 
-    private static long bytes(List<Resource> shard) {
+    private static long sizeBytes(List<Resource> shard) {
         long bytes = 0;
         for (Resource each : shard) {
             bytes += Table.RESOURCE_BYTES + each.name().length() + each.value().length;
@@ -271,56 +281,59 @@
         return bytes;
     }
 
-    /** Adds what led to a table from the one that was given or read before; writes the whole table where it has another one, or the journal has grown. On disk once this
-        returns. Throws IOException where it can't be; the next one is written whole then. */
-    public void append(long wall, Table next, List<Delta> deltas) throws IOException {
-        List<byte[]> records = follows(next, deltas) ? records(wall, deltas) : null;
+    /**
+     * Appends the deltas that lead to a table from the one written or read last; writes the whole table instead if they
+     * don't lead there or the journal is too large. The table is on disk when this returns. Throws IOException if it
+     * can't be written; the next table is then written whole.
+     */
+    public void append(long wallMillis, Table next, List<Delta> deltas) throws IOException {
+        List<byte[]> records = isContinuous(next, deltas) ? journalRecords(wallMillis, deltas) : null;
         if (records == null) {
-            write(wall, next);
+            write(wallMillis, next);
             return;
         }
-        written = null;  // until it is there
-        try (FolderFiles.Sink sink = files.write(JOURNAL, journalBytes)) {
+        writtenRevision = null;  // until the deltas are on disk
+        try (FolderFiles.Sink sink = files.openForWrite(JOURNAL, journalBytes)) {
             if (journalBytes == 0) {
-                journalBytes += put(sink, head(wall));
+                journalBytes += writeRecord(sink, header(wallMillis));
             }
             for (byte[] record : records) {
-                journalBytes += put(sink, record);
+                journalBytes += writeRecord(sink, record);
             }
             sink.force();
         }
-        written = next.revision();
-        if (journalBytes > Math.min(COMPACT_MOST, Math.max(COMPACT_LEAST, snapshotBytes))) {
-            write(wall, next);
+        writtenRevision = next.revision();
+        if (journalBytes > Math.min(COMPACTION_MAX_BYTES, Math.max(COMPACTION_MIN_BYTES, snapshotBytes))) {
+            write(wallMillis, next);
         }
     }
 
-    private boolean follows(Table next, List<Delta> deltas) {
-        Revision at = written;
+    private boolean isContinuous(Table next, List<Delta> deltas) {
+        Revision revision = writtenRevision;
         for (Delta each : deltas) {
-            if (at == null || each.from() != at.number() || each.to().epoch() != at.epoch()) {
+            if (revision == null || each.from() != revision.number() || each.to().epoch() != revision.epoch()) {
                 return false;
             }
-            at = each.to();
+            revision = each.to();
         }
-        return !deltas.isEmpty() && at.equals(next.revision());
+        return !deltas.isEmpty() && revision.equals(next.revision());
     }
 
-    private static List<byte[]> records(long wall, List<Delta> deltas) {
+    private static List<byte[]> journalRecords(long wallMillis, List<Delta> deltas) {
         List<byte[]> records = new ArrayList<>();
         for (Delta delta : deltas) {
-            byte[] bytes = MessageCodec.bytes(delta);
-            records.add(ByteBuffer.allocate(Long.BYTES + bytes.length).putLong(wall).put(bytes).array());
+            byte[] bytes = MessageCodec.encode(delta);
+            records.add(ByteBuffer.allocate(Long.BYTES + bytes.length).putLong(wallMillis).put(bytes).array());
         }
         return records;
     }
 
-    private static byte[] head(long wall) {
-        return ByteBuffer.allocate(MAGIC.length + 1 + Long.BYTES).put(MAGIC).put((byte) VERSION).putLong(wall).array();
+    private static byte[] header(long wallMillis) {
+        return ByteBuffer.allocate(MAGIC.length + 1 + Long.BYTES).put(MAGIC).put((byte) VERSION).putLong(wallMillis).array();
     }
 
-    private static long put(FolderFiles.Sink sink, byte[] record) throws IOException {
-        sink.write(ByteBuffer.allocate(HEAD + record.length).putInt(record.length).putInt(sum(record)).put(record).array());
-        return HEAD + record.length;
+    private static long writeRecord(FolderFiles.Sink sink, byte[] record) throws IOException {
+        sink.write(ByteBuffer.allocate(RECORD_HEADER_BYTES + record.length).putInt(record.length).putInt(checksum(record)).put(record).array());
+        return RECORD_HEADER_BYTES + record.length;
     }
 }
--- a/src/main/java/mastdrift/distribution/edge/TableWriter.java
+++ b/src/main/java/mastdrift/distribution/edge/TableWriter.java
@@ -16,137 +16,140 @@
 import mastdrift.events.Events.Level;
 
 /**
- * Writes tables to their folder on a thread of its own, so that no event loop waits for a disk. What comes while it writes is written together next. Where it can't be
- * written, that is said once, the newest table is kept in mind, and it is tried again each {@value #RETRY_MILLIS} ms; that it can be again is said, too.
- *
- * <p>Bounded: it holds the newest table, and of the deltas that led there as many as a {@link History}; beyond them, the table is written whole.
+ * Writes tables to a {@link TableFolder} on a thread of its own, so that no event loop blocks on a disk. Updates that
+ * arrive during a write are batched into the next one. When a write fails, one event is emitted, the newest table is
+ * kept and the write is retried every {@value #RETRY_MILLIS} ms; another event reports the first success.
+ * <p>Limits: it holds the newest table and at most as many pending deltas as a {@link History}; beyond that the table
+ * is written whole.
  */
 public final class TableWriter implements AutoCloseable {
 
-    /** From one try to the next, where the disk fails. */
+    /** Delay before a failed write is retried. */
     public static final int RETRY_MILLIS = 10_000;
-    private static final int CLOSE_MILLIS = 3_000;
+    private static final int CLOSE_TIMEOUT_MILLIS = 3_000;
 
     /**
-     * How it does.
-     *
-     * @param written the revision on disk; null for not known
-     * @param bytes of both files
-     * @param failing why it can't be written; null where it can
+     * State of the writer.
+     * @param writtenRevision the revision on disk; null if not known
+     * @param bytes size of both files
+     * @param failure why the last write failed; null if it did not
      */
-    public record Status(Revision written, long bytes, String failing) { }
+    public record Status(Revision writtenRevision, long bytes, String failure) { }
 
     private final TableFolder folder;
     private final Clock clock;
     private final Events events;
     private final int retryMillis;
-    private final ScheduledThreadPoolExecutor thread = new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("config-folder", true));
-    private Table next;  // null for nothing to write
-    private List<Delta> deltas = new ArrayList<>();  // that lead there; null for the whole
-    private long deltaBytes;
-    private List<Delta> taken;  // by the thread
-    private boolean armed;  // it writes, or will
+    private final ScheduledThreadPoolExecutor executor = new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("config-folder", true));
+    private Table pendingTable;  // null if there is nothing to write
+    private List<Delta> pendingDeltas = new ArrayList<>();  // that lead to it; null to write the whole table
+    private long pendingDeltaBytes;
+    private List<Delta> takenDeltas;  // deltas of the write in progress; null to write the whole table
+    private boolean writeScheduled;  // a write is in progress or scheduled
     private boolean closed;
     private Status status;
 
-    /** To a folder that was read, of which it found that table (or null). */
-    public TableWriter(TableFolder folder, Table found, Clock clock, Events events) {
-        this(folder, found, clock, events, RETRY_MILLIS);
+    /** Writes to a folder that has been read; {@code initialTable} is the table it contained, or null. */
+    public TableWriter(TableFolder folder, Table initialTable, Clock clock, Events events) {
+        this(folder, initialTable, clock, events, RETRY_MILLIS);
     }
 
-    TableWriter(TableFolder folder, Table found, Clock clock, Events events, int retryMillis) {
+    TableWriter(TableFolder folder, Table initialTable, Clock clock, Events events, int retryMillis) {
         this.folder = folder;
         this.clock = clock;
         this.events = events;
         this.retryMillis = retryMillis;
-        status = new Status(found == null ? null : found.revision(), folder.bytes(), null);
+        status = new Status(initialTable == null ? null : initialTable.revision(), folder.sizeBytes(), null);
     }
 
-    /** The newest table, and what led there from the one before; with no deltas where that isn't known. From any thread; waits for nothing. */
-    public synchronized void table(Table newest, List<Delta> led) {
+    /**
+     * Submits the newest table with the deltas that lead to it from the previous one, or an empty list if they aren't
+     * known. Thread-safe; does not block on the disk.
+     */
+    public synchronized void submit(Table newestTable, List<Delta> newDeltas) {
         if (closed) {
             return;
         }
-        next = newest;
-        if (led.isEmpty()) {
-            deltas = null;
+        pendingTable = newestTable;
+        if (newDeltas.isEmpty()) {
+            pendingDeltas = null;
         }
-        if (deltas != null) {
-            deltas.addAll(led);
-            led.forEach(each -> deltaBytes += History.bytes(each));
-            if (deltas.size() > History.DELTAS_MOST || deltaBytes > History.BYTES_MOST) {
-                deltas = null;
+        if (pendingDeltas != null) {
+            pendingDeltas.addAll(newDeltas);
+            newDeltas.forEach(each -> pendingDeltaBytes += History.bytes(each));
+            if (pendingDeltas.size() > History.DELTAS_MOST || pendingDeltaBytes > History.BYTES_MOST) {
+                pendingDeltas = null;
             }
         }
-        if (!armed) {
-            armed = true;
-            thread.execute(this::write);
+        if (!writeScheduled) {
+            writeScheduled = true;
+            executor.execute(this::write);
         }
     }
 
-    /** How it does. */
+    /** Current state. */
     public synchronized Status status() {
         return status;
     }
 
     private void write() {
-        Table table = taken();
+        Table table = takePending();
         while (table != null) {
-            List<Delta> led = taken;
+            List<Delta> deltasToWrite = takenDeltas;
             try {
-                if (led == null) {
+                if (deltasToWrite == null) {
                     folder.write(clock.millis(), table);
                 } else {
-                    folder.append(clock.millis(), table, led);
+                    folder.append(clock.millis(), table, deltasToWrite);
                 }
             } catch (IOException | IllegalArgumentException e) {
-                failed(table, e);
+                writeFailed(table, e);
                 return;
             }
-            done(table.revision());
-            table = taken();
+            writeSucceeded(table.revision());
+            table = takePending();
         }
     }
 
-    private synchronized Table taken() {
-        Table table = next;
-        taken = deltas;
-        next = null;
-        deltas = new ArrayList<>();
-        deltaBytes = 0;
-        armed = table != null;
+    private synchronized Table takePending() {
+        Table table = pendingTable;
+        takenDeltas = pendingDeltas;
+        pendingTable = null;
+        pendingDeltas = new ArrayList<>();
+        pendingDeltaBytes = 0;
+        writeScheduled = table != null;
         return table;
     }
 
-    private void done(Revision written) {
-        String before;
+    private void writeSucceeded(Revision revision) {
+        String previousFailure;
         synchronized (this) {
-            before = status.failing;
-            status = new Status(written, folder.bytes(), null);
+            previousFailure = status.failure;
+            status = new Status(revision, folder.sizeBytes(), null);
         }
-        if (before != null) {
-            events.event(Level.INFO, "config_folder_written", "the copy of the configuration is written again, at " + written.number(), "number", written.number());
+        if (previousFailure != null) {
+            events.event(Level.INFO, "config_folder_written", "the on-disk copy of the configuration is written again, at revision " + revision.number(), "number", revision.number());
         }
     }
 
-    private void failed(Table table, Exception e) {
-        boolean first;
+    private void writeFailed(Table table, Exception e) {
+        boolean firstFailure;
         synchronized (this) {
-            first = status.failing == null;
-            status = new Status(null, folder.bytes(), String.valueOf(e.getMessage()));
-            next = next == null ? table : next;
-            deltas = null;  // what is on disk isn't known
+            firstFailure = status.failure == null;
+            status = new Status(null, folder.sizeBytes(), String.valueOf(e.getMessage()));
+            pendingTable = pendingTable == null ? table : pendingTable;
+            pendingDeltas = null;  // what is on disk isn't known
             if (!closed) {
-                thread.schedule(this::write, retryMillis, TimeUnit.MILLISECONDS);
+                executor.schedule(this::write, retryMillis, TimeUnit.MILLISECONDS);
             }
         }
-        if (first) {
-            events.event(Level.ERROR, "config_folder_unwritten", "the copy of the configuration can't be written, this process goes on without: " + e, "number",
+        if (firstFailure) {
+            events.event(Level.ERROR, "config_folder_unwritten", "the on-disk copy of the configuration can't be written; this process continues without it: " + e, "number",
                     table.revision().number());
         }
     }
 
-    /** Writes what is waiting, for {@value #CLOSE_MILLIS} ms at most, and ends. */
+    /** Writes what is pending, waiting for at most {@value #CLOSE_TIMEOUT_MILLIS} ms, and ends the thread. */
     @Override
     public void close() {
         CountDownLatch ended = new CountDownLatch(1);
@@ -155,16 +158,16 @@
                 return;
             }
             closed = true;
-            thread.execute(() -> {
+            executor.execute(() -> {
                 write();
                 ended.countDown();
             });
         }
         try {
-            ended.await(CLOSE_MILLIS, TimeUnit.MILLISECONDS);
+            ended.await(CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/main/java/mastdrift/distribution/edge/package-info.java
+++ b/src/main/java/mastdrift/distribution/edge/package-info.java
@@ -1,2 +1,5 @@
-/** How {@link mastdrift.distribution} reaches other processes and the disk: messages as bytes, the links that carry them, the copy of the table in a folder. Decides nothing. */
+/**
+ * Network and disk input and output of {@link mastdrift.distribution}: message codecs, the transport that carries
+ * messages, and the on-disk copy of the table. Makes no protocol decisions.
+ */
 package mastdrift.distribution.edge;
--- a/src/main/java/mastdrift/lab/scale/HollowGateway.java
+++ b/src/main/java/mastdrift/lab/scale/HollowGateway.java
@@ -12,11 +12,11 @@
 import mastdrift.distribution.SubscriberSettings;
 import mastdrift.distribution.Table;
 import mastdrift.distribution.edge.Subscription;
-import mastdrift.distribution.edge.Transport;
+import mastdrift.distribution.edge.ControlTransport;
 import mastdrift.peers.edge.PeerLinks;
 
 /** A hollow gateway: the program's own links, codec and subscriber, and nothing else; what comes is in force as soon as it is there. On the loop's thread alone, the beginning too. */
-final class HollowGateway implements PeerLinks.Listener, Transport, AutoCloseable {
+final class HollowGateway implements PeerLinks.Listener, ControlTransport, AutoCloseable {
 
     private static final byte CONFIG = 4;  // of messages on links
     private static final int MACHINES = 64;
@@ -41,13 +41,13 @@
         links.addresses(this.upstreams);
         subscription = new Subscription(loop, this, name, zone, have, SubscriberSettings.USUAL, seed, (level, event, text, fields) -> System.err.println(name + ": " + event + ": " + text),
                 this::take);
-        subscription.machines(upstreams.stream().map(each -> new Machine(each.name, each.zone)).toList());
+        subscription.setMachines(upstreams.stream().map(each -> new Machine(each.name, each.zone)).toList());
     }
 
     private void take(Table next, List<Delta> deltas) {
         taken.accept(next, deltas);
         table = next;
-        subscription.inForce(next.revision());
+        subscription.tableApplied(next.revision());
     }
 
     /** Reaches nobody that it follows, or all of them again. */
@@ -88,12 +88,12 @@
     }
 
     @Override
-    public void leave(String to) {
+    public void closeOutbound(String to) {
         links.leave(to);
     }
 
     @Override
-    public void drop(String from) {
+    public void closeInbound(String from) {
         throw new UnsupportedOperationException("a gateway has no subscribers");
     }
 
--- a/src/main/java/mastdrift/measure/TableMeasurement.java
+++ b/src/main/java/mastdrift/measure/TableMeasurement.java
@@ -73,10 +73,10 @@
                 long from = System.nanoTime();
                 Outcome.Applied applied = (Outcome.Applied) next.apply(next.revision().number() + 1, change);
                 agreed[i] = (System.nanoTime() - from) / 1e3;
-                byte[] told = MessageCodec.bytes(applied.delta());
+                byte[] told = MessageCodec.encode(applied.delta());
                 bytes += told.length;
                 from = System.nanoTime();
-                Delta heard = MessageCodec.delta(told);
+                Delta heard = MessageCodec.decodeDelta(told);
                 Table same = next.with(heard);
                 followed[i] = (System.nanoTime() - from) / 1e3;
                 if (!same.revision().equals(applied.table().revision())) {
@@ -159,9 +159,9 @@
             publisher = new Publisher(table, PublisherSettings.USUAL, new Publisher.Actions() {
                 @Override
                 public void send(String to, Message message) {
-                    byte[] told = MessageCodec.bytes(message);
+                    byte[] told = MessageCodec.encode(message);
                     bytes += told.length;
-                    queue.add(() -> followers.get(Integer.parseInt(to)).received(now(), "voter", MessageCodec.message(told)));
+                    queue.add(() -> followers.get(Integer.parseInt(to)).received(now(), "voter", MessageCodec.decodeMessage(told)));
                 }
 
                 @Override
@@ -194,8 +194,8 @@
             followers.add(new Subscriber(name, "z", table, SubscriberSettings.USUAL, 1, new Subscriber.Actions() {
                 @Override
                 public void send(String to, Message message) {
-                    byte[] told = MessageCodec.bytes(message);
-                    queue.add(() -> publisher.received(now(), name, MessageCodec.message(told)));
+                    byte[] told = MessageCodec.encode(message);
+                    queue.add(() -> publisher.received(now(), name, MessageCodec.decodeMessage(told)));
                 }
 
                 @Override
--- a/src/main/java/mastdrift/serve/ConfigCopy.java
+++ b/src/main/java/mastdrift/serve/ConfigCopy.java
@@ -22,7 +22,7 @@
     /** Reads what is there, and says what it is; waits for the disk. */
     ConfigCopy(Path path, long epoch, Events events) {
         TableFolder folder = null;
-        TableFolder.Found read = new TableFolder.Found(null, 0, null);
+        TableFolder.ReadResult read = new TableFolder.ReadResult(null, 0, null);
         try {
             folder = new TableFolder(path);
             read = folder.read();
@@ -36,7 +36,7 @@
             events.event(Level.INFO, "config_copy_none", "no copy of the configuration is there");
         } else {
             Revision revision = read.table().revision();
-            long age = read.age(Clock.systemUTC().millis());
+            long age = read.ageMillis(Clock.systemUTC().millis());
             events.event(Level.INFO, "config_copy", "a copy of the configuration is there: revision " + revision.number() + " of epoch " + revision.epoch() + ", " + read.table().size()
                     + " resources, written " + age / 1_000 + " s ago", "number", revision.number(), "epoch", revision.epoch(), "age_ms", age);
         }
@@ -58,13 +58,13 @@
     /** A later table, and what led there from the one before; no deltas where that isn't known. Waits for nothing. */
     void write(Table next, List<Delta> deltas) {
         if (writer != null) {
-            writer.table(next, deltas);
+            writer.submit(next, deltas);
         }
     }
 
     /** The number of the revision that is on disk; null for not known. */
     Long written() {
-        Revision written = writer == null ? null : writer.status().written();
+        Revision written = writer == null ? null : writer.status().writtenRevision();
         return written == null ? null : written.number();
     }
 
--- a/src/main/java/mastdrift/serve/ControlClient.java
+++ b/src/main/java/mastdrift/serve/ControlClient.java
@@ -81,7 +81,7 @@
         @Override
         public void received(String from, boolean reply, byte kind, byte[] message) {
             if (kind == ControlLinks.CONTROL && reply) {
-                ControlMessage response = ControlCodec.message(message);
+                ControlMessage response = ControlCodec.decode(message);
                 if (from.equals(sentTo.get(response.requestId()))) {
                     sentTo.remove(response.requestId());
                     pending.remove(response.requestId()).complete(response);
@@ -111,7 +111,7 @@
             long requestId = ++lastRequestId;
             pending.put(requestId, response);
             sentTo.put(requestId, machine);
-            if (!links.links().send(machine, ControlLinks.CONTROL, ControlCodec.bytes(message.apply(requestId)))) {
+            if (!links.links().send(machine, ControlLinks.CONTROL, ControlCodec.encode(message.apply(requestId)))) {
                 listener.outboundClosed(machine);
             }
             links.loop().schedule(() -> {
--- a/src/main/java/mastdrift/serve/ControlLinks.java
+++ b/src/main/java/mastdrift/serve/ControlLinks.java
@@ -13,7 +13,7 @@
 import mastdrift.config.DistributionSettings;
 import mastdrift.config.SecretRef;
 import mastdrift.distribution.Machine;
-import mastdrift.distribution.edge.Transport;
+import mastdrift.distribution.edge.ControlTransport;
 import mastdrift.events.Events;
 import mastdrift.events.Events.Level;
 import mastdrift.net.Addresses;
@@ -107,8 +107,8 @@
     }
 
     /** The links as configuration goes over them. */
-    Transport transport() {
-        return new Transport() {
+    ControlTransport transport() {
+        return new ControlTransport() {
             @Override
             public boolean send(String to, byte[] message) {
                 return links.send(to, CONFIG, message);
@@ -120,12 +120,12 @@
             }
 
             @Override
-            public void leave(String to) {
+            public void closeOutbound(String to) {
                 links.leave(to);
             }
 
             @Override
-            public void drop(String from) {
+            public void closeInbound(String from) {
                 links.drop(from);
             }
         };
--- a/src/main/java/mastdrift/serve/ControlMachine.java
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -142,11 +142,11 @@
         log = voter ? log(folder) : null;
         if (!voter) {
             links.loop().execute(() -> {
-                subscription.inForce(initial.revision());
-                subscription.machines(ControlLinks.machines(settings.publishers()));
+                subscription.tableApplied(initial.revision());
+                subscription.setMachines(ControlLinks.machines(settings.publishers()));
             });
         }
-        links.loop().execute(() -> publication.alone(true));  // until it has heard
+        links.loop().execute(() -> publication.setSourceUnreachable(true));  // until it has heard
         links.loop().scheduleWithFixedDelay(this::poll, POLL_MILLIS, POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
@@ -195,7 +195,7 @@
             } else if (kind == AGREED) {
                 agreed.accept(from, message);
             } else if (kind == ControlLinks.CONTROL && !reply) {
-                handle(from, ControlCodec.message(message));
+                handle(from, ControlCodec.decode(message));
             } else {
                 throw new IllegalArgumentException("expected a message of a kind that this build knows, found " + kind);
             }
@@ -217,14 +217,14 @@
     private void taken(Table next, List<Delta> deltas) {
         if (store == null) {
             copy.write(next, deltas);
-            publication.table(next, deltas);
+            publication.publishTable(next, deltas);
         }
         links.loop().execute(() -> {  // not in the middle of the subscriber's turn
             if (store != null && store.take(next)) {
                 completeApplied();
                 catchUp();
             }
-            subscription.inForce(next.revision());  // passed on, or taken: or the publisher would hold back what follows
+            subscription.tableApplied(next.revision());  // passed on, or taken: or the publisher would hold back what follows
         });
     }
 
@@ -234,7 +234,7 @@
         if (missing != catchingUp) {
             catchingUp = missing;
             List<Machine> others = settings.machines(Role.VOTER).stream().filter(each -> !each.name().equals(settings.name())).toList();
-            subscription.machines(missing ? ControlLinks.machines(others) : List.of());
+            subscription.setMachines(missing ? ControlLinks.machines(others) : List.of());
             events.event(missing ? Level.WARN : Level.INFO, missing ? "config_catches_up" : "config_caught_up", missing ? "decisions up to " + store.missing()
                     + " are missing: another voter's table is asked for" : "no decision is missing any more, revision " + store.table().revision().number());
         }
@@ -247,7 +247,7 @@
         @Override
         public void table(Table next, List<Delta> deltas) {
             copy.write(next, deltas);
-            publication.table(next, deltas);
+            publication.publishTable(next, deltas);
         }
 
         @Override
@@ -272,7 +272,7 @@
     private void decided(Decision decision) {
         Command command = null;
         try {
-            command = MessageCodec.command(decision.command());
+            command = MessageCodec.decodeCommand(decision.command());
         } catch (IllegalArgumentException e) {
             events.event(Level.WARN, "config_unreadable", "decision " + decision.ordinal() + " is none that this build can read, and changes nothing: " + e.getMessage());
         }
@@ -302,7 +302,7 @@
         } else {
             pendingCount++;
             pending.computeIfAbsent(change.id(), id -> new ArrayList<>()).add(new PendingApply(from, apply.requestId(), System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS)));
-            byte[] command = MessageCodec.bytes(change);
+            byte[] command = MessageCodec.encode(change);
             proposer.execute(() -> log.append(change.id(), command, outcome -> {
                 if (!links.loop().isShuttingDown()) {
                     links.loop().execute(() -> appended(change.id(), outcome));
@@ -317,7 +317,7 @@
         if (from != null) {
             beginning = true;
             String id = "epoch-" + settings.epoch() + "-begins";
-            byte[] command = MessageCodec.bytes(new EpochStart(from));
+            byte[] command = MessageCodec.encode(new EpochStart(from));
             proposer.execute(() -> log.append(id, command, outcome -> {
                 if (!links.loop().isShuttingDown()) {
                     links.loop().execute(() -> beginning = false);
@@ -379,7 +379,7 @@
     // ---- operators
 
     private void reply(String to, ControlMessage message) {
-        links.links().reply(to, ControlLinks.CONTROL, ControlCodec.bytes(message));
+        links.links().reply(to, ControlLinks.CONTROL, ControlCodec.encode(message));
     }
 
     private void handle(String from, ControlMessage request) {
@@ -430,7 +430,7 @@
                 }
             }
         } else if (++polls % SUMMARY_POLLS == 0) {
-            subscription.summary(publication.publisher().summary());
+            subscription.reportZones(publication.publisher().summary());
         }
         boolean nobody = hearsNobody();
         if (alone.now(nobody)) {
@@ -438,7 +438,7 @@
             events.event(bad ? Level.WARN : Level.INFO, bad ? "config_alone" : "config_alone_over", bad ? "it hears nobody of whom its table comes: serves what it has, and says so"
                     : "it hears again of whom its table comes");
         }
-        publication.alone(nobody);
+        publication.setSourceUnreachable(nobody);
     }
 
     private void ledBy(RaftLog.Status now) {
--- a/src/main/java/mastdrift/serve/DistributionService.java
+++ b/src/main/java/mastdrift/serve/DistributionService.java
@@ -85,7 +85,7 @@
             if (copy.there()) {
                 acknowledge(initial.revision(), routes.problem());
             }
-            subscription.machines(ControlLinks.machines(settings.publishers()));
+            subscription.setMachines(ControlLinks.machines(settings.publishers()));
         });
         links.loop().scheduleWithFixedDelay(this::poll, POLL_MILLIS, POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -124,7 +124,7 @@
     void configure(Configuration next, Function<SecretRef, byte[]> secrets) {
         links.configure(next.distribution(), secrets);
         links.loop().execute(() -> {
-            subscription.machines(ControlLinks.machines(next.distribution().publishers()));
+            subscription.setMachines(ControlLinks.machines(next.distribution().publishers()));
             routes.checks(new RouteChecks(next.radius(), next.pools()));
             Table table = subscription.subscriber().table();
             if (inForce != null) {
@@ -181,12 +181,12 @@
 
     private void acknowledge(Revision revision, String problem) {
         if (problem == null) {
-            subscription.inForce(revision);
+            subscription.tableApplied(revision);
         } else {
             if (!problem.equals(refused)) {
                 events.event(Level.WARN, "config_refused", "revision " + revision.number() + " can't be put in force whole, what was before stays: " + problem, "number", revision.number());
             }
-            subscription.refused(revision, problem);
+            subscription.tableRefused(revision, problem);
         }
         if (problem == null && !refused.isEmpty()) {
             events.event(Level.INFO, "config_taken", "nothing is held back any more, from revision " + revision.number() + " on", "number", revision.number());
--- a/src/test/java/mastdrift/distribution/BuildsTest.java
+++ b/src/test/java/mastdrift/distribution/BuildsTest.java
@@ -29,7 +29,7 @@
     /** What a voter's edge makes of a decision; null for what it can't read, with the reason noted. */
     private static Command read(byte[] bytes, List<String> why) {
         try {
-            return MessageCodec.command(bytes);
+            return MessageCodec.decodeCommand(bytes);
         } catch (IllegalArgumentException e) {
             why.add(e.getMessage());
             return null;
@@ -65,18 +65,18 @@
             assertEquals(number, store.table().revision().number());
             assertTrue(store.table().revision().sameState(before), each.getKey());
         }
-        assertInstanceOf(ChangeOutcome.Applied.class, store.decided(++number, "known", MessageCodec.command(MessageCodec.bytes(Changes.of("known", put("r", "1"))))));
+        assertInstanceOf(ChangeOutcome.Applied.class, store.decided(++number, "known", MessageCodec.decodeCommand(MessageCodec.encode(Changes.of("known", put("r", "1"))))));
     }
 
     /** The other way round: a build that knows no beginning of an epoch refuses it as a change, counts it, and has the same table by the same number where it had the one that is named. */
     @Test
     void aBuildBeforeCountsTheBeginningOfAnEpoch() {
         Table had = Changes.table(20);
-        byte[] bytes = MessageCodec.bytes(new EpochStart(had.revision()));
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> MessageCodec.change(bytes)).getMessage().startsWith("change.id: expected a text"));
-        assertEquals(new EpochStart(had.revision()), MessageCodec.command(bytes));
+        byte[] bytes = MessageCodec.encode(new EpochStart(had.revision()));
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> MessageCodec.decodeChange(bytes)).getMessage().startsWith("change.id: expected a text"));
+        assertEquals(new EpochStart(had.revision()), MessageCodec.decodeCommand(bytes));
         Store store = new Store(had, 2, NOBODY);
-        store.decided(1, "begin", MessageCodec.command(bytes));
+        store.decided(1, "begin", MessageCodec.decodeCommand(bytes));
         Table before = had.begun(2).passed(1).table();  // as that build began by itself, and passed over what it couldn't read
         assertEquals(before.revision(), store.table().revision());
     }
@@ -86,14 +86,14 @@
     void whatABuildBeforeWroteIsRead() {
         Change change = Changes.of("id", put("r", "1"), new Edit.Delete(ResourceKind.HOST, "h", 7));
         byte[] bytes = LaterCodec.plain("id", new Object[] {UPSERT, new Object[] {1, ResourceKind.HOST.ordinal(), "h", 7}});
-        Change read = (Change) MessageCodec.command(bytes);
+        Change read = (Change) MessageCodec.decodeCommand(bytes);
         assertEquals(change.id(), read.id());
         assertEquals(change.edits().get(1), read.edits().get(1));
         assertEquals("r", read.edits().get(0).name());
         Revision have = new Revision(1, 5, 3, -4);
-        assertEquals(new Message.Subscribe(have, "z"), MessageCodec.message(LaterCodec.plain(0, LaterCodec.fields(have), "z")));
-        assertEquals(new Message.Heartbeat(have), MessageCodec.message(LaterCodec.plain(7, LaterCodec.fields(have))));
-        assertEquals(new ControlMessage.GetStatus(3), ControlCodec.message(LaterCodec.bytes(1, -1, new Object[] {2, 3})));
+        assertEquals(new Message.Subscribe(have, "z"), MessageCodec.decodeMessage(LaterCodec.plain(0, LaterCodec.fields(have), "z")));
+        assertEquals(new Message.Heartbeat(have), MessageCodec.decodeMessage(LaterCodec.plain(7, LaterCodec.fields(have))));
+        assertEquals(new ControlMessage.GetStatus(3), ControlCodec.decode(LaterCodec.bytes(1, -1, new Object[] {2, 3})));
     }
 
     /** An operator's tool of a later build: its questions are refused by name. */
@@ -101,7 +101,7 @@
     void questionsOfALaterBuildAreRefusedByName() {
         for (byte[] each : List.of(LaterCodec.bytes(2, -1, new Object[] {2, 3}), LaterCodec.bytes(1, -1, new Object[] {10, 3}), LaterCodec.bytes(1, -1, new Object[] {2, 3, "zones"}),
                 LaterCodec.bytes(1, -1, Map.of("type", 2, "call", 3)))) {
-            String why = assertThrows(IllegalArgumentException.class, () -> ControlCodec.message(each)).getMessage();
+            String why = assertThrows(IllegalArgumentException.class, () -> ControlCodec.decode(each)).getMessage();
             assertTrue(why.contains("expected") && why.contains("found"), why);
         }
     }
--- a/src/test/java/mastdrift/distribution/edge/ControlCodecTest.java
+++ b/src/test/java/mastdrift/distribution/edge/ControlCodecTest.java
@@ -37,11 +37,11 @@
     @Test
     void whatIsWrittenIsRead() {
         for (ControlMessage each : all()) {
-            assertEquals(each, ControlCodec.message(ControlCodec.bytes(each)));
+            assertEquals(each, ControlCodec.decode(ControlCodec.encode(each)));
         }
         byte[] value = new byte[] {'{', '}'};
         ControlMessage.Apply apply = new ControlMessage.Apply(1, new Change("id", List.of(new Edit.Upsert(ResourceKind.ROUTE, "a", value, 3))));
-        Edit.Upsert read = (Edit.Upsert) ((ControlMessage.Apply) ControlCodec.message(ControlCodec.bytes(apply))).change().edits().get(0);
+        Edit.Upsert read = (Edit.Upsert) ((ControlMessage.Apply) ControlCodec.decode(ControlCodec.encode(apply))).change().edits().get(0);
         assertEquals("a 3", read.name() + " " + read.expectedVersion());
         assertArrayEquals(value, read.value());
     }
@@ -52,30 +52,30 @@
         for (int i = 0; i < 100; i++) {
             many.add("x".repeat(5_000));
         }
-        ControlMessage.Refused read = (ControlMessage.Refused) ControlCodec.message(ControlCodec.bytes(new ControlMessage.Refused(1, many)));
+        ControlMessage.Refused read = (ControlMessage.Refused) ControlCodec.decode(ControlCodec.encode(new ControlMessage.Refused(1, many)));
         assertEquals(ControlMessage.PROBLEMS_MOST, read.problems().size());
         assertEquals(ControlMessage.TEXT_MOST, read.problems().get(0).length());
     }
 
     @Test
     void whatIsNoneIsNamed() {
-        byte[] later = ControlCodec.bytes(new ControlMessage.GetStatus(3));
+        byte[] later = ControlCodec.encode(new ControlMessage.GetStatus(3));
         later[0] = 9;
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> ControlCodec.message(later)).getMessage().contains("found version 9"));
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> ControlCodec.message(new byte[0])).getMessage().contains("expected 2 to"));
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> ControlCodec.message(new byte[ControlCodec.BYTES_MOST + 1])).getMessage().contains("expected 2 to"));
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> ControlCodec.decode(later)).getMessage().contains("found version 9"));
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> ControlCodec.decode(new byte[0])).getMessage().contains("expected 2 to"));
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> ControlCodec.decode(new byte[ControlCodec.MAX_MESSAGE_BYTES + 1])).getMessage().contains("expected 2 to"));
     }
 
     /** Whatever comes, it is read or refused with a reason, and nothing else is thrown. */
     @Property(tries = 2_000)
     void spoiltBytesAreRefused(@ForAll long seed) {
         Random random = new Random(seed);
-        byte[] bytes = ControlCodec.bytes(all().get(random.nextInt(all().size())));
+        byte[] bytes = ControlCodec.encode(all().get(random.nextInt(all().size())));
         for (int i = random.nextInt(4); i >= 0; i--) {
             bytes[1 + random.nextInt(bytes.length - 1)] = (byte) random.nextInt(256);
         }
         try {
-            ControlCodec.message(bytes);
+            ControlCodec.decode(bytes);
         } catch (IllegalArgumentException e) {
             assertTrue(e.getMessage() != null && !e.getMessage().isEmpty());
         }
--- a/src/test/java/mastdrift/distribution/edge/Drawn.java
+++ b/src/test/java/mastdrift/distribution/edge/Drawn.java
@@ -85,14 +85,14 @@
 
     Message message() {
         return switch (random.nextInt(11)) {
-            case 0 -> new Message.Subscribe(revision(), text(0, MessageCodec.NAME_MOST));
+            case 0 -> new Message.Subscribe(revision(), text(0, MessageCodec.MAX_NAME_CHARS));
             case 1 -> new Message.Fetch(random.longs(random.nextInt(1_025)).toArray(), count());
             case 2 -> new Message.Credit(count());
             case 3 -> new Message.Ack(revision());
-            case 4 -> new Message.Nack(revision(), revision(), text(0, MessageCodec.REASON_MOST));
+            case 4 -> new Message.Nack(revision(), revision(), text(0, MessageCodec.MAX_REASON_CHARS));
             case 5 -> {
                 List<Message.ZoneSummary> zones = new ArrayList<>();
-                for (int i = random.nextInt(MessageCodec.ZONES_MOST + 1); i > 0; i--) {
+                for (int i = random.nextInt(MessageCodec.MAX_ZONES + 1); i > 0; i--) {
                     List<String> lagging = new ArrayList<>();
                     for (int j = random.nextInt(Message.ZoneSummary.LAGGING_MOST + 1); j > 0; j--) {
                         lagging.add(text(0, 64));
@@ -109,7 +109,7 @@
                 yield new Message.Deltas(deltas);
             }
             case 7 -> new Message.Heartbeat(revision());
-            case 8 -> new Message.SnapshotNeeded(revision(), text(0, MessageCodec.REASON_MOST));
+            case 8 -> new Message.SnapshotNeeded(revision(), text(0, MessageCodec.MAX_REASON_CHARS));
             case 9 -> {
                 List<Message.Shard> shards = new ArrayList<>();
                 for (int i = random.nextInt(6); i > 0; i--) {
--- a/src/test/java/mastdrift/distribution/edge/MemoryFiles.java
+++ b/src/test/java/mastdrift/distribution/edge/MemoryFiles.java
@@ -94,12 +94,12 @@
     }
 
     @Override
-    public synchronized InputStream read(String name) {
+    public synchronized InputStream openForRead(String name) {
         return new ByteArrayInputStream(files.get(name).bytes.clone());
     }
 
     @Override
-    public synchronized Sink write(String name, long from) throws IOException {
+    public synchronized Sink openForWrite(String name, long from) throws IOException {
         step();
         File file = files.computeIfAbsent(name, made -> new File());
         file.bytes = Arrays.copyOf(file.bytes, (int) from);
--- a/src/test/java/mastdrift/distribution/edge/MessageCodecTest.java
+++ b/src/test/java/mastdrift/distribution/edge/MessageCodecTest.java
@@ -33,11 +33,11 @@
     void whatIsWrittenIsReadAsItWas(@ForAll long seed) {
         Drawn drawn = new Drawn(new Random(seed));
         Message message = drawn.message();
-        assertEquals(Drawn.said(message), Drawn.said(MessageCodec.message(MessageCodec.bytes(message))));
+        assertEquals(Drawn.said(message), Drawn.said(MessageCodec.decodeMessage(MessageCodec.encode(message))));
         Delta delta = drawn.delta();
-        assertEquals(Drawn.said(delta), Drawn.said(MessageCodec.delta(MessageCodec.bytes(delta))));
+        assertEquals(Drawn.said(delta), Drawn.said(MessageCodec.decodeDelta(MessageCodec.encode(delta))));
         Change change = drawn.change();
-        assertEquals(Drawn.said(change), Drawn.said(MessageCodec.change(MessageCodec.bytes(change))));
+        assertEquals(Drawn.said(change), Drawn.said(MessageCodec.decodeChange(MessageCodec.encode(change))));
     }
 
     /** Cut, changed, or drawn whole: read as another message or refused with its place, and nothing else happens. */
@@ -46,9 +46,9 @@
         Random random = new Random(seed);
         Drawn drawn = new Drawn(random);
         byte[] bytes = switch (random.nextInt(3)) {
-            case 0 -> MessageCodec.bytes(drawn.message());
-            case 1 -> MessageCodec.bytes(drawn.delta());
-            default -> MessageCodec.bytes(drawn.change());
+            case 0 -> MessageCodec.encode(drawn.message());
+            case 1 -> MessageCodec.encode(drawn.delta());
+            default -> MessageCodec.encode(drawn.change());
         };
         int least = random.nextInt(4) == 0 ? 0 : 2;  // mostly behind the version and form, which would hide all else
         switch (random.nextInt(3)) {
@@ -66,9 +66,9 @@
             }
         }
         byte[] spoilt = bytes;
-        refusedOrRead(() -> MessageCodec.message(spoilt));
-        refusedOrRead(() -> MessageCodec.delta(spoilt));
-        refusedOrRead(() -> MessageCodec.change(spoilt));
+        refusedOrRead(() -> MessageCodec.decodeMessage(spoilt));
+        refusedOrRead(() -> MessageCodec.decodeDelta(spoilt));
+        refusedOrRead(() -> MessageCodec.decodeChange(spoilt));
     }
 
     private static void refusedOrRead(Runnable read) {
@@ -84,26 +84,26 @@
     void noPrefixIsRead() {
         Drawn drawn = new Drawn(new Random(1));
         for (int i = 0; i < 60; i++) {
-            byte[] bytes = MessageCodec.bytes(drawn.message());
+            byte[] bytes = MessageCodec.encode(drawn.message());
             for (int length = 0; length < bytes.length; length += 1 + length / 50) {
                 byte[] cut = Arrays.copyOf(bytes, length);
-                assertThrows(IllegalArgumentException.class, () -> MessageCodec.message(cut));
+                assertThrows(IllegalArgumentException.class, () -> MessageCodec.decodeMessage(cut));
             }
             byte[] more = Arrays.copyOf(bytes, bytes.length + 1);
-            assertThrows(IllegalArgumentException.class, () -> MessageCodec.message(more), "something behind it");
+            assertThrows(IllegalArgumentException.class, () -> MessageCodec.decodeMessage(more), "something behind it");
         }
     }
 
     @Test
     void laterVersionsAndFormsAreRefusedByName() {
-        byte[] later = MessageCodec.bytes(new Message.Credit(1));
+        byte[] later = MessageCodec.encode(new Message.Credit(1));
         later[0] = MessageCodec.VERSION + 1;
-        assertEquals("expected messages of version 1 at most, found version 2", assertThrows(MessageCodec.UnsupportedVersionException.class, () -> MessageCodec.message(later)).getMessage());
-        byte[] form = MessageCodec.bytes(new Message.Credit(1));
+        assertEquals("expected messages of version 1 at most, found version 2", assertThrows(MessageCodec.UnsupportedVersionException.class, () -> MessageCodec.decodeMessage(later)).getMessage());
+        byte[] form = MessageCodec.encode(new Message.Credit(1));
         form[1] = 2;
         assertTrue(refused(form).startsWith("form: expected 0 or 1"));
         assertTrue(refused(new byte[] {1, 0, (byte) 0x82, 11, 0}).startsWith("message.type: expected a whole number from 0 to 10, found 11"), "a message that isn't known");
-        byte[] kind = MessageCodec.bytes(new Message.Deltas(List.of(new Delta(1, REVISION, List.of(resource("n", 9)), List.of()))));
+        byte[] kind = MessageCodec.encode(new Message.Deltas(List.of(new Delta(1, REVISION, List.of(resource("n", 9)), List.of()))));
         int at = 0;
         while (kind[at + 1] != 0x61 || kind[at + 2] != 'n') {  // a text of one character
             at++;
@@ -117,21 +117,21 @@
     }
 
     private static String refused(byte[] bytes) {
-        return assertThrows(IllegalArgumentException.class, () -> MessageCodec.message(bytes)).getMessage();
+        return assertThrows(IllegalArgumentException.class, () -> MessageCodec.decodeMessage(bytes)).getMessage();
     }
 
     private static String unwritten(Message message) {
-        return assertThrows(IllegalArgumentException.class, () -> MessageCodec.bytes(message)).getMessage();
+        return assertThrows(IllegalArgumentException.class, () -> MessageCodec.encode(message)).getMessage();
     }
 
     /** A few bytes that would become many are refused before they do; so is what says less than it holds. */
     @Test
     void aBombIsRefused() {
-        byte[] zeros = new byte[MessageCodec.INFLATED_MOST * 16];
-        for (int said : new int[] {Integer.MAX_VALUE, -1, MessageCodec.INFLATED_MOST + 1, zeros.length}) {
+        byte[] zeros = new byte[MessageCodec.MAX_INFLATED_BYTES * 16];
+        for (int said : new int[] {Integer.MAX_VALUE, -1, MessageCodec.MAX_INFLATED_BYTES + 1, zeros.length}) {
             assertTrue(refused(deflated(zeros, said)).startsWith("length: expected at most 2097152 bytes when inflated"));
         }
-        assertTrue(refused(deflated(zeros, MessageCodec.INFLATED_MOST)).endsWith("found more"));
+        assertTrue(refused(deflated(zeros, MessageCodec.MAX_INFLATED_BYTES)).endsWith("found more"));
         assertTrue(refused(deflated(zeros, 0)).endsWith("found more"));
         assertTrue(refused(deflated(new byte[10], 11)).endsWith("found 10"));
         assertTrue(refused(new byte[] {1, 1, 0, 0}).contains("when inflated"));
@@ -163,17 +163,17 @@
         deep[0] = 1;
         deep[1] = 0;
         refused(deep);
-        refused(new byte[MessageCodec.BYTES_MOST + 1]);
+        refused(new byte[MessageCodec.MAX_ENCODED_BYTES + 1]);
         List<Message.Shard> shards = new ArrayList<>();
-        List<Resource> many = Collections.nCopies(MessageCodec.ITEMS_MOST / 2, resource("n", 0));
+        List<Resource> many = Collections.nCopies(MessageCodec.MAX_ITEMS / 2, resource("n", 0));
         shards.add(new Message.Shard(1, many));
         shards.add(new Message.Shard(2, many));
-        assertTrue(refused(MessageCodec.bytes(new Message.SnapshotChunk(REVISION, shards, true))).contains("expected at most 65536 in all, found more"));
+        assertTrue(refused(MessageCodec.encode(new Message.SnapshotChunk(REVISION, shards, true))).contains("expected at most 65536 in all, found more"));
     }
 
     @Test
     void whatIsBeyondABoundIsNotWritten() {
-        assertEquals(PeerLinks.MESSAGE_MOST, MessageCodec.BYTES_MOST, "as much as a link carries");
+        assertEquals(PeerLinks.MESSAGE_MOST, MessageCodec.MAX_ENCODED_BYTES, "as much as a link carries");
         Random random = new Random(1);
         List<Resource> resources = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
@@ -182,7 +182,7 @@
             resources.add(new Resource(ResourceKind.HOST, "h" + i, 1, value));
         }
         assertTrue(unwritten(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, resources)), true)).startsWith("a message: expected at most 524288 bytes, found 65"));
-        byte[] fits = MessageCodec.bytes(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, resources.subList(0, 31))), true));
+        byte[] fits = MessageCodec.encode(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, resources.subList(0, 31))), true));
         assertTrue(fits.length <= PeerLinks.MESSAGE_MOST);
         List<Resource> alike = Collections.nCopies(200, resource("n", Resource.VALUE_MOST));
         assertTrue(unwritten(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, alike)), true)).startsWith("a message: expected at most 2097152 bytes before they are deflated"));
@@ -195,11 +195,11 @@
         for (int i = 0; i < 5; i++) {
             edits.add(new Edit.Upsert(ResourceKind.HOST, "h" + i, resources.get(i).value(), Edit.ANY));
         }
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> MessageCodec.bytes(new Change("id", edits))).getMessage().startsWith("a change: expected at most 65536 bytes"));
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> MessageCodec.encode(new Change("id", edits))).getMessage().startsWith("a change: expected at most 65536 bytes"));
         Change most = new Change("id", Collections.nCopies(Change.EDITS_MOST, new Edit.Delete(ResourceKind.HOST, "h", Edit.NONE)));
-        assertEquals(most, MessageCodec.change(MessageCodec.bytes(most)));
+        assertEquals(most, MessageCodec.decodeChange(MessageCodec.encode(most)));
         Change more = new Change("id", Collections.nCopies(Change.EDITS_MOST + 1, new Edit.Delete(ResourceKind.HOST, "h", Edit.NONE)));
-        assertThrows(IllegalArgumentException.class, () -> MessageCodec.bytes(more));
+        assertThrows(IllegalArgumentException.class, () -> MessageCodec.encode(more));
     }
 
     /** What a small change costs each gateway, so that nobody makes it larger unseen. */
@@ -207,7 +207,7 @@
     void aDeltaOfOneResourceIsSmall() {
         byte[] route = "{\"order\":10,\"class\":\"web\",\"path\":\"/a/b\",\"pools\":[{\"pool\":\"p-0123\",\"weight\":1.0}]}".getBytes(StandardCharsets.UTF_8);
         Delta delta = new Delta(69_999, REVISION, List.of(new Resource(ResourceKind.ROUTE, "route-01234", 70_000, route)), List.of());
-        int envelope = MessageCodec.bytes(new Message.Deltas(List.of(delta))).length - route.length - "route-01234".length();
+        int envelope = MessageCodec.encode(new Message.Deltas(List.of(delta))).length - route.length - "route-01234".length();
         assertTrue(envelope <= 48, envelope + " bytes beside the name and value");
     }
 }
--- a/src/test/java/mastdrift/distribution/edge/PublicationTest.java
+++ b/src/test/java/mastdrift/distribution/edge/PublicationTest.java
@@ -40,7 +40,7 @@
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
-    private static final class FakeTransport implements Transport {
+    private static final class FakeTransport implements ControlTransport {
         private final Map<String, List<byte[]>> out = new HashMap<>();
         private final List<String> ended = new ArrayList<>();
         private final List<String> full = new ArrayList<>();
@@ -56,12 +56,12 @@
         }
 
         @Override
-        public void leave(String to) {
+        public void closeOutbound(String to) {
             ended.add("leave " + to);
         }
 
         @Override
-        public void drop(String from) {
+        public void closeInbound(String from) {
             ended.add("drop " + from);
         }
 
@@ -88,7 +88,7 @@
     }
 
     private static void subscribe(Publication publication, String name, Revision have) {
-        publication.received(name, MessageCodec.bytes(new Message.Subscribe(have, "z")));
+        publication.received(name, MessageCodec.encode(new Message.Subscribe(have, "z")));
     }
 
     /** One change costs one making of bytes, however many hear it. */
@@ -100,22 +100,22 @@
             for (int i = 0; i < 300; i++) {
                 subscribe(publication, "g" + i, tables.table().revision());
             }
-            long before = publication.encoded();
+            long before = publication.encodedCount();
             assertEquals(1, before, "300 times that it is current");
             for (int change = 1; change <= 3; change++) {
                 Delta delta = tables.change(100);
-                publication.table(tables.table(), List.of(delta));
+                publication.publishTable(tables.table(), List.of(delta));
                 long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(1);
                 while (System.nanoTime() < until) {
                     Thread.onSpinWait();  // what belongs together is told together
                 }
-                publication.alone(false);
+                publication.setSourceUnreachable(false);
                 byte[] bytes = transport.last("g0");
-                assertEquals(Drawn.said(new Message.Deltas(List.of(delta))), Drawn.said(MessageCodec.message(bytes)));
+                assertEquals(Drawn.said(new Message.Deltas(List.of(delta))), Drawn.said(MessageCodec.decodeMessage(bytes)));
                 for (int i = 0; i < 300; i++) {
                     assertSame(bytes, transport.last("g" + i));
                 }
-                assertEquals(before + change, publication.encoded());
+                assertEquals(before + change, publication.encodedCount());
             }
             return null;
         });
@@ -136,7 +136,7 @@
         on(() -> {
             Table old = tables.table();
             Delta delta = tables.change(100);
-            publication.table(tables.table(), List.of(delta));
+            publication.publishTable(tables.table(), List.of(delta));
             subscribe(publication, "slow", old.revision());  // tells it again, which fails again
             return null;
         });
@@ -153,10 +153,10 @@
             subscribe(publication, "a", tables.table().revision());
             for (int i = 0; i < 5; i++) {
                 publication.received("bad", new byte[] {1, 0, 7});
-                byte[] later = MessageCodec.bytes(new Message.Credit(1));
+                byte[] later = MessageCodec.encode(new Message.Credit(1));
                 later[0]++;
                 publication.received("later", later);
-                publication.received("turned", MessageCodec.bytes(new Message.Deltas(List.of(new Growing(4).change(10)))));  // not a subscriber's
+                publication.received("turned", MessageCodec.encode(new Message.Deltas(List.of(new Growing(4).change(10)))));  // not a subscriber's
             }
             assertEquals(1, publication.publisher().status().subscribers());
             assertEquals(0, publication.publisher().table().revision().number());
@@ -175,7 +175,7 @@
         Subscription subscription = new Subscription(loop, transport, "g", "z", Table.empty(1), new SubscriberSettings(60_000_000, 60_000_000, 1_000, 60_000_000, 1, 60_000_000, 4,
                 600_000_000), 1, (level, name, text, fields) -> events.add(level + " " + name), (table, deltas) -> taken.add(table));
         on(() -> {
-            subscription.machines(List.of(new Machine("m1", "z"), new Machine("m2", "z")));
+            subscription.setMachines(List.of(new Machine("m1", "z"), new Machine("m2", "z")));
             return null;
         });
         String first = subscription.subscriber().machine();
@@ -187,12 +187,12 @@
         }
         List<byte[]> asked = on(() -> List.copyOf(transport.out.get(first)));
         assertEquals(2, asked.size());
-        assertArrayEquals(MessageCodec.bytes(new Message.Subscribe(Revision.none(1), "z")), asked.get(0));
-        assertArrayEquals(MessageCodec.bytes(new Message.Ack(Revision.none(1))), asked.get(1));
+        assertArrayEquals(MessageCodec.encode(new Message.Subscribe(Revision.none(1), "z")), asked.get(0));
+        assertArrayEquals(MessageCodec.encode(new Message.Ack(Revision.none(1))), asked.get(1));
         on(() -> {
             for (int i = 0; i < 5; i++) {
                 subscription.received(first, new byte[] {1, 0, 7});
-                subscription.received(other, MessageCodec.bytes(new Message.Deltas(List.of(new Growing(5).change(100)))));  // nobody asked it
+                subscription.received(other, MessageCodec.encode(new Message.Deltas(List.of(new Growing(5).change(100)))));  // nobody asked it
             }
             return null;
         });
@@ -200,7 +200,7 @@
         assertEquals(List.of("WARN config_malformed"), List.copyOf(events));
         transport.full.add(first);
         on(() -> {
-            subscription.received(first, MessageCodec.bytes(new Message.Heartbeat(tables.table().revision())));  // it is behind, and asks
+            subscription.received(first, MessageCodec.encode(new Message.Heartbeat(tables.table().revision())));  // it is behind, and asks
             return null;
         });
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
@@ -209,7 +209,7 @@
         }
         assertTrue(on(() -> transport.ended).contains("leave " + first));
         on(() -> {
-            subscription.received(other, MessageCodec.bytes(new Message.Deltas(List.of(new Growing(5).change(100)))));
+            subscription.received(other, MessageCodec.encode(new Message.Deltas(List.of(new Growing(5).change(100)))));
             return null;
         });
         assertEquals(1, taken.size());
@@ -235,13 +235,13 @@
                 publication.received("later-" + i, later.get(i));
             }
             Delta delta = tables.change(100);
-            publication.table(tables.table(), List.of(delta));
+            publication.publishTable(tables.table(), List.of(delta));
             long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(1);
             while (System.nanoTime() < until) {
                 Thread.onSpinWait();  // what belongs together is told together
             }
-            publication.alone(false);
-            assertEquals(Drawn.said(new Message.Deltas(List.of(delta))), Drawn.said(MessageCodec.message(transport.last("a"))));
+            publication.setSourceUnreachable(false);
+            assertEquals(Drawn.said(new Message.Deltas(List.of(delta))), Drawn.said(MessageCodec.decodeMessage(transport.last("a"))));
             assertEquals(1, publication.publisher().status().subscribers());
             return null;
         });
@@ -265,14 +265,14 @@
         Subscription subscription = new Subscription(loop, transport, "g", "z", Table.empty(1), new SubscriberSettings(60_000_000, 60_000_000, 1_000, 60_000_000, 1, 60_000_000, 4,
                 600_000_000), 1, (level, name, text, fields) -> events.add(level + " " + name), (table, deltas) -> taken.add(table));
         on(() -> {
-            subscription.machines(List.of(new Machine("m", "z")));
-            subscription.received("m", MessageCodec.bytes(new Message.Deltas(List.of(one))));
+            subscription.setMachines(List.of(new Machine("m", "z")));
+            subscription.received("m", MessageCodec.encode(new Message.Deltas(List.of(one))));
             for (byte[] each : later) {
                 subscription.received("m", each);
                 assertEquals(first.revision(), subscription.subscriber().table().revision());
             }
-            subscription.received("m", MessageCodec.bytes(new Message.Deltas(List.of(two))));
-            subscription.received("m", MessageCodec.bytes(new Message.Deltas(List.of(one))));
+            subscription.received("m", MessageCodec.encode(new Message.Deltas(List.of(two))));
+            subscription.received("m", MessageCodec.encode(new Message.Deltas(List.of(one))));
             return null;
         });
         assertEquals(List.of(first.revision(), tables.table().revision()), on(() -> taken.stream().map(Table::revision).toList()));
@@ -302,13 +302,13 @@
             for (int i = 0; i < 20; i++) {
                 Delta delta = tables.change(100);
                 on(() -> {  // as a control machine does with what it is told
-                    writer.table(tables.table(), List.of(delta));
-                    publication.table(tables.table(), List.of(delta));
+                    writer.submit(tables.table(), List.of(delta));
+                    publication.publishTable(tables.table(), List.of(delta));
                     return null;
                 });
-                until(() -> on(() -> MessageCodec.message(transport.last("a")) instanceof Message.Deltas deltas && deltas.deltas().get(deltas.deltas().size() - 1).to().equals(delta.to())));
+                until(() -> on(() -> MessageCodec.decodeMessage(transport.last("a")) instanceof Message.Deltas deltas && deltas.deltas().get(deltas.deltas().size() - 1).to().equals(delta.to())));
                 on(() -> {
-                    publication.received("a", MessageCodec.bytes(new Message.Ack(delta.to())));
+                    publication.received("a", MessageCodec.encode(new Message.Ack(delta.to())));
                     return null;
                 });
             }
@@ -316,7 +316,7 @@
             assertEquals(List.of("ERROR config_folder_unwritten"), List.copyOf(events));
             assertEquals(tables.table().revision(), publication.publisher().status().revision());
             files.full(false);
-            until(() -> tables.table().revision().equals(writer.status().written()));
+            until(() -> tables.table().revision().equals(writer.status().writtenRevision()));
             written.add(new TableFolder(files).read().table());
         }
         assertEquals(tables.table().revision(), written.get(0).revision());
--- a/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
+++ b/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
@@ -48,7 +48,7 @@
     private final Growing tables = new Growing(1);
 
     /** A process: links, and on them what it publishes and what it subscribes to. */
-    private final class Node implements PeerLinks.Listener, Transport {
+    private final class Node implements PeerLinks.Listener, ControlTransport {
         private final String name;
         private final EventLoop loop = group.next();
         private final PeerLinks links;
@@ -91,7 +91,7 @@
             on(() -> {
                 links.addresses(at);
                 subscription = new Subscription(loop, this, name, "z", have, SUBSCRIBER, name.hashCode(), (level, what, text, fields) -> events.add(what), this::taken);
-                subscription.machines(at.keySet().stream().map(machine -> new Machine(machine, "z")).toList());
+                subscription.setMachines(at.keySet().stream().map(machine -> new Machine(machine, "z")).toList());
                 return null;
             });
             return this;
@@ -106,18 +106,18 @@
                 jumps.incrementAndGet();
             }
             if (writer != null) {
-                writer.table(next, deltas);
+                writer.submit(next, deltas);
             }
             if (publication != null) {
-                publication.table(next, deltas);
+                publication.publishTable(next, deltas);
             }
-            subscription.inForce(next.revision());
+            subscription.tableApplied(next.revision());
         }
 
         void publish(Table next, List<Delta> deltas) {
             on(() -> {
                 table = next;
-                publication.table(next, deltas);
+                publication.publishTable(next, deltas);
                 return null;
             });
         }
@@ -181,19 +181,19 @@
         @Override
         public boolean reply(String to, byte[] message) {
             boolean sent = links.reply(to, CONFIG, message);
-            if (sent && MessageCodec.message(message) instanceof Message.SnapshotChunk) {
+            if (sent && MessageCodec.decodeMessage(message) instanceof Message.SnapshotChunk) {
                 chunkSent.accept(chunks.incrementAndGet());
             }
             return sent;
         }
 
         @Override
-        public void leave(String to) {
+        public void closeOutbound(String to) {
             links.leave(to);
         }
 
         @Override
-        public void drop(String from) {
+        public void closeInbound(String from) {
             links.drop(from);
         }
     }
@@ -244,7 +244,7 @@
         Revision at = tables.table().revision();
         for (Node each : List.of(one, two)) {
             until("told upward", () -> each.on(() -> {
-                each.subscription.summary(each.publication.publisher().summary());
+                each.subscription.reportZones(each.publication.publisher().summary());
                 return each.publication.publisher().summary().stream().allMatch(zone -> at.equals(zone.lowest()));
             }));
         }
@@ -348,7 +348,7 @@
                 random.nextBytes(nonsense);
                 nonsense[0] = (byte) (fault.equals("config_later") ? 9 : 1);
                 mad.on(() -> mad.send("voter", nonsense));
-                mad.on(() -> mad.send("voter", MessageCodec.bytes(new Message.Deltas(List.of(new Growing(98).change(20))))));
+                mad.on(() -> mad.send("voter", MessageCodec.encode(new Message.Deltas(List.of(new Growing(98).change(20))))));
                 return voter.events.contains(fault);
             });
         }
@@ -374,7 +374,7 @@
         for (int i = 0; i < 10; i++) {
             change(voter, 300);
         }
-        TableFolder.Found found = new TableFolder(folder).read();
+        TableFolder.ReadResult found = new TableFolder(folder).read();
         assertNull(found.problem());
         assertEquals(left.revision(), found.table().revision());
         Node again = new Node("gateway", KEY);
--- a/src/test/java/mastdrift/distribution/edge/TableFolderTest.java
+++ b/src/test/java/mastdrift/distribution/edge/TableFolderTest.java
@@ -29,7 +29,7 @@
         return new MemoryFiles(Long.MAX_VALUE, new Random(1));
     }
 
-    private static TableFolder.Found read(MemoryFiles files) {
+    private static TableFolder.ReadResult read(MemoryFiles files) {
         return new TableFolder(files).read();
     }
 
@@ -48,7 +48,7 @@
     void whatIsWrittenIsReadWithItsAge() throws IOException {
         MemoryFiles files = memory();
         TableFolder folder = new TableFolder(files);
-        assertEquals(new TableFolder.Found(null, 0, null), folder.read());
+        assertEquals(new TableFolder.ReadResult(null, 0, null), folder.read());
         Growing tables = new Growing(1);
         folder.write(1_000, tables.table());
         same(tables.table(), read(files).table());
@@ -58,12 +58,12 @@
                 deltas.add(tables.change(100));
             }
             append(folder, 2_000 + i, tables, deltas);
-            TableFolder.Found found = read(files);
+            TableFolder.ReadResult found = read(files);
             same(tables.table(), found.table());
             assertNull(found.problem());
-            assertEquals(2_000 + i, found.writtenAt());
-            assertEquals(500, found.age(2_500 + i));
-            assertEquals(0, found.age(10), "by a clock that was set back");
+            assertEquals(2_000 + i, found.writtenAtMillis());
+            assertEquals(500, found.ageMillis(2_500 + i));
+            assertEquals(0, found.ageMillis(10), "by a clock that was set back");
         }
         tables.jump(30);
         append(folder, 3_000, tables, List.of());
@@ -117,7 +117,7 @@
         on.change(50);
         for (int length = 0; length <= journal.length; length++) {
             MemoryFiles cut = memory().put(TableFolder.SNAPSHOT, snapshot).put(TableFolder.JOURNAL, Arrays.copyOf(journal, length));
-            TableFolder.Found found = read(cut);
+            TableFolder.ReadResult found = read(cut);
             int newest = 0;
             while (newest + 1 < ends.size() && ends.get(newest + 1) <= length) {
                 newest++;
@@ -135,7 +135,7 @@
             }
         }
         for (int length = 0; length < snapshot.length; length += 3) {
-            TableFolder.Found found = read(memory().put(TableFolder.SNAPSHOT, Arrays.copyOf(snapshot, length)).put(TableFolder.JOURNAL, journal));
+            TableFolder.ReadResult found = read(memory().put(TableFolder.SNAPSHOT, Arrays.copyOf(snapshot, length)).put(TableFolder.JOURNAL, journal));
             assertNull(found.table());
             assertNotNull(found.problem());
         }
@@ -165,7 +165,7 @@
             for (boolean machineToo : new boolean[] {false, true}) {
                 MemoryFiles left = files.after(machineToo);
                 TableFolder next = new TableFolder(left);
-                TableFolder.Found found = next.read();
+                TableFolder.ReadResult found = next.read();
                 long number = found.table() == null ? -1 : found.table().revision().number();
                 assertTrue(number >= returned[0], "step " + steps + ": expected " + returned[0] + " or a later one, found " + number + ", " + found.problem());
                 if (number >= 0) {
@@ -229,7 +229,7 @@
                 spoilt[at] ^= (byte) (1 + random.nextInt(255));
                 MemoryFiles with = memory().put(TableFolder.SNAPSHOT, files.bytes(TableFolder.SNAPSHOT)).put(TableFolder.JOURNAL, files.bytes(TableFolder.JOURNAL))
                         .put(name, spoilt);
-                TableFolder.Found found = read(with);
+                TableFolder.ReadResult found = read(with);
                 assertNotNull(found.problem(), name + " byte " + at);
                 assertEquals(name.equals(TableFolder.SNAPSHOT), found.table() == null);
                 if (found.table() != null) {
@@ -253,7 +253,7 @@
             Table next = tables.table();
             assertThrows(IOException.class, () -> folder.append(1, next, deltas));
             same(before, read(files).table());
-            assertNull(files.bytes(TableFolder.ASIDE), "what isn't whole takes no room");
+            assertNull(files.bytes(TableFolder.SNAPSHOT_TEMP), "what isn't whole takes no room");
             files.full(false);
             append(folder, 2, tables, List.of(tables.change(100)));
             same(tables.table(), read(files).table());
@@ -273,10 +273,10 @@
             List<Delta> deltas = List.of(tables.change(4_000));
             append(folder, i, tables, deltas);
             byte[] journal = files.bytes(TableFolder.JOURNAL);
-            int length = journal == null || folder.bytes() == files.bytes(TableFolder.SNAPSHOT).length ? 0 : journal.length;
+            int length = journal == null || folder.sizeBytes() == files.bytes(TableFolder.SNAPSHOT).length ? 0 : journal.length;
             folds += length < before ? 1 : 0;
             before = length;
-            assertTrue(length <= Math.max(TableFolder.COMPACT_LEAST, files.bytes(TableFolder.SNAPSHOT).length), length + " bytes");
+            assertTrue(length <= Math.max(TableFolder.COMPACTION_MIN_BYTES, files.bytes(TableFolder.SNAPSHOT).length), length + " bytes");
         }
         assertTrue(folds >= 1 && folds < 20, folds + " folds");
         same(tables.table(), read(files).table());
@@ -301,9 +301,9 @@
         same(tables.table(), new TableFolder(folder).read().table());
         copy(kept, folder);
         TableFolder back = new TableFolder(folder);
-        TableFolder.Found found = back.read();
+        TableFolder.ReadResult found = back.read();
         same(old, found.table());
-        assertEquals(1, found.writtenAt(), "as old as it is");
+        assertEquals(1, found.writtenAtMillis(), "as old as it is");
         append(back, 9, tables, missed);
         same(tables.table(), new TableFolder(folder).read().table());
         Files.copy(kept.resolve(TableFolder.SNAPSHOT), folder.resolve(TableFolder.SNAPSHOT), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
@@ -334,7 +334,7 @@
         assertEquals("snapshot: expected a table's copy, found another file", read(later.put(TableFolder.SNAPSHOT, bytes)).problem());
         Files.write(snapshot, new byte[1_000]);
         TableFolder again = new TableFolder(folder);
-        assertTrue(again.read().problem().startsWith("snapshot: expected a checksum that fits at byte 0"), "zeros are no record");
+        assertTrue(again.read().problem().startsWith("snapshot: expected a matching checksum at byte 0"), "zeros are no record");
         append(again, 6, tables, List.of(tables.change(10)));
         same(tables.table(), new TableFolder(folder).read().table());
         Files.delete(snapshot);
@@ -366,7 +366,7 @@
             } finally {
                 process.destroyForcibly().waitFor();
             }
-            TableFolder.Found found = new TableFolder(folder).read();
+            TableFolder.ReadResult found = new TableFolder(folder).read();
             Growing tables = new Growing(seed);
             assertNotNull(found.table(), found.problem());
             while (tables.table().revision().number() < found.table().revision().number()) {
@@ -386,10 +386,10 @@
         append(copy, 2, tables, List.of(tables.change(10)));
         for (String name : List.of(TableFolder.JOURNAL, TableFolder.SNAPSHOT)) {
             try (RandomAccessFile file = new RandomAccessFile(folder.resolve(name).toFile(), "rw")) {
-                file.setLength(TableFolder.FILE_MOST + 1);  // a hole, which takes no room
+                file.setLength(TableFolder.MAX_FILE_BYTES + 1);  // a hole, which takes no room
             }
-            TableFolder.Found found = new TableFolder(folder).read();
-            assertTrue(found.problem().contains("expected at most " + TableFolder.FILE_MOST + " bytes"), found.problem());
+            TableFolder.ReadResult found = new TableFolder(folder).read();
+            assertTrue(found.problem().contains("expected at most " + TableFolder.MAX_FILE_BYTES + " bytes"), found.problem());
             assertEquals(name.equals(TableFolder.SNAPSHOT), found.table() == null);
         }
         append(copy, 3, tables, List.of());
--- a/src/test/java/mastdrift/distribution/edge/TableWriterTest.java
+++ b/src/test/java/mastdrift/distribution/edge/TableWriterTest.java
@@ -49,14 +49,14 @@
         try (TableWriter writer = writer(1)) {
             for (int i = 0; i < 200; i++) {
                 var delta = tables.change(100);
-                writer.table(tables.table(), i == 150 ? List.of() : List.of(delta));
+                writer.submit(tables.table(), i == 150 ? List.of() : List.of(delta));
                 if (i == 100) {
-                    until(() -> writer.status().written() != null);
+                    until(() -> writer.status().writtenRevision() != null);
                 }
             }
         }
         assertEquals(tables.table().revision(), found().revision());
-        assertEquals(77_000, new TableFolder(files).read().writtenAt());
+        assertEquals(77_000, new TableFolder(files).read().writtenAtMillis());
         assertTrue(events.isEmpty());
     }
 
@@ -66,25 +66,25 @@
         Growing tables = new Growing(3);
         try (TableWriter writer = writer(20)) {
             var first = tables.change(100);
-            writer.table(tables.table(), List.of(first));
-            until(() -> writer.status().written() != null);
+            writer.submit(tables.table(), List.of(first));
+            until(() -> writer.status().writtenRevision() != null);
             files.full(true);
             for (int i = 0; i < 50; i++) {
                 var delta = tables.change(100);
-                writer.table(tables.table(), List.of(delta));
+                writer.submit(tables.table(), List.of(delta));
             }
             until(() -> files.failed() > 3);  // tried again and again
             assertEquals("ERROR config_folder_unwritten", events.poll(30, TimeUnit.SECONDS));
-            assertNotNull(writer.status().failing());
-            assertNull(writer.status().written());
+            assertNotNull(writer.status().failure());
+            assertNull(writer.status().writtenRevision());
             files.full(false);
             assertEquals("INFO config_folder_written", events.poll(30, TimeUnit.SECONDS));
-            assertEquals(tables.table().revision(), writer.status().written());
-            assertNull(writer.status().failing());
+            assertEquals(tables.table().revision(), writer.status().writtenRevision());
+            assertNull(writer.status().failure());
             assertEquals(tables.table().revision(), found().revision());
             var next = tables.change(100);
-            writer.table(tables.table(), List.of(next));
-            until(() -> tables.table().revision().equals(writer.status().written()));
+            writer.submit(tables.table(), List.of(next));
+            until(() -> tables.table().revision().equals(writer.status().writtenRevision()));
         }
         assertEquals(tables.table().revision(), found().revision());
         assertTrue(events.isEmpty());
@@ -97,13 +97,13 @@
         try (TableWriter writer = writer(1)) {
             synchronized (files) {  // every step waits for that
                 var first = tables.change(100);
-                writer.table(tables.table(), List.of(first));
+                writer.submit(tables.table(), List.of(first));
                 for (int i = 0; i < 1_000; i++) {
                     var delta = tables.change(15_000);  // more than 20 MB in all
-                    writer.table(tables.table(), List.of(delta));
+                    writer.submit(tables.table(), List.of(delta));
                 }
             }
-            until(() -> tables.table().revision().equals(writer.status().written()));
+            until(() -> tables.table().revision().equals(writer.status().writtenRevision()));
         }
         assertEquals(tables.table().revision(), found().revision());
         byte[] journal = files.bytes(TableFolder.JOURNAL);
