--- a/src/test/java/mastdrift/distribution/BuildsTest.java
+++ b/src/test/java/mastdrift/distribution/BuildsTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import mastdrift.distribution.Store.ChangeOutcome;
 import mastdrift.distribution.edge.ControlCodec;
-import mastdrift.distribution.edge.LaterCodec;
+import mastdrift.distribution.edge.ForeignBuildEncoder;
 import mastdrift.distribution.edge.MessageCodec;
 import org.junit.jupiter.api.Test;
 
@@ -42,15 +42,15 @@
     @Test
     void decisionsOfALaterBuildAreCountedAndSaid() {
         Map<String, byte[]> later = Map.of(
-                "another version", LaterCodec.bytes(2, 0, new Object[] {"id", new Object[] {UPSERT}}),
-                "another form", LaterCodec.bytes(1, 2, new Object[] {"id", new Object[] {UPSERT}}),
-                "a field more", LaterCodec.plain("id", new Object[] {UPSERT}, "why"),
-                "a field more in an edit", LaterCodec.plain("id", new Object[] {new Object[] {0, 0, "r", -1, new byte[] {'1'}, 9}}),
-                "another kind of resource", LaterCodec.plain("id", new Object[] {new Object[] {0, ResourceKind.values().length, "r", -1, new byte[] {'1'}}}),
-                "another kind of edit", LaterCodec.plain("id", new Object[] {new Object[] {2, 0, "r", -1, "to"}}),
-                "another kind of decision", LaterCodec.plain(1, new Object[] {7}),
-                "a field more in an epoch's beginning", LaterCodec.plain(0, LaterCodec.fields(Revision.none(1)), true),
-                "keys", LaterCodec.bytes(1, 0, Map.of("id", "id", "edits", new Object[] {UPSERT}, "expires", 5)));
+                "another version", ForeignBuildEncoder.encode(2, 0, new Object[] {"id", new Object[] {UPSERT}}),
+                "another form", ForeignBuildEncoder.encode(1, 2, new Object[] {"id", new Object[] {UPSERT}}),
+                "a field more", ForeignBuildEncoder.encodePlain("id", new Object[] {UPSERT}, "why"),
+                "a field more in an edit", ForeignBuildEncoder.encodePlain("id", new Object[] {new Object[] {0, 0, "r", -1, new byte[] {'1'}, 9}}),
+                "another kind of resource", ForeignBuildEncoder.encodePlain("id", new Object[] {new Object[] {0, ResourceKind.values().length, "r", -1, new byte[] {'1'}}}),
+                "another kind of edit", ForeignBuildEncoder.encodePlain("id", new Object[] {new Object[] {2, 0, "r", -1, "to"}}),
+                "another kind of decision", ForeignBuildEncoder.encodePlain(1, new Object[] {7}),
+                "a field more in an epoch's beginning", ForeignBuildEncoder.encodePlain(0, ForeignBuildEncoder.revisionFields(Revision.none(1)), true),
+                "keys", ForeignBuildEncoder.encode(1, 0, Map.of("id", "id", "edits", new Object[] {UPSERT}, "expires", 5)));
         Store store = new Store(Table.empty(1), 1, NOBODY);
         store.decided(1, "one", Changes.of("one", put("r", "0")));
         long number = 1;
@@ -85,22 +85,22 @@
     @Test
     void whatABuildBeforeWroteIsRead() {
         Change change = Changes.of("id", put("r", "1"), new Edit.Delete(ResourceKind.HOST, "h", 7));
-        byte[] bytes = LaterCodec.plain("id", new Object[] {UPSERT, new Object[] {1, ResourceKind.HOST.ordinal(), "h", 7}});
+        byte[] bytes = ForeignBuildEncoder.encodePlain("id", new Object[] {UPSERT, new Object[] {1, ResourceKind.HOST.ordinal(), "h", 7}});
         Change read = (Change) MessageCodec.decodeCommand(bytes);
         assertEquals(change.id(), read.id());
         assertEquals(change.edits().get(1), read.edits().get(1));
         assertEquals("r", read.edits().get(0).name());
         Revision have = new Revision(1, 5, 3, -4);
-        assertEquals(new Message.Subscribe(have, "z"), MessageCodec.decodeMessage(LaterCodec.plain(0, LaterCodec.fields(have), "z")));
-        assertEquals(new Message.Heartbeat(have), MessageCodec.decodeMessage(LaterCodec.plain(7, LaterCodec.fields(have))));
-        assertEquals(new ControlMessage.GetStatus(3), ControlCodec.decode(LaterCodec.bytes(1, -1, new Object[] {2, 3})));
+        assertEquals(new Message.Subscribe(have, "z"), MessageCodec.decodeMessage(ForeignBuildEncoder.encodePlain(0, ForeignBuildEncoder.revisionFields(have), "z")));
+        assertEquals(new Message.Heartbeat(have), MessageCodec.decodeMessage(ForeignBuildEncoder.encodePlain(7, ForeignBuildEncoder.revisionFields(have))));
+        assertEquals(new ControlMessage.GetStatus(3), ControlCodec.decode(ForeignBuildEncoder.encode(1, -1, new Object[] {2, 3})));
     }
 
     /** An operator's tool of a later build: its questions are refused by name. */
     @Test
     void questionsOfALaterBuildAreRefusedByName() {
-        for (byte[] each : List.of(LaterCodec.bytes(2, -1, new Object[] {2, 3}), LaterCodec.bytes(1, -1, new Object[] {10, 3}), LaterCodec.bytes(1, -1, new Object[] {2, 3, "zones"}),
-                LaterCodec.bytes(1, -1, Map.of("type", 2, "call", 3)))) {
+        for (byte[] each : List.of(ForeignBuildEncoder.encode(2, -1, new Object[] {2, 3}), ForeignBuildEncoder.encode(1, -1, new Object[] {10, 3}), ForeignBuildEncoder.encode(1, -1, new Object[] {2, 3, "zones"}),
+                ForeignBuildEncoder.encode(1, -1, Map.of("type", 2, "call", 3)))) {
             String why = assertThrows(IllegalArgumentException.class, () -> ControlCodec.decode(each)).getMessage();
             assertTrue(why.contains("expected") && why.contains("found"), why);
         }
--- a/src/test/java/mastdrift/distribution/edge/ControlCodecTest.java
+++ b/src/test/java/mastdrift/distribution/edge/ControlCodecTest.java
@@ -25,7 +25,7 @@
 
     private static final Revision REVISION = new Revision(2, 7, -3, Long.MAX_VALUE);
 
-    private static List<ControlMessage> all() {
+    private static List<ControlMessage> sampleMessages() {
         List<ZoneSummary> zones = IntStream.range(0, 64).mapToObj(i -> new ZoneSummary("zone-" + i, i, i == 0 ? null : REVISION, 1, List.of("gateway-1", "gateway-2"))).toList();
         return List.of(new ControlMessage.Apply(1, new Change("id", List.of(new Edit.Delete(ResourceKind.ROUTE, "a", Edit.ANY)))), new ControlMessage.Get(2, ResourceKind.HOST, "h"),
                 new ControlMessage.GetStatus(3), new ControlMessage.Applied(4, REVISION), new ControlMessage.Applied(5, null), new ControlMessage.Conflicted(6, "why"),
@@ -35,8 +35,8 @@
     }
 
     @Test
-    void whatIsWrittenIsRead() {
-        for (ControlMessage each : all()) {
+    void decodingRestoresEveryMessage() {
+        for (ControlMessage each : sampleMessages()) {
             assertEquals(each, ControlCodec.decode(ControlCodec.encode(each)));
         }
         byte[] value = new byte[] {'{', '}'};
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void linesForAPersonAreCut() {
+    void humanReadableTextsAreTruncated() {
         List<String> many = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             many.add("x".repeat(5_000));
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void whatIsNoneIsNamed() {
+    void laterVersionAndWrongLengthAreRefusedWithReason() {
         byte[] later = ControlCodec.encode(new ControlMessage.GetStatus(3));
         later[0] = 9;
         assertTrue(assertThrows(IllegalArgumentException.class, () -> ControlCodec.decode(later)).getMessage().contains("found version 9"));
@@ -66,11 +66,11 @@
         assertTrue(assertThrows(IllegalArgumentException.class, () -> ControlCodec.decode(new byte[ControlCodec.MAX_MESSAGE_BYTES + 1])).getMessage().contains("expected 2 to"));
     }
 
-    /** Whatever comes, it is read or refused with a reason, and nothing else is thrown. */
+    /** Arbitrary corruption: the message is decoded or refused with a reason, and no other exception is thrown. */
     @Property(tries = 2_000)
-    void spoiltBytesAreRefused(@ForAll long seed) {
+    void corruptBytesAreDecodedOrRefusedWithReason(@ForAll long seed) {
         Random random = new Random(seed);
-        byte[] bytes = ControlCodec.encode(all().get(random.nextInt(all().size())));
+        byte[] bytes = ControlCodec.encode(sampleMessages().get(random.nextInt(sampleMessages().size())));
         for (int i = random.nextInt(4); i >= 0; i--) {
             bytes[1 + random.nextInt(bytes.length - 1)] = (byte) random.nextInt(256);
         }
--- a/src/test/java/mastdrift/distribution/edge/MemoryFiles.java
+++ b/src/test/java/mastdrift/distribution/edge/InMemoryFiles.java
@@ -8,43 +8,46 @@
 import java.util.Map;
 import java.util.Random;
 
-/** A folder in memory that ends its process or has no room at any step of writing. What wasn't forced may be lost with the machine, from any byte on. */
-final class MemoryFiles implements FolderFiles {
-
-    /** The process ends here. */
-    static final class Killed extends Error {
+/**
+ * In-memory folder that simulates a process kill or a full disk at any step of writing. Data that wasn't forced may be
+ * lost from any byte on in a machine crash.
+ */
+final class InMemoryFiles implements FolderFiles {
+
+    /** Thrown where the simulated process is killed. */
+    static final class ProcessKilled extends Error {
         private static final long serialVersionUID = 1L;
     }
 
     private static final class File {
         private byte[] bytes = {};
-        private byte[] forced;  // null where the file itself isn't on disk yet
+        private byte[] forced;  // null if the file itself isn't on disk yet
     }
 
     private final Map<String, File> files = new HashMap<>();
     private final Random random;
-    private long steps;  // until the process ends: a write has three of them
-    private long done;
-    private boolean full;
-    private long failed;
-
-    /** With so many steps until it ends; {@code random} draws how much is written of what is broken off. */
-    MemoryFiles(long steps, Random random) {
-        this.steps = steps;
+    private long stepsLeft;  // until the process is killed; a write takes three steps
+    private long stepsDone;
+    private boolean diskFull;
+    private long failedWrites;
+
+    /** Kills the process after {@code stepsLeft} steps; {@code random} draws what survives a machine crash. */
+    InMemoryFiles(long stepsLeft, Random random) {
+        this.stepsLeft = stepsLeft;
         this.random = random;
     }
 
-    long done() {
-        return done;
+    long stepsDone() {
+        return stepsDone;
     }
 
-    /** From now on every write fails, or none. */
-    synchronized void full(boolean now) {
-        full = now;
+    /** Sets whether every write fails for lack of disk space. */
+    synchronized void setDiskFull(boolean full) {
+        diskFull = full;
     }
 
-    synchronized long failed() {
-        return failed;
+    synchronized long failedWrites() {
+        return failedWrites;
     }
 
     synchronized byte[] bytes(String name) {
@@ -52,18 +55,21 @@
         return file == null ? null : file.bytes.clone();
     }
 
-    synchronized MemoryFiles put(String name, byte[] bytes) {
+    synchronized InMemoryFiles put(String name, byte[] bytes) {
         File file = new File();
         file.bytes = bytes;
         files.put(name, file);
         return this;
     }
 
-    /** What the next process finds: all that was written, or with the machine gone too, what was forced and some bytes more. */
-    MemoryFiles after(boolean machineToo) {
-        MemoryFiles next = new MemoryFiles(Long.MAX_VALUE, random);
+    /**
+     * What the next process finds: all that was written, or after a machine crash what was forced and possibly some
+     * bytes more.
+     */
+    InMemoryFiles afterCrash(boolean machineCrash) {
+        InMemoryFiles next = new InMemoryFiles(Long.MAX_VALUE, random);
         files.forEach((name, file) -> {
-            if (!machineToo) {
+            if (!machineCrash) {
                 next.put(name, file.bytes);
             } else if (file.forced != null) {
                 boolean grown = file.bytes.length >= file.forced.length && Arrays.equals(file.bytes, 0, file.forced.length, file.forced, 0, file.forced.length);
@@ -77,14 +83,14 @@
     }
 
     private void step() throws IOException {
-        if (full) {
-            failed++;
+        if (diskFull) {
+            failedWrites++;
             throw new IOException("No space left on device");
         }
-        if (steps-- <= 0) {
-            throw new Killed();
+        if (stepsLeft-- <= 0) {
+            throw new ProcessKilled();
         }
-        done++;
+        stepsDone++;
     }
 
     @Override
@@ -107,7 +113,7 @@
 
             @Override
             public void write(byte[] bytes) throws IOException {
-                synchronized (MemoryFiles.this) {
+                synchronized (InMemoryFiles.this) {
                     int before = file.bytes.length;
                     int[] parts = {1, bytes.length / 2, bytes.length};
                     for (int part : parts) {
@@ -120,7 +126,7 @@
 
             @Override
             public void force() throws IOException {
-                synchronized (MemoryFiles.this) {
+                synchronized (InMemoryFiles.this) {
                     step();
                     file.forced = file.bytes.clone();
                 }
@@ -128,7 +134,7 @@
 
             @Override
             public void close() {
-                // nothing is held
+                // nothing to close
             }
         };
     }
--- a/src/test/java/mastdrift/distribution/edge/MessageCodecTest.java
+++ b/src/test/java/mastdrift/distribution/edge/MessageCodecTest.java
@@ -30,48 +30,52 @@
     private static final Revision REVISION = new Revision(3, 70_000, 0x123456789ABCDEFL, -5);
 
     @Property(tries = 1_000)
-    void whatIsWrittenIsReadAsItWas(@ForAll long seed) {
-        Drawn drawn = new Drawn(new Random(seed));
-        Message message = drawn.message();
-        assertEquals(Drawn.said(message), Drawn.said(MessageCodec.decodeMessage(MessageCodec.encode(message))));
-        Delta delta = drawn.delta();
-        assertEquals(Drawn.said(delta), Drawn.said(MessageCodec.decodeDelta(MessageCodec.encode(delta))));
-        Change change = drawn.change();
-        assertEquals(Drawn.said(change), Drawn.said(MessageCodec.decodeChange(MessageCodec.encode(change))));
+    void decodingRestoresMessagesDeltasAndChanges(@ForAll long seed) {
+        RandomMessages messages = new RandomMessages(new Random(seed));
+        Message message = messages.message();
+        assertEquals(RandomMessages.describe(message), RandomMessages.describe(MessageCodec.decodeMessage(MessageCodec.encode(message))));
+        Delta delta = messages.delta();
+        assertEquals(RandomMessages.describe(delta), RandomMessages.describe(MessageCodec.decodeDelta(MessageCodec.encode(delta))));
+        Change change = messages.change();
+        assertEquals(RandomMessages.describe(change), RandomMessages.describe(MessageCodec.decodeChange(MessageCodec.encode(change))));
     }
 
-    /** Cut, changed, or drawn whole: read as another message or refused with its place, and nothing else happens. */
+    /**
+     * Truncated, corrupted or random input: it is decoded as another message or refused with the path of the field, and
+     * no other exception is thrown.
+     */
     @Property(tries = 3_000)
-    void spoiltOnesAreRefused(@ForAll long seed) {
+    void corruptBytesAreDecodedOrRefusedWithReason(@ForAll long seed) {
         Random random = new Random(seed);
-        Drawn drawn = new Drawn(random);
+        RandomMessages messages = new RandomMessages(random);
         byte[] bytes = switch (random.nextInt(3)) {
-            case 0 -> MessageCodec.encode(drawn.message());
-            case 1 -> MessageCodec.encode(drawn.delta());
-            default -> MessageCodec.encode(drawn.change());
+            case 0 -> MessageCodec.encode(messages.message());
+            case 1 -> MessageCodec.encode(messages.delta());
+            default -> MessageCodec.encode(messages.change());
         };
-        int least = random.nextInt(4) == 0 ? 0 : 2;  // mostly behind the version and form, which would hide all else
+        // mostly after the version and form bytes, an error in which would hide all others
+        int firstByte = random.nextInt(4) == 0 ? 0 : 2;
         switch (random.nextInt(3)) {
             case 0 -> bytes = Arrays.copyOf(bytes, random.nextInt(bytes.length));
             case 1 -> {
                 for (int i = 1 + random.nextInt(4); i > 0; i--) {
-                    bytes[least + random.nextInt(bytes.length - least)] = (byte) random.nextInt();
+                    bytes[firstByte + random.nextInt(bytes.length - firstByte)] = (byte) random.nextInt();
                 }
             }
             default -> {
-                byte[] any = new byte[2 + random.nextInt(300)];
-                random.nextBytes(any);
-                System.arraycopy(bytes, 0, any, 0, least);
-                bytes = any;
+                byte[] randomBytes = new byte[2 + random.nextInt(300)];
+                random.nextBytes(randomBytes);
+                System.arraycopy(bytes, 0, randomBytes, 0, firstByte);
+                bytes = randomBytes;
             }
         }
-        byte[] spoilt = bytes;
-        refusedOrRead(() -> MessageCodec.decodeMessage(spoilt));
-        refusedOrRead(() -> MessageCodec.decodeDelta(spoilt));
-        refusedOrRead(() -> MessageCodec.decodeChange(spoilt));
+        byte[] corrupt = bytes;
+        assertDecodedOrRefused(() -> MessageCodec.decodeMessage(corrupt));
+        assertDecodedOrRefused(() -> MessageCodec.decodeDelta(corrupt));
+        assertDecodedOrRefused(() -> MessageCodec.decodeChange(corrupt));
     }
 
-    private static void refusedOrRead(Runnable read) {
+    private static void assertDecodedOrRefused(Runnable read) {
         try {
             read.run();
         } catch (IllegalArgumentException e) {
@@ -79,70 +83,73 @@
         }
     }
 
-    /** Whatever prefix of a message arrives, it is no message. */
+    /** A message that is truncated (at a sample of lengths) or extended by a byte is refused. */
     @Test
-    void noPrefixIsRead() {
-        Drawn drawn = new Drawn(new Random(1));
+    void truncatedAndExtendedMessagesAreRefused() {
+        RandomMessages messages = new RandomMessages(new Random(1));
         for (int i = 0; i < 60; i++) {
-            byte[] bytes = MessageCodec.encode(drawn.message());
+            byte[] bytes = MessageCodec.encode(messages.message());
             for (int length = 0; length < bytes.length; length += 1 + length / 50) {
                 byte[] cut = Arrays.copyOf(bytes, length);
                 assertThrows(IllegalArgumentException.class, () -> MessageCodec.decodeMessage(cut));
             }
-            byte[] more = Arrays.copyOf(bytes, bytes.length + 1);
-            assertThrows(IllegalArgumentException.class, () -> MessageCodec.decodeMessage(more), "something behind it");
+            byte[] extended = Arrays.copyOf(bytes, bytes.length + 1);
+            assertThrows(IllegalArgumentException.class, () -> MessageCodec.decodeMessage(extended), "a byte after the message");
         }
     }
 
     @Test
-    void laterVersionsAndFormsAreRefusedByName() {
+    void unknownVersionsFormsTypesAndKindsAreRefusedWithReason() {
         byte[] later = MessageCodec.encode(new Message.Credit(1));
         later[0] = MessageCodec.VERSION + 1;
         assertEquals("expected messages of version 1 at most, found version 2", assertThrows(MessageCodec.UnsupportedVersionException.class, () -> MessageCodec.decodeMessage(later)).getMessage());
         byte[] form = MessageCodec.encode(new Message.Credit(1));
         form[1] = 2;
-        assertTrue(refused(form).startsWith("form: expected 0 or 1"));
-        assertTrue(refused(new byte[] {1, 0, (byte) 0x82, 11, 0}).startsWith("message.type: expected a whole number from 0 to 10, found 11"), "a message that isn't known");
+        assertTrue(refusalOf(form).startsWith("form: expected 0 or 1"));
+        assertTrue(refusalOf(new byte[] {1, 0, (byte) 0x82, 11, 0}).startsWith("message.type: expected a whole number from 0 to 10, found 11"), "an unknown message type");
         byte[] kind = MessageCodec.encode(new Message.Deltas(List.of(new Delta(1, REVISION, List.of(resource("n", 9)), List.of()))));
         int at = 0;
-        while (kind[at + 1] != 0x61 || kind[at + 2] != 'n') {  // a text of one character
+        while (kind[at + 1] != 0x61 || kind[at + 2] != 'n') {  // a string of one character
             at++;
         }
         kind[at] = (byte) ResourceKind.values().length;
-        assertTrue(refused(kind).startsWith("message.deltas[0].delta.upserts[0].resource.kind: expected a whole number from 0 to 3, found 4"), refused(kind));
+        assertTrue(refusalOf(kind).startsWith("message.deltas[0].delta.upserts[0].resource.kind: expected a whole number from 0 to 3, found 4"), refusalOf(kind));
     }
 
     private static Resource resource(String name, int bytes) {
         return new Resource(ResourceKind.TENANT, name, 70_000, new byte[bytes]);
     }
 
-    private static String refused(byte[] bytes) {
+    private static String refusalOf(byte[] bytes) {
         return assertThrows(IllegalArgumentException.class, () -> MessageCodec.decodeMessage(bytes)).getMessage();
     }
 
-    private static String unwritten(Message message) {
+    private static String encodingErrorOf(Message message) {
         return assertThrows(IllegalArgumentException.class, () -> MessageCodec.encode(message)).getMessage();
     }
 
-    /** A few bytes that would become many are refused before they do; so is what says less than it holds. */
+    /**
+     * Decompression bombs are refused before they are inflated beyond the limit; so is a body that inflates to more or
+     * less than its stated length.
+     */
     @Test
-    void aBombIsRefused() {
+    void decompressionBombsAreRefused() {
         byte[] zeros = new byte[MessageCodec.MAX_INFLATED_BYTES * 16];
-        for (int said : new int[] {Integer.MAX_VALUE, -1, MessageCodec.MAX_INFLATED_BYTES + 1, zeros.length}) {
-            assertTrue(refused(deflated(zeros, said)).startsWith("length: expected at most 2097152 bytes when inflated"));
+        for (int statedLength : new int[] {Integer.MAX_VALUE, -1, MessageCodec.MAX_INFLATED_BYTES + 1, zeros.length}) {
+            assertTrue(refusalOf(deflated(zeros, statedLength)).startsWith("length: expected at most 2097152 bytes when inflated"));
         }
-        assertTrue(refused(deflated(zeros, MessageCodec.MAX_INFLATED_BYTES)).endsWith("found more"));
-        assertTrue(refused(deflated(zeros, 0)).endsWith("found more"));
-        assertTrue(refused(deflated(new byte[10], 11)).endsWith("found 10"));
-        assertTrue(refused(new byte[] {1, 1, 0, 0}).contains("when inflated"));
+        assertTrue(refusalOf(deflated(zeros, MessageCodec.MAX_INFLATED_BYTES)).endsWith("found more"));
+        assertTrue(refusalOf(deflated(zeros, 0)).endsWith("found more"));
+        assertTrue(refusalOf(deflated(new byte[10], 11)).endsWith("found 10"));
+        assertTrue(refusalOf(new byte[] {1, 1, 0, 0}).contains("when inflated"));
     }
 
-    private static byte[] deflated(byte[] plain, int said) {
+    private static byte[] deflated(byte[] plain, int statedLength) {
         Deflater deflater = new Deflater(Deflater.BEST_COMPRESSION, true);
         deflater.setInput(plain);
         deflater.finish();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.writeBytes(ByteBuffer.allocate(6).put((byte) 1).put((byte) 1).putInt(said).array());
+        all.writeBytes(ByteBuffer.allocate(6).put((byte) 1).put((byte) 1).putInt(statedLength).array());
         byte[] part = new byte[8_192];
         while (!deflater.finished()) {
             all.write(part, 0, deflater.deflate(part));
@@ -151,28 +158,28 @@
         return all.toByteArray();
     }
 
-    /** Small messages that claim to hold much, and many small things, cost no more than their bounds. */
+    /** Small messages that claim to be large, and messages of very many small items, are refused at their limits. */
     @Test
-    void whatClaimsToBeLargeIsRefused() {
+    void messagesThatClaimToBeLargeAreRefused() {
         byte[] claims = {1, 0, (byte) 0x82, 9, (byte) 0x9B, 0, 0, 0, 1, 0, 0, 0, 0};
-        refused(claims);
+        refusalOf(claims);
         byte[] text = {1, 0, (byte) 0x82, 0, (byte) 0x7B, 0, 0, 0, 0, 0x7F, (byte) 0xFF, (byte) 0xFF, (byte) 0xFF};
-        refused(text);
+        refusalOf(text);
         byte[] deep = new byte[400_000];
         Arrays.fill(deep, (byte) 0x81);
         deep[0] = 1;
         deep[1] = 0;
-        refused(deep);
-        refused(new byte[MessageCodec.MAX_ENCODED_BYTES + 1]);
+        refusalOf(deep);
+        refusalOf(new byte[MessageCodec.MAX_ENCODED_BYTES + 1]);
         List<Message.Shard> shards = new ArrayList<>();
         List<Resource> many = Collections.nCopies(MessageCodec.MAX_ITEMS / 2, resource("n", 0));
         shards.add(new Message.Shard(1, many));
         shards.add(new Message.Shard(2, many));
-        assertTrue(refused(MessageCodec.encode(new Message.SnapshotChunk(REVISION, shards, true))).contains("expected at most 65536 in all, found more"));
+        assertTrue(refusalOf(MessageCodec.encode(new Message.SnapshotChunk(REVISION, shards, true))).contains("expected at most 65536 in all, found more"));
     }
 
     @Test
-    void whatIsBeyondABoundIsNotWritten() {
+    void encodingRefusesValuesBeyondTheLimits() {
         assertEquals(PeerLinks.MESSAGE_MOST, MessageCodec.MAX_ENCODED_BYTES, "as much as a link carries");
         Random random = new Random(1);
         List<Resource> resources = new ArrayList<>();
@@ -181,16 +188,16 @@
             random.nextBytes(value);
             resources.add(new Resource(ResourceKind.HOST, "h" + i, 1, value));
         }
-        assertTrue(unwritten(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, resources)), true)).startsWith("a message: expected at most 524288 bytes, found 65"));
+        assertTrue(encodingErrorOf(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, resources)), true)).startsWith("a message: expected at most 524288 bytes, found 65"));
         byte[] fits = MessageCodec.encode(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, resources.subList(0, 31))), true));
         assertTrue(fits.length <= PeerLinks.MESSAGE_MOST);
         List<Resource> alike = Collections.nCopies(200, resource("n", Resource.VALUE_MOST));
-        assertTrue(unwritten(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, alike)), true)).startsWith("a message: expected at most 2097152 bytes before they are deflated"));
-        assertTrue(unwritten(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(1_024, List.of())), true)).startsWith("shard: expected at most 1023, found 1024"));
-        assertTrue(unwritten(new Message.Fetch(new long[1_025], 1)).startsWith("digests: expected at most 1024"));
-        assertTrue(unwritten(new Message.Nack(REVISION, REVISION, "r".repeat(1_025))).startsWith("reason: expected 0 to 1024 characters, found 1025"));
-        assertTrue(unwritten(new Message.Subscribe(REVISION, "\ud800")).contains("expected text in UTF-8"));
-        assertTrue(unwritten(new Message.RetryAfter(-1)).startsWith("millis: expected at least 0, found -1"));
+        assertTrue(encodingErrorOf(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, alike)), true)).startsWith("a message: expected at most 2097152 bytes before they are deflated"));
+        assertTrue(encodingErrorOf(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(1_024, List.of())), true)).startsWith("shard: expected at most 1023, found 1024"));
+        assertTrue(encodingErrorOf(new Message.Fetch(new long[1_025], 1)).startsWith("digests: expected at most 1024"));
+        assertTrue(encodingErrorOf(new Message.Nack(REVISION, REVISION, "r".repeat(1_025))).startsWith("reason: expected 0 to 1024 characters, found 1025"));
+        assertTrue(encodingErrorOf(new Message.Subscribe(REVISION, "\ud800")).contains("expected text in UTF-8"));
+        assertTrue(encodingErrorOf(new Message.RetryAfter(-1)).startsWith("millis: expected at least 0, found -1"));
         List<Edit> edits = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             edits.add(new Edit.Upsert(ResourceKind.HOST, "h" + i, resources.get(i).value(), Edit.ANY));
@@ -202,9 +209,9 @@
         assertThrows(IllegalArgumentException.class, () -> MessageCodec.encode(more));
     }
 
-    /** What a small change costs each gateway, so that nobody makes it larger unseen. */
+    /** Guards the encoding overhead of a small change, which each gateway receives, against unnoticed growth. */
     @Test
-    void aDeltaOfOneResourceIsSmall() {
+    void deltaOfOneResourceHasSmallOverhead() {
         byte[] route = "{\"order\":10,\"class\":\"web\",\"path\":\"/a/b\",\"pools\":[{\"pool\":\"p-0123\",\"weight\":1.0}]}".getBytes(StandardCharsets.UTF_8);
         Delta delta = new Delta(69_999, REVISION, List.of(new Resource(ResourceKind.ROUTE, "route-01234", 70_000, route)), List.of());
         int envelope = MessageCodec.encode(new Message.Deltas(List.of(delta))).length - route.length - "route-01234".length();
--- a/src/test/java/mastdrift/distribution/edge/PublicationTest.java
+++ b/src/test/java/mastdrift/distribution/edge/PublicationTest.java
@@ -32,18 +32,21 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Both ends over links that are made up: what goes out, what is said once, and what a link that takes nothing leads to. */
+/**
+ * {@link Publication} and {@link Subscription} over fake transports: what is sent, which events are emitted once, and
+ * how a connection that accepts no more messages is handled.
+ */
 class PublicationTest {
 
-    private static final PublisherSettings AT_ONCE = new PublisherSettings(1, 60_000_000, 8, 4_096, 1 << 20, 60_000_000, 60_000_000, 60_000_000, 64 << 10);
+    private static final PublisherSettings PROMPT_SETTINGS = new PublisherSettings(1, 60_000_000, 8, 4_096, 1 << 20, 60_000_000, 60_000_000, 60_000_000, 64 << 10);
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
     private static final class FakeTransport implements ControlTransport {
-        private final Map<String, List<byte[]>> out = new HashMap<>();
-        private final List<String> ended = new ArrayList<>();
-        private final List<String> full = new ArrayList<>();
+        private final Map<String, List<byte[]>> sent = new HashMap<>();
+        private final List<String> closed = new ArrayList<>();
+        private final List<String> fullConnections = new ArrayList<>();
 
         @Override
         public boolean send(String to, byte[] message) {
@@ -52,29 +55,29 @@
 
         @Override
         public boolean reply(String to, byte[] message) {
-            return !full.contains(to) && out.computeIfAbsent(to, name -> new ArrayList<>()).add(message);
+            return !fullConnections.contains(to) && sent.computeIfAbsent(to, name -> new ArrayList<>()).add(message);
         }
 
         @Override
         public void closeOutbound(String to) {
-            ended.add("leave " + to);
+            closed.add("leave " + to);
         }
 
         @Override
         public void closeInbound(String from) {
-            ended.add("drop " + from);
+            closed.add("drop " + from);
         }
 
-        private byte[] last(String to) {
-            return out.get(to).get(out.get(to).size() - 1);
+        private byte[] lastMessage(String to) {
+            return sent.get(to).get(sent.get(to).size() - 1);
         }
     }
 
     private final FakeTransport transport = new FakeTransport();
 
-    private <T> T on(Callable<T> call) {
+    private <T> T runOnLoop(Callable<T> call) {
         T result = loop.submit(call).syncUninterruptibly().getNow();
-        loop.submit(() -> { }).syncUninterruptibly();  // what it left for the next turn
+        loop.submit(() -> { }).syncUninterruptibly();  // runs the tasks that the call deferred
         return result;
     }
 
@@ -83,37 +86,37 @@
         loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private Publication publication(Growing tables) {
-        return new Publication(loop, transport, tables.table(), AT_ONCE, (level, name, text, fields) -> events.add(level + " " + name));
+    private Publication publication(RandomTable tables) {
+        return new Publication(loop, transport, tables.table(), PROMPT_SETTINGS, (level, name, text, fields) -> events.add(level + " " + name));
     }
 
     private static void subscribe(Publication publication, String name, Revision have) {
         publication.received(name, MessageCodec.encode(new Message.Subscribe(have, "z")));
     }
 
-    /** One change costs one making of bytes, however many hear it. */
+    /** A change is encoded once, however many subscribers receive it. */
     @Test
-    void whatGoesToManyIsMadeBytesOfOnce() {
-        Growing tables = new Growing(1);
-        on(() -> {
+    void messageToManySubscribersIsEncodedOnce() {
+        RandomTable tables = new RandomTable(1);
+        runOnLoop(() -> {
             Publication publication = publication(tables);
             for (int i = 0; i < 300; i++) {
                 subscribe(publication, "g" + i, tables.table().revision());
             }
             long before = publication.encodedCount();
-            assertEquals(1, before, "300 times that it is current");
+            assertEquals(1, before, "one heartbeat, encoded once for 300 subscribers");
             for (int change = 1; change <= 3; change++) {
-                Delta delta = tables.change(100);
+                Delta delta = tables.applyChange(100);
                 publication.publishTable(tables.table(), List.of(delta));
                 long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(1);
                 while (System.nanoTime() < until) {
-                    Thread.onSpinWait();  // what belongs together is told together
+                    Thread.onSpinWait();  // let the publisher's batching delay pass
                 }
                 publication.setSourceUnreachable(false);
-                byte[] bytes = transport.last("g0");
-                assertEquals(Drawn.said(new Message.Deltas(List.of(delta))), Drawn.said(MessageCodec.decodeMessage(bytes)));
+                byte[] bytes = transport.lastMessage("g0");
+                assertEquals(RandomMessages.describe(new Message.Deltas(List.of(delta))), RandomMessages.describe(MessageCodec.decodeMessage(bytes)));
                 for (int i = 0; i < 300; i++) {
-                    assertSame(bytes, transport.last("g" + i));
+                    assertSame(bytes, transport.lastMessage("g" + i));
                 }
                 assertEquals(before + change, publication.encodedCount());
             }
@@ -122,33 +125,33 @@
         assertTrue(events.isEmpty());
     }
 
-    /** A link that takes no more: its subscriber is dropped, once, and the others hear on. */
+    /** A subscriber whose connection accepts no more messages is dropped once; the others still receive updates. */
     @Test
-    void aSubscriberWhoseLinkIsFullIsDropped() {
-        Growing tables = new Growing(2);
-        Publication publication = on(() -> {
+    void subscriberIsDroppedWhenItsConnectionIsFull() {
+        RandomTable tables = new RandomTable(2);
+        Publication publication = runOnLoop(() -> {
             Publication made = publication(tables);
             subscribe(made, "a", tables.table().revision());
             subscribe(made, "slow", tables.table().revision());
             return made;
         });
-        transport.full.add("slow");
-        on(() -> {
+        transport.fullConnections.add("slow");
+        runOnLoop(() -> {
             Table old = tables.table();
-            Delta delta = tables.change(100);
+            Delta delta = tables.applyChange(100);
             publication.publishTable(tables.table(), List.of(delta));
-            subscribe(publication, "slow", old.revision());  // tells it again, which fails again
+            subscribe(publication, "slow", old.revision());  // sends to it again, which fails again
             return null;
         });
-        assertEquals(List.of("drop slow"), transport.ended);
+        assertEquals(List.of("drop slow"), transport.closed);
         assertEquals(1, publication.publisher().status().subscribers());
         assertEquals(List.of("WARN config_subscriber_full"), List.copyOf(events));
     }
 
     @Test
-    void whatCannotBeReadDropsItsSenderAndIsSaidOnce() {
-        Growing tables = new Growing(3);
-        on(() -> {
+    void senderOfInvalidMessagesIsDroppedAndReportedOnce() {
+        RandomTable tables = new RandomTable(3);
+        runOnLoop(() -> {
             Publication publication = publication(tables);
             subscribe(publication, "a", tables.table().revision());
             for (int i = 0; i < 5; i++) {
@@ -156,115 +159,127 @@
                 byte[] later = MessageCodec.encode(new Message.Credit(1));
                 later[0]++;
                 publication.received("later", later);
-                publication.received("turned", MessageCodec.encode(new Message.Deltas(List.of(new Growing(4).change(10)))));  // not a subscriber's
+                // not a message that subscribers send
+                publication.received("turned", MessageCodec.encode(new Message.Deltas(List.of(new RandomTable(4).applyChange(10)))));
             }
             assertEquals(1, publication.publisher().status().subscribers());
             assertEquals(0, publication.publisher().table().revision().number());
             return null;
         });
-        assertEquals(15, transport.ended.size());
+        assertEquals(15, transport.closed.size());
         assertEquals(List.of("WARN config_malformed", "WARN config_later"), List.copyOf(events));
     }
 
-    /** A machine that talks nonsense changes nothing here; one that can't be reached is left for the next in the same turn. */
+    /**
+     * Malformed or unsolicited messages change nothing; the subscription switches to the other machine when a send
+     * fails.
+     */
     @Test
-    void aSubscriptionBearsNonsenseAndGoesOnWhereALinkTakesNothing() {
-        Growing tables = new Growing(5);
-        tables.change(100);
-        List<Table> taken = new ArrayList<>();
+    void subscriptionIgnoresInvalidMessagesAndSwitchesMachineWhenSendFails() {
+        RandomTable tables = new RandomTable(5);
+        tables.applyChange(100);
+        List<Table> receivedTables = new ArrayList<>();
         Subscription subscription = new Subscription(loop, transport, "g", "z", Table.empty(1), new SubscriberSettings(60_000_000, 60_000_000, 1_000, 60_000_000, 1, 60_000_000, 4,
-                600_000_000), 1, (level, name, text, fields) -> events.add(level + " " + name), (table, deltas) -> taken.add(table));
-        on(() -> {
+                600_000_000), 1, (level, name, text, fields) -> events.add(level + " " + name), (table, deltas) -> receivedTables.add(table));
+        runOnLoop(() -> {
             subscription.setMachines(List.of(new Machine("m1", "z"), new Machine("m2", "z")));
             return null;
         });
         String first = subscription.subscriber().machine();
         String other = first.equals("m1") ? "m2" : "m1";
-        // Within a millisecond it also tells what it has in force, and nothing more for a minute.
-        long tells = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-        while (on(() -> transport.out.get(first).size()) < 2) {
-            assertTrue(System.nanoTime() < tells, "tells what is in force");
+        // Within a millisecond it also acknowledges the table that it has applied, and sends nothing more for a minute.
+        long ackDeadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+        while (runOnLoop(() -> transport.sent.get(first).size()) < 2) {
+            assertTrue(System.nanoTime() < ackDeadline, "sends an ack");
         }
-        List<byte[]> asked = on(() -> List.copyOf(transport.out.get(first)));
-        assertEquals(2, asked.size());
-        assertArrayEquals(MessageCodec.encode(new Message.Subscribe(Revision.none(1), "z")), asked.get(0));
-        assertArrayEquals(MessageCodec.encode(new Message.Ack(Revision.none(1))), asked.get(1));
-        on(() -> {
+        List<byte[]> sentToFirst = runOnLoop(() -> List.copyOf(transport.sent.get(first)));
+        assertEquals(2, sentToFirst.size());
+        assertArrayEquals(MessageCodec.encode(new Message.Subscribe(Revision.none(1), "z")), sentToFirst.get(0));
+        assertArrayEquals(MessageCodec.encode(new Message.Ack(Revision.none(1))), sentToFirst.get(1));
+        runOnLoop(() -> {
             for (int i = 0; i < 5; i++) {
                 subscription.received(first, new byte[] {1, 0, 7});
-                subscription.received(other, MessageCodec.encode(new Message.Deltas(List.of(new Growing(5).change(100)))));  // nobody asked it
+                // unsolicited
+                subscription.received(other, MessageCodec.encode(new Message.Deltas(List.of(new RandomTable(5).applyChange(100)))));
             }
             return null;
         });
-        assertTrue(taken.isEmpty());
+        assertTrue(receivedTables.isEmpty());
         assertEquals(List.of("WARN config_malformed"), List.copyOf(events));
-        transport.full.add(first);
-        on(() -> {
-            subscription.received(first, MessageCodec.encode(new Message.Heartbeat(tables.table().revision())));  // it is behind, and asks
+        transport.fullConnections.add(first);
+        runOnLoop(() -> {
+            // the subscriber is behind and sends a request
+            subscription.received(first, MessageCodec.encode(new Message.Heartbeat(tables.table().revision())));
             return null;
         });
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-        while (!on(() -> transport.out.containsKey(other))) {
-            assertTrue(System.nanoTime() < until, "asks the other");
+        while (!runOnLoop(() -> transport.sent.containsKey(other))) {
+            assertTrue(System.nanoTime() < until, "subscribes to the other machine");
         }
-        assertTrue(on(() -> transport.ended).contains("leave " + first));
-        on(() -> {
-            subscription.received(other, MessageCodec.encode(new Message.Deltas(List.of(new Growing(5).change(100)))));
+        assertTrue(runOnLoop(() -> transport.closed).contains("leave " + first));
+        runOnLoop(() -> {
+            subscription.received(other, MessageCodec.encode(new Message.Deltas(List.of(new RandomTable(5).applyChange(100)))));
             return null;
         });
-        assertEquals(1, taken.size());
-        assertEquals(tables.table().revision(), taken.get(0).revision());
+        assertEquals(1, receivedTables.size());
+        assertEquals(tables.table().revision(), receivedTables.get(0).revision());
         assertNotSame(Table.empty(1), subscription.subscriber().table());
-        on(() -> {
+        runOnLoop(() -> {
             subscription.close();
             return null;
         });
     }
 
-    /** Subscribers of a later build, each with something that this one doesn't know: dropped, said, and nobody else notices. */
+    /**
+     * Subscribers of a later build, each sending something that this build doesn't know, are dropped with an event;
+     * other subscribers are not affected.
+     */
     @Test
-    void subscribersOfALaterBuildAreDroppedAndOthersServed() {
-        Growing tables = new Growing(6);
-        Object[] have = LaterCodec.fields(tables.table().revision());
-        List<byte[]> later = List.of(LaterCodec.bytes(2, 0, new Object[] {0, have, "z"}), LaterCodec.plain(0, have, "z", "cell"), LaterCodec.plain(11, have),
-                LaterCodec.plain(0, new Object[] {1, 0, 0, 0, 0}, "z"), LaterCodec.bytes(1, 0, Map.of("type", 0, "have", have, "zone", "z")));
-        on(() -> {
+    void subscribersSendingUnknownMessagesAreDroppedAndOthersServed() {
+        RandomTable tables = new RandomTable(6);
+        Object[] have = ForeignBuildEncoder.revisionFields(tables.table().revision());
+        List<byte[]> later = List.of(ForeignBuildEncoder.encode(2, 0, new Object[] {0, have, "z"}), ForeignBuildEncoder.encodePlain(0, have, "z", "cell"), ForeignBuildEncoder.encodePlain(11, have),
+                ForeignBuildEncoder.encodePlain(0, new Object[] {1, 0, 0, 0, 0}, "z"), ForeignBuildEncoder.encode(1, 0, Map.of("type", 0, "have", have, "zone", "z")));
+        runOnLoop(() -> {
             Publication publication = publication(tables);
             subscribe(publication, "a", tables.table().revision());
             for (int i = 0; i < later.size(); i++) {
                 publication.received("later-" + i, later.get(i));
             }
-            Delta delta = tables.change(100);
+            Delta delta = tables.applyChange(100);
             publication.publishTable(tables.table(), List.of(delta));
             long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(1);
             while (System.nanoTime() < until) {
-                Thread.onSpinWait();  // what belongs together is told together
+                Thread.onSpinWait();  // let the publisher's batching delay pass
             }
             publication.setSourceUnreachable(false);
-            assertEquals(Drawn.said(new Message.Deltas(List.of(delta))), Drawn.said(MessageCodec.decodeMessage(transport.last("a"))));
+            assertEquals(RandomMessages.describe(new Message.Deltas(List.of(delta))), RandomMessages.describe(MessageCodec.decodeMessage(transport.lastMessage("a"))));
             assertEquals(1, publication.publisher().status().subscribers());
             return null;
         });
-        assertEquals(List.of("drop later-0", "drop later-1", "drop later-2", "drop later-3", "drop later-4"), transport.ended);
+        assertEquals(List.of("drop later-0", "drop later-1", "drop later-2", "drop later-3", "drop later-4"), transport.closed);
         assertEquals(List.of("WARN config_later", "WARN config_malformed", "WARN config_malformed", "WARN config_malformed", "WARN config_malformed"), List.copyOf(events));
     }
 
-    /** A machine of a later build: what isn't known is said and taken for nothing, what is known is taken, and the table never goes back. */
+    /**
+     * A machine of a later build: unknown messages are reported and ignored, known ones are applied, and the table
+     * never goes back to an earlier revision.
+     */
     @Test
-    void aMachineOfALaterBuildIsHeardAsFarAsItIsKnown() {
-        Growing tables = new Growing(7);
-        Delta one = tables.change(100);
+    void subscriptionAppliesKnownMessagesOfALaterBuild() {
+        RandomTable tables = new RandomTable(7);
+        Delta one = tables.applyChange(100);
         Table first = tables.table();
-        Delta two = tables.change(100);
-        Object[] to = LaterCodec.fields(two.to());
-        List<byte[]> later = List.of(LaterCodec.bytes(2, 0, new Object[] {7, to}), LaterCodec.plain(7, to, "why"), LaterCodec.plain(12, to),
-                LaterCodec.plain(6, new Object[] {new Object[] {one.to().number(), to, new Object[] {}, new Object[] {}, "by"}}),
-                LaterCodec.plain(6, new Object[] {new Object[] {one.to().number(), to, new Object[] {new Object[] {4, "n", 2, new byte[0]}}, new Object[] {}}}),
-                LaterCodec.plain(9, to, new Object[] {}, true, "more"));
-        List<Table> taken = new ArrayList<>();
+        Delta two = tables.applyChange(100);
+        Object[] to = ForeignBuildEncoder.revisionFields(two.to());
+        List<byte[]> later = List.of(ForeignBuildEncoder.encode(2, 0, new Object[] {7, to}), ForeignBuildEncoder.encodePlain(7, to, "why"), ForeignBuildEncoder.encodePlain(12, to),
+                ForeignBuildEncoder.encodePlain(6, new Object[] {new Object[] {one.to().number(), to, new Object[] {}, new Object[] {}, "by"}}),
+                ForeignBuildEncoder.encodePlain(6, new Object[] {new Object[] {one.to().number(), to, new Object[] {new Object[] {4, "n", 2, new byte[0]}}, new Object[] {}}}),
+                ForeignBuildEncoder.encodePlain(9, to, new Object[] {}, true, "more"));
+        List<Table> receivedTables = new ArrayList<>();
         Subscription subscription = new Subscription(loop, transport, "g", "z", Table.empty(1), new SubscriberSettings(60_000_000, 60_000_000, 1_000, 60_000_000, 1, 60_000_000, 4,
-                600_000_000), 1, (level, name, text, fields) -> events.add(level + " " + name), (table, deltas) -> taken.add(table));
-        on(() -> {
+                600_000_000), 1, (level, name, text, fields) -> events.add(level + " " + name), (table, deltas) -> receivedTables.add(table));
+        runOnLoop(() -> {
             subscription.setMachines(List.of(new Machine("m", "z")));
             subscription.received("m", MessageCodec.encode(new Message.Deltas(List.of(one))));
             for (byte[] each : later) {
@@ -275,56 +290,56 @@
             subscription.received("m", MessageCodec.encode(new Message.Deltas(List.of(one))));
             return null;
         });
-        assertEquals(List.of(first.revision(), tables.table().revision()), on(() -> taken.stream().map(Table::revision).toList()));
+        assertEquals(List.of(first.revision(), tables.table().revision()), runOnLoop(() -> receivedTables.stream().map(Table::revision).toList()));
         assertEquals(List.of("WARN config_later", "WARN config_malformed"), List.copyOf(events));
-        on(() -> {
+        runOnLoop(() -> {
             subscription.close();
             return null;
         });
     }
 
-    /** The disk of one that passes on is full: it says so once, and what it hears goes on to its subscribers all the same. */
+    /** When the disk of a relay is full, it reports that once and still passes updates on to its subscribers. */
     @Test
-    void oneThatPassesOnWithAFullDiskServesOnAndSaysSo() throws Exception {
-        MemoryFiles files = new MemoryFiles(Long.MAX_VALUE, new Random(1));
+    void relayWithFullDiskReportsItAndKeepsPublishing() throws Exception {
+        InMemoryFiles files = new InMemoryFiles(Long.MAX_VALUE, new Random(1));
         TableFolder folder = new TableFolder(files);
         assertNull(folder.read().table());
-        Growing tables = new Growing(8);
-        Events hears = (level, name, text, fields) -> events.add(level + " " + name);
+        RandomTable tables = new RandomTable(8);
+        Events eventSink = (level, name, text, fields) -> events.add(level + " " + name);
         List<Table> written = new ArrayList<>();
-        try (TableWriter writer = new TableWriter(folder, null, Clock.systemUTC(), hears, 10)) {
-            Publication publication = on(() -> {
+        try (TableWriter writer = new TableWriter(folder, null, Clock.systemUTC(), eventSink, 10)) {
+            Publication publication = runOnLoop(() -> {
                 Publication made = publication(tables);
                 subscribe(made, "a", tables.table().revision());
                 return made;
             });
-            files.full(true);
+            files.setDiskFull(true);
             for (int i = 0; i < 20; i++) {
-                Delta delta = tables.change(100);
-                on(() -> {  // as a control machine does with what it is told
+                Delta delta = tables.applyChange(100);
+                runOnLoop(() -> {  // as a control machine does with each update
                     writer.submit(tables.table(), List.of(delta));
                     publication.publishTable(tables.table(), List.of(delta));
                     return null;
                 });
-                until(() -> on(() -> MessageCodec.decodeMessage(transport.last("a")) instanceof Message.Deltas deltas && deltas.deltas().get(deltas.deltas().size() - 1).to().equals(delta.to())));
-                on(() -> {
+                awaitTrue(() -> runOnLoop(() -> MessageCodec.decodeMessage(transport.lastMessage("a")) instanceof Message.Deltas deltas && deltas.deltas().get(deltas.deltas().size() - 1).to().equals(delta.to())));
+                runOnLoop(() -> {
                     publication.received("a", MessageCodec.encode(new Message.Ack(delta.to())));
                     return null;
                 });
             }
-            until(() -> files.failed() > 2);
+            awaitTrue(() -> files.failedWrites() > 2);
             assertEquals(List.of("ERROR config_folder_unwritten"), List.copyOf(events));
             assertEquals(tables.table().revision(), publication.publisher().status().revision());
-            files.full(false);
-            until(() -> tables.table().revision().equals(writer.status().writtenRevision()));
+            files.setDiskFull(false);
+            awaitTrue(() -> tables.table().revision().equals(writer.status().writtenRevision()));
             written.add(new TableFolder(files).read().table());
         }
         assertEquals(tables.table().revision(), written.get(0).revision());
         assertEquals(List.of("ERROR config_folder_unwritten", "INFO config_folder_written"), List.copyOf(events));
     }
 
-    private static void until(BooleanSupplier met) throws InterruptedException {
-        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(30); !met.getAsBoolean(); Thread.sleep(1)) {
+    private static void awaitTrue(BooleanSupplier condition) throws InterruptedException {
+        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(30); !condition.getAsBoolean(); Thread.sleep(1)) {
             assertTrue(System.nanoTime() < end, "in time");
         }
     }
--- a/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
+++ b/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
@@ -35,7 +35,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A voter that publishes, machines that pass on, and subscribers, over signed links on loopback: what is published arrives, whatever breaks on the way. */
+/**
+ * A voter that publishes, relays, and subscribers, over signed links on loopback: what is published arrives despite
+ * failures on the way.
+ */
 class PublishAndSubscribeTest {
 
     private static final byte CONFIG = 4;
@@ -45,18 +48,18 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(3, NioIoHandler.newFactory());
     private final List<Node> nodes = new ArrayList<>();
-    private final Growing tables = new Growing(1);
+    private final RandomTable tables = new RandomTable(1);
 
-    /** A process: links, and on them what it publishes and what it subscribes to. */
+    /** A process with its links, its publication and its subscription. */
     private final class Node implements PeerLinks.Listener, ControlTransport {
         private final String name;
         private final EventLoop loop = group.next();
         private final PeerLinks links;
         private final ConcurrentLinkedQueue<String> events = new ConcurrentLinkedQueue<>();
-        private final AtomicInteger jumps = new AtomicInteger();
+        private final AtomicInteger fullTableUpdates = new AtomicInteger();
         private final AtomicInteger chunks = new AtomicInteger();
         private volatile Table table;
-        private IntConsumer chunkSent = count -> { };
+        private IntConsumer onChunkSent = count -> { };
         private TableWriter writer;
         private Publication publication;
         private Subscription subscription;
@@ -66,7 +69,7 @@
             this.name = name;
             links = new PeerLinks(loop, "test", name, 64, this);
             table = Table.empty(1);
-            on(() -> {
+            runOnLoop(() -> {
                 links.generation(1);
                 links.keys(List.of(key));
                 return null;
@@ -74,36 +77,36 @@
             nodes.add(this);
         }
 
-        private <T> T on(Callable<T> call) {
+        private <T> T runOnLoop(Callable<T> call) {
             return loop.submit(call).syncUninterruptibly().getNow();
         }
 
-        Node publishes(Table first) {
+        Node startPublishing(Table first) {
             table = first;
             links.listen(new InetSocketAddress("127.0.0.1", 0)).syncUninterruptibly();
-            publication = on(() -> new Publication(loop, this, first, PUBLISHER, (level, what, text, fields) -> events.add(what)));
+            publication = runOnLoop(() -> new Publication(loop, this, first, PUBLISHER, (level, what, text, fields) -> events.add(what)));
             return this;
         }
 
-        /** At machines by name, whose addresses may be those of something in between. */
-        Node subscribes(Table have, Map<String, InetSocketAddress> at) {
-            table = have;
-            on(() -> {
-                links.addresses(at);
-                subscription = new Subscription(loop, this, name, "z", have, SUBSCRIBER, name.hashCode(), (level, what, text, fields) -> events.add(what), this::taken);
-                subscription.setMachines(at.keySet().stream().map(machine -> new Machine(machine, "z")).toList());
+        /** Subscribes to machines by name; their addresses may be those of a proxy. */
+        Node startSubscribing(Table initialTable, Map<String, InetSocketAddress> addresses) {
+            table = initialTable;
+            runOnLoop(() -> {
+                links.addresses(addresses);
+                subscription = new Subscription(loop, this, name, "z", initialTable, SUBSCRIBER, name.hashCode(), (level, what, text, fields) -> events.add(what), this::tableReceived);
+                subscription.setMachines(addresses.keySet().stream().map(machine -> new Machine(machine, "z")).toList());
                 return null;
             });
             return this;
         }
 
-        private void taken(Table next, List<Delta> deltas) {
+        private void tableReceived(Table next, List<Delta> deltas) {
             if (!next.revision().after(table.revision())) {
                 events.add("went back");
             }
             table = next;
             if (deltas.isEmpty()) {
-                jumps.incrementAndGet();
+                fullTableUpdates.incrementAndGet();
             }
             if (writer != null) {
                 writer.submit(next, deltas);
@@ -115,7 +118,7 @@
         }
 
         void publish(Table next, List<Delta> deltas) {
-            on(() -> {
+            runOnLoop(() -> {
                 table = next;
                 publication.publishTable(next, deltas);
                 return null;
@@ -129,7 +132,7 @@
         void stop() {
             if (!closed) {
                 closed = true;
-                on(() -> {
+                runOnLoop(() -> {
                     links.close();
                     if (publication != null) {
                         publication.close();
@@ -182,7 +185,7 @@
         public boolean reply(String to, byte[] message) {
             boolean sent = links.reply(to, CONFIG, message);
             if (sent && MessageCodec.decodeMessage(message) instanceof Message.SnapshotChunk) {
-                chunkSent.accept(chunks.incrementAndGet());
+                onChunkSent.accept(chunks.incrementAndGet());
             }
             return sent;
         }
@@ -204,191 +207,199 @@
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private static void until(String what, Callable<Boolean> met) throws Exception {
+    private static void awaitTrue(String description, Callable<Boolean> condition) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(40);
-        while (!met.call()) {
-            assertTrue(System.nanoTime() < end, what);
+        while (!condition.call()) {
+            assertTrue(System.nanoTime() < end, description);
             Thread.sleep(5);
         }
     }
 
-    private void change(Node voter, int bytes) {
-        Delta delta = tables.change(bytes);
+    private void publishChange(Node voter, int bytes) {
+        Delta delta = tables.applyChange(bytes);
         voter.publish(tables.table(), List.of(delta));
     }
 
-    private void follow(List<Node> who) throws Exception {
-        for (Node each : who) {
-            until(each.name + " has " + tables.table().revision().number() + ", it has " + each.table.revision().number() + " " + each.events,
+    private void awaitCurrentTable(List<Node> subscribers) throws Exception {
+        for (Node each : subscribers) {
+            awaitTrue(each.name + " has " + tables.table().revision().number() + ", it has " + each.table.revision().number() + " " + each.events,
                     () -> each.table.revision().equals(tables.table().revision()));
             assertArrayEquals(tables.table().digests(), each.table.digests());
             assertTrue(!each.events.contains("went back") && !each.events.contains("config_forked"), String.valueOf(each.events));
         }
     }
 
-    /** A voter, two that pass on, six gateways; one that passes on is stopped, and its gateways go on at the other. */
+    /** A voter, two relays and six gateways; one relay is stopped and its gateways continue at the other. */
     @Test
-    void changesGoByThoseThatPassOnAndAStopOfOneOfThemCostsNothing() throws Exception {
-        Node voter = new Node("voter", KEY).publishes(tables.table());
-        Node one = new Node("one", KEY).publishes(tables.table()).subscribes(tables.table(), Map.of("voter", voter.address()));
-        Node two = new Node("two", KEY).publishes(tables.table()).subscribes(tables.table(), Map.of("voter", voter.address()));
+    void gatewaysStayCurrentByDeltasWhenOneOfTwoRelaysStops() throws Exception {
+        Node voter = new Node("voter", KEY).startPublishing(tables.table());
+        Node one = new Node("one", KEY).startPublishing(tables.table()).startSubscribing(tables.table(), Map.of("voter", voter.address()));
+        Node two = new Node("two", KEY).startPublishing(tables.table()).startSubscribing(tables.table(), Map.of("voter", voter.address()));
         Map<String, InetSocketAddress> both = Map.of("one", one.address(), "two", two.address());
         List<Node> gateways = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            gateways.add(new Node("gateway" + i, KEY).subscribes(tables.table(), both));
+            gateways.add(new Node("gateway" + i, KEY).startSubscribing(tables.table(), both));
         }
         for (int i = 0; i < 20; i++) {
-            change(voter, 200);
+            publishChange(voter, 200);
         }
-        follow(gateways);
+        awaitCurrentTable(gateways);
         Revision at = tables.table().revision();
         for (Node each : List.of(one, two)) {
-            until("told upward", () -> each.on(() -> {
+            awaitTrue("zone summaries sent upstream", () -> each.runOnLoop(() -> {
                 each.subscription.reportZones(each.publication.publisher().summary());
                 return each.publication.publisher().summary().stream().allMatch(zone -> at.equals(zone.lowest()));
             }));
         }
-        until("all are in force, as the voter has it", () -> voter.on(() -> {
+        awaitTrue("the voter knows that all have applied it", () -> voter.runOnLoop(() -> {
             List<Message.ZoneSummary> zones = voter.publication.publisher().summary();
             return zones.stream().mapToInt(Message.ZoneSummary::subscribers).sum() == 6 && zones.stream().allMatch(zone -> at.equals(zone.lowest()));
         }));
-        assertTrue(gateways.stream().allMatch(each -> each.jumps.get() == 0), "by deltas alone");
-        Node stopped = one.on(() -> one.publication.publisher().status().subscribers()) > 0 ? one : two;
-        List<Node> its = gateways.stream().filter(each -> stopped.name.equals(each.on(() -> each.subscription.subscriber().machine()))).toList();
-        assertTrue(!its.isEmpty());
+        assertTrue(gateways.stream().allMatch(each -> each.fullTableUpdates.get() == 0), "by deltas alone");
+        Node stopped = one.runOnLoop(() -> one.publication.publisher().status().subscribers()) > 0 ? one : two;
+        List<Node> gatewaysOfStopped = gateways.stream().filter(each -> stopped.name.equals(each.runOnLoop(() -> each.subscription.subscriber().machine()))).toList();
+        assertTrue(!gatewaysOfStopped.isEmpty());
         stopped.stop();
         for (int i = 0; i < 20; i++) {
-            change(voter, 200);
+            publishChange(voter, 200);
         }
-        follow(gateways);
-        assertTrue(gateways.stream().allMatch(each -> each.jumps.get() == 0), "still by deltas alone");
+        awaitCurrentTable(gateways);
+        assertTrue(gateways.stream().allMatch(each -> each.fullTableUpdates.get() == 0), "still by deltas alone");
         voter.stop();
-        Node left = stopped == one ? two : one;
-        until("alone, and said since when", () -> left.on(() -> left.subscription.subscriber().aloneSince() != 0));
-        assertEquals(tables.table().revision(), left.table.revision());
+        Node remaining = stopped == one ? two : one;
+        awaitTrue("reports since when it has heard no machine", () -> remaining.runOnLoop(() -> remaining.subscription.subscriber().aloneSince() != 0));
+        assertEquals(tables.table().revision(), remaining.table.revision());
     }
 
-    /** A gateway without a copy, whose machine stops in the middle of the snapshot: the other one sends what is missing. */
+    /**
+     * A gateway without a copy whose machine stops during the snapshot gets the missing shards from the other machine.
+     */
     @Test
-    void aSnapshotThatBreaksOffGoesOnAtTheOtherMachine() throws Exception {
+    void interruptedSnapshotIsResumedFromTheOtherMachine() throws Exception {
         for (int i = 0; i < 300; i++) {
-            tables.change(4_000);
+            tables.applyChange(4_000);
         }
-        Node one = new Node("one", KEY).publishes(tables.table());
-        Node two = new Node("two", KEY).publishes(tables.table());
+        Node one = new Node("one", KEY).startPublishing(tables.table());
+        Node two = new Node("two", KEY).startPublishing(tables.table());
         AtomicInteger sentByFirst = new AtomicInteger();
         for (Node each : List.of(one, two)) {
-            each.chunkSent = count -> {
+            each.onChunkSent = count -> {
                 if (count == 6 && sentByFirst.compareAndSet(0, count)) {
                     each.loop.execute(each.links::close);
                 }
             };
         }
-        Node gateway = new Node("gateway", KEY).subscribes(Table.empty(1), Map.of("one", one.address(), "two", two.address()));
-        follow(List.of(gateway));
+        Node gateway = new Node("gateway", KEY).startSubscribing(Table.empty(1), Map.of("one", one.address(), "two", two.address()));
+        awaitCurrentTable(List.of(gateway));
         assertEquals(6, sentByFirst.get());
-        int all = one.chunks.get() + two.chunks.get();
-        int whole = wholeSnapshot();
-        assertTrue(all <= whole + 4, "expected about " + whole + " chunks in all, found " + all + ": what was heard isn't sent again");
-        assertEquals(1, gateway.jumps.get());
-        assertTrue(gateway.on(() -> gateway.subscription.subscriber().ready()));
+        int totalChunks = one.chunks.get() + two.chunks.get();
+        int snapshotChunks = countSnapshotChunks();
+        assertTrue(totalChunks <= snapshotChunks + 4, "expected about " + snapshotChunks + " chunks in all, found " + totalChunks + ": chunks already received aren't sent again");
+        assertEquals(1, gateway.fullTableUpdates.get());
+        assertTrue(gateway.runOnLoop(() -> gateway.subscription.subscriber().ready()));
     }
 
-    /** Chunks of one that isn't broken off. */
-    private int wholeSnapshot() throws Exception {
-        Node machine = new Node("machine", KEY).publishes(tables.table());
-        Node gateway = new Node("whole", KEY).subscribes(Table.empty(1), Map.of("machine", machine.address()));
-        follow(List.of(gateway));
+    /** Number of chunks of an uninterrupted snapshot. */
+    private int countSnapshotChunks() throws Exception {
+        Node machine = new Node("machine", KEY).startPublishing(tables.table());
+        Node gateway = new Node("whole", KEY).startSubscribing(Table.empty(1), Map.of("machine", machine.address()));
+        awaitCurrentTable(List.of(gateway));
         return machine.chunks.get();
     }
 
-    /** Nothing of what the machine says arrives at one of two: it is let go, the other hears on, and it catches up later. */
+    /**
+     * Replies to one of two subscribers are blocked: it is dropped, the other still receives updates, and it catches up
+     * later.
+     */
     @Test
-    void whoDoesNotReadIsLetGoAndCatchesUpLater() throws Exception {
-        Node voter = new Node("voter", KEY).publishes(tables.table());
-        Node good = new Node("good", KEY).subscribes(tables.table(), Map.of("voter", voter.address()));
-        try (Relay between = new Relay(group.next(), voter.address(), 1)) {
-            Node slow = new Node("slow", KEY).subscribes(tables.table(), Map.of("voter", between.address()));
-            change(voter, 100);
-            follow(List.of(good, slow));
-            between.weather(new Relay.Weather(false, true, false, 0, 0, 0, 0, 0));
+    void blockedSubscriberIsDroppedAndCatchesUpWhenUnblocked() throws Exception {
+        Node voter = new Node("voter", KEY).startPublishing(tables.table());
+        Node good = new Node("good", KEY).startSubscribing(tables.table(), Map.of("voter", voter.address()));
+        try (Relay proxy = new Relay(group.next(), voter.address(), 1)) {
+            Node slow = new Node("slow", KEY).startSubscribing(tables.table(), Map.of("voter", proxy.address()));
+            publishChange(voter, 100);
+            awaitCurrentTable(List.of(good, slow));
+            proxy.weather(new Relay.Weather(false, true, false, 0, 0, 0, 0, 0));
             long before = slow.table.revision().number();
             for (int i = 0; i < 60; i++) {
-                change(voter, 14_000);
+                publishChange(voter, 14_000);
             }
-            follow(List.of(good));
-            until("let go", () -> voter.on(() -> voter.publication.publisher().status().subscribers()) == 1);
+            awaitCurrentTable(List.of(good));
+            awaitTrue("the slow subscriber is dropped", () -> voter.runOnLoop(() -> voter.publication.publisher().status().subscribers()) == 1);
             assertEquals(before, slow.table.revision().number());
-            change(voter, 100);
-            follow(List.of(good));
-            between.weather(Relay.Weather.FAIR);
-            follow(List.of(good, slow));
+            publishChange(voter, 100);
+            awaitCurrentTable(List.of(good));
+            proxy.weather(Relay.Weather.FAIR);
+            awaitCurrentTable(List.of(good, slow));
         }
     }
 
-    /** One with another key in a machine's place, and one with the key that sends nonsense to a machine: nothing changes. */
+    /**
+     * A process with another key in a machine's place, and one with the right key that sends garbage to a machine:
+     * nothing changes.
+     */
     @Test
-    void forgersChangeNothing() throws Exception {
-        Node voter = new Node("voter", KEY).publishes(tables.table());
-        Growing other = new Growing(99);
-        other.jump(50);
-        Node forger = new Node("forged", "another key".getBytes(StandardCharsets.UTF_8)).publishes(other.table());
-        Node gateway = new Node("gateway", KEY).subscribes(tables.table(), Map.of("voter", voter.address(), "forged", forger.address()));
-        change(voter, 100);
-        follow(List.of(gateway));
-        Node mad = new Node("mad", KEY);
-        mad.on(() -> {
-            mad.links.addresses(Map.of("voter", voter.address()));
+    void wrongKeyAndInvalidMessagesChangeNothing() throws Exception {
+        Node voter = new Node("voter", KEY).startPublishing(tables.table());
+        RandomTable other = new RandomTable(99);
+        other.applyChanges(50);
+        Node forger = new Node("forged", "another key".getBytes(StandardCharsets.UTF_8)).startPublishing(other.table());
+        Node gateway = new Node("gateway", KEY).startSubscribing(tables.table(), Map.of("voter", voter.address(), "forged", forger.address()));
+        publishChange(voter, 100);
+        awaitCurrentTable(List.of(gateway));
+        Node faultyPeer = new Node("mad", KEY);
+        faultyPeer.runOnLoop(() -> {
+            faultyPeer.links.addresses(Map.of("voter", voter.address()));
             return null;
         });
         Random random = new Random(5);
         for (String fault : List.of("config_malformed", "config_later", "config_malformed")) {
-            until(fault, () -> {
-                byte[] nonsense = new byte[1 + random.nextInt(500)];
-                random.nextBytes(nonsense);
-                nonsense[0] = (byte) (fault.equals("config_later") ? 9 : 1);
-                mad.on(() -> mad.send("voter", nonsense));
-                mad.on(() -> mad.send("voter", MessageCodec.encode(new Message.Deltas(List.of(new Growing(98).change(20))))));
+            awaitTrue(fault, () -> {
+                byte[] garbage = new byte[1 + random.nextInt(500)];
+                random.nextBytes(garbage);
+                garbage[0] = (byte) (fault.equals("config_later") ? 9 : 1);
+                faultyPeer.runOnLoop(() -> faultyPeer.send("voter", garbage));
+                faultyPeer.runOnLoop(() -> faultyPeer.send("voter", MessageCodec.encode(new Message.Deltas(List.of(new RandomTable(98).applyChange(20))))));
                 return voter.events.contains(fault);
             });
         }
-        assertEquals(1, voter.on(() -> voter.publication.publisher().status().subscribers()));
-        change(voter, 100);
-        follow(List.of(gateway));
+        assertEquals(1, voter.runOnLoop(() -> voter.publication.publisher().status().subscribers()));
+        publishChange(voter, 100);
+        awaitCurrentTable(List.of(gateway));
         assertTrue(forger.events.isEmpty() || forger.events.contains("peer_signature"), String.valueOf(forger.events));
     }
 
-    /** A gateway that is started again has its table before it has heard anybody, and gets by deltas what it missed. */
+    /** A restarted gateway has its table before it contacts any machine, and gets by deltas what it missed. */
     @Test
-    void aGatewayThatStartsAgainHasItsCopyAndGetsWhatItMissed(@TempDir Path folder) throws Exception {
-        Node voter = new Node("voter", KEY).publishes(tables.table());
+    void restartedGatewayLoadsItsCopyAndGetsMissedDeltas(@TempDir Path folder) throws Exception {
+        Node voter = new Node("voter", KEY).startPublishing(tables.table());
         Node first = new Node("gateway", KEY);
         first.writer = writer(folder, first);
-        first.subscribes(tables.table(), Map.of("voter", voter.address()));
+        first.startSubscribing(tables.table(), Map.of("voter", voter.address()));
         for (int i = 0; i < 30; i++) {
-            change(voter, 300);
+            publishChange(voter, 300);
         }
-        follow(List.of(first));
+        awaitCurrentTable(List.of(first));
         first.stop();
-        Table left = tables.table();
+        Table tableAtStop = tables.table();
         for (int i = 0; i < 10; i++) {
-            change(voter, 300);
+            publishChange(voter, 300);
         }
         TableFolder.ReadResult found = new TableFolder(folder).read();
         assertNull(found.problem());
-        assertEquals(left.revision(), found.table().revision());
-        Node again = new Node("gateway", KEY);
-        again.writer = writer(folder, again);
-        again.subscribes(found.table(), Map.of("voter", voter.address()));
-        assertTrue(again.on(() -> again.subscription.subscriber().ready()));
-        follow(List.of(again));
-        assertEquals(0, again.jumps.get(), "by deltas");
-        again.stop();
+        assertEquals(tableAtStop.revision(), found.table().revision());
+        Node restarted = new Node("gateway", KEY);
+        restarted.writer = writer(folder, restarted);
+        restarted.startSubscribing(found.table(), Map.of("voter", voter.address()));
+        assertTrue(restarted.runOnLoop(() -> restarted.subscription.subscriber().ready()));
+        awaitCurrentTable(List.of(restarted));
+        assertEquals(0, restarted.fullTableUpdates.get(), "by deltas");
+        restarted.stop();
         assertEquals(tables.table().revision(), new TableFolder(folder).read().table().revision());
     }
 
-    private static TableWriter writer(Path folder, Node of) throws IOException {
+    private static TableWriter writer(Path folder, Node node) throws IOException {
         TableFolder copy = new TableFolder(folder);
-        return new TableWriter(copy, copy.read().table(), Clock.systemUTC(), (level, what, text, fields) -> of.events.add(what));
+        return new TableWriter(copy, copy.read().table(), Clock.systemUTC(), (level, what, text, fields) -> node.events.add(what));
     }
 }
--- a/src/test/java/mastdrift/distribution/edge/Drawn.java
+++ b/src/test/java/mastdrift/distribution/edge/RandomMessages.java
@@ -13,15 +13,15 @@
 import mastdrift.distribution.ResourceKind;
 import mastdrift.distribution.Revision;
 
-/** Messages and their parts as a seed has it, and what they say as text, arrays too. */
-final class Drawn {
+/** Random messages and their parts from a seed, and their full content as text, including arrays. */
+final class RandomMessages {
 
     private static final ResourceKind[] KINDS = ResourceKind.values();
-    private static final String LETTERS = "abcdefghijklmnopqrstuvwxyz-.0123456789/äß€漢";
+    private static final String ALPHABET = "abcdefghijklmnopqrstuvwxyz-.0123456789/äß€漢";
 
     private final Random random;
 
-    Drawn(Random random) {
+    RandomMessages(Random random) {
         this.random = random;
     }
 
@@ -33,10 +33,10 @@
         return random.nextInt() >>> 1 + random.nextInt(Integer.SIZE - 1);
     }
 
-    String text(int least, int most) {
+    String text(int minChars, int maxChars) {
         StringBuilder text = new StringBuilder();
-        for (int i = least + random.nextInt(1 + (random.nextInt(8) == 0 ? most - least : Math.min(20, most - least))); i > 0; i--) {
-            text.append(LETTERS.charAt(random.nextInt(LETTERS.length())));
+        for (int i = minChars + random.nextInt(1 + (random.nextInt(8) == 0 ? maxChars - minChars : Math.min(20, maxChars - minChars))); i > 0; i--) {
+            text.append(ALPHABET.charAt(random.nextInt(ALPHABET.length())));
         }
         return text.toString();
     }
@@ -55,20 +55,20 @@
         return new Resource(KINDS[random.nextInt(KINDS.length)], text(1, Resource.NAME_MOST), number(), value());
     }
 
-    private List<Resource> resources(int most) {
+    private List<Resource> resources(int max) {
         List<Resource> resources = new ArrayList<>();
-        for (int i = random.nextInt(most + 1); i > 0; i--) {
+        for (int i = random.nextInt(max + 1); i > 0; i--) {
             resources.add(resource());
         }
         return resources;
     }
 
     Delta delta() {
-        List<Delta.Deletion> gone = new ArrayList<>();
+        List<Delta.Deletion> deletions = new ArrayList<>();
         for (int i = random.nextInt(4); i > 0; i--) {
-            gone.add(new Delta.Deletion(KINDS[random.nextInt(KINDS.length)], text(1, Resource.NAME_MOST)));
+            deletions.add(new Delta.Deletion(KINDS[random.nextInt(KINDS.length)], text(1, Resource.NAME_MOST)));
         }
-        return new Delta(number(), revision(), resources(5), gone);
+        return new Delta(number(), revision(), resources(5), deletions);
     }
 
     Change change() {
@@ -121,29 +121,29 @@
         };
     }
 
-    /** All that a message says. */
-    static String said(Message message) {
+    /** Full content of a message as text. */
+    static String describe(Message message) {
         if (message instanceof Message.Fetch fetch) {
             return "Fetch " + Arrays.toString(fetch.digests()) + " " + fetch.credit();
         }
         if (message instanceof Message.Deltas deltas) {
-            return "Deltas " + deltas.deltas().stream().map(Drawn::said).toList();
+            return "Deltas " + deltas.deltas().stream().map(RandomMessages::describe).toList();
         }
         if (message instanceof Message.SnapshotChunk chunk) {
-            return "SnapshotChunk " + chunk.revision() + chunk.shards().stream().map(shard -> shard.number() + " " + said(shard.resources())).toList() + chunk.last();
+            return "SnapshotChunk " + chunk.revision() + chunk.shards().stream().map(shard -> shard.number() + " " + describe(shard.resources())).toList() + chunk.last();
         }
         return message.toString();
     }
 
-    static String said(Delta delta) {
-        return delta.from() + " " + delta.to() + said(delta.upserts()) + delta.deletes();
+    static String describe(Delta delta) {
+        return delta.from() + " " + delta.to() + describe(delta.upserts()) + delta.deletes();
     }
 
-    private static List<String> said(List<Resource> resources) {
+    private static List<String> describe(List<Resource> resources) {
         return resources.stream().map(each -> each + Arrays.toString(each.value())).toList();
     }
 
-    static String said(Change change) {
+    static String describe(Change change) {
         return change.id() + change.edits().stream().map(edit -> edit instanceof Edit.Upsert upsert ? upsert.kind() + upsert.name() + upsert.expectedVersion()
                 + Arrays.toString(upsert.value()) : edit.toString()).toList();
     }
--- a/src/test/java/mastdrift/distribution/edge/Growing.java
+++ b/src/test/java/mastdrift/distribution/edge/RandomTable.java
@@ -13,46 +13,48 @@
 import mastdrift.distribution.ResourceKind;
 import mastdrift.distribution.Table;
 
-/** A table that changes as a seed has it. */
-final class Growing {
+/** A table that is changed at random from a seed; remembers each of its revisions. */
+final class RandomTable {
 
-    private static final byte[] TEXT = "0123456789abcdefghijklmnopqrstuv".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] VALUE_ALPHABET = "0123456789abcdefghijklmnopqrstuv".getBytes(StandardCharsets.UTF_8);
 
     private final Random random;
-    private final Map<Long, Table> all = new HashMap<>();
+    private final Map<Long, Table> tablesByNumber = new HashMap<>();
     private Table table;
 
-    Growing(long seed) {
+    RandomTable(long seed) {
         this(Table.empty(1), seed);
     }
 
-    Growing(Table from, long seed) {
+    RandomTable(Table from, long seed) {
         table = from;
         random = new Random(seed);
-        all.put(from.revision().number(), from);
+        tablesByNumber.put(from.revision().number(), from);
     }
 
-    /** As it was at a number. */
-    Table at(long number) {
-        return all.get(number);
+    /** The table at a revision number. */
+    Table tableAt(long number) {
+        return tablesByNumber.get(number);
     }
 
     Table table() {
         return table;
     }
 
-    /** Text in JSON that doesn't shrink much. */
+    /** Random JSON string that compresses poorly. */
     private byte[] value(int bytes) {
         byte[] value = new byte[bytes];
         random.nextBytes(value);
         for (int i = 0; i < bytes; i++) {
-            value[i] = i == 0 || i == bytes - 1 ? (byte) '"' : TEXT[value[i] & TEXT.length - 1];
+            value[i] = i == 0 || i == bytes - 1 ? (byte) '"' : VALUE_ALPHABET[value[i] & VALUE_ALPHABET.length - 1];
         }
         return value;
     }
 
-    /** One or two resources come or change, with values of so many bytes, and one may go. */
-    Delta change(int bytes) {
+    /**
+     * Upserts one or two routes with values of {@code bytes} bytes and one host, and deletes a tenant that may exist.
+     */
+    Delta applyChange(int bytes) {
         List<Edit> edits = new ArrayList<>();
         int first = random.nextInt(400);
         for (int i = 0; i <= random.nextInt(2); i++) {
@@ -62,14 +64,14 @@
         edits.add(new Edit.Upsert(ResourceKind.HOST, "h" + random.nextInt(50), value(20), Edit.ANY));
         Outcome.Applied applied = (Outcome.Applied) table.apply(table.revision().number() + 1, new Change("c" + random.nextLong(), edits));
         table = applied.table();
-        all.put(table.revision().number(), table);
+        tablesByNumber.put(table.revision().number(), table);
         return applied.delta();
     }
 
-    /** So many changes, of which nobody is told one by one. */
-    void jump(int changes) {
+    /** Applies changes without returning their deltas. */
+    void applyChanges(int changes) {
         for (int i = 0; i < changes; i++) {
-            change(50);
+            applyChange(50);
         }
     }
 }
