--- a/src/main/java/mastdrift/serve/ConfigCopy.java
+++ b/src/main/java/mastdrift/serve/ConfigCopy.java
@@ -25,7 +25,7 @@
     /** Reads the copy and reports what was found. Blocks on the disk. */
     ConfigCopy(Path path, long epoch, Events events) {
         TableFolder folder = null;
-        TableFolder.Found result = new TableFolder.Found(null, 0, null);
+        TableFolder.ReadResult result = new TableFolder.ReadResult(null, 0, null);
         try {
             folder = new TableFolder(path);
             result = folder.read();
@@ -40,7 +40,7 @@
             events.event(Level.INFO, "config_copy_none", "no copy of the configuration is there");
         } else {
             Revision revision = result.table().revision();
-            long ageMillis = result.age(Clock.systemUTC().millis());
+            long ageMillis = result.ageMillis(Clock.systemUTC().millis());
             events.event(Level.INFO, "config_copy", "a copy of the configuration is there: revision " + revision.number() + " of epoch " + revision.epoch() + ", " + result.table().size()
                     + " resources, written " + ageMillis / 1_000 + " s ago", "number", revision.number(), "epoch", revision.epoch(), "age_ms", ageMillis);
         }
@@ -68,13 +68,13 @@
      */
     void write(Table next, List<Delta> deltas) {
         if (writer != null) {
-            writer.table(next, deltas);
+            writer.submit(next, deltas);
         }
     }
 
     /** The number of the revision on disk; null if it is not known. */
     Long writtenRevision() {
-        Revision written = writer == null ? null : writer.status().written();
+        Revision written = writer == null ? null : writer.status().writtenRevision();
         return written == null ? null : written.number();
     }
 
--- a/src/main/java/mastdrift/serve/ControlLinks.java
+++ b/src/main/java/mastdrift/serve/ControlLinks.java
@@ -13,7 +13,7 @@
 import mastdrift.config.DistributionSettings;
 import mastdrift.config.SecretRef;
 import mastdrift.distribution.Machine;
-import mastdrift.distribution.edge.Transport;
+import mastdrift.distribution.edge.ControlTransport;
 import mastdrift.events.Events;
 import mastdrift.events.Events.Level;
 import mastdrift.net.Addresses;
@@ -111,8 +111,8 @@
     }
 
     /** The links as a transport for the messages that distribute configuration. */
-    Transport transport() {
-        return new Transport() {
+    ControlTransport transport() {
+        return new ControlTransport() {
             @Override
             public boolean send(String to, byte[] message) {
                 return links.send(to, CONFIG_KIND, message);
@@ -124,12 +124,12 @@
             }
 
             @Override
-            public void leave(String to) {
+            public void closeOutbound(String to) {
                 links.closeOutbound(to);
             }
 
             @Override
-            public void drop(String from) {
+            public void closeInbound(String from) {
                 links.closeInbound(from);
             }
         };
--- a/src/main/java/mastdrift/serve/ControlMachine.java
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -150,11 +150,11 @@
         log = isVoter ? openLog(folder) : null;
         if (!isVoter) {
             links.loop().execute(() -> {
-                subscription.inForce(initial.revision());
-                subscription.machines(ControlLinks.subscriptionMachines(settings.publishers()));
+                subscription.tableApplied(initial.revision());
+                subscription.setMachines(ControlLinks.subscriptionMachines(settings.publishers()));
             });
         }
-        links.loop().execute(() -> publication.alone(true));  // until there is contact with the source of the table
+        links.loop().execute(() -> publication.setSourceUnreachable(true));  // until there is contact with the source of the table
         links.loop().scheduleWithFixedDelay(this::poll, POLL_INTERVAL_MILLIS, POLL_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
@@ -204,7 +204,7 @@
             } else if (kind == RAFT_KIND) {
                 raftReceiver.accept(from, message);
             } else if (kind == ControlLinks.CONTROL_KIND && !reply) {
-                handle(from, ControlCodec.message(message));
+                handle(from, ControlCodec.decode(message));
             } else {
                 throw new IllegalArgumentException("expected a message of a kind that this build knows, found " + kind);
             }
@@ -226,14 +226,14 @@
     private void onSubscribedTable(Table next, List<Delta> deltas) {
         if (store == null) {
             copy.write(next, deltas);
-            publication.table(next, deltas);
+            publication.publishTable(next, deltas);
         }
         links.loop().execute(() -> {  // not within the callback of the subscriber
             if (store != null && store.take(next)) {
                 completeApplied();
                 updateCatchUp();
             }
-            subscription.inForce(next.revision());  // acknowledge now, or the publisher would hold back later revisions
+            subscription.tableApplied(next.revision());  // acknowledge now, or the publisher would hold back later revisions
         });
     }
 
@@ -246,7 +246,7 @@
         if (missing != catchingUp) {
             catchingUp = missing;
             List<Machine> others = settings.machines(Role.VOTER).stream().filter(each -> !each.name().equals(settings.name())).toList();
-            subscription.machines(missing ? ControlLinks.subscriptionMachines(others) : List.of());
+            subscription.setMachines(missing ? ControlLinks.subscriptionMachines(others) : List.of());
             events.event(missing ? Level.WARN : Level.INFO, missing ? "config_catches_up" : "config_caught_up", missing ? "decisions up to " + store.missing()
                     + " are missing: fetching the table of another voter" : "no decision is missing any longer, at revision " + store.table().revision().number());
         }
@@ -259,7 +259,7 @@
         @Override
         public void table(Table next, List<Delta> deltas) {
             copy.write(next, deltas);
-            publication.table(next, deltas);
+            publication.publishTable(next, deltas);
         }
 
         @Override
@@ -287,7 +287,7 @@
     private void applyDecision(Decision decision) {
         Command command = null;
         try {
-            command = MessageCodec.command(decision.command());
+            command = MessageCodec.decodeCommand(decision.command());
         } catch (IllegalArgumentException e) {
             events.event(Level.WARN, "config_unreadable", "decision " + decision.ordinal() + " can't be decoded by this build and has no effect: " + e.getMessage());
         }
@@ -317,7 +317,7 @@
         } else {
             pendingCount++;
             pending.computeIfAbsent(change.id(), id -> new ArrayList<>()).add(new PendingApply(from, apply.requestId(), System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(APPLY_TIMEOUT_MILLIS)));
-            byte[] command = MessageCodec.bytes(change);
+            byte[] command = MessageCodec.encode(change);
             proposer.execute(() -> log.append(change.id(), command, outcome -> {
                 if (!links.loop().isShuttingDown()) {
                     links.loop().execute(() -> appended(change.id(), outcome));
@@ -335,7 +335,7 @@
         if (epochBase != null) {
             epochStartPending = true;
             String id = "epoch-" + settings.epoch() + "-begins";
-            byte[] command = MessageCodec.bytes(new EpochStart(epochBase));
+            byte[] command = MessageCodec.encode(new EpochStart(epochBase));
             proposer.execute(() -> log.append(id, command, outcome -> {
                 if (!links.loop().isShuttingDown()) {
                     links.loop().execute(() -> epochStartPending = false);
@@ -398,7 +398,7 @@
     // ---- operator requests
 
     private void reply(String to, ControlMessage message) {
-        links.links().reply(to, ControlLinks.CONTROL_KIND, ControlCodec.bytes(message));
+        links.links().reply(to, ControlLinks.CONTROL_KIND, ControlCodec.encode(message));
     }
 
     private void handle(String from, ControlMessage request) {
@@ -449,7 +449,7 @@
                 }
             }
         } else if (++polls % POLLS_PER_SUMMARY == 0) {
-            subscription.summary(publication.publisher().summary());
+            subscription.reportZones(publication.publisher().summary());
         }
         boolean isolated = isIsolated();
         if (isolation.update(isolated)) {
@@ -457,7 +457,7 @@
             events.event(isWarning ? Level.WARN : Level.INFO, isWarning ? "config_alone" : "config_alone_over", isWarning ? "no contact with the source of the table: serving the table it has, marked as not current"
                     : "contact with the source of the table is restored");
         }
-        publication.alone(isolated);
+        publication.setSourceUnreachable(isolated);
     }
 
     private void updateLeader(RaftLog.Status logStatus) {
--- a/src/main/java/mastdrift/serve/DistributionService.java
+++ b/src/main/java/mastdrift/serve/DistributionService.java
@@ -91,7 +91,7 @@
             if (copy.exists()) {
                 acknowledge(initial.revision(), routes.problem());
             }
-            subscription.machines(ControlLinks.subscriptionMachines(settings.publishers()));
+            subscription.setMachines(ControlLinks.subscriptionMachines(settings.publishers()));
         });
         links.loop().scheduleWithFixedDelay(this::poll, POLL_INTERVAL_MILLIS, POLL_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
@@ -134,7 +134,7 @@
     void configure(Configuration next, Function<SecretRef, byte[]> secrets) {
         links.configure(next.distribution(), secrets);
         links.loop().execute(() -> {
-            subscription.machines(ControlLinks.subscriptionMachines(next.distribution().publishers()));
+            subscription.setMachines(ControlLinks.subscriptionMachines(next.distribution().publishers()));
             routes.setChecks(new RouteChecks(next.radiusListeners(), next.pools()));
             Table table = subscription.subscriber().table();
             if (revisionInForce != null) {
@@ -196,12 +196,12 @@
 
     private void acknowledge(Revision revision, String problem) {
         if (problem == null) {
-            subscription.inForce(revision);
+            subscription.tableApplied(revision);
         } else {
             if (!problem.equals(reportedProblem)) {
                 events.event(Level.WARN, "config_refused", "revision " + revision.number() + " can't be put in force as a whole, the previous routes stay in force: " + problem, "number", revision.number());
             }
-            subscription.refused(revision, problem);
+            subscription.tableRefused(revision, problem);
         }
         if (problem == null && !reportedProblem.isEmpty()) {
             events.event(Level.INFO, "config_taken", "nothing is held back any more, from revision " + revision.number() + " on", "number", revision.number());
