--- a/src/main/java/mastdrift/agreed/Membership.java
+++ b/src/main/java/mastdrift/agreed/LogMembership.java
@@ -21,7 +21,7 @@
  *
  * <p>Not told from the folder itself is an older copy that was made less than an epoch before the process ended, or whose epochs were heard by those alone who are away while it starts.
  */
-public final class Membership {
+public final class LogMembership {
 
     /**
      * What a member's folder says.
@@ -76,7 +76,7 @@
     /** For so long a folder that has begun waits for all others, in milliseconds. */
     public static final long PATIENCE = 3_000;
 
-    private Membership() { }
+    private LogMembership() { }
 
     /** Of the gateway of a name, among voters that the files name, with what the others have answered so far, by name, in the milliseconds that it has waited. */
     public static Step step(String name, Folder own, Collection<String> voters, Map<String, Folder> answers, long waited) {
--- a/src/main/java/mastdrift/agreed/edge/Transport.java
+++ b/src/main/java/mastdrift/agreed/edge/LogTransport.java
@@ -3,7 +3,7 @@
 import java.util.function.BiConsumer;
 
 /** Carries messages to and from other gateways. */
-public interface Transport {
+public interface LogTransport {
 
     /** Sends a message to a gateway by its name; it may be lost. From any thread. */
     void send(String gateway, byte[] message);
--- a/src/main/java/mastdrift/agreed/edge/MemberFile.java
+++ b/src/main/java/mastdrift/agreed/edge/MemberFile.java
@@ -15,7 +15,7 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.zip.CRC32C;
-import mastdrift.agreed.Membership.Folder;
+import mastdrift.agreed.LogMembership.Folder;
 
 /** A member's folder, as a file in it says: whole and on disk once written, with a checksum over it. */
 final class MemberFile {
--- a/src/main/java/mastdrift/agreed/edge/RaftLog.java
+++ b/src/main/java/mastdrift/agreed/edge/RaftLog.java
@@ -23,9 +23,9 @@
 import java.util.function.Supplier;
 import mastdrift.agreed.AgreedLog;
 import mastdrift.agreed.Decisions;
-import mastdrift.agreed.Membership;
-import mastdrift.agreed.Membership.Folder;
-import mastdrift.agreed.Membership.Step;
+import mastdrift.agreed.LogMembership;
+import mastdrift.agreed.LogMembership.Folder;
+import mastdrift.agreed.LogMembership.Step;
 import mastdrift.agreed.Voters;
 import org.apache.ratis.RaftConfigKeys;
 import org.apache.ratis.conf.Parameters;
@@ -51,7 +51,7 @@
 import org.apache.ratis.util.TimeDuration;
 
 /**
- * The agreed log on Apache Ratis. A voter has a folder and takes part once {@link Membership} says so; who isn't one passes its appends on and reads behind a voter. Whatever fails with the folder makes this member step aside with one
+ * The agreed log on Apache Ratis. A voter has a folder and takes part once {@link LogMembership} says so; who isn't one passes its appends on and reads behind a voter. Whatever fails with the folder makes this member step aside with one
  * event; the gateway goes on.
  *
  * <p>Bounds: {@value #PENDING_MOST} appends that wait, {@value #WITHIN_MILLIS} ms for each, segments of 1 MiB, a snapshot every {@value #SNAPSHOT_EVERY} entries behind which the log is cut, two snapshots kept.
@@ -137,12 +137,12 @@
     private boolean closed;
 
     /** Starts to meet the others; decisions go to a reader, in their order, on threads of the log. {@code gateways} are those that might vote. */
-    public RaftLog(Settings settings, Transport transport, Consumer<Decision> reader, Supplier<Collection<Voters.Eligible>> gateways, Listener listener) {
+    public RaftLog(Settings settings, LogTransport transport, Consumer<Decision> reader, Supplier<Collection<Voters.Eligible>> gateways, Listener listener) {
         this(settings, SNAPSHOTS, transport, reader, gateways, listener);
     }
 
     /** With snapshots of its own. */
-    RaftLog(Settings settings, Snapshots snapshots, Transport transport, Consumer<Decision> reader, Supplier<Collection<Voters.Eligible>> gateways, Listener listener) {
+    RaftLog(Settings settings, Snapshots snapshots, LogTransport transport, Consumer<Decision> reader, Supplier<Collection<Voters.Eligible>> gateways, Listener listener) {
         this.settings = settings;
         this.snapshots = snapshots;
         this.reader = reader;
@@ -265,7 +265,7 @@
         if (closed || role.equals("aside") || role.equals("voter")) {
             return;
         }
-        Step step = Membership.step(settings.name(), own, settings.voters(), Map.copyOf(answers), TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - openedAt));
+        Step step = LogMembership.step(settings.name(), own, settings.voters(), Map.copyOf(answers), TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - openedAt));
         if (step instanceof Step.TakePart take) {
             takePart(take.group(), "voter");
             return;
@@ -295,7 +295,7 @@
             return;
         }
         // Who was cut off while another took its place is told by nobody but those it asks.
-        if (Membership.step(settings.name(), own, settings.voters(), Map.copyOf(answers), Membership.PATIENCE) instanceof Step.StepAside replaced) {
+        if (LogMembership.step(settings.name(), own, settings.voters(), Map.copyOf(answers), LogMembership.PATIENCE) instanceof Step.StepAside replaced) {
             stepAside(replaced.why());
             role = "following";
             every(FETCH_MILLIS, this::fetch);
--- a/src/main/java/mastdrift/agreed/edge/RpcEndpoint.java
+++ b/src/main/java/mastdrift/agreed/edge/RpcEndpoint.java
@@ -30,7 +30,7 @@
 
     private record PendingCall(String to, CompletableFuture<byte[]> response) { }
 
-    private final Transport transport;
+    private final LogTransport transport;
     private final Handler handler;
     private final Map<Long, PendingCall> pending = new ConcurrentHashMap<>();
     // Ids of calls of an earlier start must not be taken for this one's.
@@ -38,7 +38,7 @@
     private final ScheduledThreadPoolExecutor timer;
     private final ThreadPoolExecutor handlers;
 
-    RpcEndpoint(Transport transport, ScheduledThreadPoolExecutor timer, Handler handler) {
+    RpcEndpoint(LogTransport transport, ScheduledThreadPoolExecutor timer, Handler handler) {
         this.transport = transport;
         this.timer = timer;
         this.handler = handler;
--- a/src/main/java/mastdrift/measure/AgreedMeasurement.java
+++ b/src/main/java/mastdrift/measure/AgreedMeasurement.java
@@ -18,7 +18,7 @@
 import java.util.function.BiConsumer;
 import mastdrift.agreed.AgreedLog.AppendOutcome;
 import mastdrift.agreed.edge.RaftLog;
-import mastdrift.agreed.edge.Transport;
+import mastdrift.agreed.edge.LogTransport;
 
 /** The agreed log of some members in one process: threads and heap while it is idle, the time from an append to its being known, with fsync, and all members' processor time for
     one. Arguments: a folder (a disk's, or memory's), appends (200), members (3; 5 and 7 are allowed, too). */
@@ -40,7 +40,7 @@
         List<String> names = List.of("a", "b", "c", "d", "e", "f", "g").subList(0, members);
         List<RaftLog> logs = new ArrayList<>();
         for (String name : names) {
-            logs.add(new RaftLog(new RaftLog.Settings(name, "measured", "begin", names, folder.resolve(name), 3_600_000_000L), new Transport() {
+            logs.add(new RaftLog(new RaftLog.Settings(name, "measured", "begin", names, folder.resolve(name), 3_600_000_000L), new LogTransport() {
                 @Override
                 public void send(String gateway, byte[] message) {
                     network.execute(() -> receivers.getOrDefault(gateway, (from, lost) -> { }).accept(name, message));
--- a/src/main/java/mastdrift/serve/ControlMachine.java
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -20,7 +20,7 @@
 import mastdrift.agreed.AgreedLog.Decision;
 import mastdrift.agreed.Voters;
 import mastdrift.agreed.edge.RaftLog;
-import mastdrift.agreed.edge.Transport;
+import mastdrift.agreed.edge.LogTransport;
 import mastdrift.config.DistributionReader;
 import mastdrift.config.DistributionSettings;
 import mastdrift.config.DistributionSettings.Machine;
@@ -154,7 +154,7 @@
         List<Machine> voters = settings.machines(Role.VOTER);
         Set<String> names = voters.stream().map(Machine::name).collect(Collectors.toSet());
         List<Voters.Eligible> eligible = voters.stream().map(each -> new Voters.Eligible(each.name(), each.zone(), 0)).toList();
-        Transport transport = new Transport() {
+        LogTransport transport = new LogTransport() {
             @Override
             public void send(String to, byte[] message) {
                 if (!links.loop().isShuttingDown()) {
--- a/src/main/java/mastdrift/serve/PeerService.java
+++ b/src/main/java/mastdrift/serve/PeerService.java
@@ -27,7 +27,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import mastdrift.agreed.edge.Transport;
+import mastdrift.agreed.edge.LogTransport;
 import mastdrift.config.Configuration;
 import mastdrift.config.GatewaySettings;
 import mastdrift.config.PeerSettings;
@@ -202,8 +202,8 @@
     // ---- the agreed log
 
     /** Links for it. */
-    Transport transport() {
-        return new Transport() {
+    LogTransport transport() {
+        return new LogTransport() {
             @Override
             public void send(String gateway, byte[] message) {
                 if (!loop.isShuttingDown()) {
--- a/src/test/java/mastdrift/agreed/MembershipTest.java
+++ b/src/test/java/mastdrift/agreed/LogMembershipTest.java
@@ -17,13 +17,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 import mastdrift.agreed.AgreedLog.AppendOutcome;
-import mastdrift.agreed.Membership.Folder;
-import mastdrift.agreed.Membership.Step;
+import mastdrift.agreed.LogMembership.Folder;
+import mastdrift.agreed.LogMembership.Step;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class MembershipTest {
+class LogMembershipTest {
 
     /** Voters as folders on paper: they start, run, end, are lost, copied and put back, and hear some of each other. */
     private static final class World {
@@ -101,7 +101,7 @@
                 disks.put(name, own);
             }
             Map<String, Folder> answers = answers(name);
-            Step step = Membership.step(name, disks.get(name), names, answers, random.nextInt(2) * 10_000);
+            Step step = LogMembership.step(name, disks.get(name), names, answers, random.nextInt(2) * 10_000);
             if (step instanceof Step.TakePart take) {
                 Folder own = disks.get(name);
                 List<Folder> others = own.group().entrySet().stream().filter(each -> !each.getKey().equals(name) && disks.containsKey(each.getKey())
@@ -145,18 +145,18 @@
         Map<String, String> group = Map.of("a", "a1", "b", "b1", "c", "c1");
         List<String> names = List.of("a", "b", "c");
         Folder fresh = new Folder("a1", "one", Map.of(), 1, Map.of());
-        assertInstanceOf(Step.Wait.class, Membership.step("a", fresh, names, Map.of("b", new Folder("b1", "one", Map.of(), 1, Map.of())), 60_000));
-        assertInstanceOf(Step.Wait.class, Membership.step("a", begun("a1", 1, group), names, Map.of("b", begun("b1", 1, group)), 0));
-        assertInstanceOf(Step.TakePart.class, Membership.step("a", begun("a1", 1, group), names, Map.of("b", begun("b1", 1, group)), 60_000));
-        assertInstanceOf(Step.StepAside.class, Membership.step("a", begun("x", 1, group), names, Map.of("b", begun("b1", 1, group)), 60_000));
-        assertInstanceOf(Step.StepAside.class, Membership.step("a", begun("a1", 1, group), names, Map.of("b", begun("b1", 1, group).withHeard("a1", 2)), 60_000));
-        assertInstanceOf(Step.StepAside.class, Membership.step("a", begun("a1", 1, group), names, Map.of("b", new Folder("b2", "two", Map.of(), 1, Map.of())), 0));
+        assertInstanceOf(Step.Wait.class, LogMembership.step("a", fresh, names, Map.of("b", new Folder("b1", "one", Map.of(), 1, Map.of())), 60_000));
+        assertInstanceOf(Step.Wait.class, LogMembership.step("a", begun("a1", 1, group), names, Map.of("b", begun("b1", 1, group)), 0));
+        assertInstanceOf(Step.TakePart.class, LogMembership.step("a", begun("a1", 1, group), names, Map.of("b", begun("b1", 1, group)), 60_000));
+        assertInstanceOf(Step.StepAside.class, LogMembership.step("a", begun("x", 1, group), names, Map.of("b", begun("b1", 1, group)), 60_000));
+        assertInstanceOf(Step.StepAside.class, LogMembership.step("a", begun("a1", 1, group), names, Map.of("b", begun("b1", 1, group).withHeard("a1", 2)), 60_000));
+        assertInstanceOf(Step.StepAside.class, LogMembership.step("a", begun("a1", 1, group), names, Map.of("b", new Folder("b2", "two", Map.of(), 1, Map.of())), 0));
         Folder lost = new Folder("a2", "one", Map.of(), 1, Map.of());
-        assertInstanceOf(Step.JoinAnew.class, Membership.step("a", lost, names, Map.of("b", begun("b1", 1, group), "c", begun("c1", 1, group)), 0));
-        assertInstanceOf(Step.StepAside.class, Membership.step("a", lost, names, Map.of("b", begun("b1", 1, group), "c", new Folder("c2", "one", Map.of(), 1, Map.of())), 0));
-        assertInstanceOf(Step.TakePart.class, Membership.step("a", fresh, names, Map.of("b", begun("b1", 1, group)), 0), "it was there at the begin and had not heard of it");
+        assertInstanceOf(Step.JoinAnew.class, LogMembership.step("a", lost, names, Map.of("b", begun("b1", 1, group), "c", begun("c1", 1, group)), 0));
+        assertInstanceOf(Step.StepAside.class, LogMembership.step("a", lost, names, Map.of("b", begun("b1", 1, group), "c", new Folder("c2", "one", Map.of(), 1, Map.of())), 0));
+        assertInstanceOf(Step.TakePart.class, LogMembership.step("a", fresh, names, Map.of("b", begun("b1", 1, group)), 0), "it was there at the begin and had not heard of it");
         Map<String, String> without = Map.of("a", "a9", "b", "b1", "c", "c1");
-        assertInstanceOf(Step.StepAside.class, Membership.step("a", begun("a1", 1, group), names, Map.of("b", begun("b1", 1, without), "c", begun("c1", 1, without)), 0));
+        assertInstanceOf(Step.StepAside.class, LogMembership.step("a", begun("a1", 1, group), names, Map.of("b", begun("b1", 1, without), "c", begun("c1", 1, without)), 0));
     }
 
     /** Whatever entries come, and wherever a member begins from a snapshot, all have the same; ids count once. */
--- a/src/test/java/mastdrift/agreed/edge/MemberFileTest.java
+++ b/src/test/java/mastdrift/agreed/edge/MemberFileTest.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.Random;
-import mastdrift.agreed.Membership.Folder;
+import mastdrift.agreed.LogMembership.Folder;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
+++ b/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
@@ -61,7 +61,7 @@
 
         Member(String name, String begin, List<String> voters) {
             this.name = name;
-            log = new RaftLog(new RaftLog.Settings(name, "test", begin, voters, folder.resolve(name), longAway), snapshots, new Transport() {
+            log = new RaftLog(new RaftLog.Settings(name, "test", begin, voters, folder.resolve(name), longAway), snapshots, new LogTransport() {
                 @Override
                 public void send(String gateway, byte[] message) {
                     network.execute(() -> {
