--- a/src/main/java/mastdrift/agreed/AgreedLog.java
+++ b/src/main/java/mastdrift/agreed/AgreedLog.java
@@ -2,40 +2,51 @@
 
 import java.util.function.Consumer;
 
-/** A log that gateways agree on: whoever reads it reads the same decisions in the same order, each once. Answers come when they come, also out of turn, and never if the process ends first. */
+/**
+ * A replicated log: every reader reads the same decisions in the same order, each exactly once. Callbacks may be called
+ * in another order than their calls were made, and are never called if the process ends first.
+ */
 public interface AgreedLog {
 
-    /** Bytes of a decision, at most. */
-    int DECISION_MOST = 64 << 10;
-    /** Characters of a decision's id. */
-    int ID_MOST = 128;
+    int MAX_DECISION_BYTES = 64 << 10;
+    int MAX_ID_CHARS = 128;
 
-    /** What became of an append. */
+    /** Outcome of an append. */
     sealed interface AppendOutcome {
 
-        /** It is in, for good, at that place. */
+        /** The decision is committed at this index. */
         record Committed(long index) implements AppendOutcome { }
 
-        /** It isn't in, and never will be under this id. */
-        record Rejected(String why) implements AppendOutcome { }
+        /** The decision is not committed, and never will be under this id. */
+        record Rejected(String reason) implements AppendOutcome { }
 
-        /** It may be in, or may yet come in: ask again under the same id, or have it {@linkplain AgreedLog#settle settled}. */
-        record Unknown(String why) implements AppendOutcome { }
+        /**
+         * The decision may be committed, or may be committed later: append it again under the same id, or {@linkplain
+         * AgreedLog#settle settle} the id.
+         */
+        record Unknown(String reason) implements AppendOutcome { }
     }
 
     /**
-     * A decision as it is read.
+     * A committed decision.
      *
-     * @param index of its entry in the log; entries between two decisions may have been something else
-     * @param ordinal its place among all decisions: the first is 1 and each follows the one before, so that a reader can tell a gap
-     * @param id the writer's
-     * @param command not to be changed
+     * @param index index of its entry in the log; entries between two decisions may be of another kind
+     * @param ordinal position among all decisions: the first is 1 and each next one follows without a gap, so that a
+     * reader can detect a missing one
+     * @param id chosen by the writer
+     * @param command must not be modified
      */
     record Decision(long index, long ordinal, String id, byte[] command) { }
 
-    /** Appends a decision. The same id appended again is in once, at its first place. Larger ones than {@link #DECISION_MOST} are out. */
-    void append(String id, byte[] command, Consumer<AppendOutcome> then);
+    /**
+     * Appends a decision. Appending the same id again has no effect: the outcome then names the first entry. A decision
+     * of more than {@link #MAX_DECISION_BYTES} bytes is rejected.
+     */
+    void append(String id, byte[] command, Consumer<AppendOutcome> callback);
 
-    /** Makes sure: an id that is not in yet can't come in any more. {@link AppendOutcome.Committed} where it was in before. */
-    void settle(String id, Consumer<AppendOutcome> then);
+    /**
+     * Makes sure that an id that is not committed yet can't be committed later. The outcome is {@link
+     * AppendOutcome.Committed} where it was committed before, and {@link AppendOutcome.Rejected} otherwise.
+     */
+    void settle(String id, Consumer<AppendOutcome> callback);
 }
--- a/src/main/java/mastdrift/agreed/Decisions.java
+++ b/src/main/java/mastdrift/agreed/Decisions.java
@@ -13,211 +13,237 @@
 import mastdrift.agreed.AgreedLog.Decision;
 
 /**
- * What every member keeps of the log: which ids are in or can't come in any more, and the last decisions for those who follow. The same entries in the same order give the same state, whoever applies them and however often he
- * began from a snapshot.
+ * State that every member builds from the log: which ids are committed or can't be committed any more, and the last
+ * decisions, for readers that fetch them. It is deterministic: the same entries in the same order give the same state
+ * at every member, also when a member starts from a snapshot.
  *
- * <p>An id is remembered for {@value #IDS_MOST} decisions, a decision for {@value #KEPT_MOST} or {@value #KEPT_BYTES} bytes; who follows from further back is given the snapshot. Not safe for use by several threads.
+ * <p>The last {@value #MAX_IDS} ids are remembered; the last {@value #MAX_RETAINED_DECISIONS} decisions are retained,
+ * of at most {@value #MAX_RETAINED_BYTES} bytes. A reader that is further behind gets a snapshot of the whole state.
+ * Not thread-safe.
  */
 public final class Decisions {
 
-    /** Ids that are remembered. */
-    public static final int IDS_MOST = 65_536;
-    /** Decisions that are kept for those who follow. */
-    public static final int KEPT_MOST = 4_096;
-    static final int KEPT_BYTES = 4 << 20;
+    /** Number of ids that are remembered. */
+    public static final int MAX_IDS = 65_536;
+    /** Number of decisions that are retained for readers. */
+    public static final int MAX_RETAINED_DECISIONS = 4_096;
+    /** Size of the commands of retained decisions; the last decision is retained whatever its size. */
+    static final int MAX_RETAINED_BYTES = 4 << 20;
     private static final byte APPEND = 1;
     private static final byte SETTLE = 2;
-    private static final int VERSION = 1;
-    private static final long NEVER = -1;
-
-    private final LinkedHashMap<String, Long> ids = new LinkedHashMap<>();
-    private final Deque<Decision> kept = new ArrayDeque<>();
-    private long keptBytes;
-    private long last;
-    private long count;
-
-    /** An entry that appends a decision. Throws IllegalArgumentException for what is too large. */
-    public static byte[] append(String id, byte[] command) {
-        if (command.length > AgreedLog.DECISION_MOST) {
-            throw new IllegalArgumentException("expected a decision of at most " + AgreedLog.DECISION_MOST + " bytes, found " + command.length);
-        }
-        return entry(APPEND, id, command);
+    private static final int FORMAT_VERSION = 1;
+    /** Takes the place of an index for an id that was settled before it was committed. */
+    private static final long NEVER_COMMITTED = -1;
+
+    private final LinkedHashMap<String, Long> indexById = new LinkedHashMap<>();
+    private final Deque<Decision> retained = new ArrayDeque<>();
+    private long retainedBytes;
+    private long lastAppliedIndex;
+    private long decisionCount;
+
+    /**
+     * Encodes an entry that appends a decision. Throws IllegalArgumentException for an id or a command that is too
+     * large.
+     */
+    public static byte[] appendEntry(String id, byte[] command) {
+        if (command.length > AgreedLog.MAX_DECISION_BYTES) {
+            throw new IllegalArgumentException("expected a decision of at most " + AgreedLog.MAX_DECISION_BYTES
+                    + " bytes, found " + command.length);
+        }
+        return encodeEntry(APPEND, id, command);
     }
 
-    /** An entry that settles an id. */
-    public static byte[] settle(String id) {
-        return entry(SETTLE, id, new byte[0]);
+    /** Encodes an entry that settles an id, see {@link AgreedLog#settle}. */
+    public static byte[] settleEntry(String id) {
+        return encodeEntry(SETTLE, id, new byte[0]);
     }
 
-    private static byte[] entry(byte kind, String id, byte[] command) {
-        byte[] name = id.getBytes(StandardCharsets.UTF_8);
-        if (id.isEmpty() || id.length() > AgreedLog.ID_MOST) {
-            throw new IllegalArgumentException("expected an id of 1 to " + AgreedLog.ID_MOST + " characters, found " + id.length());
+    private static byte[] encodeEntry(byte kind, String id, byte[] command) {
+        byte[] idBytes = id.getBytes(StandardCharsets.UTF_8);
+        if (id.isEmpty() || id.length() > AgreedLog.MAX_ID_CHARS) {
+            throw new IllegalArgumentException("expected an id of 1 to " + AgreedLog.MAX_ID_CHARS
+                    + " characters, found " + id.length());
         }
-        return ByteBuffer.allocate(4 + name.length + command.length).put((byte) VERSION).put(kind).putShort((short) name.length).put(name).put(command).array();
+        return ByteBuffer.allocate(4 + idBytes.length + command.length).put((byte) FORMAT_VERSION).put(kind)
+                .putShort((short) idBytes.length).put(idBytes).put(command).array();
     }
 
-    /** An entry of the log, in its order; what became of it. An entry that this build can't read changes nothing, and is out at every member of this build. */
+    /**
+     * Applies the next entry of the log and returns its outcome. An entry that this build can't decode changes nothing,
+     * and is rejected by every member of this build.
+     */
     public AppendOutcome apply(long index, byte[] entry) {
-        if (index <= last) {
-            throw new IllegalArgumentException("expected an entry after " + last + ", found " + index);
+        if (index <= lastAppliedIndex) {
+            throw new IllegalArgumentException("expected an entry after " + lastAppliedIndex + ", found " + index);
         }
-        last = index;
+        lastAppliedIndex = index;
         ByteBuffer in = ByteBuffer.wrap(entry);
-        if (entry.length < 4 || in.get() != VERSION) {
-            return new AppendOutcome.Rejected("an entry that this build can't read");
+        if (entry.length < 4 || in.get() != FORMAT_VERSION) {
+            return new AppendOutcome.Rejected("entry format not supported by this build");
         }
         byte kind = in.get();
         int length = Short.toUnsignedInt(in.getShort());
         if (length > in.remaining() || kind != APPEND && kind != SETTLE) {
-            return new AppendOutcome.Rejected("an entry that this build can't read");
+            return new AppendOutcome.Rejected("entry format not supported by this build");
         }
-        byte[] name = new byte[length];
-        in.get(name);
-        String id = new String(name, StandardCharsets.UTF_8);
-        Long before = ids.get(id);
-        if (before != null) {
-            return before == NEVER ? new AppendOutcome.Rejected("it was settled that it doesn't come in") : new AppendOutcome.Committed(before);
+        byte[] idBytes = new byte[length];
+        in.get(idBytes);
+        String id = new String(idBytes, StandardCharsets.UTF_8);
+        Long previousIndex = indexById.get(id);
+        if (previousIndex != null) {
+            return previousIndex == NEVER_COMMITTED ? new AppendOutcome.Rejected("id was settled as not committed")
+                    : new AppendOutcome.Committed(previousIndex);
         }
-        remember(id, kind == APPEND ? index : NEVER);
+        rememberId(id, kind == APPEND ? index : NEVER_COMMITTED);
         if (kind == SETTLE) {
             return new AppendOutcome.Rejected("settled");
         }
         byte[] command = new byte[in.remaining()];
         in.get(command);
-        keep(new Decision(index, ++count, id, command));
+        retain(new Decision(index, ++decisionCount, id, command));
         return new AppendOutcome.Committed(index);
     }
 
-    private void remember(String id, long index) {
-        ids.put(id, index);
-        if (ids.size() > IDS_MOST) {
-            ids.remove(ids.keySet().iterator().next());
+    private void rememberId(String id, long index) {
+        indexById.put(id, index);
+        if (indexById.size() > MAX_IDS) {
+            indexById.remove(indexById.keySet().iterator().next());
         }
     }
 
-    private void keep(Decision decision) {
-        kept.add(decision);
-        keptBytes += decision.command().length;
-        while (kept.size() > KEPT_MOST || keptBytes > KEPT_BYTES && kept.size() > 1) {
-            keptBytes -= kept.poll().command().length;
+    private void retain(Decision decision) {
+        retained.add(decision);
+        retainedBytes += decision.command().length;
+        while (retained.size() > MAX_RETAINED_DECISIONS || retainedBytes > MAX_RETAINED_BYTES && retained.size() > 1) {
+            retainedBytes -= retained.poll().command().length;
         }
     }
 
-    /** The last entry that was applied. */
-    public long last() {
-        return last;
+    /** Index of the last entry that was applied. */
+    public long lastAppliedIndex() {
+        return lastAppliedIndex;
     }
 
-    /** Decisions in all. */
-    public long count() {
-        return count;
+    /** Number of decisions since the log was started, those no longer retained included. */
+    public long decisionCount() {
+        return decisionCount;
     }
 
-    /** Decisions behind an index, the first {@code most}; null where some of them are no longer kept. */
-    public List<Decision> after(long index, int most) {
-        List<Decision> after = new ArrayList<>();
-        long first = kept.isEmpty() ? last + 1 : kept.peek().index();
-        if (count > kept.size() && index < first - 1) {
+    /**
+     * Returns the first {@code limit} decisions after an index; null where some of the decisions after it are no longer
+     * retained.
+     */
+    public List<Decision> decisionsAfter(long index, int limit) {
+        List<Decision> result = new ArrayList<>();
+        long firstRetainedIndex = retained.isEmpty() ? lastAppliedIndex + 1 : retained.peek().index();
+        if (decisionCount > retained.size() && index < firstRetainedIndex - 1) {
             return null;
         }
-        for (Decision each : kept) {
-            if (each.index() > index && after.size() < most) {
-                after.add(each);
+        for (Decision each : retained) {
+            if (each.index() > index && result.size() < limit) {
+                result.add(each);
             }
         }
-        return after;
+        return result;
     }
 
-    /** The first {@code most} decisions behind an index, with their ordinals and no ids but theirs, for who follows from there; all of it where some of them are no longer kept. */
-    public Decisions part(long index, int most) {
-        List<Decision> after = after(index, most);
-        if (after == null) {
-            return restored(snapshot());
-        }
-        Decisions part = new Decisions();
-        if (!after.isEmpty()) {
-            part.last = after.get(after.size() - 1).index();
-            for (Decision each : after) {
-                part.count = each.ordinal();
-                part.remember(each.id(), each.index());
-                part.keep(each);
+    /**
+     * Returns a state that holds only the first {@code limit} decisions after an index, with their ordinals and ids,
+     * for a reader that has all up to there; a copy of the whole state where some of the decisions after it are no
+     * longer retained.
+     */
+    public Decisions sliceAfter(long index, int limit) {
+        List<Decision> decisions = decisionsAfter(index, limit);
+        if (decisions == null) {
+            return fromSnapshot(snapshot());
+        }
+        Decisions slice = new Decisions();
+        if (!decisions.isEmpty()) {
+            slice.lastAppliedIndex = decisions.get(decisions.size() - 1).index();
+            for (Decision each : decisions) {
+                slice.decisionCount = each.ordinal();
+                slice.rememberId(each.id(), each.index());
+                slice.retain(each);
             }
         }
-        return part;
+        return slice;
     }
 
-    /** Decisions that are kept, the first first. */
-    public List<Decision> kept() {
-        return List.copyOf(kept);
+    /** Retained decisions, oldest first. */
+    public List<Decision> retained() {
+        return List.copyOf(retained);
     }
 
-    /** All of it as bytes. */
+    /** Encodes the whole state. */
     public byte[] snapshot() {
-        int size = 4 + 8 + 8 + 4 + 4;
-        List<byte[]> names = new ArrayList<>();
-        for (String id : ids.keySet()) {
-            names.add(id.getBytes(StandardCharsets.UTF_8));
-            size += 2 + names.get(names.size() - 1).length + 8;
+        int sizeBytes = 4 + 8 + 8 + 4 + 4;
+        List<byte[]> encodedIds = new ArrayList<>();
+        for (String id : indexById.keySet()) {
+            encodedIds.add(id.getBytes(StandardCharsets.UTF_8));
+            sizeBytes += 2 + encodedIds.get(encodedIds.size() - 1).length + 8;
         }
-        for (Decision each : kept) {
-            size += 8 + 2 + each.id().getBytes(StandardCharsets.UTF_8).length + 4 + each.command().length;
+        for (Decision each : retained) {
+            sizeBytes += 8 + 2 + each.id().getBytes(StandardCharsets.UTF_8).length + 4 + each.command().length;
         }
-        ByteBuffer out = ByteBuffer.allocate(size).putInt(VERSION).putLong(last).putLong(count).putInt(ids.size());
+        ByteBuffer out = ByteBuffer.allocate(sizeBytes).putInt(FORMAT_VERSION).putLong(lastAppliedIndex)
+                .putLong(decisionCount).putInt(indexById.size());
         int i = 0;
-        for (Map.Entry<String, Long> each : ids.entrySet()) {
-            out.putShort((short) names.get(i).length).put(names.get(i++)).putLong(each.getValue());
+        for (Map.Entry<String, Long> each : indexById.entrySet()) {
+            out.putShort((short) encodedIds.get(i).length).put(encodedIds.get(i++)).putLong(each.getValue());
         }
-        out.putInt(kept.size());
-        for (Decision each : kept) {
+        out.putInt(retained.size());
+        for (Decision each : retained) {
             byte[] id = each.id().getBytes(StandardCharsets.UTF_8);
             out.putLong(each.index()).putShort((short) id.length).put(id).putInt(each.command().length).put(each.command());
         }
         return out.array();
     }
 
-    /** From a snapshot. Throws IllegalArgumentException for what is none; nothing is changed then. */
-    public static Decisions restored(byte[] snapshot) {
-        Decisions all = new Decisions();
+    /** Decodes a snapshot. Throws IllegalArgumentException for a malformed one. */
+    public static Decisions fromSnapshot(byte[] snapshot) {
+        Decisions state = new Decisions();
         try {
             ByteBuffer in = ByteBuffer.wrap(snapshot);
             int version = in.getInt();
-            if (version != VERSION) {
-                throw new IllegalArgumentException("expected a snapshot of version " + VERSION + ", found " + version);
+            if (version != FORMAT_VERSION) {
+                throw new IllegalArgumentException("expected a snapshot of version " + FORMAT_VERSION + ", found "
+                        + version);
             }
-            all.last = in.getLong();
+            state.lastAppliedIndex = in.getLong();
             long count = in.getLong();
             for (int i = in.getInt(); i > 0; i--) {
-                all.ids.put(text(in), in.getLong());
+                state.indexById.put(readString(in), in.getLong());
             }
-            int held = in.getInt();
-            if (held < 0 || held > KEPT_MOST || held > count) {
-                throw new IllegalArgumentException("expected 0 to " + Math.min(KEPT_MOST, count) + " of " + count + " decisions, found " + held);
+            int retainedCount = in.getInt();
+            if (retainedCount < 0 || retainedCount > MAX_RETAINED_DECISIONS || retainedCount > count) {
+                throw new IllegalArgumentException("expected 0 to " + Math.min(MAX_RETAINED_DECISIONS, count) + " of "
+                        + count + " decisions, found " + retainedCount);
             }
-            all.count = count - held;
-            for (int i = held; i > 0; i--) {
+            state.decisionCount = count - retainedCount;
+            for (int i = retainedCount; i > 0; i--) {
                 long index = in.getLong();
-                String id = text(in);
-                byte[] command = new byte[bounded(in.getInt(), in)];
+                String id = readString(in);
+                byte[] command = new byte[checkLength(in.getInt(), in)];
                 in.get(command);
-                all.keep(new Decision(index, ++all.count, id, command));  // those that are kept are the last ones, without a gap
+                // the retained decisions are the last ones, without a gap
+                state.retain(new Decision(index, ++state.decisionCount, id, command));
             }
             if (in.hasRemaining()) {
                 throw new IllegalArgumentException("expected the end of a snapshot, found " + in.remaining() + " bytes");
             }
         } catch (BufferUnderflowException e) {
-            throw new IllegalArgumentException("expected a whole snapshot, found a part", e);
+            throw new IllegalArgumentException("snapshot truncated", e);
         }
-        return all;
+        return state;
     }
 
-    private static String text(ByteBuffer in) {
-        byte[] text = new byte[bounded(Short.toUnsignedInt(in.getShort()), in)];
-        in.get(text);
-        return new String(text, StandardCharsets.UTF_8);
+    private static String readString(ByteBuffer in) {
+        byte[] bytes = new byte[checkLength(Short.toUnsignedInt(in.getShort()), in)];
+        in.get(bytes);
+        return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    private static int bounded(int length, ByteBuffer in) {
+    private static int checkLength(int length, ByteBuffer in) {
         if (length < 0 || length > in.remaining()) {
             throw new IllegalArgumentException("expected at most " + in.remaining() + " bytes, found " + length);
         }
--- a/src/main/java/mastdrift/agreed/LogMembership.java
+++ b/src/main/java/mastdrift/agreed/LogMembership.java
@@ -9,129 +9,159 @@
 import java.util.TreeSet;
 
 /**
- * Whether a member may take part in the log, by its own folder and by what the other voters say. A voter is a folder, not a name: its id is drawn when the folder is made. It keeps count of the times that it took part and of time spent in it (its epoch), and the
- * others remember the highest epoch that they heard of each id.
+ * Decides whether a member may take part in the log, from its own persistent record and from the records of the other
+ * voters. A voter is identified by its data directory, not by its name: a random id is drawn when the directory is
+ * created. A member's epoch counts how often it started to take part and how many epoch intervals it has taken part
+ * since, and the others remember the highest epoch that they have heard of each id.
  *
  * <ul>
- * <li>A folder that is part of a log that has begun goes on in it, once all others have answered, or after {@value #PATIENCE} ms so many that they and it are a majority, and none remembers a higher epoch of it: else it is an older copy, and has
- * perhaps promised what it no longer knows.
- * <li>A folder that is not, where nobody's is: the log begins, once all voters have said so.
- * <li>A folder that is not, where somebody's is: its id is in that log where it was there at the begin and had not heard of it; else it was lost and made anew, and joins under its new id, by those who are left.
+ * <li>A record of a log that is already bootstrapped: the member goes on in that log once all other voters have
+ * answered, or after {@value #MAX_WAIT_FOR_ALL_MILLIS} ms once so many have answered that they and it are a majority,
+ * and none of them remembers a higher epoch of it. A higher epoch means that the data directory is an older copy, which
+ * may have lost votes and acknowledgements that it has given.
+ * <li>A new record, and nobody has a bootstrapped log: the log is bootstrapped once all voters have answered.
+ * <li>A new record, and somebody has a bootstrapped log: if the member's id is among that log's voters, it was there at
+ * the bootstrap and had not heard of its completion, and takes part. Otherwise its data directory was lost and created
+ * again, and it rejoins under its new id, if a majority of the log's voters is left.
  * </ul>
  *
- * <p>Not told from the folder itself is an older copy that was made less than an epoch before the process ended, or whose epochs were heard by those alone who are away while it starts.
+ * <p>Not detected is an older copy that was made less than an epoch interval before the process ended, or whose higher
+ * epochs were heard only by voters that are away while it starts.
  */
 public final class LogMembership {
 
     /**
-     * What a member's folder says.
+     * Persistent record of a member, as stored in its data directory and sent to the others.
      *
-     * @param id drawn when the folder was made
-     * @param begin the operator's word for this log
-     * @param group ids of the voters by name, once the log has begun here; empty before
-     * @param epoch of the folder, not of the Raft library's leaders (its terms): times that it took part, and spans of time in which it did
-     * @param heardEpochs the highest epoch that it has heard of others, by id
+     * @param id drawn when the data directory was created
+     * @param logId id of this log, chosen by the operator (the setting {@code begin})
+     * @param voterIds ids of the voters by name, once the log is bootstrapped here; empty before
+     * @param epoch of the data directory, unrelated to Raft terms: the number of starts and of epoch intervals in which
+     * the member took part
+     * @param peerEpochs the highest epoch heard of each other member, by id
      */
-    public record Folder(String id, String begin, Map<String, String> group, long epoch, Map<String, Long> heardEpochs) {
+    public record MemberRecord(String id, String logId, Map<String, String> voterIds, long epoch,
+            Map<String, Long> peerEpochs) {
 
-        /** Whether its log has begun. */
-        public boolean begun() {
-            return !group.isEmpty();
+        /** Whether the log is bootstrapped at this member. */
+        public boolean isBootstrapped() {
+            return !voterIds.isEmpty();
         }
 
-        /** The same, having heard of another folder's epoch. */
-        public Folder withHeard(String other, long otherEpoch) {
-            Map<String, Long> all = new HashMap<>(heardEpochs);
-            all.merge(other, otherEpoch, Math::max);
-            return new Folder(id, begin, group, epoch, all);
+        /** Returns a copy that remembers another member's epoch, if it is higher than the remembered one. */
+        public MemberRecord withPeerEpoch(String peerId, long peerEpoch) {
+            Map<String, Long> epochs = new HashMap<>(peerEpochs);
+            epochs.merge(peerId, peerEpoch, Math::max);
+            return new MemberRecord(id, logId, voterIds, epoch, epochs);
         }
 
-        /** The same, an epoch later. */
-        public Folder nextEpoch() {
-            return new Folder(id, begin, group, epoch + 1, heardEpochs);
+        /** Returns a copy with the next epoch. */
+        public MemberRecord withNextEpoch() {
+            return new MemberRecord(id, logId, voterIds, epoch + 1, peerEpochs);
         }
 
-        /** The same, in a log of these voters. */
-        public Folder withGroup(Map<String, String> voters) {
-            return new Folder(id, begin, new TreeMap<>(voters), epoch, heardEpochs);
+        /** Returns a copy with these voters. */
+        public MemberRecord withVoters(Map<String, String> voters) {
+            return new MemberRecord(id, logId, new TreeMap<>(voters), epoch, peerEpochs);
         }
     }
 
-    /** What to do. */
-    public sealed interface Step {
+    /** What a member is to do next. */
+    public sealed interface Action {
 
-        /** Not yet. */
-        record Wait(String why) implements Step { }
+        /** Wait for more answers. */
+        record Wait(String reason) implements Action { }
 
-        /** Take part, in a log of these voters, by name and id. */
-        record TakePart(Map<String, String> group) implements Step { }
+        /** Take part in a log of these voters (ids by name). */
+        record Participate(Map<String, String> voterIds) implements Action { }
 
-        /** Ask those in the log to take this folder in, in place of the one that the name had. */
-        record JoinAnew(Map<String, String> group, String why) implements Step { }
+        /** Ask the log's voters to add this member under its new id, in place of the one that its name had. */
+        record Rejoin(Map<String, String> voterIds, String reason) implements Action { }
 
-        /** Take no part: this folder can't be trusted, or there is nobody to join. */
-        record StepAside(String why) implements Step { }
+        /** Don't take part: the data directory is not usable for this log, or no majority is left to join. */
+        record Withdraw(String reason) implements Action { }
     }
 
-    /** For so long a folder that has begun waits for all others, in milliseconds. */
-    public static final long PATIENCE = 3_000;
+    /** How long a member of a bootstrapped log waits for all other voters before a majority is enough. */
+    public static final long MAX_WAIT_FOR_ALL_MILLIS = 3_000;
 
     private LogMembership() { }
 
-    /** Of the gateway of a name, among voters that the files name, with what the others have answered so far, by name, in the milliseconds that it has waited. */
-    public static Step step(String name, Folder own, Collection<String> voters, Map<String, Folder> answers, long waited) {
+    /**
+     * Returns what a member is to do next.
+     *
+     * @param name the gateway's name
+     * @param ownRecord its own record
+     * @param voters configured voters
+     * @param peerRecords records received so far, by name
+     * @param waitedMillis time since the member was started
+     */
+    public static Action nextAction(String name, MemberRecord ownRecord, Collection<String> voters,
+            Map<String, MemberRecord> peerRecords, long waitedMillis) {
         TreeSet<String> others = new TreeSet<>(voters);
         others.remove(name);
-        for (Map.Entry<String, Folder> each : answers.entrySet()) {
-            if (!each.getValue().begin().equals(own.begin())) {
-                return new Step.StepAside("expected the log \"" + own.begin() + "\", found \"" + each.getValue().begin() + "\" at " + each.getKey());
+        for (Map.Entry<String, MemberRecord> each : peerRecords.entrySet()) {
+            if (!each.getValue().logId().equals(ownRecord.logId())) {
+                return new Action.Withdraw("expected the log id \"" + ownRecord.logId() + "\", found \""
+                        + each.getValue().logId() + "\" at " + each.getKey());
             }
-            long remembered = each.getValue().heardEpochs().getOrDefault(own.id(), 0L);
-            if (remembered > own.epoch()) {
-                return new Step.StepAside("an older copy of this folder: its epoch is " + own.epoch() + ", and " + each.getKey() + " remembers " + remembered);
+            long rememberedEpoch = each.getValue().peerEpochs().getOrDefault(ownRecord.id(), 0L);
+            if (rememberedEpoch > ownRecord.epoch()) {
+                return new Action.Withdraw("older copy of the data directory: its epoch is " + ownRecord.epoch()
+                        + ", and " + each.getKey() + " remembers " + rememberedEpoch);
             }
         }
-        if (own.begun()) {
-            if (!own.id().equals(own.group().get(name))) {
-                return new Step.StepAside("a folder with another's identity, or one that was replaced: " + own.id() + " is not the one of " + name + " in its log");
+        if (ownRecord.isBootstrapped()) {
+            if (!ownRecord.id().equals(ownRecord.voterIds().get(name))) {
+                return new Action.Withdraw("data directory of another member, or of one that was replaced: "
+                        + ownRecord.id() + " is not the id of " + name + " in its log");
             }
-            long without = answers.values().stream().filter(each -> each.begun() && !each.group().containsValue(own.id())).count();
-            if (without > own.group().size() / 2) {
-                return new Step.StepAside("another was taken into the log in place of this folder");
+            long excludingCount = peerRecords.values().stream()
+                    .filter(each -> each.isBootstrapped() && !each.voterIds().containsValue(ownRecord.id())).count();
+            if (excludingCount > ownRecord.voterIds().size() / 2) {
+                return new Action.Withdraw("this member was replaced by another one in the log");
             }
-            int needed = waited < PATIENCE ? own.group().size() - 1 : own.group().size() / 2;
-            // One that was made anew remembers nothing: it is no witness.
-            long answered = own.group().entrySet().stream().filter(each -> !each.getKey().equals(name) && answers.containsKey(each.getKey())
-                    && answers.get(each.getKey()).id().equals(each.getValue())).count();
-            return answered >= needed ? new Step.TakePart(own.group()) : new Step.Wait("for " + needed + " others of the log, " + answered + " have answered");
+            int neededCount = waitedMillis < MAX_WAIT_FOR_ALL_MILLIS ? ownRecord.voterIds().size() - 1
+                    : ownRecord.voterIds().size() / 2;
+            // A member whose data directory was created again remembers no epochs, so it doesn't count.
+            long answeredCount = ownRecord.voterIds().entrySet().stream()
+                    .filter(each -> !each.getKey().equals(name) && peerRecords.containsKey(each.getKey())
+                    && peerRecords.get(each.getKey()).id().equals(each.getValue())).count();
+            return answeredCount >= neededCount ? new Action.Participate(ownRecord.voterIds())
+                    : new Action.Wait("for " + neededCount + " other voters, " + answeredCount + " have answered");
         }
-        Map<String, String> group = null;
-        for (Folder each : answers.values()) {
-            group = each.begun() ? each.group() : group;
+        Map<String, String> existingVoterIds = null;
+        for (MemberRecord each : peerRecords.values()) {
+            existingVoterIds = each.isBootstrapped() ? each.voterIds() : existingVoterIds;
         }
-        if (group != null) {
-            if (own.id().equals(group.get(name))) {
-                return new Step.TakePart(group);
+        if (existingVoterIds != null) {
+            if (ownRecord.id().equals(existingVoterIds.get(name))) {
+                return new Action.Participate(existingVoterIds);
             }
-            int there = 0;
-            for (Map.Entry<String, String> each : group.entrySet()) {
-                Folder answer = answers.get(each.getKey());
-                there += answer != null && answer.begun() && answer.id().equals(each.getValue()) ? 1 : 0;
+            int presentCount = 0;
+            for (Map.Entry<String, String> each : existingVoterIds.entrySet()) {
+                MemberRecord peerRecord = peerRecords.get(each.getKey());
+                presentCount += peerRecord != null && peerRecord.isBootstrapped() && peerRecord.id()
+                        .equals(each.getValue()) ? 1
+                        : 0;
             }
-            if (there > group.size() / 2) {
-                return new Step.JoinAnew(group, "this folder was made anew, the log has begun without it");
+            if (presentCount > existingVoterIds.size() / 2) {
+                return new Action.Rejoin(existingVoterIds,
+                        "this data directory is new, and the log was started without it");
             }
-            return answers.keySet().containsAll(others)
-                    ? new Step.StepAside("most folders of the log are lost: what it held can't be known; an operator's new word for it, begin = \"...\", begins another")
-                    : new Step.Wait("for a majority of the log's folders, " + there + " of " + group.size() + " are there");
+            return peerRecords.keySet().containsAll(others)
+                    ? new Action.Withdraw("a majority of the log's data directories is lost, and its content can't be recovered; set begin = \"...\" to a new value to start a new log")
+                    : new Action.Wait("for a majority of the log's voters, " + presentCount + " of "
+                    + existingVoterIds.size() + " are present");
         }
         List<String> missing = new ArrayList<>(others);
-        missing.removeAll(answers.keySet());
+        missing.removeAll(peerRecords.keySet());
         if (!missing.isEmpty()) {
-            return new Step.Wait("for all voters, to begin: " + String.join(", ", missing) + " have not answered");
+            return new Action.Wait("for all voters, to start the log: " + String.join(", ", missing)
+                    + " have not answered");
         }
-        TreeMap<String, String> all = new TreeMap<>(Map.of(name, own.id()));
-        others.forEach(each -> all.put(each, answers.get(each).id()));
-        return new Step.TakePart(all);
+        TreeMap<String, String> newVoterIds = new TreeMap<>(Map.of(name, ownRecord.id()));
+        others.forEach(each -> newVoterIds.put(each, peerRecords.get(each).id()));
+        return new Action.Participate(newVoterIds);
     }
 }
--- a/src/main/java/mastdrift/agreed/Voters.java
+++ b/src/main/java/mastdrift/agreed/Voters.java
@@ -8,41 +8,57 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** Who votes: an odd number of gateways, spread over zones, and one change at a time. */
+/** Chooses the log's voters: an odd number of gateways, spread over zones, replaced one at a time. */
 public final class Voters {
 
-    /** Voters, at most. */
-    public static final int MOST = 7;
+    public static final int MAX_VOTERS = 7;
 
-    /** A gateway that may vote, its zone, and for how long it has been away, in microseconds; 0 while it is there. */
-    public record Eligible(String name, String zone, long away) { }
+    /**
+     * A gateway that may become a voter.
+     *
+     * @param awayMicros for how long it has not been reachable; 0 while it is reachable
+     */
+    public record EligibleGateway(String name, String zone, long awayMicros) { }
 
-    /** What has to survive, as it stands. */
-    public record FaultTolerance(int gateways, boolean anyZone) { }
+    /**
+     * Which failures a set of voters survives.
+     *
+     * @param gatewayFailures number of gateways that may be lost
+     * @param anyZoneFailure whether the loss of any one zone is survived
+     */
+    public record FaultTolerance(int gatewayFailures, boolean anyZoneFailure) { }
 
     private Voters() { }
 
-    /** Whom to take in place of whom; null where nothing is to change. Only who is away for {@code long} is replaced, by one who is there: of the zone with the fewest voters, the first by name. */
-    public static String[] replacement(Collection<String> voters, Collection<Eligible> all, long longAway) {
-        Map<String, Eligible> byName = new HashMap<>();
-        all.forEach(each -> byName.put(each.name(), each));
-        List<String> gone = new ArrayList<>(new TreeSet<>(voters));
-        gone.removeIf(name -> byName.get(name) != null && byName.get(name).away() < longAway);
-        if (gone.isEmpty()) {
+    /**
+     * Returns the name of a voter to remove and of the gateway to add in its place; null where nothing is to change.
+     * Only a voter that is unknown or has been away for at least {@code replaceAfterMicros} is replaced, by a reachable
+     * gateway: of the zone with the fewest remaining voters, the first by name.
+     */
+    public static String[] replacement(Collection<String> voters, Collection<EligibleGateway> gateways,
+            long replaceAfterMicros) {
+        Map<String, EligibleGateway> byName = new HashMap<>();
+        gateways.forEach(each -> byName.put(each.name(), each));
+        List<String> lostVoters = new ArrayList<>(new TreeSet<>(voters));
+        lostVoters.removeIf(name -> byName.get(name) != null && byName.get(name).awayMicros() < replaceAfterMicros);
+        if (lostVoters.isEmpty()) {
             return null;
         }
-        Map<String, Integer> zones = new HashMap<>();
-        voters.stream().filter(name -> !gone.contains(name)).forEach(name -> zones.merge(byName.get(name).zone(), 1, Integer::sum));
-        return all.stream().filter(each -> each.away() == 0 && !voters.contains(each.name()))
-                .min(Comparator.comparingInt((Eligible each) -> zones.getOrDefault(each.zone(), 0)).thenComparing(Eligible::name))
-                .map(each -> new String[] {gone.get(0), each.name()}).orElse(null);
+        Map<String, Integer> votersPerZone = new HashMap<>();
+        voters.stream().filter(name -> !lostVoters.contains(name))
+                .forEach(name -> votersPerZone.merge(byName.get(name).zone(), 1, Integer::sum));
+        return gateways.stream().filter(each -> each.awayMicros() == 0 && !voters.contains(each.name()))
+                .min(Comparator.comparingInt((EligibleGateway each) -> votersPerZone.getOrDefault(each.zone(), 0))
+                .thenComparing(EligibleGateway::name))
+                .map(each -> new String[] {lostVoters.get(0), each.name()}).orElse(null);
     }
 
-    /** What a set of voters survives: so many gateways, and whether any one zone. */
+    /** Returns which failures leave a majority of the voters. */
     public static FaultTolerance faultTolerance(Map<String, String> zoneByVoter) {
         int majority = zoneByVoter.size() / 2 + 1;
-        Map<String, Integer> zones = new HashMap<>();
-        zoneByVoter.values().forEach(zone -> zones.merge(zone, 1, Integer::sum));
-        return new FaultTolerance(zoneByVoter.size() - majority, zones.values().stream().allMatch(lost -> zoneByVoter.size() - lost >= majority));
+        Map<String, Integer> votersPerZone = new HashMap<>();
+        zoneByVoter.values().forEach(zone -> votersPerZone.merge(zone, 1, Integer::sum));
+        return new FaultTolerance(zoneByVoter.size() - majority, votersPerZone.values().stream()
+                .allMatch(votersInZone -> zoneByVoter.size() - votersInZone >= majority));
     }
 }
--- a/src/main/java/mastdrift/agreed/edge/MemberFile.java
+++ b/src/main/java/mastdrift/agreed/edge/MemberFile.java
@@ -15,7 +15,7 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.zip.CRC32C;
-import mastdrift.agreed.LogMembership.Folder;
+import mastdrift.agreed.LogMembership.MemberRecord;
 
 /** A member's folder, as a file in it says: whole and on disk once written, with a checksum over it. */
 final class MemberFile {
@@ -32,12 +32,12 @@
     }
 
     /** What it says; a new identity where there is none. Throws IOException for one that can't be read whole: that is not a new one. */
-    Folder read(String begin, Random random) throws IOException {
+    MemberRecord read(String begin, Random random) throws IOException {
         Path file = folder.resolve(NAME);
         if (!Files.exists(file)) {
             byte[] id = new byte[ID_BYTES];
             random.nextBytes(id);
-            return new Folder(HexFormat.of().formatHex(id), begin, Map.of(), 0, Map.of());
+            return new MemberRecord(HexFormat.of().formatHex(id), begin, Map.of(), 0, Map.of());
         }
         if (Files.size(file) > BYTES_MOST) {
             throw new IOException(file + ": expected at most " + BYTES_MOST + " bytes, found " + Files.size(file));
@@ -52,19 +52,19 @@
     }
 
     /** As it is written and sent, under the keys of the first build: {@code tide} is the epoch, {@code heard} those of others. */
-    static byte[] bytes(Folder of) throws IOException {
+    static byte[] bytes(MemberRecord of) throws IOException {
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("id", of.id());
-        all.put("begin", of.begin());
-        all.put("group", of.group());
+        all.put("begin", of.logId());
+        all.put("group", of.voterIds());
         all.put("tide", of.epoch());
-        all.put("heard", of.heardEpochs());
+        all.put("heard", of.peerEpochs());
         byte[] text = JSON.std.asBytes(all);
         byte[] sum = ("\n" + sum(text, text.length)).getBytes(StandardCharsets.US_ASCII);
         return ByteBuffer.allocate(text.length + sum.length).put(text).put(sum).array();
     }
 
-    static Folder of(byte[] bytes, String where) throws IOException {
+    static MemberRecord of(byte[] bytes, String where) throws IOException {
         int end = bytes.length - 1;
         while (end >= 0 && bytes[end] != '\n') {
             end--;
@@ -82,11 +82,11 @@
         group.forEach((name, voter) -> voters.put(String.valueOf(name), String.valueOf(voter)));
         Map<String, Long> heardEpochs = new TreeMap<>();
         heard.forEach((name, at) -> heardEpochs.put(String.valueOf(name), at instanceof Number number ? Long.valueOf(number.longValue()) : Long.valueOf(0)));
-        return new Folder(id, begin, voters, epoch.longValue(), heardEpochs);
+        return new MemberRecord(id, begin, voters, epoch.longValue(), heardEpochs);
     }
 
     /** On disk once it returns. */
-    void write(Folder of) throws IOException {
+    void write(MemberRecord of) throws IOException {
         Path aside = folder.resolve(NAME + ".new");
         try (FileChannel out = FileChannel.open(aside, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             ByteBuffer bytes = ByteBuffer.wrap(bytes(of));
--- a/src/main/java/mastdrift/agreed/edge/RaftLog.java
+++ b/src/main/java/mastdrift/agreed/edge/RaftLog.java
@@ -24,8 +24,8 @@
 import mastdrift.agreed.AgreedLog;
 import mastdrift.agreed.Decisions;
 import mastdrift.agreed.LogMembership;
-import mastdrift.agreed.LogMembership.Folder;
-import mastdrift.agreed.LogMembership.Step;
+import mastdrift.agreed.LogMembership.MemberRecord;
+import mastdrift.agreed.LogMembership.Action;
 import mastdrift.agreed.Voters;
 import org.apache.ratis.RaftConfigKeys;
 import org.apache.ratis.conf.Parameters;
@@ -109,7 +109,7 @@
     private final Settings settings;
     private final Snapshots snapshots;
     private final Consumer<Decision> reader;
-    private final Supplier<Collection<Voters.Eligible>> gateways;
+    private final Supplier<Collection<Voters.EligibleGateway>> gateways;
     private final Listener listener;
     private final ScheduledThreadPoolExecutor timer;
     private final RpcEndpoint rpc;
@@ -117,11 +117,11 @@
     private final ClientId client = ClientId.randomId();
     private final AtomicLong callIds = new AtomicLong();
     private final AtomicLong pending = new AtomicLong();
-    private final Map<String, Folder> answers = new ConcurrentHashMap<>();
+    private final Map<String, MemberRecord> answers = new ConcurrentHashMap<>();
     private final RaftGroupId groupId;
     private final ReplicatedStateMachine machine;
     private volatile MemberFile file;  // null for who is no voter, or stepped aside
-    private volatile Folder own;
+    private volatile MemberRecord own;
     private volatile RaftServer server;
     private volatile String role = "waiting";
     private volatile String why = "";
@@ -137,12 +137,12 @@
     private boolean closed;
 
     /** Starts to meet the others; decisions go to a reader, in their order, on threads of the log. {@code gateways} are those that might vote. */
-    public RaftLog(Settings settings, LogTransport transport, Consumer<Decision> reader, Supplier<Collection<Voters.Eligible>> gateways, Listener listener) {
+    public RaftLog(Settings settings, LogTransport transport, Consumer<Decision> reader, Supplier<Collection<Voters.EligibleGateway>> gateways, Listener listener) {
         this(settings, SNAPSHOTS, transport, reader, gateways, listener);
     }
 
     /** With snapshots of its own. */
-    RaftLog(Settings settings, Snapshots snapshots, LogTransport transport, Consumer<Decision> reader, Supplier<Collection<Voters.Eligible>> gateways, Listener listener) {
+    RaftLog(Settings settings, Snapshots snapshots, LogTransport transport, Consumer<Decision> reader, Supplier<Collection<Voters.EligibleGateway>> gateways, Listener listener) {
         this.settings = settings;
         this.snapshots = snapshots;
         this.reader = reader;
@@ -173,9 +173,9 @@
         try {
             file = new MemberFile(settings.folder());
             own = file.read(settings.begin(), random);
-            if (!own.begin().equals(settings.begin())) {
-                listener.event(false, "agreed_begin", "another log begins, by the operator's word \"" + settings.begin() + "\"; the one before was \"" + own.begin() + "\"");
-                own = new Folder(Long.toHexString(random.nextLong() >>> 16), settings.begin(), Map.of(), 0, Map.of());
+            if (!own.logId().equals(settings.begin())) {
+                listener.event(false, "agreed_begin", "another log begins, by the operator's word \"" + settings.begin() + "\"; the one before was \"" + own.logId() + "\"");
+                own = new MemberRecord(Long.toHexString(random.nextLong() >>> 16), settings.begin(), Map.of(), 0, Map.of());
             }
             file.write(own);
         } catch (IOException e) {
@@ -195,7 +195,7 @@
     }
 
     private boolean voter() {
-        return settings.voters().contains(settings.name()) || own.begun();
+        return settings.voters().contains(settings.name()) || own.isBootstrapped();
     }
 
     private void every(long millis, Runnable what) {
@@ -233,22 +233,22 @@
         return MemberFile.bytes(own);
     }
 
-    private void received(String from, Folder folder) {
+    private void received(String from, MemberRecord folder) {
         answers.put(from, folder);
-        if (folder.begin().equals(settings.begin()) && folder.epoch() > own.heardEpochs().getOrDefault(folder.id(), 0L)) {
-            own = own.withHeard(folder.id(), folder.epoch());
+        if (folder.logId().equals(settings.begin()) && folder.epoch() > own.peerEpochs().getOrDefault(folder.id(), 0L)) {
+            own = own.withPeerEpoch(folder.id(), folder.epoch());
         }
     }
 
     private void sendFolder() {
         try {
             byte[] bytes = folderBytes();
-            Collection<String> to = own.begun() ? own.group().keySet() : settings.voters();
+            Collection<String> to = own.isBootstrapped() ? own.voterIds().keySet() : settings.voters();
             for (String other : to) {
                 if (!other.equals(settings.name())) {
                     rpc.call(other, FOLDER, bytes, ASK_MILLIS).thenAccept(answer -> {
                         try {
-                            Folder folder = MemberFile.of(answer, other);
+                            MemberRecord folder = MemberFile.of(answer, other);
                             timer.execute(() -> received(other, folder));
                         } catch (IOException | RejectedExecutionException e) {
                             return;  // no answer, then
@@ -265,22 +265,22 @@
         if (closed || role.equals("aside") || role.equals("voter")) {
             return;
         }
-        Step step = LogMembership.step(settings.name(), own, settings.voters(), Map.copyOf(answers), TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - openedAt));
-        if (step instanceof Step.TakePart take) {
-            takePart(take.group(), "voter");
+        Action step = LogMembership.nextAction(settings.name(), own, settings.voters(), Map.copyOf(answers), TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - openedAt));
+        if (step instanceof Action.Participate take) {
+            takePart(take.voterIds(), "voter");
             return;
-        } else if (step instanceof Step.StepAside stepAside) {
-            stepAside(stepAside.why());
+        } else if (step instanceof Action.Withdraw stepAside) {
+            stepAside(stepAside.reason());
             return;
-        } else if (step instanceof Step.JoinAnew anew) {
+        } else if (step instanceof Action.Rejoin anew) {
             if (!role.equals("joining")) {
                 role = "joining";
-                why = anew.why();
-                listener.event(true, "agreed_joins", "joins the agreed log under a new identity: " + anew.why(), "id", own.id());
+                why = anew.reason();
+                listener.event(true, "agreed_joins", "joins the agreed log under a new identity: " + anew.reason(), "id", own.id());
             }
-            joinAnew(anew.group());
-        } else if (step instanceof Step.Wait wait) {
-            why = wait.why();
+            joinAnew(anew.voterIds());
+        } else if (step instanceof Action.Wait wait) {
+            why = wait.reason();
         }
         sendFolder();
         after(MEET_MILLIS, this::meet);
@@ -295,13 +295,13 @@
             return;
         }
         // Who was cut off while another took its place is told by nobody but those it asks.
-        if (LogMembership.step(settings.name(), own, settings.voters(), Map.copyOf(answers), LogMembership.PATIENCE) instanceof Step.StepAside replaced) {
-            stepAside(replaced.why());
+        if (LogMembership.nextAction(settings.name(), own, settings.voters(), Map.copyOf(answers), LogMembership.MAX_WAIT_FOR_ALL_MILLIS) instanceof Action.Withdraw replaced) {
+            stepAside(replaced.reason());
             role = "following";
             every(FETCH_MILLIS, this::fetch);
             return;
         }
-        own = own.nextEpoch();
+        own = own.withNextEpoch();
         try {
             file.write(own);
         } catch (IOException e) {
@@ -321,10 +321,10 @@
 
     private void takePart(Map<String, String> voters, String as) {
         try {
-            own = own.withGroup(voters).nextEpoch();  // not at each start: an older copy would catch up by being started often
+            own = own.withVoters(voters).withNextEpoch();  // not at each start: an older copy would catch up by being started often
             file.write(own);
             sendFolder();
-            group = own.group();
+            group = own.voterIds();
             role = as;
             why = "";
             server = start(voters);
@@ -398,7 +398,7 @@
                 return;
             }
             confirmed = true;
-            own = own.withGroup(now);
+            own = own.withVoters(now);
             try {
                 file.write(own);
             } catch (IOException e) {
@@ -470,7 +470,7 @@
                 Map<String, String> next = new TreeMap<>(with);
                 next.remove(change[0]);
                 next.put(change[1], id);
-                rpc.call(change[1], TAKE_IN, MemberFile.bytes(new Folder(id, settings.begin(), next, 0, Map.of())), ASK_MILLIS)
+                rpc.call(change[1], TAKE_IN, MemberFile.bytes(new MemberRecord(id, settings.begin(), next, 0, Map.of())), ASK_MILLIS)
                         .thenAccept(ready -> after(0, () -> change(change[0], change[1], id)));
             } catch (IOException e) {
                 return;  // tried again
@@ -487,7 +487,7 @@
                     throw new IOException("not yet");
                 }
                 if (request.length > 0) {
-                    Folder folder = MemberFile.of(request, from);
+                    MemberRecord folder = MemberFile.of(request, from);
                     timer.execute(() -> received(from, folder));
                 }
                 return folderBytes();
@@ -507,13 +507,13 @@
                 return new byte[0];
             }
             case TAKE_IN -> {
-                Folder next = MemberFile.of(request, from);
-                if (own == null || !next.id().equals(own.id()) || !next.begin().equals(settings.begin()) || own.begun() || role.equals("aside")) {
+                MemberRecord next = MemberFile.of(request, from);
+                if (own == null || !next.id().equals(own.id()) || !next.logId().equals(settings.begin()) || own.isBootstrapped() || role.equals("aside")) {
                     throw new IOException("not this folder");
                 }
                 after(0, () -> {
                     if (server == null) {
-                        takePart(next.group(), "joining");
+                        takePart(next.voterIds(), "joining");
                     }
                 });
                 return new byte[0];
@@ -561,7 +561,7 @@
         }
         byte[] from = ByteBuffer.allocate(Long.BYTES).putLong(readUpTo()).array();
         rpc.call(others.get(random.nextInt(others.size())), FETCH, from, ASK_MILLIS).thenAccept(answer -> after(0, () -> {
-            List<Decision> missed = decisions(answer).kept().stream().filter(each -> each.index() > readUpTo()).toList();
+            List<Decision> missed = decisions(answer).retained().stream().filter(each -> each.index() > readUpTo()).toList();
             if (machine.last() != last || missed.isEmpty()) {
                 return;
             }
@@ -582,7 +582,7 @@
         in.position(Integer.BYTES + in.getInt());
         byte[] bytes = new byte[in.remaining()];
         in.get(bytes);
-        return Decisions.restored(bytes);
+        return Decisions.fromSnapshot(bytes);
     }
 
     private void fetch() {
@@ -591,16 +591,16 @@
         }
         List<String> voters = group.isEmpty() ? settings.voters() : List.copyOf(group.keySet());
         String at = voters.get(random.nextInt(voters.size()));
-        byte[] from = ByteBuffer.allocate(Long.BYTES).putLong(fetched.last()).array();
+        byte[] from = ByteBuffer.allocate(Long.BYTES).putLong(fetched.lastAppliedIndex()).array();
         rpc.call(at, FETCH, from, ASK_MILLIS).thenAccept(answer -> after(0, () -> {
             ByteBuffer in = ByteBuffer.wrap(answer);
             byte[] names = new byte[in.getInt()];
             in.get(names);
             Decisions read = decisions(answer);
-            long before = fetched.last();
-            if (read.last() > before) {
+            long before = fetched.lastAppliedIndex();
+            if (read.lastAppliedIndex() > before) {
                 fetched = read;
-                read.kept().forEach(this::read);
+                read.retained().forEach(this::read);
             }
             Map<String, String> now = new TreeMap<>();
             for (String each : new String(names, StandardCharsets.UTF_8).split(",")) {
@@ -668,7 +668,7 @@
     public void append(String id, byte[] command, Consumer<AppendOutcome> then) {
         byte[] entry;
         try {
-            entry = Decisions.append(id, command);
+            entry = Decisions.appendEntry(id, command);
         } catch (IllegalArgumentException e) {
             then.accept(new AppendOutcome.Rejected(e.getMessage()));
             return;
@@ -678,7 +678,7 @@
 
     @Override
     public void settle(String id, Consumer<AppendOutcome> then) {
-        propose(Decisions.settle(id), then);
+        propose(Decisions.settleEntry(id), then);
     }
 
     private void propose(byte[] entry, Consumer<AppendOutcome> then) {
@@ -731,7 +731,7 @@
     /** For operators. */
     public Status status() {
         DivisionInfo info = info();
-        return new Status(role, why, info == null ? "" : leader(), info == null ? 0 : info.getCurrentTerm(), server == null ? fetched.last() : machine.last(),
+        return new Status(role, why, info == null ? "" : leader(), info == null ? 0 : info.getCurrentTerm(), server == null ? fetched.lastAppliedIndex() : machine.last(),
                 new HashMap<>(group));
     }
 
--- a/src/main/java/mastdrift/agreed/edge/ReplicatedStateMachine.java
+++ b/src/main/java/mastdrift/agreed/edge/ReplicatedStateMachine.java
@@ -54,7 +54,7 @@
         if (outcome instanceof AppendOutcome.Committed committed) {
             return ByteBuffer.allocate(1 + Long.BYTES).put(IN).putLong(committed.index()).array();
         }
-        byte[] why = (outcome instanceof AppendOutcome.Rejected rejected ? rejected.why() : ((AppendOutcome.Unknown) outcome).why()).getBytes(StandardCharsets.UTF_8);
+        byte[] why = (outcome instanceof AppendOutcome.Rejected rejected ? rejected.reason() : ((AppendOutcome.Unknown) outcome).reason()).getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.allocate(1 + why.length).put(outcome instanceof AppendOutcome.Rejected ? OUT : UNKNOWN).put(why).array();
     }
 
@@ -70,11 +70,11 @@
 
     /** What is behind an entry, as bytes, for who follows from there. */
     synchronized byte[] part(long index, int most) {
-        return decisions.part(index, most).snapshot();
+        return decisions.sliceAfter(index, most).snapshot();
     }
 
     synchronized long last() {
-        return decisions.last();
+        return decisions.lastAppliedIndex();
     }
 
     @Override
@@ -93,9 +93,9 @@
         }
         File file = latest.getFile().getPath().toFile();
         MD5FileUtil.verifySavedMD5(file, MD5FileUtil.computeMd5ForFile(file));
-        decisions = Decisions.restored(Files.readAllBytes(file.toPath()));
+        decisions = Decisions.fromSnapshot(Files.readAllBytes(file.toPath()));
         setLastAppliedTermIndex(latest.getTermIndex());
-        decisions.kept().forEach(this::tell);
+        decisions.retained().forEach(this::tell);
     }
 
     private void tell(Decision decision) {
@@ -150,7 +150,7 @@
             outcome = decisions.apply(entry.getIndex(), entry.getStateMachineLogEntry().getLogData().toByteArray());
             updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
             if (outcome instanceof AppendOutcome.Committed committed && committed.index() == entry.getIndex()) {
-                List<Decision> own = decisions.after(committed.index() - 1, 1);
+                List<Decision> own = decisions.decisionsAfter(committed.index() - 1, 1);
                 if (own != null && !own.isEmpty()) {
                     tell(own.get(0));
                 }
--- a/src/main/java/mastdrift/config/DistributionReader.java
+++ b/src/main/java/mastdrift/config/DistributionReader.java
@@ -111,7 +111,7 @@
     /** A control machine knows all voters: they are the log's at its begin. */
     private static void voters(Section section, List<Machine> machines) {
         long voters = machines.stream().filter(each -> each.role() == Role.VOTER).count();
-        if (voters % 2 == 0 || voters > Voters.MOST) {
+        if (voters % 2 == 0 || voters > Voters.MAX_VOTERS) {
             section.problem("machine", "expected 1, 3, 5 or 7 machines that are voters, found " + voters);
         }
     }
--- a/src/main/java/mastdrift/config/PeersReader.java
+++ b/src/main/java/mastdrift/config/PeersReader.java
@@ -46,7 +46,7 @@
             return null;
         }
         Section section = root.section("agreed");
-        List<String> voters = section.texts("voters", Voters.MOST);
+        List<String> voters = section.texts("voters", Voters.MAX_VOTERS);
         Set<String> met = Section.met();
         List<String> known = new ArrayList<>(peers == null ? List.of() : peers.gateways().keySet());
         known.add(gateway.name());
--- a/src/main/java/mastdrift/serve/AgreedService.java
+++ b/src/main/java/mastdrift/serve/AgreedService.java
@@ -70,12 +70,12 @@
         events.event(level, what, text, all);
     }
 
-    private List<Voters.Eligible> eligible() {
+    private List<Voters.EligibleGateway> eligible() {
         long now = System.nanoTime() / 1_000;
-        List<Voters.Eligible> all = new ArrayList<>(List.of(new Voters.Eligible(name, zone(name), 0)));
+        List<Voters.EligibleGateway> all = new ArrayList<>(List.of(new Voters.EligibleGateway(name, zone(name), 0)));
         for (MembershipList.Entry each : peers.seen()) {
             boolean there = each.update().state() == MemberState.ALIVE || each.update().state() == MemberState.SUSPECT;
-            all.add(new Voters.Eligible(each.update().member().name(), each.update().member().zone(), there ? 0 : Math.max(1, now - each.since())));
+            all.add(new Voters.EligibleGateway(each.update().member().name(), each.update().member().zone(), there ? 0 : Math.max(1, now - each.since())));
         }
         return all;
     }
@@ -100,9 +100,9 @@
         if (outcome instanceof AppendOutcome.Committed committed) {
             event(Level.INFO, "agreed_in", "in the agreed log: " + id, "id", id, "index", committed.index());
         } else if (outcome instanceof AppendOutcome.Rejected rejected) {
-            event(Level.WARN, "agreed_out", "not in the agreed log: " + id + ": " + rejected.why(), "id", id);
+            event(Level.WARN, "agreed_out", "not in the agreed log: " + id + ": " + rejected.reason(), "id", id);
         } else if (outcome instanceof AppendOutcome.Unknown unknown) {
-            event(Level.WARN, "agreed_unknown", "not known to be in the agreed log: " + id + ": " + unknown.why(), "id", id);
+            event(Level.WARN, "agreed_unknown", "not known to be in the agreed log: " + id + ": " + unknown.reason(), "id", id);
         }
     }
 
@@ -145,11 +145,11 @@
             return;
         }
         Voters.FaultTolerance now = Voters.faultTolerance(zones);
-        String text = "voters " + new TreeSet<>(zones.keySet()) + " survive the loss of " + now.gateways() + (now.gateways() == 1 ? " gateway" : " gateways") + ", and of a zone: "
-                + (now.anyZone() ? "yes" : "no");
+        String text = "voters " + new TreeSet<>(zones.keySet()) + " survive the loss of " + now.gatewayFailures() + (now.gatewayFailures() == 1 ? " gateway" : " gateways") + ", and of a zone: "
+                + (now.anyZoneFailure() ? "yes" : "no");
         if (!text.equals(survives)) {
             survives = text;
-            event(Level.INFO, "agreed_survives", text, "gateways", now.gateways(), "zone", now.anyZone());
+            event(Level.INFO, "agreed_survives", text, "gateways", now.gatewayFailures(), "zone", now.anyZoneFailure());
         }
     }
 
--- a/src/main/java/mastdrift/serve/ControlMachine.java
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -153,7 +153,7 @@
     private RaftLog log(Path folder) {
         List<Machine> voters = settings.machines(Role.VOTER);
         Set<String> names = voters.stream().map(Machine::name).collect(Collectors.toSet());
-        List<Voters.Eligible> eligible = voters.stream().map(each -> new Voters.Eligible(each.name(), each.zone(), 0)).toList();
+        List<Voters.EligibleGateway> eligible = voters.stream().map(each -> new Voters.EligibleGateway(each.name(), each.zone(), 0)).toList();
         LogTransport transport = new LogTransport() {
             @Override
             public void send(String to, byte[] message) {
@@ -333,9 +333,9 @@
                 completeApplied();
             }
         } else if (outcome instanceof AgreedLog.AppendOutcome.Rejected rejected) {
-            complete(id, requestId -> new ControlMessage.Refused(requestId, List.of(rejected.why())));
+            complete(id, requestId -> new ControlMessage.Refused(requestId, List.of(rejected.reason())));
         } else if (outcome instanceof AgreedLog.AppendOutcome.Unknown unknown) {
-            complete(id, requestId -> new ControlMessage.Unknown(requestId, unknown.why()));
+            complete(id, requestId -> new ControlMessage.Unknown(requestId, unknown.reason()));
         }
     }
 
--- a/src/test/java/mastdrift/agreed/edge/MemberFileTest.java
+++ b/src/test/java/mastdrift/agreed/edge/MemberFileTest.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.Random;
-import mastdrift.agreed.LogMembership.Folder;
+import mastdrift.agreed.LogMembership.MemberRecord;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -25,8 +25,8 @@
     void aFolderOfTheFirstBuildIsReadAndWrittenAsItWas() throws IOException {
         MemberFile file = new MemberFile(folder);
         Files.writeString(folder.resolve("member.json"), FIRST);
-        Folder read = file.read("one", new Random(1));
-        assertEquals(new Folder("0a0b0c0d0e0f", "one", Map.of("a", "0a0b0c0d0e0f"), 7, Map.of("b1", 9L)), read);
+        MemberRecord read = file.read("one", new Random(1));
+        assertEquals(new MemberRecord("0a0b0c0d0e0f", "one", Map.of("a", "0a0b0c0d0e0f"), 7, Map.of("b1", 9L)), read);
         assertArrayEquals(FIRST.getBytes(StandardCharsets.UTF_8), MemberFile.bytes(read));
     }
 }
--- a/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
+++ b/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
@@ -80,7 +80,7 @@
                 public void onMessage(BiConsumer<String, byte[]> receiver) {
                     receivers.put(name, receiver);
                 }
-            }, read::add, () -> members.keySet().stream().map(each -> new Voters.Eligible(each, "z", receivers.containsKey(each) && !cut.contains(each) ? 0 : AWAY)).toList(),
+            }, read::add, () -> members.keySet().stream().map(each -> new Voters.EligibleGateway(each, "z", receivers.containsKey(each) && !cut.contains(each) ? 0 : AWAY)).toList(),
                     (bad, what, text, fields) -> said.add(what + " " + text));
             members.put(name, this);
         }
@@ -268,7 +268,7 @@
 
     private AppendOutcome large(String at) throws Exception {
         CompletableFuture<AppendOutcome> outcome = new CompletableFuture<>();
-        members.get(at).log.append("large", new byte[AgreedLog.DECISION_MOST + 1], outcome::complete);
+        members.get(at).log.append("large", new byte[AgreedLog.MAX_DECISION_BYTES + 1], outcome::complete);
         return outcome.get(WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
@@ -318,7 +318,7 @@
         delete("c");
         start("one", voters, "a", "b", "c");
         await(() -> members.get("b").log.status().role().equals("aside") && members.get("c").log.status().role().equals("aside"), "both step aside");
-        assertTrue(members.get("b").log.status().why().contains("operator's new word"));
+        assertTrue(members.get("b").log.status().why().contains("to a new value to start a new log"));
         for (String each : voters) {
             members.get(each).kill();
         }
--- a/src/test/java/mastdrift/distribution/StoreTest.java
+++ b/src/test/java/mastdrift/distribution/StoreTest.java
@@ -60,10 +60,10 @@
         Map<String, Change> asked = Map.of("one", Changes.of("one", new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("1"), Edit.NONE)), "two", Changes.of("two", put("s", "1")));
         long index = 0;
         for (String id : List.of("one", "two", "one", "one", "two")) {
-            long before = log.count();
-            assertInstanceOf(AgreedLog.AppendOutcome.Committed.class, log.apply(++index, Decisions.append(id, bytes(id))));
-            if (log.count() > before) {
-                assertInstanceOf(ChangeOutcome.Applied.class, store.decided(log.count(), id, asked.get(id)));
+            long before = log.decisionCount();
+            assertInstanceOf(AgreedLog.AppendOutcome.Committed.class, log.apply(++index, Decisions.appendEntry(id, bytes(id))));
+            if (log.decisionCount() > before) {
+                assertInstanceOf(ChangeOutcome.Applied.class, store.decided(log.decisionCount(), id, asked.get(id)));
             }
         }
         assertEquals(2, store.table().revision().number());
