--- a/src/main/java/mastdrift/agreed/edge/LogTransport.java
+++ b/src/main/java/mastdrift/agreed/edge/LogTransport.java
@@ -2,12 +2,12 @@
 
 import java.util.function.BiConsumer;
 
-/** Carries messages to and from other gateways. */
+/** Carries messages between gateways. */
 public interface LogTransport {
 
-    /** Sends a message to a gateway by its name; it may be lost. From any thread. */
+    /** Sends a message to a gateway by its name; the message may be lost. Callable from any thread. */
     void send(String gateway, byte[] message);
 
-    /** Who receives messages from now on, with the sender's name; called on a thread that must not wait. */
+    /** Sets the receiver of messages, which is called with the sender's name on a thread that must not block. */
     void onMessage(BiConsumer<String, byte[]> receiver);
 }
--- a/src/main/java/mastdrift/agreed/edge/PeerRpc.java
+++ b/src/main/java/mastdrift/agreed/edge/PeerRpc.java
@@ -22,53 +22,62 @@
 import org.apache.ratis.server.RaftServer;
 import org.apache.ratis.server.RaftServerRpc;
 
-/** What the Raft library says to other members, as remote procedure calls over the links. A member's id is its gateway's name and its folder's identity. */
+/**
+ * Carries the Raft library's requests to other members over {@link RpcEndpoint}. A peer id consists of the gateway's
+ * name and the member's id.
+ */
 final class PeerRpc implements RaftServerRpc {
 
-    static final byte VOTE = 1;
-    static final byte APPEND = 2;
-    static final byte INSTALL = 3;
-    static final byte ELECT = 4;
+    static final byte REQUEST_VOTE = 1;
+    static final byte APPEND_ENTRIES = 2;
+    static final byte INSTALL_SNAPSHOT = 3;
+    static final byte START_LEADER_ELECTION = 4;
     private static final char SEPARATOR = '/';
     private static final long TIMEOUT_MILLIS = 1_000;
 
-    private final RpcEndpoint rpc;
+    private final RpcEndpoint endpoint;
 
-    PeerRpc(RpcEndpoint rpc) {
-        this.rpc = rpc;
+    PeerRpc(RpcEndpoint endpoint) {
+        this.endpoint = endpoint;
     }
 
-    static String id(String gateway, String folder) {
-        return gateway + SEPARATOR + folder;
+    /** Returns the Raft peer id of a member. */
+    static String peerId(String gateway, String memberId) {
+        return gateway + SEPARATOR + memberId;
     }
 
-    static String gateway(RaftPeerId id) {
-        String text = id.toString();
+    /** Returns the gateway's name of a peer id; empty where it has none. */
+    static String gatewayName(RaftPeerId peerId) {
+        String text = peerId.toString();
         return text.substring(0, Math.max(0, text.indexOf(SEPARATOR)));
     }
 
-    /** The other side: a request of another member's library; null where it is of another kind. Throws IOException for one to another folder of this gateway: while a folder that was lost is still in the configuration its
-        leader has requests for both, and a new one that answered for the lost one would vote in its place, or take pieces of two snapshots by turns. */
-    static byte[] handle(RaftServer server, byte kind, byte[] bytes) throws IOException {
-        switch (kind) {
-            case VOTE -> {
+    /**
+     * Handles a request of another member's library; returns null for an unknown request type. Throws IOException for a
+     * request to another member id of this gateway: while a lost member is still in the configuration, its leader sends
+     * requests to both the old and the new one, and a new member that answered for the lost one would vote in its
+     * place, or mix chunks of two snapshots.
+     */
+    static byte[] handle(RaftServer server, byte type, byte[] bytes) throws IOException {
+        switch (type) {
+            case REQUEST_VOTE -> {
                 RequestVoteRequestProto request = RequestVoteRequestProto.parseFrom(bytes);
-                mustBeTo(server, request.getServerRequest());
+                requireRecipient(server, request.getServerRequest());
                 return server.requestVote(request).toByteArray();
             }
-            case APPEND -> {
+            case APPEND_ENTRIES -> {
                 AppendEntriesRequestProto request = AppendEntriesRequestProto.parseFrom(bytes);
-                mustBeTo(server, request.getServerRequest());
+                requireRecipient(server, request.getServerRequest());
                 return server.appendEntries(request).toByteArray();
             }
-            case INSTALL -> {
+            case INSTALL_SNAPSHOT -> {
                 InstallSnapshotRequestProto request = InstallSnapshotRequestProto.parseFrom(bytes);
-                mustBeTo(server, request.getServerRequest());
+                requireRecipient(server, request.getServerRequest());
                 return server.installSnapshot(request).toByteArray();
             }
-            case ELECT -> {
+            case START_LEADER_ELECTION -> {
                 StartLeaderElectionRequestProto request = StartLeaderElectionRequestProto.parseFrom(bytes);
-                mustBeTo(server, request.getServerRequest());
+                requireRecipient(server, request.getServerRequest());
                 return server.startLeaderElection(request).toByteArray();
             }
             default -> {
@@ -77,16 +86,17 @@
         }
     }
 
-    private static void mustBeTo(RaftServer server, RaftRpcRequestProto request) throws IOException {
-        RaftPeerId to = RaftPeerId.valueOf(request.getReplyId());
-        if (!to.equals(server.getId())) {
-            throw new IOException("expected a request to " + server.getId() + ", found one to " + to);
+    private static void requireRecipient(RaftServer server, RaftRpcRequestProto request) throws IOException {
+        RaftPeerId recipient = RaftPeerId.valueOf(request.getReplyId());
+        if (!recipient.equals(server.getId())) {
+            throw new IOException("expected a request to " + server.getId() + ", found one to " + recipient);
         }
     }
 
-    private byte[] call(RaftRpcRequestProto to, byte kind, byte[] request) throws IOException {
+    private byte[] call(RaftRpcRequestProto header, byte type, byte[] request) throws IOException {
         try {
-            return rpc.call(gateway(RaftPeerId.valueOf(to.getReplyId())), kind, request, TIMEOUT_MILLIS).get();
+            return endpoint.call(gatewayName(RaftPeerId.valueOf(header.getReplyId())), type, request, TIMEOUT_MILLIS)
+                    .get();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new InterruptedIOException("interrupted");
@@ -97,44 +107,52 @@
 
     @Override
     public RequestVoteReplyProto requestVote(RequestVoteRequestProto request) throws IOException {
-        return RequestVoteReplyProto.parseFrom(call(request.getServerRequest(), VOTE, request.toByteArray()));
+        return RequestVoteReplyProto.parseFrom(call(request.getServerRequest(), REQUEST_VOTE, request.toByteArray()));
     }
 
-    /** The library's answer to a request without entries names the end of the follower's log, and its leader takes that for what both have alike: where it is the rest of a term that the follower led, which nobody agreed
-        on, no entry would ever match. Both have alike what the request names as the entry before, and no more is known by it. */
+    /**
+     * Corrects the next index in a reply to a heartbeat (a request without entries). The library's reply has the end of
+     * the follower's log there, and its leader takes that for the follower's match index. If the
+     * follower's log ends with uncommitted entries from a term in which the follower was leader, no entry would ever
+     * match. Such a reply proves only that both logs match up to the request's previous entry.
+     */
     @Override
     public AppendEntriesReplyProto appendEntries(AppendEntriesRequestProto request) throws IOException {
-        AppendEntriesReplyProto reply = AppendEntriesReplyProto.parseFrom(call(request.getServerRequest(), APPEND, request.toByteArray()));
-        long alike = request.hasPreviousLog() ? request.getPreviousLog().getIndex() + 1 : 0;
-        boolean more = request.getEntriesCount() == 0 && reply.getResult() == AppendResult.SUCCESS && reply.getNextIndex() > alike;
-        return more ? reply.toBuilder().setNextIndex(alike).build() : reply;
+        AppendEntriesReplyProto reply = AppendEntriesReplyProto.parseFrom(call(request.getServerRequest(),
+                APPEND_ENTRIES, request.toByteArray()));
+        long matchedNextIndex = request.hasPreviousLog() ? request.getPreviousLog().getIndex() + 1 : 0;
+        boolean unconfirmed = request.getEntriesCount() == 0 && reply.getResult() == AppendResult.SUCCESS
+                && reply.getNextIndex() > matchedNextIndex;
+        return unconfirmed ? reply.toBuilder().setNextIndex(matchedNextIndex).build() : reply;
     }
 
     @Override
     public InstallSnapshotReplyProto installSnapshot(InstallSnapshotRequestProto request) throws IOException {
-        return InstallSnapshotReplyProto.parseFrom(call(request.getServerRequest(), INSTALL, request.toByteArray()));
+        return InstallSnapshotReplyProto.parseFrom(call(request.getServerRequest(), INSTALL_SNAPSHOT,
+                request.toByteArray()));
     }
 
     @Override
     public StartLeaderElectionReplyProto startLeaderElection(StartLeaderElectionRequestProto request) throws IOException {
-        return StartLeaderElectionReplyProto.parseFrom(call(request.getServerRequest(), ELECT, request.toByteArray()));
+        return StartLeaderElectionReplyProto.parseFrom(call(request.getServerRequest(), START_LEADER_ELECTION,
+                request.toByteArray()));
     }
 
-    /** The links are there before the library is. */
+    /** The endpoint is started before the library. */
     @Override
     public void start() { }
 
-    /** It listens on nothing of its own. */
+    /** It has no listener of its own. */
     @Override
     public InetSocketAddress getInetSocketAddress() {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    /** Links are found by the gateway's name. */
+    /** Peers are addressed by their gateway's name, so no addresses are kept. */
     @Override
     public void addRaftPeers(Collection<RaftPeer> peers) { }
 
-    /** A call that fails is made again by its caller. */
+    /** A failed call is retried by its caller. */
     @Override
     public void handleException(RaftPeerId server, Exception fault, boolean reconnect) { }
 
--- a/src/main/java/mastdrift/agreed/edge/PeerRpcType.java
+++ b/src/main/java/mastdrift/agreed/edge/PeerRpcType.java
@@ -7,12 +7,12 @@
 import org.apache.ratis.server.RaftServerRpc;
 import org.apache.ratis.server.ServerFactory;
 
-/** Names the gateways' own links as the transport of the Raft library, which makes it by its class's name. */
+/** Makes {@link PeerRpc} the transport of the Raft library, which instantiates this type by its class name. */
 public final class PeerRpcType implements RpcType {
 
-    static final String ENDPOINT = "mastdrift.rpc";
+    static final String ENDPOINT_PARAMETER = "mastdrift.rpc";
 
-    /** For the library. */
+    /** Called by the library. */
     public PeerRpcType() { }
 
     @Override
@@ -22,11 +22,11 @@
 
     @Override
     public RpcFactory newFactory(Parameters parameters) {
-        RpcEndpoint rpc = parameters.getNonNull(ENDPOINT, RpcEndpoint.class);
+        RpcEndpoint endpoint = parameters.getNonNull(ENDPOINT_PARAMETER, RpcEndpoint.class);
         return new ServerFactory() {
             @Override
             public RaftServerRpc newRaftServerRpc(RaftServer server) {
-                return new PeerRpc(rpc);
+                return new PeerRpc(endpoint);
             }
 
             @Override
--- a/src/main/java/mastdrift/agreed/edge/RaftLog.java
+++ b/src/main/java/mastdrift/agreed/edge/RaftLog.java
@@ -51,267 +51,300 @@
 import org.apache.ratis.util.TimeDuration;
 
 /**
- * The agreed log on Apache Ratis. A voter has a folder and takes part once {@link LogMembership} says so; who isn't one passes its appends on and reads behind a voter. Whatever fails with the folder makes this member step aside with one
- * event; the gateway goes on.
+ * Replicated log on Apache Ratis. A voter has a data directory and takes part once {@link LogMembership} allows it; any
+ * other gateway forwards its appends to the voters and fetches decisions from them. If the data directory fails, this
+ * member withdraws from the log with one event, and the gateway goes on without it.
  *
- * <p>Bounds: {@value #PENDING_MOST} appends that wait, {@value #WITHIN_MILLIS} ms for each, segments of 1 MiB, a snapshot every {@value #SNAPSHOT_EVERY} entries behind which the log is cut, two snapshots kept.
+ * <p>Bounds: {@value #MAX_PENDING_APPENDS} pending appends, {@value #APPEND_TIMEOUT_MILLIS} ms for each, segments of 1
+ * MiB, a snapshot every {@value #SNAPSHOT_INTERVAL_ENTRIES} entries, up to which the log is then purged, two snapshots
+ * retained.
  */
 public final class RaftLog implements AgreedLog, AutoCloseable {
 
-    static final int PENDING_MOST = 256;
-    static final long WITHIN_MILLIS = 5_000;
-    static final long SNAPSHOT_EVERY = 5_000;
+    static final int MAX_PENDING_APPENDS = 256;
+    static final long APPEND_TIMEOUT_MILLIS = 5_000;
+    static final long SNAPSHOT_INTERVAL_ENTRIES = 5_000;
+    // Types of requests; those of PeerRpc are below 16.
     private static final byte PROPOSE = 16;
-    private static final byte FOLDER = 17;
-    private static final byte FETCH = 18;
-    private static final byte JOIN = 19;
-    private static final byte TAKE_IN = 20;
+    private static final byte EXCHANGE_RECORDS = 17;
+    private static final byte FETCH_DECISIONS = 18;
+    private static final byte REJOIN = 19;
+    private static final byte PREPARE_VOTER = 20;
+    /** First byte of a response to PROPOSE that names the leader instead of an outcome. */
     private static final byte NOT_LEADER = 9;
-    private static final long MEET_MILLIS = 300;
-    private static final long EPOCH_MILLIS = 5_000;
-    private static final long FETCH_MILLIS = 300;
-    private static final long ASK_MILLIS = 1_000;
-    private static final long AGAIN_MILLIS = 100;
-    private static final int FETCH_MOST = 64;
-    private static final long CATCH_UP_MILLIS = 2_000;
-    private static final SizeInBytes CHUNK = SizeInBytes.valueOf("128KB");
-    private static final Snapshots SNAPSHOTS = new Snapshots(SNAPSHOT_EVERY, CHUNK);
+    private static final long POLL_INTERVAL_MILLIS = 300;
+    private static final long EPOCH_INTERVAL_MILLIS = 5_000;
+    private static final long FETCH_INTERVAL_MILLIS = 300;
+    private static final long REQUEST_TIMEOUT_MILLIS = 1_000;
+    private static final long RETRY_DELAY_MILLIS = 100;
+    private static final int MAX_FETCHED_DECISIONS = 64;
+    private static final long CATCH_UP_INTERVAL_MILLIS = 2_000;
+    private static final SizeInBytes TRANSFER_CHUNK_SIZE = SizeInBytes.valueOf("128KB");
+    private static final SnapshotSettings DEFAULT_SNAPSHOT_SETTINGS = new SnapshotSettings(SNAPSHOT_INTERVAL_ENTRIES,
+            TRANSFER_CHUNK_SIZE);
 
     /**
-     * What it is started with.
+     * Settings of a log.
      *
-     * @param name the gateway's
-     * @param installation of gateways
-     * @param begin the operator's word for this log: another one begins another
-     * @param voters gateways that vote at its begin
-     * @param folder where a voter keeps it
-     * @param longAway microseconds for which a voter is away until another takes its place
+     * @param name of this gateway
+     * @param installation name of the installation that the gateways belong to
+     * @param logId chosen by the operator; a new id starts a new, empty log
+     * @param voters gateways that vote when the log is bootstrapped
+     * @param dataDirectory where this member stores its record and log
+     * @param replaceAfterMicros how long a voter must have been away before another gateway replaces it
      */
-    public record Settings(String name, String installation, String begin, List<String> voters, Path folder, long longAway) { }
+    public record Settings(String name, String installation, String logId, List<String> voters, Path dataDirectory,
+            long replaceAfterMicros) { }
 
     /**
-     * How the log is cut.
+     * Settings of snapshots.
      *
-     * @param every entries behind the last snapshot, one is taken
-     * @param chunk bytes of the pieces in which another member is given one
+     * @param intervalEntries a snapshot is taken when the log has so many entries after the last one
+     * @param chunkSize size of the chunks in which a snapshot is sent to another member
      */
-    record Snapshots(long every, SizeInBytes chunk) { }
+    record SnapshotSettings(long intervalEntries, SizeInBytes chunkSize) { }
 
-    /** What is to be seen of it. */
-    public record Status(String role, String why, String leader, long term, long last, Map<String, String> group) { }
+    /**
+     * Status for operators.
+     *
+     * @param role waiting, joining, voter, following or aside
+     * @param reason why the member waits, joins or takes no part; empty otherwise
+     * @param leader name of the leader's gateway; empty where it is not known
+     * @param term Raft term; 0 at a gateway that is not a member
+     * @param lastIndex index of the last entry that was applied or fetched
+     * @param voterIds ids of the voters by name; the ids are empty at a gateway that only fetches
+     */
+    public record Status(String role, String reason, String leader, long term, long lastIndex,
+            Map<String, String> voterIds) { }
 
-    /** Is told of changes, by stable names; from any thread. */
+    /** Receives events about the log under stable names, on any thread. */
     public interface Listener {
-        /** {@code bad} is what somebody should look at. */
-        void event(boolean bad, String name, String text, Object... fields);
+        /** {@code warning} marks an event that an operator should look at. */
+        void event(boolean warning, String name, String text, Object... fields);
     }
 
     private final Settings settings;
-    private final Snapshots snapshots;
-    private final Consumer<Decision> reader;
-    private final Supplier<Collection<Voters.EligibleGateway>> gateways;
+    private final SnapshotSettings snapshotSettings;
+    private final Consumer<Decision> decisionConsumer;
+    private final Supplier<Collection<Voters.EligibleGateway>> eligibleGateways;
     private final Listener listener;
     private final ScheduledThreadPoolExecutor timer;
-    private final RpcEndpoint rpc;
+    private final RpcEndpoint endpoint;
     private final SecureRandom random = new SecureRandom();
-    private final ClientId client = ClientId.randomId();
+    private final ClientId clientId = ClientId.randomId();
     private final AtomicLong callIds = new AtomicLong();
-    private final AtomicLong pending = new AtomicLong();
-    private final Map<String, MemberRecord> answers = new ConcurrentHashMap<>();
+    private final AtomicLong pendingAppends = new AtomicLong();
+    private final Map<String, MemberRecord> peerRecords = new ConcurrentHashMap<>();
     private final RaftGroupId groupId;
-    private final ReplicatedStateMachine machine;
-    private volatile MemberFile file;  // null for who is no voter, or stepped aside
-    private volatile MemberRecord own;
+    private final ReplicatedStateMachine stateMachine;
+    private volatile MemberFile memberFile;  // null before it is opened, and if the data directory can't be used
+    private volatile MemberRecord ownRecord;
     private volatile RaftServer server;
     private volatile String role = "waiting";
-    private volatile String why = "";
-    private volatile Decisions fetched = new Decisions();
-    private volatile Map<String, String> group = Map.of();
-    private final long openedAt = System.nanoTime();
+    private volatile String roleReason = "";
+    private volatile Decisions fetchedDecisions = new Decisions();
+    private volatile Map<String, String> voterIds = Map.of();
+    private final long createdAtNanos = System.nanoTime();
     private String reportedLeader = "";
-    private long lastRead;
-    private long lastAppliedBefore = -1;  // the last entry of the own log, a while ago
-    private boolean lagging;  // it was said that the own log stands still
-    private boolean changing;
-    private boolean confirmed;  // it is in the log's configuration, as the log itself says
+    private long lastDeliveredIndex;
+    private long previousLastAppliedIndex = -1;  // index of the last applied entry at the previous catchUp
+    private boolean lagging;  // an event has reported that the own log does not advance
+    private boolean configurationChangePending;
+    private boolean membershipConfirmed;  // the committed configuration contains this member
     private boolean closed;
 
-    /** Starts to meet the others; decisions go to a reader, in their order, on threads of the log. {@code gateways} are those that might vote. */
-    public RaftLog(Settings settings, LogTransport transport, Consumer<Decision> reader, Supplier<Collection<Voters.EligibleGateway>> gateways, Listener listener) {
-        this(settings, SNAPSHOTS, transport, reader, gateways, listener);
+    /**
+     * Creates the log and starts to contact the other voters. Decisions are delivered to {@code decisionConsumer} in
+     * order, on threads of the log; {@code eligibleGateways} supplies the gateways that may become voters.
+     */
+    public RaftLog(Settings settings, LogTransport transport, Consumer<Decision> decisionConsumer,
+            Supplier<Collection<Voters.EligibleGateway>> eligibleGateways, Listener listener) {
+        this(settings, DEFAULT_SNAPSHOT_SETTINGS, transport, decisionConsumer, eligibleGateways, listener);
     }
 
-    /** With snapshots of its own. */
-    RaftLog(Settings settings, Snapshots snapshots, LogTransport transport, Consumer<Decision> reader, Supplier<Collection<Voters.EligibleGateway>> gateways, Listener listener) {
+    /** With snapshot settings, for tests. */
+    RaftLog(Settings settings, SnapshotSettings snapshotSettings, LogTransport transport,
+            Consumer<Decision> decisionConsumer, Supplier<Collection<Voters.EligibleGateway>> eligibleGateways,
+            Listener listener) {
         this.settings = settings;
-        this.snapshots = snapshots;
-        this.reader = reader;
-        this.gateways = gateways;
+        this.snapshotSettings = snapshotSettings;
+        this.decisionConsumer = decisionConsumer;
+        this.eligibleGateways = eligibleGateways;
         this.listener = listener;
-        groupId = RaftGroupId.valueOf(UUID.nameUUIDFromBytes((settings.installation() + '/' + settings.begin()).getBytes(StandardCharsets.UTF_8)));
+        groupId = RaftGroupId.valueOf(UUID.nameUUIDFromBytes((settings.installation() + '/' + settings.logId())
+                .getBytes(StandardCharsets.UTF_8)));
         timer = new ScheduledThreadPoolExecutor(1, task -> {
             Thread thread = new Thread(task, "agreed");
             thread.setDaemon(true);
             return thread;
         });
         timer.setRemoveOnCancelPolicy(true);
-        machine = new ReplicatedStateMachine(this::read, this::configured);
-        rpc = new RpcEndpoint(transport, timer, this::handle);
-        ExitUtils.disableSystemExit();  // a log that fails must not end the gateway
+        stateMachine = new ReplicatedStateMachine(this::deliver, this::onConfigurationChanged);
+        endpoint = new RpcEndpoint(transport, timer, this::handle);
+        ExitUtils.disableSystemExit();  // a failing log must not end the gateway's process
         timer.execute(this::open);
     }
 
-    /** Whether it was read behind a voter or of the own log: each once. */
-    private synchronized void read(Decision decision) {
-        if (decision.index() > lastRead) {
-            lastRead = decision.index();
-            reader.accept(decision);
+    /** Delivers a decision, whether it was fetched from a voter or applied from the own log: each once. */
+    private synchronized void deliver(Decision decision) {
+        if (decision.index() > lastDeliveredIndex) {
+            lastDeliveredIndex = decision.index();
+            decisionConsumer.accept(decision);
         }
     }
 
     private void open() {
         try {
-            file = new MemberFile(settings.folder());
-            own = file.read(settings.begin(), random);
-            if (!own.logId().equals(settings.begin())) {
-                listener.event(false, "agreed_begin", "another log begins, by the operator's word \"" + settings.begin() + "\"; the one before was \"" + own.logId() + "\"");
-                own = new MemberRecord(Long.toHexString(random.nextLong() >>> 16), settings.begin(), Map.of(), 0, Map.of());
+            memberFile = new MemberFile(settings.dataDirectory());
+            ownRecord = memberFile.read(settings.logId(), random);
+            if (!ownRecord.logId().equals(settings.logId())) {
+                listener.event(false, "agreed_begin", "a new log starts under the configured id \"" + settings.logId()
+                        + "\"; the previous id was \"" + ownRecord.logId() + "\"");
+                ownRecord = new MemberRecord(Long.toHexString(random.nextLong() >>> 16), settings.logId(), Map.of(), 0,
+                        Map.of());
             }
-            file.write(own);
+            memberFile.write(ownRecord);
         } catch (IOException e) {
-            stepAside("its folder can't be used: " + e.getMessage());
+            withdraw("data directory can't be used: " + e.getMessage());
             return;
         }
-        if (voter()) {
-            meet();
-            every(EPOCH_MILLIS, this::nextEpoch);
-            every(CATCH_UP_MILLIS, this::catchUp);
+        if (isVoter()) {
+            tryToParticipate();
+            scheduleRepeatedly(EPOCH_INTERVAL_MILLIS, this::advanceEpoch);
+            scheduleRepeatedly(CATCH_UP_INTERVAL_MILLIS, this::catchUp);
         } else {
             role = "following";
-            every(FETCH_MILLIS, this::fetch);
+            scheduleRepeatedly(FETCH_INTERVAL_MILLIS, this::fetchDecisions);
         }
-        every(MEET_MILLIS, this::reportLeader);
-        every(EPOCH_MILLIS, this::replaceLost);
+        scheduleRepeatedly(POLL_INTERVAL_MILLIS, this::reportLeader);
+        scheduleRepeatedly(EPOCH_INTERVAL_MILLIS, this::replaceLostVoter);
     }
 
-    private boolean voter() {
-        return settings.voters().contains(settings.name()) || own.isBootstrapped();
+    private boolean isVoter() {
+        return settings.voters().contains(settings.name()) || ownRecord.isBootstrapped();
     }
 
-    private void every(long millis, Runnable what) {
+    private void scheduleRepeatedly(long intervalMillis, Runnable task) {
         timer.scheduleWithFixedDelay(() -> {
             try {
-                what.run();
-            } catch (RuntimeException e) {  // or it would never run again
+                task.run();
+            } catch (RuntimeException e) {  // an uncaught exception would cancel the periodic task
                 listener.event(true, "agreed_fault", "fault in the agreed log: " + e);
             }
-        }, millis, millis, TimeUnit.MILLISECONDS);
+        }, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS);
     }
 
-    private void after(long millis, Runnable what) {
+    private void schedule(long delayMillis, Runnable task) {
         try {
-            timer.schedule(what, millis, TimeUnit.MILLISECONDS);
+            timer.schedule(task, delayMillis, TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
-            return;  // it is being closed
+            return;  // the log is being closed
         }
     }
 
-    private void stepAside(String reason) {
+    private void withdraw(String reason) {
         role = "aside";
-        why = reason;
-        listener.event(true, "agreed_aside", "the agreed log goes on without this gateway: " + reason, "why", reason);
-        RaftServer had = server;
+        roleReason = reason;
+        listener.event(true, "agreed_aside", "this gateway does not take part in the agreed log: " + reason, "why",
+                reason);
+        RaftServer runningServer = server;
         server = null;
-        if (had != null) {
-            close(had);
+        if (runningServer != null) {
+            close(runningServer);
         }
     }
 
-    // ---- meeting the others
+    // ---- starting
 
-    private byte[] folderBytes() throws IOException {
-        return MemberFile.bytes(own);
+    private byte[] encodeOwnRecord() throws IOException {
+        return MemberFile.encode(ownRecord);
     }
 
-    private void received(String from, MemberRecord folder) {
-        answers.put(from, folder);
-        if (folder.logId().equals(settings.begin()) && folder.epoch() > own.peerEpochs().getOrDefault(folder.id(), 0L)) {
-            own = own.withPeerEpoch(folder.id(), folder.epoch());
+    private void onPeerRecord(String sender, MemberRecord peerRecord) {
+        peerRecords.put(sender, peerRecord);
+        if (peerRecord.logId().equals(settings.logId())
+                && peerRecord.epoch() > ownRecord.peerEpochs().getOrDefault(peerRecord.id(), 0L)) {
+            ownRecord = ownRecord.withPeerEpoch(peerRecord.id(), peerRecord.epoch());
         }
     }
 
-    private void sendFolder() {
+    private void sendOwnRecord() {
         try {
-            byte[] bytes = folderBytes();
-            Collection<String> to = own.isBootstrapped() ? own.voterIds().keySet() : settings.voters();
-            for (String other : to) {
+            byte[] bytes = encodeOwnRecord();
+            Collection<String> recipients = ownRecord.isBootstrapped() ? ownRecord.voterIds().keySet()
+                    : settings.voters();
+            for (String other : recipients) {
                 if (!other.equals(settings.name())) {
-                    rpc.call(other, FOLDER, bytes, ASK_MILLIS).thenAccept(answer -> {
+                    endpoint.call(other, EXCHANGE_RECORDS, bytes, REQUEST_TIMEOUT_MILLIS).thenAccept(response -> {
                         try {
-                            MemberRecord folder = MemberFile.of(answer, other);
-                            timer.execute(() -> received(other, folder));
+                            MemberRecord peerRecord = MemberFile.decode(response, other);
+                            timer.execute(() -> onPeerRecord(other, peerRecord));
                         } catch (IOException | RejectedExecutionException e) {
-                            return;  // no answer, then
+                            return;  // treated as no answer
                         }
                     });
                 }
             }
         } catch (IOException e) {
-            stepAside("its folder can't be told: " + e.getMessage());
+            withdraw("member record can't be encoded: " + e.getMessage());
         }
     }
 
-    private void meet() {
+    private void tryToParticipate() {
         if (closed || role.equals("aside") || role.equals("voter")) {
             return;
         }
-        Action step = LogMembership.nextAction(settings.name(), own, settings.voters(), Map.copyOf(answers), TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - openedAt));
-        if (step instanceof Action.Participate take) {
-            takePart(take.voterIds(), "voter");
+        Action action = LogMembership.nextAction(settings.name(), ownRecord, settings.voters(),
+                Map.copyOf(peerRecords), TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - createdAtNanos));
+        if (action instanceof Action.Participate participate) {
+            participate(participate.voterIds(), "voter");
             return;
-        } else if (step instanceof Action.Withdraw stepAside) {
-            stepAside(stepAside.reason());
+        } else if (action instanceof Action.Withdraw withdraw) {
+            withdraw(withdraw.reason());
             return;
-        } else if (step instanceof Action.Rejoin anew) {
+        } else if (action instanceof Action.Rejoin rejoin) {
             if (!role.equals("joining")) {
                 role = "joining";
-                why = anew.reason();
-                listener.event(true, "agreed_joins", "joins the agreed log under a new identity: " + anew.reason(), "id", own.id());
+                roleReason = rejoin.reason();
+                listener.event(true, "agreed_joins", "joins the agreed log under a new identity: " + rejoin.reason(),
+                        "id", ownRecord.id());
             }
-            joinAnew(anew.voterIds());
-        } else if (step instanceof Action.Wait wait) {
-            why = wait.reason();
+            requestRejoin(rejoin.voterIds());
+        } else if (action instanceof Action.Wait wait) {
+            roleReason = wait.reason();
         }
-        sendFolder();
-        after(MEET_MILLIS, this::meet);
+        sendOwnRecord();
+        schedule(POLL_INTERVAL_MILLIS, this::tryToParticipate);
     }
 
-    private void nextEpoch() {
+    private void advanceEpoch() {
         if (server == null) {
             return;
         }
-        if (server.getLifeCycleState() == LifeCycle.State.CLOSED || server.getLifeCycleState() == LifeCycle.State.EXCEPTION || divisionDead()) {
-            stepAside("its log has failed; see the events before");
+        if (server.getLifeCycleState() == LifeCycle.State.CLOSED
+                || server.getLifeCycleState() == LifeCycle.State.EXCEPTION || isDivisionDead()) {
+            withdraw("Raft server has failed; see the preceding events");
             return;
         }
-        // Who was cut off while another took its place is told by nobody but those it asks.
-        if (LogMembership.nextAction(settings.name(), own, settings.voters(), Map.copyOf(answers), LogMembership.MAX_WAIT_FOR_ALL_MILLIS) instanceof Action.Withdraw replaced) {
-            stepAside(replaced.reason());
+        // A member that was replaced while it was cut off learns of it only from the answers to its own requests.
+        if (LogMembership.nextAction(settings.name(), ownRecord, settings.voters(), Map.copyOf(peerRecords),
+                LogMembership.MAX_WAIT_FOR_ALL_MILLIS) instanceof Action.Withdraw replaced) {
+            withdraw(replaced.reason());
             role = "following";
-            every(FETCH_MILLIS, this::fetch);
+            scheduleRepeatedly(FETCH_INTERVAL_MILLIS, this::fetchDecisions);
             return;
         }
-        own = own.withNextEpoch();
+        ownRecord = ownRecord.withNextEpoch();
         try {
-            file.write(own);
+            memberFile.write(ownRecord);
         } catch (IOException e) {
-            stepAside("its folder can't be written: " + e.getMessage());
+            withdraw("member file can't be written: " + e.getMessage());
             return;
         }
-        sendFolder();
+        sendOwnRecord();
     }
 
-    private boolean divisionDead() {
+    private boolean isDivisionDead() {
         try {
             return !server.getDivision(groupId).getInfo().isAlive();
         } catch (IOException e) {
@@ -319,23 +352,26 @@
         }
     }
 
-    private void takePart(Map<String, String> voters, String as) {
+    private void participate(Map<String, String> newVoterIds, String newRole) {
         try {
-            own = own.withVoters(voters).withNextEpoch();  // not at each start: an older copy would catch up by being started often
-            file.write(own);
-            sendFolder();
-            group = own.voterIds();
-            role = as;
-            why = "";
-            server = start(voters);
-            listener.event(false, "agreed_part", "takes part in the agreed log with " + String.join(", ", voters.keySet()), "id", own.id());
+            // Not advanced at each start of the process: an older copy could reach the remembered epoch by being
+            // restarted often.
+            ownRecord = ownRecord.withVoters(newVoterIds).withNextEpoch();
+            memberFile.write(ownRecord);
+            sendOwnRecord();
+            voterIds = ownRecord.voterIds();
+            role = newRole;
+            roleReason = "";
+            server = startServer(newVoterIds);
+            listener.event(false, "agreed_part", "takes part in the agreed log with "
+                    + String.join(", ", newVoterIds.keySet()), "id", ownRecord.id());
         } catch (IOException | RuntimeException e) {
-            stepAside("its log can't be started: " + e);
+            withdraw("Raft server can't be started: " + e);
         }
     }
 
     private static RaftPeer peer(String name, String id) {
-        return RaftPeer.newBuilder().setId(PeerRpc.id(name, id)).setAddress(name).build();
+        return RaftPeer.newBuilder().setId(PeerRpc.peerId(name, id)).setAddress(name).build();
     }
 
     private static List<RaftPeer> peers(Map<String, String> voters) {
@@ -344,10 +380,11 @@
         return peers;
     }
 
-    private RaftServer start(Map<String, String> voters) throws IOException {
+    private RaftServer startServer(Map<String, String> initialVoterIds) throws IOException {
         RaftProperties properties = new RaftProperties();
-        // One folder a log: the library would go on with all that it finds in one.
-        RaftServerConfigKeys.setStorageDir(properties, List.of(settings.folder().resolve("raft-" + groupId.getUuid()).toFile()));
+        // A directory for each log: the library would recover every group that it finds in it.
+        RaftServerConfigKeys.setStorageDir(properties, List.of(settings.dataDirectory()
+                .resolve("raft-" + groupId.getUuid()).toFile()));
         RaftConfigKeys.Rpc.setType(properties, new PeerRpcType());
         RaftServerConfigKeys.Rpc.setTimeoutMin(properties, TimeDuration.valueOf(800, TimeUnit.MILLISECONDS));
         RaftServerConfigKeys.Rpc.setTimeoutMax(properties, TimeDuration.valueOf(1_600, TimeUnit.MILLISECONDS));
@@ -360,395 +397,429 @@
         RaftServerConfigKeys.Log.setWriteBufferSize(properties, SizeInBytes.valueOf("256KB"));
         RaftServerConfigKeys.Log.setPurgeUptoSnapshotIndex(properties, true);
         RaftServerConfigKeys.Log.setPurgeGap(properties, 64);
-        RaftServerConfigKeys.Log.Appender.setBufferByteLimit(properties, CHUNK);
-        RaftServerConfigKeys.Log.Appender.setSnapshotChunkSizeMax(properties, snapshots.chunk());
+        RaftServerConfigKeys.Log.Appender.setBufferByteLimit(properties, TRANSFER_CHUNK_SIZE);
+        RaftServerConfigKeys.Log.Appender.setSnapshotChunkSizeMax(properties, snapshotSettings.chunkSize());
         RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(properties, true);
-        RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, snapshots.every());
+        RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, snapshotSettings.intervalEntries());
         RaftServerConfigKeys.Snapshot.setRetentionFileNum(properties, 2);
         Parameters parameters = new Parameters();
-        parameters.put(PeerRpcType.ENDPOINT, rpc, RpcEndpoint.class);
-        RaftServer made = RaftServer.newBuilder().setServerId(RaftPeerId.valueOf(PeerRpc.id(settings.name(), own.id())))
-                .setGroup(RaftGroup.valueOf(groupId, peers(voters))).setStateMachine(machine).setOption(StartupOption.RECOVER).setProperties(properties)
+        parameters.put(PeerRpcType.ENDPOINT_PARAMETER, endpoint, RpcEndpoint.class);
+        RaftServer startedServer = RaftServer.newBuilder()
+                .setServerId(RaftPeerId.valueOf(PeerRpc.peerId(settings.name(), ownRecord.id())))
+                .setGroup(RaftGroup.valueOf(groupId, peers(initialVoterIds))).setStateMachine(stateMachine)
+                .setOption(StartupOption.RECOVER).setProperties(properties)
                 .setParameters(parameters).build();
-        made.start();
-        return made;
+        startedServer.start();
+        return startedServer;
     }
 
-    // ---- who votes, as it changes
+    // ---- configuration changes
 
-    /** The voters are these from an entry on; on the library's thread. */
-    private void configured(long index, RaftConfigurationProto configuration) {
-        Map<String, String> now = new TreeMap<>();
+    /** Called on the library's thread when the voters change from an entry on. */
+    private void onConfigurationChanged(long index, RaftConfigurationProto configuration) {
+        Map<String, String> newVoterIds = new TreeMap<>();
         configuration.getPeersList().forEach(each -> {
             String id = each.getId().toStringUtf8();
-            int between = id.indexOf('/');
-            now.put(id.substring(0, Math.max(0, between)), id.substring(between + 1));
+            int separatorIndex = id.indexOf('/');
+            newVoterIds.put(id.substring(0, Math.max(0, separatorIndex)), id.substring(separatorIndex + 1));
         });
-        after(0, () -> {
-            boolean in = now.containsValue(own.id());
-            if (!in && !confirmed) {
-                return;  // of the time before it was taken in, which it reads on its way
+        schedule(0, () -> {
+            boolean isMember = newVoterIds.containsValue(ownRecord.id());
+            if (!isMember && !membershipConfirmed) {
+                return;  // a configuration from before this member was added, replayed while it catches up
             }
-            if (!now.equals(group) && !group.isEmpty()) {
-                listener.event(false, "agreed_voters", "voters of the agreed log are " + now.keySet() + " from entry " + index + " on", "index", index);
+            if (!newVoterIds.equals(voterIds) && !voterIds.isEmpty()) {
+                listener.event(false, "agreed_voters", "voters of the agreed log are " + newVoterIds.keySet()
+                        + " from entry " + index + " on", "index", index);
             }
-            group = now;
-            if (!in) {
-                stepAside("another was taken into the log in place of this folder");
+            voterIds = newVoterIds;
+            if (!isMember) {
+                withdraw("this member was replaced by another one in the log");
                 return;
             }
-            confirmed = true;
-            own = own.withVoters(now);
+            membershipConfirmed = true;
+            ownRecord = ownRecord.withVoters(newVoterIds);
             try {
-                file.write(own);
+                memberFile.write(ownRecord);
             } catch (IOException e) {
-                stepAside("its folder can't be written: " + e.getMessage());
+                withdraw("member file can't be written: " + e.getMessage());
                 return;
             }
             if (role.equals("joining")) {
                 role = "voter";
-                why = "";
-                listener.event(false, "agreed_part", "takes part in the agreed log with " + String.join(", ", now.keySet()), "id", own.id());
+                roleReason = "";
+                listener.event(false, "agreed_part", "takes part in the agreed log with "
+                        + String.join(", ", newVoterIds.keySet()), "id", ownRecord.id());
             }
         });
     }
 
-    private void joinAnew(Map<String, String> now) {
-        Map<String, String> next = new TreeMap<>(now);
-        next.put(settings.name(), own.id());
+    private void requestRejoin(Map<String, String> currentVoterIds) {
+        Map<String, String> newVoterIds = new TreeMap<>(currentVoterIds);
+        newVoterIds.put(settings.name(), ownRecord.id());
         if (server == null) {
             try {
-                server = start(next);  // empty, and in nobody's configuration: its vote counts for nothing until it has caught up
+                // empty and in no configuration: its vote doesn't count until it has caught up and is added
+                server = startServer(newVoterIds);
             } catch (IOException | RuntimeException e) {
-                stepAside("its log can't be started: " + e);
+                withdraw("Raft server can't be started: " + e);
                 return;
             }
         }
-        for (String other : now.keySet()) {
+        for (String other : currentVoterIds.keySet()) {
             if (!other.equals(settings.name())) {
-                rpc.call(other, JOIN, own.id().getBytes(StandardCharsets.UTF_8), WITHIN_MILLIS);
+                endpoint.call(other, REJOIN, ownRecord.id().getBytes(StandardCharsets.UTF_8), APPEND_TIMEOUT_MILLIS);
             }
         }
     }
 
-    /** On the leader: one folder in place of another, one change at a time. */
-    private CompletableFuture<Boolean> change(String out, String in, String id) {
-        RaftServer mine = server;
-        if (mine == null || changing || !isLeader() || id.equals(group.get(in))) {
+    /** On the leader: replaces one member by another, one change at a time. */
+    private CompletableFuture<Boolean> replaceVoter(String removedName, String addedName, String addedId) {
+        RaftServer runningServer = server;
+        if (runningServer == null || configurationChangePending || !isLeader()
+                || addedId.equals(voterIds.get(addedName))) {
             return CompletableFuture.completedFuture(false);
         }
-        changing = true;
-        Map<String, String> next = new TreeMap<>(group);
-        next.remove(out);
-        next.put(in, id);
-        listener.event(false, "agreed_replaces", "the agreed log takes in " + in + " in place of " + out, "gateway", in, "id", id);
+        configurationChangePending = true;
+        Map<String, String> newVoterIds = new TreeMap<>(voterIds);
+        newVoterIds.remove(removedName);
+        newVoterIds.put(addedName, addedId);
+        listener.event(false, "agreed_replaces", "agreed log: adding voter " + addedName + " in place of "
+                + removedName, "gateway", addedName, "id", addedId);
         try {
-            return mine.setConfigurationAsync(new SetConfigurationRequest(client, mine.getId(), groupId, callIds.incrementAndGet(), peers(next)))
+            return runningServer.setConfigurationAsync(new SetConfigurationRequest(clientId, runningServer.getId(),
+                    groupId, callIds.incrementAndGet(), peers(newVoterIds)))
                     .handle((reply, fault) -> {
-                        after(0, () -> changing = false);
+                        schedule(0, () -> configurationChangePending = false);
                         return fault == null && reply.isSuccess();
                     });
         } catch (IOException e) {
-            changing = false;
+            configurationChangePending = false;
             return CompletableFuture.completedFuture(false);
         }
     }
 
-    /** On the leader: a voter that is away for long gives its place to a gateway that is there. */
-    private void replaceLost() {
-        if (!isLeader() || changing) {
+    /** On the leader: replaces a voter that has been away for too long by a gateway that is reachable. */
+    private void replaceLostVoter() {
+        if (!isLeader() || configurationChangePending) {
             return;
         }
-        String[] change = Voters.replacement(group.keySet(), gateways.get(), settings.longAway());
-        if (change == null) {
+        String[] replacement = Voters.replacement(voterIds.keySet(), eligibleGateways.get(),
+                settings.replaceAfterMicros());
+        if (replacement == null) {
             return;
         }
-        Map<String, String> with = group;
-        rpc.call(change[1], FOLDER, new byte[0], ASK_MILLIS).thenAccept(answer -> {
+        Map<String, String> currentVoterIds = voterIds;
+        endpoint.call(replacement[1], EXCHANGE_RECORDS, new byte[0], REQUEST_TIMEOUT_MILLIS).thenAccept(response -> {
             try {
-                String id = MemberFile.of(answer, change[1]).id();
-                Map<String, String> next = new TreeMap<>(with);
-                next.remove(change[0]);
-                next.put(change[1], id);
-                rpc.call(change[1], TAKE_IN, MemberFile.bytes(new MemberRecord(id, settings.begin(), next, 0, Map.of())), ASK_MILLIS)
-                        .thenAccept(ready -> after(0, () -> change(change[0], change[1], id)));
+                String addedId = MemberFile.decode(response, replacement[1]).id();
+                Map<String, String> newVoterIds = new TreeMap<>(currentVoterIds);
+                newVoterIds.remove(replacement[0]);
+                newVoterIds.put(replacement[1], addedId);
+                endpoint.call(replacement[1], PREPARE_VOTER,
+                        MemberFile.encode(new MemberRecord(addedId, settings.logId(), newVoterIds, 0, Map.of())),
+                        REQUEST_TIMEOUT_MILLIS)
+                        .thenAccept(accepted -> schedule(0,
+                                () -> replaceVoter(replacement[0], replacement[1], addedId)));
             } catch (IOException e) {
-                return;  // tried again
+                return;  // retried at the next interval
             }
         });
     }
 
-    // ---- requests of others
+    // ---- requests from other members
 
-    private byte[] handle(String from, byte kind, byte[] request) throws IOException {
-        switch (kind) {
-            case FOLDER -> {
-                if (own == null) {
-                    throw new IOException("not yet");
+    private byte[] handle(String from, byte type, byte[] request) throws IOException {
+        switch (type) {
+            case EXCHANGE_RECORDS -> {
+                if (ownRecord == null) {
+                    throw new IOException("member record not loaded yet");
                 }
                 if (request.length > 0) {
-                    MemberRecord folder = MemberFile.of(request, from);
-                    timer.execute(() -> received(from, folder));
+                    MemberRecord peerRecord = MemberFile.decode(request, from);
+                    timer.execute(() -> onPeerRecord(from, peerRecord));
                 }
-                return folderBytes();
+                return encodeOwnRecord();
             }
-            case FETCH -> {
-                return entriesAfter(ByteBuffer.wrap(request).getLong());
+            case FETCH_DECISIONS -> {
+                return encodeDecisionsAfter(ByteBuffer.wrap(request).getLong());
             }
             case PROPOSE -> {
                 if (!isLeader()) {
-                    return leaderHint();
+                    return encodeLeaderHint();
                 }
-                return ReplicatedStateMachine.bytes(submit(request).join());
+                return ReplicatedStateMachine.encode(submit(request).join());
             }
-            case JOIN -> {
+            case REJOIN -> {
                 String id = new String(request, StandardCharsets.UTF_8);
-                after(0, () -> change(from, from, id));
+                schedule(0, () -> replaceVoter(from, from, id));
                 return new byte[0];
             }
-            case TAKE_IN -> {
-                MemberRecord next = MemberFile.of(request, from);
-                if (own == null || !next.id().equals(own.id()) || !next.logId().equals(settings.begin()) || own.isBootstrapped() || role.equals("aside")) {
-                    throw new IOException("not this folder");
+            case PREPARE_VOTER -> {
+                MemberRecord newRecord = MemberFile.decode(request, from);
+                if (ownRecord == null || !newRecord.id().equals(ownRecord.id())
+                        || !newRecord.logId().equals(settings.logId()) || ownRecord.isBootstrapped()
+                        || role.equals("aside")) {
+                    throw new IOException("not addressed to this member, or it can't become a voter");
                 }
-                after(0, () -> {
+                schedule(0, () -> {
                     if (server == null) {
-                        takePart(next.voterIds(), "joining");
+                        participate(newRecord.voterIds(), "joining");
                     }
                 });
                 return new byte[0];
             }
             default -> {
-                RaftServer mine = server;
-                byte[] answer = mine == null ? null : PeerRpc.handle(mine, kind, request);
-                if (answer == null) {
-                    throw new IOException("no part in the log");
+                RaftServer runningServer = server;
+                byte[] response = runningServer == null ? null : PeerRpc.handle(runningServer, type, request);
+                if (response == null) {
+                    throw new IOException("this member does not take part in the log");
                 }
-                return answer;
+                return response;
             }
         }
     }
 
-    private byte[] leaderHint() {
-        byte[] name = leader().getBytes(StandardCharsets.UTF_8);
+    private byte[] encodeLeaderHint() {
+        byte[] name = leaderName().getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.allocate(1 + name.length).put(NOT_LEADER).put(name).array();
     }
 
-    // ---- reading behind a voter
+    // ---- fetching decisions from a voter
 
-    private byte[] entriesAfter(long index) throws IOException {
+    private byte[] encodeDecisionsAfter(long index) throws IOException {
         if (server == null) {
-            throw new IOException("no part in the log");
+            throw new IOException("this member does not take part in the log");
         }
-        byte[] voters = String.join(",", group.keySet()).getBytes(StandardCharsets.UTF_8);
-        byte[] bytes = machine.part(index, FETCH_MOST);
+        byte[] voters = String.join(",", voterIds.keySet()).getBytes(StandardCharsets.UTF_8);
+        byte[] bytes = stateMachine.encodeDecisionsAfter(index, MAX_FETCHED_DECISIONS);
         return ByteBuffer.allocate(Integer.BYTES + voters.length + bytes.length).putInt(voters.length).put(voters).put(bytes).array();
     }
 
-    /** A voter whose own log stands still asks another one what was decided meanwhile, and reads that: its library may take no entry any more, though it votes and hears a leader. What comes of its own
-        log later was read already. */
+    /**
+     * Fetches decisions from another voter when this voter's log has not advanced since the last check: the library may
+     * accept no more entries although it votes and hears a leader. Decisions that its own log applies later are
+     * recognized as already delivered.
+     */
     private void catchUp() {
         if (server == null || !role.equals("voter")) {
             return;
         }
-        long last = machine.last();
-        boolean still = last == lastAppliedBefore;
-        lastAppliedBefore = last;
-        List<String> others = group.keySet().stream().filter(each -> !each.equals(settings.name())).toList();
-        if (!still || others.isEmpty()) {
-            lagging &= still;
+        long lastAppliedIndex = stateMachine.lastAppliedIndex();
+        boolean unchanged = lastAppliedIndex == previousLastAppliedIndex;
+        previousLastAppliedIndex = lastAppliedIndex;
+        List<String> others = voterIds.keySet().stream().filter(each -> !each.equals(settings.name())).toList();
+        if (!unchanged || others.isEmpty()) {
+            lagging &= unchanged;
             return;
         }
-        byte[] from = ByteBuffer.allocate(Long.BYTES).putLong(readUpTo()).array();
-        rpc.call(others.get(random.nextInt(others.size())), FETCH, from, ASK_MILLIS).thenAccept(answer -> after(0, () -> {
-            List<Decision> missed = decisions(answer).retained().stream().filter(each -> each.index() > readUpTo()).toList();
-            if (machine.last() != last || missed.isEmpty()) {
+        byte[] request = ByteBuffer.allocate(Long.BYTES).putLong(lastDeliveredIndex()).array();
+        endpoint.call(others.get(random.nextInt(others.size())), FETCH_DECISIONS, request, REQUEST_TIMEOUT_MILLIS)
+                .thenAccept(response -> schedule(0, () -> {
+            List<Decision> missed = decodeDecisions(response).retained().stream()
+                    .filter(each -> each.index() > lastDeliveredIndex()).toList();
+            if (stateMachine.lastAppliedIndex() != lastAppliedIndex || missed.isEmpty()) {
                 return;
             }
             if (!lagging) {
-                listener.event(true, "agreed_behind", "the own log stands still at entry " + last + ": decisions are read behind another voter", "index", last);
+                listener.event(true, "agreed_behind", "the log of this voter does not advance past entry "
+                        + lastAppliedIndex + ": decisions are fetched from another voter", "index", lastAppliedIndex);
             }
             lagging = true;
-            missed.forEach(this::read);
+            missed.forEach(this::deliver);
         }));
     }
 
-    private synchronized long readUpTo() {
-        return lastRead;
+    private synchronized long lastDeliveredIndex() {
+        return lastDeliveredIndex;
     }
 
-    private static Decisions decisions(byte[] answer) {
-        ByteBuffer in = ByteBuffer.wrap(answer);
+    private static Decisions decodeDecisions(byte[] response) {
+        ByteBuffer in = ByteBuffer.wrap(response);
         in.position(Integer.BYTES + in.getInt());
         byte[] bytes = new byte[in.remaining()];
         in.get(bytes);
         return Decisions.fromSnapshot(bytes);
     }
 
-    private void fetch() {
+    private void fetchDecisions() {
         if (server != null) {
             return;
         }
-        List<String> voters = group.isEmpty() ? settings.voters() : List.copyOf(group.keySet());
-        String at = voters.get(random.nextInt(voters.size()));
-        byte[] from = ByteBuffer.allocate(Long.BYTES).putLong(fetched.lastAppliedIndex()).array();
-        rpc.call(at, FETCH, from, ASK_MILLIS).thenAccept(answer -> after(0, () -> {
-            ByteBuffer in = ByteBuffer.wrap(answer);
-            byte[] names = new byte[in.getInt()];
-            in.get(names);
-            Decisions read = decisions(answer);
-            long before = fetched.lastAppliedIndex();
-            if (read.lastAppliedIndex() > before) {
-                fetched = read;
-                read.retained().forEach(this::read);
+        List<String> voters = voterIds.isEmpty() ? settings.voters() : List.copyOf(voterIds.keySet());
+        String voter = voters.get(random.nextInt(voters.size()));
+        byte[] request = ByteBuffer.allocate(Long.BYTES).putLong(fetchedDecisions.lastAppliedIndex()).array();
+        endpoint.call(voter, FETCH_DECISIONS, request, REQUEST_TIMEOUT_MILLIS)
+                .thenAccept(response -> schedule(0, () -> {
+            ByteBuffer in = ByteBuffer.wrap(response);
+            byte[] voterNames = new byte[in.getInt()];
+            in.get(voterNames);
+            Decisions newlyFetched = decodeDecisions(response);
+            long previousIndex = fetchedDecisions.lastAppliedIndex();
+            if (newlyFetched.lastAppliedIndex() > previousIndex) {
+                fetchedDecisions = newlyFetched;
+                newlyFetched.retained().forEach(this::deliver);
             }
-            Map<String, String> now = new TreeMap<>();
-            for (String each : new String(names, StandardCharsets.UTF_8).split(",")) {
-                now.put(each, "");
+            Map<String, String> newVoterIds = new TreeMap<>();
+            for (String each : new String(voterNames, StandardCharsets.UTF_8).split(",")) {
+                newVoterIds.put(each, "");
             }
-            group = now;
+            voterIds = newVoterIds;
         }));
     }
 
     // ---- appending
 
-    private DivisionInfo info() {
-        RaftServer mine = server;
+    private DivisionInfo divisionInfo() {
+        RaftServer runningServer = server;
         try {
-            return mine == null ? null : mine.getDivision(groupId).getInfo();
+            return runningServer == null ? null : runningServer.getDivision(groupId).getInfo();
         } catch (IOException e) {
             return null;
         }
     }
 
     private boolean isLeader() {
-        DivisionInfo info = info();
+        DivisionInfo info = divisionInfo();
         return info != null && info.isLeader();
     }
 
-    /** The leader's gateway, as far as this member knows; empty where it knows none. */
-    private String leader() {
-        DivisionInfo info = info();
+    /** Name of the leader's gateway, as far as this member knows; empty where it knows none. */
+    private String leaderName() {
+        DivisionInfo info = divisionInfo();
         RaftPeerId id = info == null ? null : info.getLeaderId();
-        return id == null ? "" : PeerRpc.gateway(id);
+        return id == null ? "" : PeerRpc.gatewayName(id);
     }
 
     private void reportLeader() {
-        String now = leader();
-        if (!now.isEmpty() && !now.equals(reportedLeader)) {
-            reportedLeader = now;
-            DivisionInfo info = info();
-            listener.event(false, "agreed_leader", "the agreed log is led by " + now, "leader", now, "term", info == null ? 0 : info.getCurrentTerm());
+        String currentLeader = leaderName();
+        if (!currentLeader.isEmpty() && !currentLeader.equals(reportedLeader)) {
+            reportedLeader = currentLeader;
+            DivisionInfo info = divisionInfo();
+            listener.event(false, "agreed_leader", "agreed log: the leader is " + currentLeader, "leader",
+                    currentLeader, "term", info == null ? 0 : info.getCurrentTerm());
         }
     }
 
     private CompletableFuture<AppendOutcome> submit(byte[] entry) {
-        RaftServer mine = server;
-        if (mine == null) {
-            return CompletableFuture.completedFuture(new AppendOutcome.Unknown("no part in the log"));
+        RaftServer runningServer = server;
+        if (runningServer == null) {
+            return CompletableFuture.completedFuture(
+                    new AppendOutcome.Unknown("this member does not take part in the log"));
         }
-        RaftClientRequest request = RaftClientRequest.newBuilder().setClientId(client).setServerId(mine.getId()).setGroupId(groupId).setCallId(callIds.incrementAndGet())
+        RaftClientRequest request = RaftClientRequest.newBuilder().setClientId(clientId)
+                .setServerId(runningServer.getId()).setGroupId(groupId).setCallId(callIds.incrementAndGet())
                 .setMessage(Message.valueOf(UnsafeByteOperations.unsafeWrap(entry))).setType(RaftClientRequest.writeRequestType()).build();
         try {
-            return mine.submitClientRequestAsync(request).orTimeout(WITHIN_MILLIS, TimeUnit.MILLISECONDS).handle((reply, fault) -> outcome(reply, fault));
+            return runningServer.submitClientRequestAsync(request)
+                    .orTimeout(APPEND_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                    .handle((reply, fault) -> toOutcome(reply, fault));
         } catch (IOException e) {
             return CompletableFuture.completedFuture(new AppendOutcome.Unknown(String.valueOf(e.getMessage())));
         }
     }
 
-    /** What fails may have been passed on by a leader that is none any more: only an answer of the log itself is sure. */
-    private static AppendOutcome outcome(RaftClientReply reply, Throwable fault) {
+    /**
+     * A failure says nothing about the entry: a former leader may have replicated it before it lost leadership. Only a
+     * reply from the state machine is conclusive.
+     */
+    private static AppendOutcome toOutcome(RaftClientReply reply, Throwable fault) {
         if (fault != null) {
             return new AppendOutcome.Unknown(fault.getClass().getSimpleName());
         }
-        return reply.isSuccess() ? ReplicatedStateMachine.outcome(reply.getMessage().getContent().toByteArray()) : new AppendOutcome.Unknown(reply.getException().getClass().getSimpleName());
+        return reply.isSuccess() ? ReplicatedStateMachine.decode(reply.getMessage().getContent().toByteArray())
+                : new AppendOutcome.Unknown(reply.getException().getClass().getSimpleName());
     }
 
     @Override
-    public void append(String id, byte[] command, Consumer<AppendOutcome> then) {
+    public void append(String id, byte[] command, Consumer<AppendOutcome> callback) {
         byte[] entry;
         try {
             entry = Decisions.appendEntry(id, command);
         } catch (IllegalArgumentException e) {
-            then.accept(new AppendOutcome.Rejected(e.getMessage()));
+            callback.accept(new AppendOutcome.Rejected(e.getMessage()));
             return;
         }
-        propose(entry, then);
+        propose(entry, callback);
     }
 
     @Override
-    public void settle(String id, Consumer<AppendOutcome> then) {
-        propose(Decisions.settleEntry(id), then);
+    public void settle(String id, Consumer<AppendOutcome> callback) {
+        propose(Decisions.settleEntry(id), callback);
     }
 
-    private void propose(byte[] entry, Consumer<AppendOutcome> then) {
-        if (pending.incrementAndGet() > PENDING_MOST) {
-            pending.decrementAndGet();
-            then.accept(new AppendOutcome.Unknown("expected at most " + PENDING_MOST + " that wait"));
+    private void propose(byte[] entry, Consumer<AppendOutcome> callback) {
+        if (pendingAppends.incrementAndGet() > MAX_PENDING_APPENDS) {
+            pendingAppends.decrementAndGet();
+            callback.accept(new AppendOutcome.Unknown("expected at most " + MAX_PENDING_APPENDS + " pending appends"));
             return;
         }
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WITHIN_MILLIS);
-        propose(entry, until, "", outcome -> {
-            pending.decrementAndGet();
-            then.accept(outcome);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(APPEND_TIMEOUT_MILLIS);
+        propose(entry, deadlineNanos, "", outcome -> {
+            pendingAppends.decrementAndGet();
+            callback.accept(outcome);
         });
     }
 
-    /** At the leader, or at one who may know it; again and again until the time is up, since an entry counts once however often it comes. */
-    private void propose(byte[] entry, long until, String hint, Consumer<AppendOutcome> then) {
-        if (System.nanoTime() >= until || closed) {
-            then.accept(new AppendOutcome.Unknown("no leader answered in time"));
+    /**
+     * Proposes an entry to the leader, or to a voter that may know it, and retries until the deadline: entries are
+     * deduplicated by id, so an entry counts once however often it is committed.
+     */
+    private void propose(byte[] entry, long deadlineNanos, String leaderHint, Consumer<AppendOutcome> callback) {
+        if (System.nanoTime() >= deadlineNanos || closed) {
+            callback.accept(new AppendOutcome.Unknown("no leader answered in time"));
             return;
         }
-        String at = hint.isEmpty() ? leader() : hint;
-        CompletableFuture<AppendOutcome> tried;
-        String[] next = {""};
-        if (at.equals(settings.name()) || isLeader()) {
-            tried = submit(entry);
+        String target = leaderHint.isEmpty() ? leaderName() : leaderHint;
+        CompletableFuture<AppendOutcome> attempt;
+        String[] nextHint = {""};
+        if (target.equals(settings.name()) || isLeader()) {
+            attempt = submit(entry);
         } else {
-            List<String> voters = group.isEmpty() ? settings.voters() : List.copyOf(group.keySet());
-            String to = at.isEmpty() ? voters.get(random.nextInt(voters.size())) : at;
-            tried = rpc.call(to, PROPOSE, entry, ASK_MILLIS * 2).handle((answer, fault) -> {
+            List<String> voters = voterIds.isEmpty() ? settings.voters() : List.copyOf(voterIds.keySet());
+            String recipient = target.isEmpty() ? voters.get(random.nextInt(voters.size())) : target;
+            attempt = endpoint.call(recipient, PROPOSE, entry, REQUEST_TIMEOUT_MILLIS * 2).handle((response, fault) -> {
                 if (fault != null) {
-                    return new AppendOutcome.Unknown("no answer");
+                    return new AppendOutcome.Unknown("no response");
                 }
-                if (answer.length > 0 && answer[0] == NOT_LEADER) {
-                    next[0] = new String(answer, 1, answer.length - 1, StandardCharsets.UTF_8);
+                if (response.length > 0 && response[0] == NOT_LEADER) {
+                    nextHint[0] = new String(response, 1, response.length - 1, StandardCharsets.UTF_8);
                     return new AppendOutcome.Unknown("not the leader");
                 }
-                return ReplicatedStateMachine.outcome(answer);
+                return ReplicatedStateMachine.decode(response);
             });
         }
-        tried.thenAccept(outcome -> {
+        attempt.thenAccept(outcome -> {
             if (outcome instanceof AppendOutcome.Unknown) {
-                after(AGAIN_MILLIS, () -> propose(entry, until, Objects.equals(next[0], settings.name()) ? "" : next[0], then));
+                schedule(RETRY_DELAY_MILLIS, () -> propose(entry, deadlineNanos,
+                        Objects.equals(nextHint[0], settings.name()) ? "" : nextHint[0], callback));
             } else {
-                then.accept(outcome);
+                callback.accept(outcome);
             }
         });
     }
 
-    /** For operators. */
     public Status status() {
-        DivisionInfo info = info();
-        return new Status(role, why, info == null ? "" : leader(), info == null ? 0 : info.getCurrentTerm(), server == null ? fetched.lastAppliedIndex() : machine.last(),
-                new HashMap<>(group));
+        DivisionInfo info = divisionInfo();
+        return new Status(role, roleReason, info == null ? "" : leaderName(), info == null ? 0 : info.getCurrentTerm(),
+                server == null ? fetchedDecisions.lastAppliedIndex() : stateMachine.lastAppliedIndex(),
+                new HashMap<>(voterIds));
     }
 
-    private void close(RaftServer had) {
+    private void close(RaftServer runningServer) {
         try {
-            had.close();
+            runningServer.close();
         } catch (IOException | RuntimeException e) {
-            listener.event(true, "agreed_fault", "the agreed log did not end well: " + e);
+            listener.event(true, "agreed_fault", "closing the agreed log failed: " + e);
         }
     }
 
-    /** Ends its part; what waits is unknown. */
+    /** Closes this member; the outcomes of pending appends are unknown. */
     @Override
     public void close() {
         closed = true;
         timer.shutdownNow();
-        rpc.close();
+        endpoint.close();
         if (server != null) {
             close(server);
         }
--- a/src/main/java/mastdrift/agreed/edge/ReplicatedStateMachine.java
+++ b/src/main/java/mastdrift/agreed/edge/ReplicatedStateMachine.java
@@ -31,49 +31,61 @@
 import org.apache.ratis.util.LifeCycle;
 import org.apache.ratis.util.MD5FileUtil;
 
-/** The replicated state machine, to which the Raft library applies committed entries. */
+/**
+ * Replicated state machine, to which the Raft library applies committed entries. It keeps {@link Decisions}, takes and
+ * loads their snapshots, and delivers each decision once.
+ */
 final class ReplicatedStateMachine extends BaseStateMachine {
 
-    private static final byte IN = 1;
-    private static final byte OUT = 2;
+    private static final byte COMMITTED = 1;
+    private static final byte REJECTED = 2;
     private static final byte UNKNOWN = 3;
 
-    private final SimpleStateMachineStorage files = new SimpleStateMachineStorage();
-    private final Consumer<Decision> reader;
-    private final BiConsumer<Long, RaftConfigurationProto> voters;
+    private final SimpleStateMachineStorage snapshotStorage = new SimpleStateMachineStorage();
+    private final Consumer<Decision> decisionConsumer;
+    private final BiConsumer<Long, RaftConfigurationProto> configurationListener;
     private Decisions decisions = new Decisions();
-    private long read;
-
-    /** Tells decisions to a reader and changes of voters, on the library's thread. */
-    ReplicatedStateMachine(Consumer<Decision> reader, BiConsumer<Long, RaftConfigurationProto> voters) {
-        this.reader = reader;
-        this.voters = voters;
+    private long lastDeliveredIndex;
+
+    /**
+     * Delivers decisions to {@code decisionConsumer} and configuration changes to {@code configurationListener}, on the
+     * library's threads.
+     */
+    ReplicatedStateMachine(Consumer<Decision> decisionConsumer,
+            BiConsumer<Long, RaftConfigurationProto> configurationListener) {
+        this.decisionConsumer = decisionConsumer;
+        this.configurationListener = configurationListener;
     }
 
-    static byte[] bytes(AppendOutcome outcome) {
+    /** Encodes an outcome for a response. */
+    static byte[] encode(AppendOutcome outcome) {
         if (outcome instanceof AppendOutcome.Committed committed) {
-            return ByteBuffer.allocate(1 + Long.BYTES).put(IN).putLong(committed.index()).array();
+            return ByteBuffer.allocate(1 + Long.BYTES).put(COMMITTED).putLong(committed.index()).array();
         }
-        byte[] why = (outcome instanceof AppendOutcome.Rejected rejected ? rejected.reason() : ((AppendOutcome.Unknown) outcome).reason()).getBytes(StandardCharsets.UTF_8);
-        return ByteBuffer.allocate(1 + why.length).put(outcome instanceof AppendOutcome.Rejected ? OUT : UNKNOWN).put(why).array();
+        byte[] reason = (outcome instanceof AppendOutcome.Rejected rejected ? rejected.reason()
+                : ((AppendOutcome.Unknown) outcome).reason()).getBytes(StandardCharsets.UTF_8);
+        return ByteBuffer.allocate(1 + reason.length).put(outcome instanceof AppendOutcome.Rejected ? REJECTED
+                : UNKNOWN).put(reason).array();
     }
 
-    static AppendOutcome outcome(byte[] bytes) {
+    /** Decodes an outcome; {@link AppendOutcome.Unknown} for what it can't decode. */
+    static AppendOutcome decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         byte kind = in.hasRemaining() ? in.get() : UNKNOWN;
-        if (kind == IN && in.remaining() == Long.BYTES) {
+        if (kind == COMMITTED && in.remaining() == Long.BYTES) {
             return new AppendOutcome.Committed(in.getLong());
         }
-        String why = new String(bytes, Math.min(1, bytes.length), Math.max(0, bytes.length - 1), StandardCharsets.UTF_8);
-        return kind == OUT ? new AppendOutcome.Rejected(why) : new AppendOutcome.Unknown(why);
+        String reason = new String(bytes, Math.min(1, bytes.length), Math.max(0, bytes.length - 1),
+                StandardCharsets.UTF_8);
+        return kind == REJECTED ? new AppendOutcome.Rejected(reason) : new AppendOutcome.Unknown(reason);
     }
 
-    /** What is behind an entry, as bytes, for who follows from there. */
-    synchronized byte[] part(long index, int most) {
-        return decisions.sliceAfter(index, most).snapshot();
+    /** Encodes the decisions after an index, see {@link Decisions#sliceAfter}. */
+    synchronized byte[] encodeDecisionsAfter(long index, int limit) {
+        return decisions.sliceAfter(index, limit).snapshot();
     }
 
-    synchronized long last() {
+    synchronized long lastAppliedIndex() {
         return decisions.lastAppliedIndex();
     }
 
@@ -81,13 +93,13 @@
     public void initialize(RaftServer server, RaftGroupId group, RaftStorage storage) throws IOException {
         getLifeCycle().startAndTransition(() -> {
             super.initialize(server, group, storage);
-            files.init(storage);
-            load();
+            snapshotStorage.init(storage);
+            loadLatestSnapshot();
         });
     }
 
-    private synchronized void load() throws IOException {
-        SingleFileSnapshotInfo latest = files.loadLatestSnapshot();
+    private synchronized void loadLatestSnapshot() throws IOException {
+        SingleFileSnapshotInfo latest = snapshotStorage.loadLatestSnapshot();
         if (latest == null) {
             return;
         }
@@ -95,17 +107,19 @@
         MD5FileUtil.verifySavedMD5(file, MD5FileUtil.computeMd5ForFile(file));
         decisions = Decisions.fromSnapshot(Files.readAllBytes(file.toPath()));
         setLastAppliedTermIndex(latest.getTermIndex());
-        decisions.retained().forEach(this::tell);
+        decisions.retained().forEach(this::deliver);
     }
 
-    private void tell(Decision decision) {
-        if (decision.index() > read) {
-            read = decision.index();
-            reader.accept(decision);
+    private void deliver(Decision decision) {
+        if (decision.index() > lastDeliveredIndex) {
+            lastDeliveredIndex = decision.index();
+            decisionConsumer.accept(decision);
         }
     }
 
-    /** The library pauses it again with each piece of a snapshot that it is given. */
+    /**
+     * Does nothing if it is paused already: the library pauses it again with each chunk of a snapshot that it receives.
+     */
     @Override
     public void pause() {
         if (getLifeCycleState() != LifeCycle.State.PAUSED) {
@@ -116,7 +130,7 @@
 
     @Override
     public void reinitialize() throws IOException {
-        load();
+        loadLatestSnapshot();
         if (getLifeCycleState() == LifeCycle.State.PAUSED) {
             getLifeCycle().transition(LifeCycle.State.STARTING);
             getLifeCycle().transition(LifeCycle.State.RUNNING);
@@ -129,17 +143,19 @@
         if (last == null || last.getIndex() < 0) {
             return -1;
         }
-        File file = files.getSnapshotFile(last.getTerm(), last.getIndex());
-        File aside = new File(file.getPath() + ".part");
-        Files.write(aside.toPath(), decisions.snapshot());
-        Files.move(aside.toPath(), file.toPath(), StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
-        files.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file.toPath(), MD5FileUtil.computeAndSaveMd5ForFile(file)), last));
+        File file = snapshotStorage.getSnapshotFile(last.getTerm(), last.getIndex());
+        File temporaryFile = new File(file.getPath() + ".part");
+        Files.write(temporaryFile.toPath(), decisions.snapshot());
+        Files.move(temporaryFile.toPath(), file.toPath(), StandardCopyOption.REPLACE_EXISTING,
+                StandardCopyOption.ATOMIC_MOVE);
+        snapshotStorage.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file.toPath(),
+                MD5FileUtil.computeAndSaveMd5ForFile(file)), last));
         return last.getIndex();
     }
 
     @Override
     public StateMachineStorage getStateMachineStorage() {
-        return files;
+        return snapshotStorage;
     }
 
     @Override
@@ -150,18 +166,18 @@
             outcome = decisions.apply(entry.getIndex(), entry.getStateMachineLogEntry().getLogData().toByteArray());
             updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
             if (outcome instanceof AppendOutcome.Committed committed && committed.index() == entry.getIndex()) {
-                List<Decision> own = decisions.decisionsAfter(committed.index() - 1, 1);
-                if (own != null && !own.isEmpty()) {
-                    tell(own.get(0));
+                List<Decision> appended = decisions.decisionsAfter(committed.index() - 1, 1);
+                if (appended != null && !appended.isEmpty()) {
+                    deliver(appended.get(0));
                 }
             }
         }
-        ByteString answer = UnsafeByteOperations.unsafeWrap(bytes(outcome));
-        return CompletableFuture.completedFuture(Message.valueOf(answer));
+        ByteString response = UnsafeByteOperations.unsafeWrap(encode(outcome));
+        return CompletableFuture.completedFuture(Message.valueOf(response));
     }
 
     @Override
     public void notifyConfigurationChanged(long term, long index, RaftConfigurationProto configuration) {
-        voters.accept(index, configuration);
+        configurationListener.accept(index, configuration);
     }
 }
--- a/src/main/java/mastdrift/agreed/edge/package-info.java
+++ b/src/main/java/mastdrift/agreed/edge/package-info.java
@@ -1,3 +1,6 @@
-/** The agreed log on Apache Ratis: its messages go over the gateways' signed links, so that there is one listener and one key, and every pair's link can fail by itself. Decides nothing
-    that {@link mastdrift.agreed} doesn't; its threads are its own. */
+/**
+ * Implementation of {@link mastdrift.agreed.AgreedLog} on Apache Ratis. Its messages use the gateways' signed links, so
+ * that there is one listener and one key, and the link of each pair can fail independently. Leaves all membership
+ * decisions to {@link mastdrift.agreed}; runs on its own threads.
+ */
 package mastdrift.agreed.edge;
--- a/src/main/java/mastdrift/serve/AgreedService.java
+++ b/src/main/java/mastdrift/serve/AgreedService.java
@@ -140,7 +140,7 @@
     /** Once, and again when it changes. */
     private void saySurvival() {
         Map<String, String> zones = new HashMap<>();
-        log.status().group().keySet().forEach(voter -> zones.put(voter, zone(voter)));
+        log.status().voterIds().keySet().forEach(voter -> zones.put(voter, zone(voter)));
         if (zones.isEmpty()) {
             return;
         }
@@ -157,11 +157,11 @@
         RaftLog.Status now = log.status();
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("part", now.role());
-        all.put("why", now.why());
+        all.put("why", now.reason());
         all.put("leader", now.leader());
         all.put("term", now.term());
-        all.put("last", now.last());
-        all.put("voters", new TreeSet<>(now.group().keySet()));
+        all.put("last", now.lastIndex());
+        all.put("voters", new TreeSet<>(now.voterIds().keySet()));
         synchronized (rolls) {
             all.put("rolls", new LinkedHashMap<>(rolls));
         }
--- a/src/test/java/mastdrift/agreed/edge/MemberFileTest.java
+++ b/src/test/java/mastdrift/agreed/edge/MemberFileTest.java
@@ -13,20 +13,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Format of the member file. */
 class MemberFileTest {
 
-    private static final String FIRST = "{\"id\":\"0a0b0c0d0e0f\",\"begin\":\"one\",\"group\":{\"a\":\"0a0b0c0d0e0f\"},\"tide\":7,\"heard\":{\"b1\":9}}\n2122172928";
+    private static final String FIRST_BUILD_FILE = "{\"id\":\"0a0b0c0d0e0f\",\"begin\":\"one\",\"group\":{\"a\":\"0a0b0c0d0e0f\"},\"tide\":7,\"heard\":{\"b1\":9}}\n2122172928";
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
-    /** Guards against a key of the file that is renamed with the code: the folder of an earlier build would no longer be read, and this member would step aside. */
+    /**
+     * Guards against renaming a key of the file along with the code: a file of an earlier build could no longer be
+     * read, and the member would withdraw from the log.
+     */
     @Test
-    void aFolderOfTheFirstBuildIsReadAndWrittenAsItWas() throws IOException {
-        MemberFile file = new MemberFile(folder);
-        Files.writeString(folder.resolve("member.json"), FIRST);
+    void aMemberFileOfTheFirstBuildIsReadAndWrittenUnchanged() throws IOException {
+        MemberFile file = new MemberFile(directory);
+        Files.writeString(directory.resolve("member.json"), FIRST_BUILD_FILE);
         MemberRecord read = file.read("one", new Random(1));
         assertEquals(new MemberRecord("0a0b0c0d0e0f", "one", Map.of("a", "0a0b0c0d0e0f"), 7, Map.of("b1", 9L)), read);
-        assertArrayEquals(FIRST.getBytes(StandardCharsets.UTF_8), MemberFile.bytes(read));
+        assertArrayEquals(FIRST_BUILD_FILE.getBytes(StandardCharsets.UTF_8), MemberFile.encode(read));
     }
 }
--- a/src/test/java/mastdrift/agreed/edge/PeerRpcTest.java
+++ b/src/test/java/mastdrift/agreed/edge/PeerRpcTest.java
@@ -23,14 +23,15 @@
 import org.apache.ratis.thirdparty.com.google.protobuf.ByteString;
 import org.junit.jupiter.api.Test;
 
+/** Dispatch of requests of other members to the Raft library. */
 class PeerRpcTest {
 
-    private final List<String> asked = new ArrayList<>();
+    private final List<String> calledMethods = new ArrayList<>();
     private final RaftServer server = (RaftServer) Proxy.newProxyInstance(RaftServer.class.getClassLoader(), new Class<?>[] {RaftServer.class}, (proxy, method, arguments) -> {
         if (method.getName().equals("getId")) {
             return RaftPeerId.valueOf("c/new");
         }
-        asked.add(method.getName());
+        calledMethods.add(method.getName());
         return switch (method.getName()) {
             case "requestVote" -> RequestVoteReplyProto.getDefaultInstance();
             case "appendEntries" -> AppendEntriesReplyProto.getDefaultInstance();
@@ -40,24 +41,34 @@
         };
     });
 
-    private static byte[] request(byte kind, String to) {
-        RaftRpcRequestProto head = RaftRpcRequestProto.newBuilder().setReplyId(ByteString.copyFromUtf8(to)).build();
-        return switch (kind) {
-            case PeerRpc.VOTE -> RequestVoteRequestProto.newBuilder().setServerRequest(head).build().toByteArray();
-            case PeerRpc.APPEND -> AppendEntriesRequestProto.newBuilder().setServerRequest(head).build().toByteArray();
-            case PeerRpc.INSTALL -> InstallSnapshotRequestProto.newBuilder().setServerRequest(head).build().toByteArray();
-            default -> StartLeaderElectionRequestProto.newBuilder().setServerRequest(head).build().toByteArray();
+    private static byte[] request(byte type, String recipient) {
+        RaftRpcRequestProto header = RaftRpcRequestProto.newBuilder().setReplyId(ByteString.copyFromUtf8(recipient))
+                .build();
+        return switch (type) {
+            case PeerRpc.REQUEST_VOTE -> RequestVoteRequestProto.newBuilder().setServerRequest(header).build()
+                    .toByteArray();
+            case PeerRpc.APPEND_ENTRIES -> AppendEntriesRequestProto.newBuilder().setServerRequest(header).build()
+                    .toByteArray();
+            case PeerRpc.INSTALL_SNAPSHOT -> InstallSnapshotRequestProto.newBuilder().setServerRequest(header).build()
+                    .toByteArray();
+            default -> StartLeaderElectionRequestProto.newBuilder().setServerRequest(header).build().toByteArray();
         };
     }
 
-    /** Guards against a folder that votes and acknowledges in place of one that was lost: the old one is in the configuration until the new one is taken in, under the same gateway's name. */
+    /**
+     * Guards against a new member that votes and acknowledges in place of a lost one: the lost one stays in the
+     * configuration, under the same gateway's name, until the new one is added.
+     */
     @Test
-    void aFolderAnswersForNoOther() throws Exception {
-        for (byte kind : new byte[] {PeerRpc.VOTE, PeerRpc.APPEND, PeerRpc.INSTALL, PeerRpc.ELECT}) {
-            assertArrayEquals(new byte[0], PeerRpc.handle(server, kind, request(kind, "c/new")));
-            assertEquals("expected a request to c/new, found one to c/old", assertThrows(IOException.class, () -> PeerRpc.handle(server, kind, request(kind, "c/old"))).getMessage());
+    void aRequestToAnotherMemberIdIsRejected() throws Exception {
+        for (byte type : new byte[] {PeerRpc.REQUEST_VOTE, PeerRpc.APPEND_ENTRIES, PeerRpc.INSTALL_SNAPSHOT,
+                PeerRpc.START_LEADER_ELECTION}) {
+            assertArrayEquals(new byte[0], PeerRpc.handle(server, type, request(type, "c/new")));
+            assertEquals("expected a request to c/new, found one to c/old",
+                    assertThrows(IOException.class, () -> PeerRpc.handle(server, type, request(type, "c/old")))
+                    .getMessage());
         }
         assertNull(PeerRpc.handle(server, (byte) 99, new byte[0]));
-        assertEquals(List.of("requestVote", "appendEntries", "installSnapshot", "startLeaderElection"), asked);
+        assertEquals(List.of("requestVote", "appendEntries", "installSnapshot", "startLeaderElection"), calledMethods);
     }
 }
--- a/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
+++ b/src/test/java/mastdrift/agreed/edge/RaftLogTest.java
@@ -34,43 +34,50 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The agreed log on the Raft library, several members in one process: what is in stays in, each once, and folders that can't be trusted take no part. */
+/**
+ * The replicated log on the Raft library with several members in one process: committed decisions stay committed and
+ * are read once each, and members with an unusable data directory don't take part.
+ */
 class RaftLogTest {
 
     private static final int WAIT_SECONDS = 40;
-    private static final long AWAY = 2_000_000;
+    private static final long AWAY_MICROS = 2_000_000;
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private final Map<String, BiConsumer<String, byte[]>> receivers = new ConcurrentHashMap<>();
-    private final Set<String> cut = ConcurrentHashMap.newKeySet();
-    private final Set<String> noEntries = ConcurrentHashMap.newKeySet();  // who is asked to append nothing, and hears all else
+    private final Set<String> partitioned = ConcurrentHashMap.newKeySet();
+    // members that receive no AppendEntries requests, but all other messages
+    private final Set<String> withoutAppendEntries = ConcurrentHashMap.newKeySet();
     private final Map<String, Member> members = new ConcurrentHashMap<>();
     private final ExecutorService network = Executors.newSingleThreadExecutor();
-    private final Map<String, AtomicInteger> chunks = new ConcurrentHashMap<>();  // of snapshots, by whom they go to
-    private final List<Path> links = new ArrayList<>();  // to a disk that is full
-    private RaftLog.Snapshots snapshots = new RaftLog.Snapshots(RaftLog.SNAPSHOT_EVERY, SizeInBytes.valueOf("128KB"));
-    private long longAway = 3_600_000_000L;
+    // number of snapshot chunks sent, by receiver
+    private final Map<String, AtomicInteger> sentChunks = new ConcurrentHashMap<>();
+    private final List<Path> fullDiskLinks = new ArrayList<>();  // symbolic links to /dev/full
+    private RaftLog.SnapshotSettings snapshotSettings = new RaftLog.SnapshotSettings(RaftLog.SNAPSHOT_INTERVAL_ENTRIES,
+            SizeInBytes.valueOf("128KB"));
+    private long replaceAfterMicros = 3_600_000_000L;
 
     private final class Member {
         private final String name;
-        private final List<Decision> read = new CopyOnWriteArrayList<>();
-        private final List<String> said = new CopyOnWriteArrayList<>();
+        private final List<Decision> decisions = new CopyOnWriteArrayList<>();
+        private final List<String> events = new CopyOnWriteArrayList<>();
         private final RaftLog log;
 
-        Member(String name, String begin, List<String> voters) {
+        Member(String name, String logId, List<String> voters) {
             this.name = name;
-            log = new RaftLog(new RaftLog.Settings(name, "test", begin, voters, folder.resolve(name), longAway), snapshots, new LogTransport() {
+            log = new RaftLog(new RaftLog.Settings(name, "test", logId, voters, directory.resolve(name),
+                    replaceAfterMicros), snapshotSettings, new LogTransport() {
                 @Override
                 public void send(String gateway, byte[] message) {
                     network.execute(() -> {
                         BiConsumer<String, byte[]> to = receivers.get(gateway);
-                        if (message[0] == PeerRpc.INSTALL) {
-                            chunks.computeIfAbsent(gateway, each -> new AtomicInteger()).incrementAndGet();
+                        if (message[0] == PeerRpc.INSTALL_SNAPSHOT) {
+                            sentChunks.computeIfAbsent(gateway, each -> new AtomicInteger()).incrementAndGet();
                         }
-                        if (to != null && !cut.contains(name) && !cut.contains(gateway)
-                                && !(noEntries.contains(gateway) && message[0] == PeerRpc.APPEND)) {
+                        if (to != null && !partitioned.contains(name) && !partitioned.contains(gateway)
+                                && !(withoutAppendEntries.contains(gateway) && message[0] == PeerRpc.APPEND_ENTRIES)) {
                             to.accept(name, message);
                         }
                     });
@@ -80,8 +87,10 @@
                 public void onMessage(BiConsumer<String, byte[]> receiver) {
                     receivers.put(name, receiver);
                 }
-            }, read::add, () -> members.keySet().stream().map(each -> new Voters.EligibleGateway(each, "z", receivers.containsKey(each) && !cut.contains(each) ? 0 : AWAY)).toList(),
-                    (bad, what, text, fields) -> said.add(what + " " + text));
+            }, decisions::add, () -> members.keySet().stream()
+                    .map(each -> new Voters.EligibleGateway(each, "z", receivers.containsKey(each)
+                    && !partitioned.contains(each) ? 0 : AWAY_MICROS)).toList(),
+                    (warning, eventName, text, fields) -> events.add(eventName + " " + text));
             members.put(name, this);
         }
 
@@ -91,18 +100,18 @@
             return outcome.get(WAIT_SECONDS, TimeUnit.SECONDS);
         }
 
-        /** Until it is known to be in. */
+        /** Appends until the decision is known to be committed. */
         long commit(String id) throws Exception {
             for (int tries = 0; tries < 8; tries++) {
                 if (append(id) instanceof AppendOutcome.Committed committed) {
                     return committed.index();
                 }
             }
-            throw new AssertionError(name + ": " + id + " is not in; " + log.status() + " " + said);
+            throw new AssertionError(name + ": " + id + " is not committed; " + log.status() + " " + events);
         }
 
-        List<String> ids() {
-            return read.stream().map(Decision::id).toList();
+        List<String> decisionIds() {
+            return decisions.stream().map(Decision::id).toList();
         }
 
         void kill() {
@@ -111,31 +120,36 @@
         }
     }
 
-    private void start(String begin, List<String> voters, String... names) {
+    private void start(String logId, List<String> voters, String... names) {
         for (String name : names) {
-            new Member(name, begin, voters);
+            new Member(name, logId, voters);
         }
     }
 
-    private void await(BooleanSupplier holds, String what) throws InterruptedException {
-        for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS); !holds.getAsBoolean(); Thread.sleep(20)) {
-            assertTrue(System.nanoTime() < until, () -> what + "; " + members.values().stream().map(each -> each.name + " " + each.log.status() + " " + each.ids().size() + " "
-                    + each.said).toList());
+    private void await(BooleanSupplier condition, String description) throws InterruptedException {
+        for (long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
+                !condition.getAsBoolean(); Thread.sleep(20)) {
+            assertTrue(System.nanoTime() < deadlineNanos, () -> description + "; " + members.values().stream()
+                    .map(each -> each.name + " " + each.log.status() + " " + each.decisionIds().size() + " "
+                    + each.events).toList());
         }
     }
 
     private void awaitAll(List<String> ids, String... names) throws InterruptedException {
         for (String name : names) {
-            await(() -> new HashSet<>(members.get(name).ids()).containsAll(ids), name + " reads all of " + ids.size());
-            assertEquals(members.get(names[0]).ids().subList(0, ids.size()), members.get(name).ids().subList(0, ids.size()), "in one order");
-            assertEquals(new HashSet<>(members.get(name).ids()).size(), members.get(name).ids().size(), "each once");
-            List<Long> ordinals = members.get(name).read.stream().map(Decision::ordinal).toList();
+            await(() -> new HashSet<>(members.get(name).decisionIds()).containsAll(ids), name + " reads all of "
+                    + ids.size());
+            assertEquals(members.get(names[0]).decisionIds().subList(0, ids.size()), members.get(name).decisionIds()
+                    .subList(0, ids.size()), "in the same order");
+            assertEquals(new HashSet<>(members.get(name).decisionIds()).size(), members.get(name).decisionIds().size(),
+                    "each once");
+            List<Long> ordinals = members.get(name).decisions.stream().map(Decision::ordinal).toList();
             assertEquals(LongStream.rangeClosed(1, ordinals.size()).boxed().toList(), ordinals, "counted without a gap");
         }
     }
 
     private void delete(String name) throws IOException {
-        try (Stream<Path> paths = Files.walk(folder.resolve(name))) {
+        try (Stream<Path> paths = Files.walk(directory.resolve(name))) {
             for (Path each : paths.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(each);
             }
@@ -143,9 +157,9 @@
     }
 
     private void copy(String from, String to) throws IOException {
-        try (Stream<Path> paths = Files.walk(folder.resolve(from))) {
+        try (Stream<Path> paths = Files.walk(directory.resolve(from))) {
             for (Path each : paths.toList()) {
-                Path at = folder.resolve(to).resolve(folder.resolve(from).relativize(each));
+                Path at = directory.resolve(to).resolve(directory.resolve(from).relativize(each));
                 if (Files.isDirectory(each)) {
                     Files.createDirectories(at);
                 } else if (!each.endsWith("in_use.lock")) {
@@ -159,14 +173,14 @@
     void close() throws IOException {
         members.values().forEach(each -> each.log.close());
         network.shutdownNow();
-        for (Path each : links) {
+        for (Path each : fullDiskLinks) {
             Files.deleteIfExists(each);
         }
     }
 
-    /** Three voters and one who follows; the leader ends in the middle and starts again with its folder. */
+    /** Three voters and one follower; the leader ends midway and starts again with its data directory. */
     @Test
-    void whatIsInIsReadByAllInOneOrderAndOnce() throws Exception {
+    void committedDecisionsAreReadByAllInOneOrderAndOnce() throws Exception {
         List<String> voters = List.of("a", "b", "c");
         start("one", voters, "a", "b", "c", "d");
         List<String> ids = new ArrayList<>();
@@ -177,11 +191,12 @@
         }
         awaitAll(ids, "a", "b", "c", "d");
         long index = members.get("a").commit("first-3");
-        assertEquals(index, members.get("d").commit("first-3"), "the same id again is where it was");
+        assertEquals(index, members.get("d").commit("first-3"), "the same id has the same index");
         assertInstanceOf(AppendOutcome.Rejected.class, settle("b", "never"));
-        assertInstanceOf(AppendOutcome.Rejected.class, members.get("c").append("never"), "and can't come in any more");
+        assertInstanceOf(AppendOutcome.Rejected.class, members.get("c").append("never"),
+                "a settled id can't be committed any more");
         assertInstanceOf(AppendOutcome.Committed.class, settle("b", "first-3"));
-        assertInstanceOf(AppendOutcome.Rejected.class, large("a"));
+        assertInstanceOf(AppendOutcome.Rejected.class, appendTooLarge("a"));
 
         String leader = members.get("a").log.status().leader();
         members.get(leader).kill();
@@ -193,21 +208,24 @@
         new Member(leader, "one", voters);
         awaitAll(ids, "a", "b", "c", "d");
 
-        for (String each : voters) {  // a majority is away: nothing is known, and nothing is lost
+        for (String each : voters) {  // a majority is away: the outcome is unknown, and nothing is lost
             if (!each.equals(other.name)) {
-                cut.add(each);
+                partitioned.add(each);
             }
         }
         assertInstanceOf(AppendOutcome.Unknown.class, other.append("third"));
-        cut.clear();
+        partitioned.clear();
         ids.add("third");
         assertEquals(other.commit("third"), members.get("d").commit("third"));
         awaitAll(ids, "a", "b", "c", "d");
     }
 
-    /** Guards against a voter that stays behind without knowing it: its own log takes no entry, and it reads what the others have decided behind one of them, each once; and goes on by itself later. */
+    /**
+     * Guards against a voter whose own log accepts no entries without anybody noticing: it must fetch decisions from
+     * another voter, each once, and go on from its own log later.
+     */
     @Test
-    void aVoterWhoseLogStandsStillReadsBehindAnother() throws Exception {
+    void aVoterWhoseLogDoesNotAdvanceFetchesDecisionsFromAnother() throws Exception {
         List<String> voters = List.of("a", "b", "c");
         start("one", voters, "a", "b", "c");
         List<String> ids = new ArrayList<>(List.of("first"));
@@ -215,47 +233,53 @@
         awaitAll(ids, "a", "b", "c");
         String leader = members.get("a").log.status().leader();
         String stuck = voters.stream().filter(each -> !each.equals(leader)).findFirst().orElseThrow();
-        noEntries.add(stuck);
+        withoutAppendEntries.add(stuck);
         for (int i = 0; i < 4; i++) {
             ids.add("second-" + i);
             members.get(leader).commit("second-" + i);
         }
         awaitAll(ids, "a", "b", "c");
-        await(() -> members.get(stuck).said.stream().anyMatch(each -> each.startsWith("agreed_behind")), "it says so");
-        noEntries.clear();
+        await(() -> members.get(stuck).events.stream().anyMatch(each -> each.startsWith("agreed_behind")),
+                "it reports that its log does not advance");
+        withoutAppendEntries.clear();
         ids.add("third");
         members.get(leader).commit("third");
         awaitAll(ids, "a", "b", "c");
     }
 
-    /** Guards against a log that keeps what its own lead never agreed on: a leader that is cut off takes appends that come to nothing, another one leads, and the first takes that one's entries in place of its own. */
+    /**
+     * Guards against a member that keeps its uncommitted entries of a former term: a leader that is cut off accepts
+     * appends that are never committed, another one is elected, and the former leader must replace its own entries by
+     * those of the new one.
+     */
     @Test
-    void whoLostTheLeadTakesTheEntriesOfTheNext() throws Exception {
+    void aFormerLeaderReplacesItsUncommittedEntries() throws Exception {
         List<String> voters = List.of("a", "b", "c");
         start("one", voters, "a", "b", "c");
         List<String> ids = new ArrayList<>(List.of("first"));
         members.get("a").commit("first");
         awaitAll(ids, "a", "b", "c");
-        String old = members.get("a").log.status().leader();
-        cut.add(old);
-        List<CompletableFuture<AppendOutcome>> lost = new ArrayList<>();
+        String formerLeader = members.get("a").log.status().leader();
+        partitioned.add(formerLeader);
+        List<CompletableFuture<AppendOutcome>> uncommittedOutcomes = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             CompletableFuture<AppendOutcome> outcome = new CompletableFuture<>();
-            members.get(old).log.append("lost-" + i, new byte[100], outcome::complete);
-            lost.add(outcome);
+            members.get(formerLeader).log.append("lost-" + i, new byte[100], outcome::complete);
+            uncommittedOutcomes.add(outcome);
         }
-        String other = voters.stream().filter(each -> !each.equals(old)).findFirst().orElseThrow();
+        String other = voters.stream().filter(each -> !each.equals(formerLeader)).findFirst().orElseThrow();
         for (int i = 0; i < 5; i++) {
             members.get(other).commit("second-" + i);
             ids.add("second-" + i);
         }
-        cut.clear();
+        partitioned.clear();
         awaitAll(ids, voters.toArray(new String[0]));
         members.get(other).commit("third");
         ids.add("third");
         awaitAll(ids, voters.toArray(new String[0]));
-        await(() -> members.get(old).log.status().last() >= members.get(other).log.status().last(), "its own log has all entries");
-        for (CompletableFuture<AppendOutcome> each : lost) {
+        await(() -> members.get(formerLeader).log.status().lastIndex() >= members.get(other).log.status().lastIndex(),
+                "the log of the former leader has all entries");
+        for (CompletableFuture<AppendOutcome> each : uncommittedOutcomes) {
             assertInstanceOf(AppendOutcome.class, each.get(WAIT_SECONDS, TimeUnit.SECONDS));
         }
     }
@@ -266,15 +290,18 @@
         return outcome.get(WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    private AppendOutcome large(String at) throws Exception {
+    private AppendOutcome appendTooLarge(String at) throws Exception {
         CompletableFuture<AppendOutcome> outcome = new CompletableFuture<>();
         members.get(at).log.append("large", new byte[AgreedLog.MAX_DECISION_BYTES + 1], outcome::complete);
         return outcome.get(WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** A folder that is lost comes back under another identity; an older copy, and one with spoilt bytes, take no part. */
+    /**
+     * A member whose data directory is lost rejoins under a new id; members with an older copy or a damaged file don't
+     * take part.
+     */
     @Test
-    void aLostFolderJoinsAnewAndAnOlderOneStepsAside() throws Exception {
+    void aLostMemberRejoinsAndAnOlderCopyWithdraws() throws Exception {
         List<String> voters = List.of("a", "b", "c");
         start("one", voters, "a", "b", "c");
         members.get("a").commit("one");
@@ -282,32 +309,37 @@
         copy("c", "c-then");
         new Member("c", "one", voters);
         await(() -> members.get("c").log.status().role().equals("voter"), "c is back");
-        await(() -> members.get("c").ids().contains("one"), "c reads");
-        Thread.sleep(6_000);  // a epoch, by which an older copy is told from it
+        await(() -> members.get("c").decisionIds().contains("one"), "c reads");
+        Thread.sleep(6_000);  // an epoch interval, after which an older copy can be detected
         members.get("c").kill();
         delete("c");
         copy("c-then", "c");
         new Member("c", "one", voters);
-        await(() -> members.get("c").log.status().role().equals("aside"), "an older copy takes no part");
-        assertTrue(members.get("c").log.status().why().contains("older copy"), members.get("c").log.status().why());
+        await(() -> members.get("c").log.status().role().equals("aside"), "an older copy does not take part");
+        assertTrue(members.get("c").log.status().reason().contains("older copy"), members.get("c").log.status()
+                .reason());
 
         members.get("c").kill();
         delete("c");
         new Member("c", "one", voters);
-        await(() -> members.get("c").log.status().role().equals("voter"), "one that was lost joins anew");
+        await(() -> members.get("c").log.status().role().equals("voter"),
+                "a member that lost its data directory rejoins");
         members.get("c").commit("two");
         awaitAll(List.of("one", "two"), "a", "b", "c");
 
         members.get("b").kill();
-        Files.write(folder.resolve("b").resolve("member.json"), new byte[] {1, 2, 3});
+        Files.write(directory.resolve("b").resolve("member.json"), new byte[] {1, 2, 3});
         new Member("b", "one", voters);
-        await(() -> members.get("b").log.status().role().equals("aside"), "spoilt bytes");
+        await(() -> members.get("b").log.status().role().equals("aside"), "a damaged file");
         members.get("a").commit("three");
     }
 
-    /** Two of three folders are lost: no past is invented, until the operator has a new word for it. A voter that is away for long is replaced. */
+    /**
+     * Two of three data directories are lost: no new log starts until the operator sets a new log id. A voter that is
+     * away for long is replaced.
+     */
     @Test
-    void aLostMajorityInventsNoPast() throws Exception {
+    void noNewLogStartsAfterALostMajorityUntilTheLogIdChanges() throws Exception {
         List<String> voters = List.of("a", "b", "c");
         start("one", voters, "a", "b", "c");
         members.get("a").commit("one");
@@ -317,19 +349,21 @@
         delete("b");
         delete("c");
         start("one", voters, "a", "b", "c");
-        await(() -> members.get("b").log.status().role().equals("aside") && members.get("c").log.status().role().equals("aside"), "both step aside");
-        assertTrue(members.get("b").log.status().why().contains("to a new value to start a new log"));
+        await(() -> members.get("b").log.status().role().equals("aside") && members.get("c").log.status().role()
+                .equals("aside"), "both withdraw");
+        assertTrue(members.get("b").log.status().reason().contains("to a new value to start a new log"));
         for (String each : voters) {
             members.get(each).kill();
         }
-        longAway = AWAY;
+        replaceAfterMicros = AWAY_MICROS;
         start("two", voters, "a", "b", "c", "d");
         members.get("a").commit("new");
         awaitAll(List.of("new"), "a", "b", "c", "d");
-        assertEquals(List.of("new"), members.get("a").ids());
+        assertEquals(List.of("new"), members.get("a").decisionIds());
         members.get("c").kill();
         members.remove("c");
-        await(() -> members.get("d").log.status().role().equals("voter") && members.get("a").log.status().group().containsKey("d"), "d takes the place of c");
+        await(() -> members.get("d").log.status().role().equals("voter") && members.get("a").log.status().voterIds()
+                .containsKey("d"), "d takes the place of c");
         members.get("d").commit("later");
         awaitAll(List.of("new", "later"), "a", "b", "d");
         new Member("c", "two", voters);
@@ -357,15 +391,18 @@
     }
 
     private List<String> files(String name, String part) throws IOException {
-        try (Stream<Path> paths = Files.walk(folder.resolve(name))) {
+        try (Stream<Path> paths = Files.walk(directory.resolve(name))) {
             return paths.map(each -> each.getFileName().toString()).filter(each -> each.contains(part)).sorted().toList();
         }
     }
 
-    /** A member without a folder, to whom the log no longer reaches back: it is given a snapshot in many small pieces, from the first to the last, takes part by it and reads every decision once. */
+    /**
+     * A member without data, whose next entries are already purged from the log: it receives a snapshot in many small
+     * chunks, all of them, takes part with it and reads every decision once.
+     */
     @Test
-    void aSnapshotInManyPiecesIsInstalledWhereTheLogWasCut() throws Exception {
-        snapshots = new RaftLog.Snapshots(40, SizeInBytes.valueOf("16KB"));
+    void aSnapshotInManyChunksIsInstalledWhereTheLogWasPurged() throws Exception {
+        snapshotSettings = new RaftLog.SnapshotSettings(40, SizeInBytes.valueOf("16KB"));
         List<String> voters = List.of("a", "b", "c");
         start("one", voters, "a", "b", "c");
         members.get("a").commit("first");
@@ -379,52 +416,58 @@
                 try {
                     return files(each, "log_").stream().noneMatch(file -> file.startsWith("log_0-")) && !files(each, "snapshot.").isEmpty();
                 } catch (IOException e) {
-                    return false;  // a file went while it was listed
+                    return false;  // a file was deleted during the listing
                 }
-            }, each + " has cut its log");
+            }, each + " has purged its log");
         }
         new Member("c", "one", voters);
         await(() -> members.get("c").log.status().role().equals("voter"), "c takes part");
         awaitAll(ids, "a", "b", "c");
-        assertTrue(chunks.get("c").get() > 100, () -> chunks + " pieces of 3 MB by 16 KB");
-        await(() -> members.get("c").log.status().last() >= members.get("a").log.status().last(), "its own log goes on from there");
+        assertTrue(sentChunks.get("c").get() > 100, () -> sentChunks + " chunks of 16 KB from 3 MB");
+        await(() -> members.get("c").log.status().lastIndex() >= members.get("a").log.status().lastIndex(),
+                "its own log continues from there");
         ids.add("later");
         members.get("c").commit("later");
         awaitAll(ids, "a", "b", "c");
     }
 
-    /** Each next file of a member's log is one on a full disk from now on. */
-    private void full(String name) throws IOException {
+    /** Makes every further log file of a member one on a full disk. */
+    private void fillDisk(String name) throws IOException {
         Path current;
-        try (Stream<Path> paths = Files.walk(folder.resolve(name))) {
+        try (Stream<Path> paths = Files.walk(directory.resolve(name))) {
             current = paths.filter(each -> each.endsWith("current")).findFirst().orElseThrow();
         }
         for (int i = 1; i < 64; i++) {
             Path next = current.resolve("log_inprogress_" + i);
             if (!Files.exists(next)) {
-                links.add(Files.createSymbolicLink(next, Path.of("/dev/full")));
+                fullDiskLinks.add(Files.createSymbolicLink(next, Path.of("/dev/full")));
             }
         }
     }
 
-    /** The disk of a voter is full: what it can't keep doesn't count for a majority, it says that it is out, and the others go on without it. */
+    /**
+     * The disk of a voter is full: entries that it can't store don't count for a majority, it reports that it has
+     * withdrawn, and the others go on without it.
+     */
     @Test
-    void aVoterWithAFullDiskDecidesNothingByWhatItCannotKeep() throws Exception {
+    void entriesThatAVoterWithAFullDiskCannotStoreAreNotCommitted() throws Exception {
         List<String> voters = List.of("a", "b", "c");
         start("one", voters, "a", "b", "c");
         members.get("a").commit("first");
         awaitAll(List.of("first"), "a", "b", "c");
         String leader = members.get("a").log.status().leader();
         List<String> others = voters.stream().filter(each -> !each.equals(leader)).toList();
-        full(others.get(0));
+        fillDisk(others.get(0));
         List<String> ids = new ArrayList<>(List.of("first"));
         ids.addAll(commitMany(leader, "many-", 40, 50_000));  // 2 MB: two files
         awaitAll(ids, leader, others.get(1));
-        await(() -> members.get(others.get(0)).log.status().role().equals("aside"), "it says that it is out");
-        cut.add(others.get(1));
-        assertInstanceOf(AppendOutcome.Unknown.class, members.get(leader).append("alone"), "of the two that hear each other one can keep nothing");
-        assertTrue(members.get(leader).ids().size() == ids.size() && members.get(others.get(0)).ids().size() <= ids.size(), "nobody reads it");
-        cut.clear();
+        await(() -> members.get(others.get(0)).log.status().role().equals("aside"), "it reports that it has withdrawn");
+        partitioned.add(others.get(1));
+        assertInstanceOf(AppendOutcome.Unknown.class, members.get(leader).append("alone"),
+                "of the two connected voters one can't store entries");
+        assertTrue(members.get(leader).decisionIds().size() == ids.size() && members.get(others.get(0)).decisionIds()
+                .size() <= ids.size(), "the uncommitted decision is not read");
+        partitioned.clear();
         ids.add("alone");
         members.get(leader).commit("alone");
         awaitAll(ids, leader, others.get(1));
--- a/src/test/java/mastdrift/agreed/edge/ReplicatedStateMachineTest.java
+++ b/src/test/java/mastdrift/agreed/edge/ReplicatedStateMachineTest.java
@@ -5,11 +5,15 @@
 import org.apache.ratis.util.LifeCycle;
 import org.junit.jupiter.api.Test;
 
+/** Life cycle of the replicated state machine. */
 class ReplicatedStateMachineTest {
 
-    /** A member that is far behind is given a snapshot in pieces, and the library pauses it with each: a snapshot of more than one piece never came to its end. */
+    /**
+     * Guards against a second pause that fails: the library pauses the state machine with each chunk of a snapshot, and
+     * a snapshot of more than one chunk could not be installed.
+     */
     @Test
-    void itIsPausedWithEachPieceOfASnapshot() {
+    void aSecondPauseHasNoEffect() {
         ReplicatedStateMachine machine = new ReplicatedStateMachine(decision -> { }, (index, voters) -> { });
         machine.getLifeCycle().transition(LifeCycle.State.STARTING);
         machine.getLifeCycle().transition(LifeCycle.State.RUNNING);
