--- a/src/main/java/mastdrift/config/DistributionReader.java
+++ b/src/main/java/mastdrift/config/DistributionReader.java
@@ -121,7 +121,7 @@
      */
     private static void checkVoterCount(Section section, List<Machine> machines) {
         long voterCount = machines.stream().filter(each -> each.role() == Role.VOTER).count();
-        if (voterCount % 2 == 0 || voterCount > Voters.MOST) {
+        if (voterCount % 2 == 0 || voterCount > Voters.MAX_VOTERS) {
             section.addProblem("machine", "expected 1, 3, 5 or 7 machines that are voters, found " + voterCount);
         }
     }
--- a/src/main/java/mastdrift/config/PeersReader.java
+++ b/src/main/java/mastdrift/config/PeersReader.java
@@ -50,7 +50,7 @@
             return null;
         }
         Section section = root.section("agreed");
-        List<String> voters = section.texts("voters", Voters.MOST);
+        List<String> voters = section.texts("voters", Voters.MAX_VOTERS);
         Set<String> seen = Section.newSeenSet();
         List<String> knownGateways = new ArrayList<>(peers == null ? List.of() : peers.gateways().keySet());
         knownGateways.add(gateway.name());
--- a/src/main/java/mastdrift/serve/AgreedService.java
+++ b/src/main/java/mastdrift/serve/AgreedService.java
@@ -76,14 +76,14 @@
         events.event(level, name, text, fieldsWithTime);
     }
 
-    private List<Voters.Eligible> eligible() {
+    private List<Voters.EligibleGateway> eligible() {
         long nowMicros = System.nanoTime() / 1_000;
-        List<Voters.Eligible> eligible = new ArrayList<>(List.of(new Voters.Eligible(gatewayName, zoneOf(gatewayName),
+        List<Voters.EligibleGateway> eligible = new ArrayList<>(List.of(new Voters.EligibleGateway(gatewayName, zoneOf(gatewayName),
                 0)));
         for (MembershipList.Entry each : peers.members()) {
             boolean isPresent = each.update().state() == MemberState.ALIVE
                     || each.update().state() == MemberState.SUSPECT;
-            eligible.add(new Voters.Eligible(each.update().member().name(), each.update().member().zone(), isPresent ? 0 : Math.max(1, nowMicros - each.stateSinceMicros())));
+            eligible.add(new Voters.EligibleGateway(each.update().member().name(), each.update().member().zone(), isPresent ? 0 : Math.max(1, nowMicros - each.stateSinceMicros())));
         }
         return eligible;
     }
@@ -109,9 +109,9 @@
             event(Level.INFO, "agreed_in", "appended to the replicated log: " + id, "id", id, "index",
                     committed.index());
         } else if (outcome instanceof AppendOutcome.Rejected rejected) {
-            event(Level.WARN, "agreed_out", "rejected by the replicated log: " + id + ": " + rejected.why(), "id", id);
+            event(Level.WARN, "agreed_out", "rejected by the replicated log: " + id + ": " + rejected.reason(), "id", id);
         } else if (outcome instanceof AppendOutcome.Unknown unknown) {
-            event(Level.WARN, "agreed_unknown", "outcome of the append to the replicated log unknown: " + id + ": " + unknown.why(), "id", id);
+            event(Level.WARN, "agreed_unknown", "outcome of the append to the replicated log unknown: " + id + ": " + unknown.reason(), "id", id);
         }
     }
 
@@ -152,16 +152,16 @@
     /** Reports how many failures the voters tolerate: at the first call, and whenever it has changed. */
     private void reportFaultTolerance() {
         Map<String, String> zones = new HashMap<>();
-        log.status().group().keySet().forEach(voter -> zones.put(voter, zoneOf(voter)));
+        log.status().voterIds().keySet().forEach(voter -> zones.put(voter, zoneOf(voter)));
         if (zones.isEmpty()) {
             return;
         }
         Voters.FaultTolerance tolerance = Voters.faultTolerance(zones);
-        String text = "voters " + new TreeSet<>(zones.keySet()) + " tolerate the loss of " + tolerance.gateways() + (tolerance.gateways() == 1 ? " gateway" : " gateways") + "; of any one zone: "
-                + (tolerance.anyZone() ? "yes" : "no");
+        String text = "voters " + new TreeSet<>(zones.keySet()) + " tolerate the loss of " + tolerance.gatewayFailures() + (tolerance.gatewayFailures() == 1 ? " gateway" : " gateways") + "; of any one zone: "
+                + (tolerance.anyZoneFailure() ? "yes" : "no");
         if (!text.equals(reportedTolerance)) {
             reportedTolerance = text;
-            event(Level.INFO, "agreed_survives", text, "gateways", tolerance.gateways(), "zone", tolerance.anyZone());
+            event(Level.INFO, "agreed_survives", text, "gateways", tolerance.gatewayFailures(), "zone", tolerance.anyZoneFailure());
         }
     }
 
@@ -169,11 +169,11 @@
         RaftLog.Status logStatus = log.status();
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("part", logStatus.role());
-        fields.put("why", logStatus.why());
+        fields.put("why", logStatus.reason());
         fields.put("leader", logStatus.leader());
         fields.put("term", logStatus.term());
-        fields.put("last", logStatus.last());
-        fields.put("voters", new TreeSet<>(logStatus.group().keySet()));
+        fields.put("last", logStatus.lastIndex());
+        fields.put("voters", new TreeSet<>(logStatus.voterIds().keySet()));
         synchronized (presenceIndices) {
             fields.put("rolls", new LinkedHashMap<>(presenceIndices));
         }
--- a/src/main/java/mastdrift/serve/ControlMachine.java
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -20,7 +20,7 @@
 import mastdrift.agreed.AgreedLog.Decision;
 import mastdrift.agreed.Voters;
 import mastdrift.agreed.edge.RaftLog;
-import mastdrift.agreed.edge.Transport;
+import mastdrift.agreed.edge.LogTransport;
 import mastdrift.config.DistributionReader;
 import mastdrift.config.DistributionSettings;
 import mastdrift.config.DistributionSettings.Machine;
@@ -162,8 +162,8 @@
     private RaftLog openLog(Path folder) {
         List<Machine> voters = settings.machines(Role.VOTER);
         Set<String> names = voters.stream().map(Machine::name).collect(Collectors.toSet());
-        List<Voters.Eligible> eligible = voters.stream().map(each -> new Voters.Eligible(each.name(), each.zone(), 0)).toList();
-        Transport transport = new Transport() {
+        List<Voters.EligibleGateway> eligible = voters.stream().map(each -> new Voters.EligibleGateway(each.name(), each.zone(), 0)).toList();
+        LogTransport transport = new LogTransport() {
             @Override
             public void send(String to, byte[] message) {
                 if (!links.loop().isShuttingDown()) {
@@ -351,9 +351,9 @@
                 completeApplied();
             }
         } else if (outcome instanceof AgreedLog.AppendOutcome.Rejected rejected) {
-            complete(id, requestId -> new ControlMessage.Refused(requestId, List.of(rejected.why())));
+            complete(id, requestId -> new ControlMessage.Refused(requestId, List.of(rejected.reason())));
         } else if (outcome instanceof AgreedLog.AppendOutcome.Unknown unknown) {
-            complete(id, requestId -> new ControlMessage.Unknown(requestId, unknown.why()));
+            complete(id, requestId -> new ControlMessage.Unknown(requestId, unknown.reason()));
         }
     }
 
