--- a/src/main/java/mastdrift/cli/ConfigRequests.java
+++ b/src/main/java/mastdrift/cli/ConfigRequests.java
@@ -16,7 +16,7 @@
 import mastdrift.distribution.Resource;
 import mastdrift.distribution.ResourceKind;
 import mastdrift.distribution.Revision;
-import mastdrift.distribution.Summaries;
+import mastdrift.distribution.ZoneSummaries;
 import mastdrift.files.FileTexts;
 import mastdrift.serve.ControlClient;
 
@@ -116,7 +116,7 @@
         List<String> all = new ArrayList<>(client.machines(Role.VOTER));
         all.addAll(client.machines(Role.RELAY));
         boolean byVoters = !client.machines(Role.VOTER).isEmpty();
-        Summaries zones = new Summaries();
+        ZoneSummaries zones = new ZoneSummaries();
         Revision newest = null;
         int answers = 0;
         for (Map.Entry<String, ControlMessage> each : client.status(all).entrySet()) {
--- a/src/main/java/mastdrift/distribution/Machine.java
+++ b/src/main/java/mastdrift/distribution/ControlMachine.java
@@ -1,4 +1,4 @@
 package mastdrift.distribution;
 
 /** A control machine that subscribers may choose; {@code zone} is the one that it stands in. */
-public record Machine(String name, String zone) { }
+public record ControlMachine(String name, String zone) { }
--- a/src/main/java/mastdrift/distribution/ControlMessage.java
+++ b/src/main/java/mastdrift/distribution/ControlMessage.java
@@ -59,7 +59,7 @@
      * @param leader of the agreed log as far as it knows; empty for not known, and at one that passes on
      * @param subscribers that are connected to it
      * @param aloneMillis for how long it has heard nobody of whom its table comes; 0 where it hears one
-     * @param zones how subscribers do, at most {@link Summaries#ZONES_MOST}
+     * @param zones how subscribers do, at most {@link ZoneSummaries#ZONES_MOST}
      */
     record Status(long requestId, Revision revision, String role, String leader, int subscribers, long aloneMillis, List<Message.ZoneSummary> zones) implements ControlMessage {
 
--- a/src/main/java/mastdrift/distribution/Publisher.java
+++ b/src/main/java/mastdrift/distribution/Publisher.java
@@ -277,7 +277,7 @@
                 chunks(now, of);
             }
         } else if (message instanceof Message.Summary summary) {
-            of.below = summary.zones().size() <= Summaries.ZONES_MOST ? summary.zones() : summary.zones().subList(0, Summaries.ZONES_MOST);
+            of.below = summary.zones().size() <= ZoneSummaries.ZONES_MOST ? summary.zones() : summary.zones().subList(0, ZoneSummaries.ZONES_MOST);
         } else {
             drop(of, "expected a subscriber's message, found " + message.getClass().getSimpleName());
         }
@@ -440,7 +440,7 @@
 
     /** How subscribers do by zone; for one that passes on, those that it told of in its own place. */
     public List<ZoneSummary> summary() {
-        Summaries all = new Summaries();
+        ZoneSummaries all = new ZoneSummaries();
         Map<String, List<Subscription>> zones = new LinkedHashMap<>();
         for (Subscription each : subscribers.values()) {
             if (each.below == null) {
--- a/src/main/java/mastdrift/distribution/Store.java
+++ b/src/main/java/mastdrift/distribution/Store.java
@@ -52,14 +52,14 @@
         void event(String name, String text);
     }
 
-    private record Decided(long ordinal, String id, Command command, int bytes) { }
+    private record LogEntry(long ordinal, String id, Command command, int bytes) { }
 
     private static final long FIRST_EPOCH = 1;  // begins with an empty table at all, so nothing has to be named
 
     private final long epoch;
     private final Actions actions;
     private final Map<String, ChangeOutcome> outcomes = new LinkedHashMap<>();
-    private final Deque<Decided> pending = new ArrayDeque<>();
+    private final Deque<LogEntry> pending = new ArrayDeque<>();
     private long pendingBytes;
     private Table table;
     private boolean elsewhere;  // the epoch began from another table than the one here
@@ -113,7 +113,7 @@
         if (ordinal <= last) {
             return new ChangeOutcome.Pending(missing());  // heard again
         }
-        Decided decided = new Decided(ordinal, id, command, bytes(command));
+        LogEntry decided = new LogEntry(ordinal, id, command, bytes(command));
         if (missing() != 0 || ordinal != number() + 1) {
             if (missing() == 0) {
                 actions.event("config_gap", "expected decision " + (number() + 1) + ", found " + ordinal + ": waits for another voter's table");
@@ -131,7 +131,7 @@
     }
 
     /** The first decision of an epoch after the first one. */
-    private ChangeOutcome begin(Decided first) {
+    private ChangeOutcome begin(LogEntry first) {
         Revision have = table.revision();
         if (first.command instanceof EpochStart start ? !start.from().sameState(have) : first.command == null || isNothing()) {
             elsewhere = true;
@@ -164,7 +164,7 @@
         return bytes;
     }
 
-    private void await(Decided decided, boolean anew) {
+    private void await(LogEntry decided, boolean anew) {
         if (anew) {
             pending.clear();  // what it needs a table for now makes those before it known too
             pendingBytes = 0;
@@ -176,7 +176,7 @@
         }
     }
 
-    private ChangeOutcome apply(Decided decided, List<Delta> deltas) {
+    private ChangeOutcome apply(LogEntry decided, List<Delta> deltas) {
         Outcome outcome = decided.command instanceof Change change ? table.apply(decided.ordinal, change)
                 : new Outcome.Conflict("expected a change, found " + (decided.command == null ? "what this build can't read" : "an epoch's beginning behind its first decision"));
         Outcome.Applied applied = outcome instanceof Outcome.Applied in ? in : table.passed(decided.ordinal);
@@ -222,7 +222,7 @@
         }
         List<Delta> deltas = new ArrayList<>();
         while (!pending.isEmpty() && pending.peek().ordinal == table.revision().number() + 1) {
-            Decided next = pending.poll();
+            LogEntry next = pending.poll();
             pendingBytes -= next.bytes;
             apply(next, deltas);
         }
--- a/src/main/java/mastdrift/distribution/Subscriber.java
+++ b/src/main/java/mastdrift/distribution/Subscriber.java
@@ -119,10 +119,10 @@
     // ---- events
 
     /** Machines that there are; replaces those before. */
-    public void machines(long now, List<Machine> named) {
-        Comparator<Machine> order = Comparator.comparingInt((Machine each) -> each.zone().equals(zone) ? 0 : region(each.zone()).equals(region(zone)) ? 1 : 2)
-                .thenComparing(each -> weight(name, each.name()), Comparator.reverseOrder()).thenComparing(Machine::name);
-        machines = named.stream().sorted(order).map(Machine::name).distinct().toList();
+    public void machines(long now, List<ControlMachine> named) {
+        Comparator<ControlMachine> order = Comparator.comparingInt((ControlMachine each) -> each.zone().equals(zone) ? 0 : region(each.zone()).equals(region(zone)) ? 1 : 2)
+                .thenComparing(each -> weight(name, each.name()), Comparator.reverseOrder()).thenComparing(ControlMachine::name);
+        machines = named.stream().sorted(order).map(ControlMachine::name).distinct().toList();
         if (!begun) {
             begun = true;
             aloneSince = Math.max(1, now);
@@ -350,7 +350,7 @@
             follow.add(each);
             have = each.to();
         }
-        Table.Followed followed = table.follow(follow);
+        Table.ApplyResult followed = table.follow(follow);
         if (followed.problem() != null) {
             problem = followed.problem();  // what is said behind that doesn't count
         } else if (gap) {
--- a/src/main/java/mastdrift/distribution/Table.java
+++ b/src/main/java/mastdrift/distribution/Table.java
@@ -237,11 +237,11 @@
      * @param taken how many of the list fit, from its head
      * @param problem what is wrong with the next one, with expected and found; null where all fit
      */
-    public record Followed(Table table, int taken, String problem) { }
+    public record ApplyResult(Table table, int taken, String problem) { }
 
     /** What a delta makes of this table. Throws {@link MismatchException} where it begins at another number or epoch, or what comes out isn't the revision that it says. */
     public Table with(Delta delta) {
-        Followed followed = follow(List.of(delta));
+        ApplyResult followed = follow(List.of(delta));
         if (followed.problem != null) {
             throw new MismatchException(followed.problem);
         }
@@ -250,15 +250,15 @@
 
     /** What deltas make of this table one behind the other, up to the first that begins at another number or epoch, or doesn't make the revision that it says: the same as each
         by {@link #with}, and each revision on the way is proved by its hash, for one copy of each list and shard. Where one is wrong, those before it are gone through once more. */
-    public Followed follow(List<Delta> deltas) {
+    public ApplyResult follow(List<Delta> deltas) {
         Editor editor = new Editor();
         for (int i = 0; i < deltas.size(); i++) {
             String problem = editor.follow(deltas.get(i));
             if (problem != null) {
-                return new Followed(i == 0 ? this : follow(deltas.subList(0, i)).table, i, problem);  // the editor holds what is wrong by now
+                return new ApplyResult(i == 0 ? this : follow(deltas.subList(0, i)).table, i, problem);  // the editor holds what is wrong by now
             }
         }
-        return new Followed(deltas.isEmpty() ? this : editor.finish(editor.number), deltas.size(), null);
+        return new ApplyResult(deltas.isEmpty() ? this : editor.finish(editor.number), deltas.size(), null);
     }
 
     private static String text(long high, long low) {
--- a/src/main/java/mastdrift/distribution/Summaries.java
+++ b/src/main/java/mastdrift/distribution/ZoneSummaries.java
@@ -7,7 +7,7 @@
 import mastdrift.distribution.Message.ZoneSummary;
 
 /** Adds up how subscribers do, by zone: {@value #ZONES_MOST} zones at most, those beyond together under {@value #OTHERS}. */
-public final class Summaries {
+public final class ZoneSummaries {
 
     /** Zones that are told apart. */
     public static final int ZONES_MOST = 64;
@@ -17,7 +17,7 @@
     private final Map<String, ZoneSummary> zones = new TreeMap<>();
 
     /** With nothing in it. */
-    public Summaries() {
+    public ZoneSummaries() {
         // filled by add
     }
 
--- a/src/main/java/mastdrift/distribution/edge/MessageCodec.java
+++ b/src/main/java/mastdrift/distribution/edge/MessageCodec.java
@@ -20,7 +20,7 @@
 import mastdrift.distribution.Resource;
 import mastdrift.distribution.ResourceKind;
 import mastdrift.distribution.Revision;
-import mastdrift.distribution.Summaries;
+import mastdrift.distribution.ZoneSummaries;
 import mastdrift.distribution.Table;
 
 /**
@@ -45,7 +45,7 @@
     /** Characters of a reason, at most. */
     public static final int REASON_MOST = 1_024;
     /** Zones of a summary, at most. */
-    public static final int ZONES_MOST = Summaries.ZONES_MOST;
+    public static final int ZONES_MOST = ZoneSummaries.ZONES_MOST;
     private static final int DEFLATED_LEAST = 1_024;
     private static final int HEAD = 2;
     private static final byte PLAIN = 0;
--- a/src/main/java/mastdrift/distribution/edge/Subscription.java
+++ b/src/main/java/mastdrift/distribution/edge/Subscription.java
@@ -5,7 +5,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.LongConsumer;
 import mastdrift.distribution.Delta;
-import mastdrift.distribution.Machine;
+import mastdrift.distribution.ControlMachine;
 import mastdrift.distribution.Message;
 import mastdrift.distribution.Revision;
 import mastdrift.distribution.Subscriber;
@@ -47,7 +47,7 @@
     }
 
     /** Control machines that there are; replaces those before. The first call begins it. */
-    public void machines(List<Machine> machines) {
+    public void machines(List<ControlMachine> machines) {
         turn(now -> subscriber.machines(now, machines));
     }
 
--- a/src/main/java/mastdrift/lab/scale/HollowGateway.java
+++ b/src/main/java/mastdrift/lab/scale/HollowGateway.java
@@ -8,7 +8,7 @@
 import java.util.function.BiConsumer;
 import java.util.stream.Collectors;
 import mastdrift.distribution.Delta;
-import mastdrift.distribution.Machine;
+import mastdrift.distribution.ControlMachine;
 import mastdrift.distribution.SubscriberSettings;
 import mastdrift.distribution.Table;
 import mastdrift.distribution.edge.Subscription;
@@ -41,7 +41,7 @@
         links.addresses(this.upstreams);
         subscription = new Subscription(loop, this, name, zone, have, SubscriberSettings.USUAL, seed, (level, event, text, fields) -> System.err.println(name + ": " + event + ": " + text),
                 this::take);
-        subscription.machines(upstreams.stream().map(each -> new Machine(each.name, each.zone)).toList());
+        subscription.machines(upstreams.stream().map(each -> new ControlMachine(each.name, each.zone)).toList());
     }
 
     private void take(Table next, List<Delta> deltas) {
--- a/src/main/java/mastdrift/measure/TableMeasurement.java
+++ b/src/main/java/mastdrift/measure/TableMeasurement.java
@@ -13,7 +13,7 @@
 import mastdrift.distribution.Change;
 import mastdrift.distribution.Delta;
 import mastdrift.distribution.History;
-import mastdrift.distribution.Machine;
+import mastdrift.distribution.ControlMachine;
 import mastdrift.distribution.Message;
 import mastdrift.distribution.Outcome;
 import mastdrift.distribution.Publisher;
@@ -244,7 +244,7 @@
 
         void run(int seed) {
             for (Subscriber each : followers) {
-                each.machines(now(), List.of(new Machine("voter", "z")));
+                each.machines(now(), List.of(new ControlMachine("voter", "z")));
             }
             turn();
             List<Change> changes = Tables.replaced(seed + 1, TARGET.get(ResourceKind.TENANT));
--- a/src/main/java/mastdrift/serve/ControlLinks.java
+++ b/src/main/java/mastdrift/serve/ControlLinks.java
@@ -12,7 +12,7 @@
 import java.util.function.Function;
 import mastdrift.config.DistributionSettings;
 import mastdrift.config.SecretRef;
-import mastdrift.distribution.Machine;
+import mastdrift.distribution.ControlMachine;
 import mastdrift.distribution.edge.Transport;
 import mastdrift.events.Events;
 import mastdrift.events.Events.Level;
@@ -145,8 +145,8 @@
     }
 
     /** As a subscriber knows them. */
-    static List<Machine> machines(List<DistributionSettings.Machine> of) {
-        return of.stream().map(each -> new Machine(each.name(), each.zone())).toList();
+    static List<ControlMachine> machines(List<DistributionSettings.Machine> of) {
+        return of.stream().map(each -> new ControlMachine(each.name(), each.zone())).toList();
     }
 
     /** Ends at once. */
--- a/src/test/java/mastdrift/distribution/BuildsTest.java
+++ b/src/test/java/mastdrift/distribution/BuildCompatibilityTest.java
@@ -1,6 +1,6 @@
 package mastdrift.distribution;
 
-import static mastdrift.distribution.Changes.put;
+import static mastdrift.distribution.TestChanges.put;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Two builds side by side: what one says and the other doesn't know is said by name, changes nothing, and where it parts their tables that is loud. */
-class BuildsTest {
+class BuildCompatibilityTest {
 
     private static final Store.Actions NOBODY = new Store.Actions() {
         @Override
@@ -52,7 +52,7 @@
                 "a field more in an epoch's beginning", LaterCodec.plain(0, LaterCodec.fields(Revision.none(1)), true),
                 "keys", LaterCodec.bytes(1, 0, Map.of("id", "id", "edits", new Object[] {UPSERT}, "expires", 5)));
         Store store = new Store(Table.empty(1), 1, NOBODY);
-        store.decided(1, "one", Changes.of("one", put("r", "0")));
+        store.decided(1, "one", TestChanges.of("one", put("r", "0")));
         long number = 1;
         for (Map.Entry<String, byte[]> each : later.entrySet()) {
             List<String> why = new ArrayList<>();
@@ -65,13 +65,13 @@
             assertEquals(number, store.table().revision().number());
             assertTrue(store.table().revision().sameState(before), each.getKey());
         }
-        assertInstanceOf(ChangeOutcome.Applied.class, store.decided(++number, "known", MessageCodec.command(MessageCodec.bytes(Changes.of("known", put("r", "1"))))));
+        assertInstanceOf(ChangeOutcome.Applied.class, store.decided(++number, "known", MessageCodec.command(MessageCodec.bytes(TestChanges.of("known", put("r", "1"))))));
     }
 
     /** The other way round: a build that knows no beginning of an epoch refuses it as a change, counts it, and has the same table by the same number where it had the one that is named. */
     @Test
     void aBuildBeforeCountsTheBeginningOfAnEpoch() {
-        Table had = Changes.table(20);
+        Table had = TestChanges.table(20);
         byte[] bytes = MessageCodec.bytes(new EpochStart(had.revision()));
         assertTrue(assertThrows(IllegalArgumentException.class, () -> MessageCodec.change(bytes)).getMessage().startsWith("change.id: expected a text"));
         assertEquals(new EpochStart(had.revision()), MessageCodec.command(bytes));
@@ -84,7 +84,7 @@
     /** What the build before wrote is read: bytes by its form, made here without its code. */
     @Test
     void whatABuildBeforeWroteIsRead() {
-        Change change = Changes.of("id", put("r", "1"), new Edit.Delete(ResourceKind.HOST, "h", 7));
+        Change change = TestChanges.of("id", put("r", "1"), new Edit.Delete(ResourceKind.HOST, "h", 7));
         byte[] bytes = LaterCodec.plain("id", new Object[] {UPSERT, new Object[] {1, ResourceKind.HOST.ordinal(), "h", 7}});
         Change read = (Change) MessageCodec.command(bytes);
         assertEquals(change.id(), read.id());
@@ -109,25 +109,25 @@
     /** Voters of two builds read one decision differently. Whoever follows one and then the other says that they are forked, and never has an earlier revision than before. */
     @Test
     void tablesThatPartByABuildAreForkedLoudly() {
-        Lines lines = new Lines();
-        Table had = Changes.table(20);
+        SimulatedNetwork lines = new SimulatedNetwork();
+        Table had = TestChanges.table(20);
         lines.machine("a", had);
         lines.machine("b", had);
         Subscriber gateway = lines.gateway("g", had, "a", "b");
-        lines.run(3 * Lines.SECOND);
+        lines.run(3 * SimulatedNetwork.SECOND);
         long number = had.revision().number() + 1;
         String first = gateway.machine();
         String other = first.equals("a") ? "b" : "a";
-        Outcome.Applied knows = Changes.applied(had.apply(number, Changes.of("later", put("r", "1"))));
+        Outcome.Applied knows = TestChanges.applied(had.apply(number, TestChanges.of("later", put("r", "1"))));
         Outcome.Applied passes = had.passed(number);
         lines.machines.get(first).table(lines.now, passes.table(), List.of(passes.delta()));
         lines.machines.get(other).table(lines.now, knows.table(), List.of(knows.delta()));
-        lines.run(2 * Lines.SECOND);
+        lines.run(2 * SimulatedNetwork.SECOND);
         assertEquals(passes.table().revision(), gateway.table().revision());
         assertTrue(lines.events.stream().noneMatch(each -> each.contains("config_forked")), lines.events::toString);
         lines.kill(first);
         for (int i = 0; i < 40; i++) {
-            lines.run(Lines.SECOND / 2);
+            lines.run(SimulatedNetwork.SECOND / 2);
             assertEquals(number, gateway.table().revision().number(), "never back");
         }
         assertTrue(lines.events.stream().anyMatch(each -> each.startsWith("g config_forked")), lines.events::toString);
--- a/src/test/java/mastdrift/distribution/ChangeCheckTest.java
+++ b/src/test/java/mastdrift/distribution/ChangeCheckTest.java
@@ -1,6 +1,6 @@
 package mastdrift.distribution;
 
-import static mastdrift.distribution.Changes.put;
+import static mastdrift.distribution.TestChanges.put;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -23,12 +23,12 @@
 
     @Test
     void whatIsRightHasNoProblem() {
-        assertEquals(List.of(), CHECK.problems(Changes.of("a", put("r", "{}"), new Edit.Delete(ResourceKind.HOST, "r", 0), upsert("\ud83d\udc22 żółw", new byte[Resource.VALUE_MOST]))));
+        assertEquals(List.of(), CHECK.problems(TestChanges.of("a", put("r", "{}"), new Edit.Delete(ResourceKind.HOST, "r", 0), upsert("\ud83d\udc22 żółw", new byte[Resource.VALUE_MOST]))));
     }
 
     @Test
     void eachProblemNamesPlaceExpectedAndFoundAllAtOnce() {
-        Change change = Changes.of("", put("", "1"), put("x".repeat(129), "1"), put("a\nb", "1"), put("\ud800", "1"), put("r", "1"), put("r", "2"),
+        Change change = TestChanges.of("", put("", "1"), put("x".repeat(129), "1"), put("a\nb", "1"), put("\ud800", "1"), put("r", "1"), put("r", "2"),
                 new Edit.Delete(ResourceKind.ROUTE, "e", -2), upsert("big", new byte[Resource.VALUE_MOST + 1]), upsert("bytes", new byte[] {'a', 'b', (byte) 0xff}),
                 put("thirteen", "1234567890123"));
         assertEquals(List.of("id: expected 1 to 64 characters, found 0", "edits[0]: name: expected 1 to 128 characters, found 0",
@@ -41,12 +41,12 @@
 
     @Test
     void sizesAreBoundedAndSoIsWhatIsToldOfThem() {
-        assertEquals(List.of("edits: expected 1 to 1024, found 0"), CHECK.problems(Changes.of("a")));
+        assertEquals(List.of("edits: expected 1 to 1024, found 0"), CHECK.problems(TestChanges.of("a")));
         List<Edit> many = new ArrayList<>(IntStream.range(0, 1_025).mapToObj(i -> put("n" + i, "")).toList());
         assertEquals(List.of("edits: expected 1 to 1024, found 1025"), CHECK.problems(new Change("a", many)));
-        Change large = Changes.of("a", IntStream.range(0, 4).mapToObj(i -> upsert("p" + i, new byte[Resource.VALUE_MOST])).toArray(Edit[]::new));
+        Change large = TestChanges.of("a", IntStream.range(0, 4).mapToObj(i -> upsert("p" + i, new byte[Resource.VALUE_MOST])).toArray(Edit[]::new));
         assertEquals(List.of("change: expected at most 65536 bytes, found 65707"), CHECK.problems(large));
-        Change bad = Changes.of("a", IntStream.range(0, 1_000).mapToObj(i -> put("n", "")).toArray(Edit[]::new));
+        Change bad = TestChanges.of("a", IntStream.range(0, 1_000).mapToObj(i -> put("n", "")).toArray(Edit[]::new));
         assertEquals(ChangeCheck.PROBLEMS_MOST, CHECK.problems(bad).size());
     }
 
@@ -54,7 +54,7 @@
     @Property(tries = 500)
     void whatHasNoProblemCanBeApplied(@ForAll long seed) {
         Random random = new Random(seed);
-        Change change = Changes.drawn(random, random.nextInt(9) == 0 ? "" : "id");
+        Change change = TestChanges.drawn(random, random.nextInt(9) == 0 ? "" : "id");
         if (random.nextInt(3) == 0 && !change.edits().isEmpty()) {
             List<Edit> twice = new ArrayList<>(change.edits());
             twice.add(change.edits().get(0));
--- a/src/test/java/mastdrift/distribution/DistributionWorld.java
+++ b/src/test/java/mastdrift/distribution/DistributionSimulation.java
@@ -19,17 +19,17 @@
  *
  * <p>Checked all the while: what a process takes is what the agreed order gives by that number, and is never before what it had.
  */
-final class DistributionWorld {
+final class DistributionSimulation {
 
     static final long SECOND = 1_000_000;
     static final long HOUR = 3_600 * SECOND;
     private static final int KEPT = 40;  // decisions that the log keeps for those who follow
 
     /** What goes wrong. */
-    enum Kind { LOSS, DELAY, DOUBLE, REORDER, CUT, ONE_WAY, FREEZE, KILL, KILL_EMPTY, KILL_OLDER, FORGE, LOG_LATE }
+    enum FaultKind { LOSS, DELAY, DOUBLE, REORDER, CUT, ONE_WAY, FREEZE, KILL, KILL_EMPTY, KILL_OLDER, FORGE, LOG_LATE }
 
     /** In a span of time, at a node (the first so many by number for a cut), by so much. */
-    record Fault(Kind kind, long from, long until, int one, int other, double amount) {
+    record Fault(FaultKind kind, long from, long until, int one, int other, double amount) {
         boolean at(long now) {
             return now >= from && now < until;
         }
@@ -47,18 +47,18 @@
             long last = 40 * SECOND;
             List<Fault> faults = new ArrayList<>();
             for (int i = random.nextInt(8); i >= 0; i--) {
-                Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
+                FaultKind kind = FaultKind.values()[random.nextInt(FaultKind.values().length)];
                 int nodes = voters + relays + gateways;
                 int one = random.nextInt(nodes);
-                if (kind == Kind.FORGE && (!forged || one < voters)) {
+                if (kind == FaultKind.FORGE && (!forged || one < voters)) {
                     continue;
                 }
-                if ((kind == Kind.KILL_EMPTY || kind == Kind.KILL_OLDER) && one >= voters / 2 && one < voters) {
-                    kind = Kind.KILL;  // a majority of the voters has its folders
+                if ((kind == FaultKind.KILL_EMPTY || kind == FaultKind.KILL_OLDER) && one >= voters / 2 && one < voters) {
+                    kind = FaultKind.KILL;  // a majority of the voters has its folders
                 }
                 long from = 4 * SECOND + (long) (random.nextDouble() * 30 * SECOND);
-                long length = kind == Kind.FREEZE ? 10 * SECOND : (long) (random.nextDouble() * 15 * SECOND);
-                double amount = kind == Kind.DELAY ? 3 * SECOND * random.nextDouble() : kind == Kind.LOG_LATE ? 8 * SECOND * random.nextDouble() : random.nextDouble() * 0.8;
+                long length = kind == FaultKind.FREEZE ? 10 * SECOND : (long) (random.nextDouble() * 15 * SECOND);
+                double amount = kind == FaultKind.DELAY ? 3 * SECOND * random.nextDouble() : kind == FaultKind.LOG_LATE ? 8 * SECOND * random.nextDouble() : random.nextDouble() * 0.8;
                 faults.add(new Fault(kind, from, Math.min(last, from + length), one, random.nextInt(nodes), amount));
             }
             PublisherSettings publisher = new PublisherSettings(200_000, 2 * SECOND, 1 + random.nextInt(4), 64, 8_000 + random.nextInt(20_000), 20 * SECOND, 30 * SECOND, 10 * SECOND, 200 + random.nextInt(2_000));
@@ -72,7 +72,7 @@
             int relays = random.nextInt(3);
             int gateways = 3 + random.nextInt(2);
             int first = voters + random.nextInt(relays + gateways);
-            Fault cut = new Fault(Kind.CUT, 10 * SECOND, 10 * SECOND + HOUR, first, 0, 0);
+            Fault cut = new Fault(FaultKind.CUT, 10 * SECOND, 10 * SECOND + HOUR, first, 0, 0);
             return new Plan(voters, relays, gateways, cut.until, List.of(cut), PublisherSettings.USUAL, SubscriberSettings.USUAL, 86_400 * SECOND / 15_000, 0);
         }
 
@@ -82,8 +82,8 @@
             long raised = 12 * SECOND + (long) (new Random(seed * 17 + 3).nextDouble() * 12 * SECOND);
             List<Fault> faults = new ArrayList<>();
             for (Fault each : drawn.faults) {
-                boolean loses = (each.kind == Kind.KILL_EMPTY || each.kind == Kind.KILL_OLDER) && each.one < drawn.voters && each.until > raised;
-                faults.add(loses ? new Fault(Kind.KILL, each.from, each.until, each.one, each.other, each.amount) : each);
+                boolean loses = (each.kind == FaultKind.KILL_EMPTY || each.kind == FaultKind.KILL_OLDER) && each.one < drawn.voters && each.until > raised;
+                faults.add(loses ? new Fault(FaultKind.KILL, each.from, each.until, each.one, each.other, each.amount) : each);
             }
             return new Plan(drawn.voters, drawn.relays, drawn.gateways, drawn.last, faults, drawn.publisher, drawn.subscriber, drawn.every, raised);
         }
@@ -228,14 +228,14 @@
                 }
             });
             Stream<Node> machines = nodes.values().stream().filter(each -> each != this && (voter() || relay() || plan.relays == 0 ? each.voter() : each.relay()));
-            List<Machine> named = machines.map(each -> new Machine(each.name, each.zone())).toList();
+            List<ControlMachine> named = machines.map(each -> new ControlMachine(each.name, each.zone())).toList();
             Subscriber begun = subscriber;
             then.add(() -> begun.machines(now, named));
         }
 
         private void took(Table next, List<Delta> deltas) {
             Revision revision = next.revision();
-            if (plan.faults.stream().noneMatch(each -> each.kind == Kind.FORGE)) {
+            if (plan.faults.stream().noneMatch(each -> each.kind == FaultKind.FORGE)) {
                 assertTrue(revision.after(had), () -> name + " goes from " + had + " back to " + revision + ", seed " + seed + " " + plan);
                 Table agreed = truth.get((int) revision.epoch() - 1).get((int) revision.number());
                 assertEquals(agreed == null ? null : agreed.revision(), revision, () -> name + " has a state that was never agreed on, seed " + seed + " " + plan);
@@ -321,15 +321,15 @@
     long messages;
     int decided;  // in the last epoch
 
-    private DistributionWorld(Plan plan, long seed) {
+    private DistributionSimulation(Plan plan, long seed) {
         this.plan = plan;
         this.seed = seed;
         random = new Random(seed);
     }
 
     /** Plays it until everybody had 12 s after the last fault and the last change, and looks whether all have it. */
-    static DistributionWorld play(Plan plan, long seed) {
-        DistributionWorld world = new DistributionWorld(plan, seed);
+    static DistributionSimulation play(Plan plan, long seed) {
+        DistributionSimulation world = new DistributionSimulation(plan, seed);
         world.run();
         return world;
     }
@@ -353,7 +353,7 @@
         all.subList(0, plan.voters).forEach(this::follow);
         for (Fault fault : plan.faults) {
             Node node = all.get(fault.one);
-            if (fault.kind == Kind.KILL || fault.kind == Kind.KILL_EMPTY || fault.kind == Kind.KILL_OLDER || fault.kind == Kind.FORGE) {
+            if (fault.kind == FaultKind.KILL || fault.kind == FaultKind.KILL_EMPTY || fault.kind == FaultKind.KILL_OLDER || fault.kind == FaultKind.FORGE) {
                 at(fault.from, () -> {
                     if (node.up) {
                         node.kill();
@@ -379,16 +379,16 @@
         }
     }
 
-    private Table folder(Node node, Kind kind) {
-        if (kind == Kind.FORGE) {
+    private Table folder(Node node, FaultKind kind) {
+        if (kind == FaultKind.FORGE) {
             Table have = node.disk.isEmpty() ? nothing(node) : node.disk.get(node.disk.size() - 1);
-            return have.revision().number() == 0 ? have : Changes.applied(Table.empty(1).apply(have.revision().number(), Changes.of("forged", Changes.put("n1", "forged")))).table();
+            return have.revision().number() == 0 ? have : TestChanges.applied(Table.empty(1).apply(have.revision().number(), TestChanges.of("forged", TestChanges.put("n1", "forged")))).table();
         }
-        if (kind == Kind.KILL_EMPTY || node.disk.isEmpty()) {
+        if (kind == FaultKind.KILL_EMPTY || node.disk.isEmpty()) {
             node.disk.clear();
             return nothing(node);
         }
-        return kind == Kind.KILL ? node.disk.get(node.disk.size() - 1) : node.disk.get(random.nextInt(node.disk.size()));
+        return kind == FaultKind.KILL ? node.disk.get(node.disk.size() - 1) : node.disk.get(random.nextInt(node.disk.size()));
     }
 
     /** What a process begins with that has no folder. */
@@ -418,7 +418,7 @@
                 each.disk.subList(kept, each.disk.size()).clear();
                 at(now + (long) (random.nextDouble() * 3 * SECOND), () -> {
                     if (!each.up) {
-                        each.start(folder(each, Kind.KILL));
+                        each.start(folder(each, FaultKind.KILL));
                     }
                 });
             }
@@ -441,7 +441,7 @@
         Table before = agreed().get(log.size());
         if (before != null) {
             long number = log.size() + 1;
-            Change change = random.nextInt(30) == 0 ? null : Changes.drawn(random, "c" + number);
+            Change change = random.nextInt(30) == 0 ? null : TestChanges.drawn(random, "c" + number);
             Outcome outcome = change == null ? new Outcome.Conflict("") : before.apply(number, change);
             log.add(change);
             agreed().add(outcome instanceof Outcome.Applied applied ? applied.table() : before.passed(number).table());
@@ -463,7 +463,7 @@
     private void follow(Node voter) {
         long late = 0;
         for (Fault each : plan.faults) {
-            late = each.kind == Kind.LOG_LATE && each.one == voter.number && each.at(now) ? Math.max(late, (long) each.amount) : late;
+            late = each.kind == FaultKind.LOG_LATE && each.one == voter.number && each.at(now) ? Math.max(late, (long) each.amount) : late;
         }
         at(voter, voter.life, now + late + random.nextInt(20_000), () -> {
             voter.logAt = now;
@@ -496,7 +496,7 @@
             }
             long until = now;
             for (Fault each : plan.faults) {
-                until = each.kind == Kind.FREEZE && each.one == node.number && each.at(now) ? Math.max(until, each.until) : until;
+                until = each.kind == FaultKind.FREEZE && each.one == node.number && each.at(now) ? Math.max(until, each.until) : until;
             }
             if (until > now) {
                 at(node, life, until, what);
@@ -527,8 +527,8 @@
             if (lost) {
                 return -1;
             }
-            delay += fault.kind == Kind.DELAY ? (long) (fault.amount * random.nextDouble()) : fault.kind == Kind.REORDER ? random.nextInt(500_000) : 0;
-            inOrder &= fault.kind != Kind.REORDER;
+            delay += fault.kind == FaultKind.DELAY ? (long) (fault.amount * random.nextDouble()) : fault.kind == FaultKind.REORDER ? random.nextInt(500_000) : 0;
+            inOrder &= fault.kind != FaultKind.REORDER;
         }
         return inOrder ? Math.max(last + 1, now + delay) : now + delay;
     }
@@ -536,7 +536,7 @@
     private boolean doubled() {
         boolean doubled = false;
         for (Fault each : plan.faults) {
-            doubled |= each.kind == Kind.DOUBLE && each.at(now) && random.nextDouble() < each.amount;
+            doubled |= each.kind == FaultKind.DOUBLE && each.at(now) && random.nextDouble() < each.amount;
         }
         return doubled;
     }
--- a/src/test/java/mastdrift/distribution/DistributionWorldTest.java
+++ b/src/test/java/mastdrift/distribution/DistributionSimulationTest.java
@@ -4,18 +4,18 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import mastdrift.distribution.DistributionWorld.Kind;
-import mastdrift.distribution.DistributionWorld.Plan;
+import mastdrift.distribution.DistributionSimulation.FaultKind;
+import mastdrift.distribution.DistributionSimulation.Plan;
 import org.junit.jupiter.api.Test;
 
 /** Changes on their way to all gateways, by seeded schedules of faults on a virtual clock. */
-class DistributionWorldTest {
+class DistributionSimulationTest {
 
     /** Whatever happened: no process took what was never agreed on, none went back, and 12 s after the last fault all have the last change. */
     @Test
     void afterAnyScheduleAllHaveTheLastChangeAndNoneWentBack() {
         for (long seed = 1; seed <= 200; seed++) {
-            DistributionWorld.play(Plan.drawn(seed, false), seed);
+            DistributionSimulation.play(Plan.drawn(seed, false), seed);
         }
     }
 
@@ -29,7 +29,7 @@
         int without = 0;
         for (long seed = 2_001; seed <= 2_200; seed++) {
             Plan plan = Plan.raised(seed);
-            DistributionWorld world = DistributionWorld.play(plan, seed);
+            DistributionSimulation world = DistributionSimulation.play(plan, seed);
             List<String> events = world.nodes.values().stream().flatMap(each -> each.events.stream()).toList();
             assertEquals(List.of(), events.stream().filter(each -> each.startsWith("config_forked")).toList(), "seed " + seed + " " + plan);
             waited += events.stream().anyMatch(each -> each.startsWith("config_gap epoch 2 begins from")) ? 1 : 0;
@@ -44,9 +44,9 @@
         long decided = 0;
         for (long seed = 3_001; seed <= 3_200; seed++) {
             Plan plan = Plan.apart(seed);
-            DistributionWorld world = DistributionWorld.play(plan, seed);
+            DistributionSimulation world = DistributionSimulation.play(plan, seed);
             decided += world.decided;
-            for (DistributionWorld.Node each : world.nodes.values()) {
+            for (DistributionSimulation.Node each : world.nodes.values()) {
                 assertEquals(0, each.jumps, "seed " + seed + " " + each.name + " " + each.events);
             }
         }
@@ -60,8 +60,8 @@
         int played = 0;
         for (long seed = 1_001; played < 80; seed++) {
             Plan plan = Plan.drawn(seed, true);
-            if (plan.faults().stream().anyMatch(each -> each.kind() == Kind.FORGE)) {
-                DistributionWorld world = DistributionWorld.play(plan, seed);
+            if (plan.faults().stream().anyMatch(each -> each.kind() == FaultKind.FORGE)) {
+                DistributionSimulation world = DistributionSimulation.play(plan, seed);
                 told += world.nodes.values().stream().anyMatch(each -> each.events.stream().anyMatch(event -> event.startsWith("config_forked"))) ? 1 : 0;
                 played++;
             }
--- a/src/test/java/mastdrift/distribution/LiesTest.java
+++ b/src/test/java/mastdrift/distribution/InvalidMessageTest.java
@@ -1,6 +1,6 @@
 package mastdrift.distribution;
 
-import static mastdrift.distribution.Lines.SECOND;
+import static mastdrift.distribution.SimulatedNetwork.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,10 +11,10 @@
 import net.jqwik.api.Property;
 
 /** Machines and subscribers that say anything at all. What they say is a view: it ends nothing, takes nothing back and costs no more than the bounds. */
-class LiesTest {
+class InvalidMessageTest {
 
-    private static final Table ONE = Changes.table(900);
-    private static final Table TWO = Changes.table(1_500);
+    private static final Table ONE = TestChanges.table(900);
+    private static final Table TWO = TestChanges.table(1_500);
 
     private Revision revision(Random random, Revision near) {
         return switch (random.nextInt(6)) {
@@ -50,7 +50,7 @@
     @Property(tries = 100)
     void whateverAMachineSaysNothingIsTakenBack(@ForAll long seed) {
         Random random = new Random(seed);
-        Lines lines = new Lines();
+        SimulatedNetwork lines = new SimulatedNetwork();
         Subscriber gateway = lines.gateway("g", random.nextBoolean() ? ONE : Table.empty(1), random.nextBoolean() ? new String[] {"a"} : new String[] {"a", "b"});
         for (int i = 0; i < 150; i++) {
             Revision before = gateway.table().revision();
@@ -74,7 +74,7 @@
     @Property(tries = 100)
     void whateverSubscribersSayTheMachineKeepsItsBounds(@ForAll long seed) {
         Random random = new Random(seed);
-        Lines lines = new Lines(new PublisherSettings(200_000, 2 * SECOND, 3, 6, 4_000, 20 * SECOND, 30 * SECOND, 10 * SECOND, 2_000));
+        SimulatedNetwork lines = new SimulatedNetwork(new PublisherSettings(200_000, 2 * SECOND, 3, 6, 4_000, 20 * SECOND, 30 * SECOND, 10 * SECOND, 2_000));
         Publisher machine = lines.machine("a", ONE);
         for (int i = 0; i < 150; i++) {
             Revision before = machine.table().revision();
@@ -90,7 +90,7 @@
             machine.tick(lines.now);
             Publisher.Status status = machine.status();
             assertTrue(status.subscribers() <= 6 && status.snapshots() >= 0 && status.snapshots() <= 3 && status.waiting() <= 6, status.toString());
-            assertTrue(machine.summary().size() <= Summaries.ZONES_MOST);
+            assertTrue(machine.summary().size() <= ZoneSummaries.ZONES_MOST);
             assertTrue(machine.dueAt() <= lines.now + SECOND);
         }
         lines.now += 40 * SECOND;
--- a/src/test/java/mastdrift/distribution/PublisherTest.java
+++ b/src/test/java/mastdrift/distribution/PublisherTest.java
@@ -1,6 +1,6 @@
 package mastdrift.distribution;
 
-import static mastdrift.distribution.Lines.SECOND;
+import static mastdrift.distribution.SimulatedNetwork.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,15 +17,15 @@
 
 class PublisherTest {
 
-    private static void subscribe(Lines lines, Publisher machine, String name) {
+    private static void subscribe(SimulatedNetwork lines, Publisher machine, String name) {
         machine.received(lines.now, name, new Message.Subscribe(machine.table().revision(), "z-1"));
     }
 
     /** A burst goes out in few messages, none later than 0.2 s, and all subscribers get the same objects. */
     @Test
     void changesAreCoalescedAndEncodedOnce() {
-        Lines lines = new Lines();
-        Publisher machine = lines.machine("a", Changes.table(100));
+        SimulatedNetwork lines = new SimulatedNetwork();
+        Publisher machine = lines.machine("a", TestChanges.table(100));
         List.of("x", "y", "z").forEach(each -> subscribe(lines, machine, each));
         lines.run(SECOND);
         Map<Long, Long> made = new HashMap<>();
@@ -48,8 +48,8 @@
     /** One that never answers is told no more at the bound of bytes, and dropped at that of time; what the machine keeps does not grow with it. */
     @Test
     void aGatewayThatNeverAcknowledgesIsDroppedAndMemoryStaysLevel() {
-        Lines lines = new Lines();
-        Publisher machine = lines.machine("a", Changes.table(100));
+        SimulatedNetwork lines = new SimulatedNetwork();
+        Publisher machine = lines.machine("a", TestChanges.table(100));
         subscribe(lines, machine, "mute");
         Subscriber gateway = lines.gateway("g", machine.table(), "a");
         long bytes = 0;
@@ -79,8 +79,8 @@
     /** One says nothing at all: dropped after half a minute, but for time in which this process did not run. */
     @Test
     void whoSaysNothingIsDropped() {
-        Lines lines = new Lines();
-        Publisher machine = lines.machine("a", Changes.table(10));
+        SimulatedNetwork lines = new SimulatedNetwork();
+        Publisher machine = lines.machine("a", TestChanges.table(10));
         subscribe(lines, machine, "mute");
         lines.run(10 * SECOND);
         lines.frozen.add("a");
@@ -95,8 +95,8 @@
     /** What a gateway can't take is told with its reason, the old stays in force, and the next ones still come. */
     @Test
     void aChangeThatAGatewayCannotTakeIsToldAndTheNextOnesStillCome() {
-        Lines lines = new Lines();
-        Publisher machine = lines.machine("a", Changes.table(10));
+        SimulatedNetwork lines = new SimulatedNetwork();
+        Publisher machine = lines.machine("a", TestChanges.table(10));
         Subscriber gateway = lines.gateway("g", machine.table(), "a");
         subscribe(lines, machine, "h");
         lines.run(SECOND);
@@ -126,8 +126,8 @@
     /** 370 come back at once without their folders: eight snapshots at a time, the rest are told when to come, 3,700 others get each change as always, and all have all within a minute. */
     @Test
     void manyThatReturnWithoutFoldersKeepNobodyElseWaiting() {
-        Lines lines = new Lines(new PublisherSettings(200_000, 2 * SECOND, 8, 4_096, 1 << 20, 20 * SECOND, 30 * SECOND, 10 * SECOND, 8 << 10));
-        Publisher machine = lines.machine("a", Changes.table(2_000));
+        SimulatedNetwork lines = new SimulatedNetwork(new PublisherSettings(200_000, 2 * SECOND, 8, 4_096, 1 << 20, 20 * SECOND, 30 * SECOND, 10 * SECOND, 8 << 10));
+        Publisher machine = lines.machine("a", TestChanges.table(2_000));
         for (int i = 0; i < 3_700; i++) {
             subscribe(lines, machine, "well" + i);
         }
@@ -145,7 +145,7 @@
                 lines.run(100_000);
                 most = Math.max(most, machine.status().snapshots());
             }
-            List<Lines.Sent> told = lines.sent.stream().filter(each -> each.to().startsWith("well") && each.message() instanceof Message.Deltas deltas && deltas.deltas().contains(delta)).toList();
+            List<SimulatedNetwork.Sent> told = lines.sent.stream().filter(each -> each.to().startsWith("well") && each.message() instanceof Message.Deltas deltas && deltas.deltas().contains(delta)).toList();
             assertEquals(3_700, told.size());
             assertTrue(told.stream().allMatch(each -> each.at() - changed <= 205_000));
             lines.sent.removeIf(each -> each.to().startsWith("well"));
@@ -167,8 +167,8 @@
     /** A snapshot that nobody goes on with ends, and its place is free. */
     @Test
     void aSnapshotWithoutCreditEnds() {
-        Lines lines = new Lines(new PublisherSettings(200_000, 2 * SECOND, 1, 4_096, 1 << 20, 20 * SECOND, 30 * SECOND, 10 * SECOND, 1 << 10));
-        Publisher machine = lines.machine("a", Changes.table(1_000));
+        SimulatedNetwork lines = new SimulatedNetwork(new PublisherSettings(200_000, 2 * SECOND, 1, 4_096, 1 << 20, 20 * SECOND, 30 * SECOND, 10 * SECOND, 1 << 10));
+        Publisher machine = lines.machine("a", TestChanges.table(1_000));
         machine.received(lines.now, "x", new Message.Subscribe(Revision.none(1), "z-1"));
         machine.received(lines.now, "x", new Message.Fetch(new long[Table.SHARDS], 1_000));
         assertEquals(64, lines.to("x", Message.SnapshotChunk.class).size(), "credit is bounded");
@@ -183,8 +183,8 @@
 
     @Test
     void whatASubscriberMayNotSayIsRefused() {
-        Lines lines = new Lines(new PublisherSettings(200_000, 2 * SECOND, 8, 2, 1 << 20, 20 * SECOND, 30 * SECOND, 10 * SECOND, 8 << 10));
-        Publisher machine = lines.machine("a", Changes.table(10));
+        SimulatedNetwork lines = new SimulatedNetwork(new PublisherSettings(200_000, 2 * SECOND, 8, 2, 1 << 20, 20 * SECOND, 30 * SECOND, 10 * SECOND, 8 << 10));
+        Publisher machine = lines.machine("a", TestChanges.table(10));
         machine.received(lines.now, "x", new Message.Credit(1));
         subscribe(lines, machine, "x");
         subscribe(lines, machine, "y");
@@ -201,11 +201,11 @@
     /** Who is ahead is told what there is, and goes on by deltas once the machine has caught up. */
     @Test
     void aMachineThatIsBehindItsSubscriberTakesNothingBack() {
-        Lines lines = new Lines();
-        Table table = Changes.table(100);
+        SimulatedNetwork lines = new SimulatedNetwork();
+        Table table = TestChanges.table(100);
         Publisher behind = lines.machine("a", table);
-        Outcome.Applied one = Changes.applied(table.apply(50, Changes.of("c", Changes.put("r", "1"))));
-        Outcome.Applied two = Changes.applied(one.table().apply(51, Changes.of("c", Changes.put("r", "2"))));
+        Outcome.Applied one = TestChanges.applied(table.apply(50, TestChanges.of("c", TestChanges.put("r", "1"))));
+        Outcome.Applied two = TestChanges.applied(one.table().apply(51, TestChanges.of("c", TestChanges.put("r", "2"))));
         Subscriber gateway = lines.gateway("g", one.table(), "a");
         lines.run(SECOND);
         assertEquals(one.table().revision(), gateway.table().revision());
@@ -220,8 +220,8 @@
     /** One that can't hear its own source serves what it has, and doesn't say that it is current. */
     @Test
     void aMachineThatIsAloneDoesNotSayThatItIsCurrent() {
-        Lines lines = new Lines();
-        Table table = Changes.table(100);
+        SimulatedNetwork lines = new SimulatedNetwork();
+        Table table = TestChanges.table(100);
         lines.machine("a", table).alone(lines.now, true);
         lines.machine("b", table).alone(lines.now, true);
         Subscriber gateway = lines.gateway("g", table, "a", "b");
@@ -245,8 +245,8 @@
     /** What relays tell of theirs is added up, by zone, within bounds. */
     @Test
     void summariesAreAddedUpAndBounded() {
-        Lines lines = new Lines();
-        Publisher machine = lines.machine("a", Changes.table(1_500));
+        SimulatedNetwork lines = new SimulatedNetwork();
+        Publisher machine = lines.machine("a", TestChanges.table(1_500));
         subscribe(lines, machine, "relay");
         subscribe(lines, machine, "gateway");
         Revision low = new Revision(1, 3, 0, 0);
@@ -262,12 +262,12 @@
         assertEquals(1, machine.summary().get(0).subscribers());
         machine.inboundClosed(lines.now, "relay");
         assertEquals(List.of(new ZoneSummary("z-1", 1, machine.table().revision(), 0, List.of())), machine.summary());
-        Summaries all = new Summaries();
+        ZoneSummaries all = new ZoneSummaries();
         IntStream.range(0, 1_000).forEach(i -> all.add(new ZoneSummary("zone-" + i, 1, new Revision(1, i, 0, 0), 1, IntStream.range(0, 20).mapToObj(n -> i + "-" + n).toList())));
-        assertEquals(Summaries.ZONES_MOST, all.zones().size());
+        assertEquals(ZoneSummaries.ZONES_MOST, all.zones().size());
         assertEquals(1_000, all.zones().stream().mapToInt(ZoneSummary::subscribers).sum());
         assertTrue(all.zones().stream().allMatch(each -> each.lagging().size() <= ZoneSummary.LAGGING_MOST));
-        assertEquals(63, all.zones().stream().filter(each -> each.zone().equals(Summaries.OTHERS)).findFirst().orElseThrow().lowest().number());
+        assertEquals(63, all.zones().stream().filter(each -> each.zone().equals(ZoneSummaries.OTHERS)).findFirst().orElseThrow().lowest().number());
     }
 
     private static List<Change> tenants(int count, int valueBytes, String to) {
@@ -291,16 +291,16 @@
         that was stopped meanwhile and one that is new, and what is kept stays within its bound. */
     @Test
     void allTenantsReplacedAtOnceAreInForceAndHoldUpNobody() {
-        Lines lines = new Lines();
+        SimulatedNetwork lines = new SimulatedNetwork();
         Table had = Table.empty(1);
         for (Change each : tenants(17_000, 1_200, "before")) {
-            had = Changes.applied(had.apply(had.revision().number() + 1, each)).table();
+            had = TestChanges.applied(had.apply(had.revision().number() + 1, each)).table();
         }
         Publisher machine = lines.machine("m", had);
         for (int i = 0; i < 4; i++) {
             lines.gateway("g" + i, had, "m");
         }
-        lines.run(2 * Lines.SECOND);
+        lines.run(2 * SimulatedNetwork.SECOND);
         lines.frozen.add("g3");
         List<Change> replaced = tenants(17_000, 1_200, "after");
         assertTrue(replaced.size() > 300, replaced.size() + " changes");
@@ -309,21 +309,21 @@
             if (i == replaced.size() / 2) {
                 other = lines.change(machine, "route-of-another", "v").to().number();
             }
-            Outcome.Applied applied = Changes.applied(machine.table().apply(machine.table().revision().number() + 1, replaced.get(i)));
+            Outcome.Applied applied = TestChanges.applied(machine.table().apply(machine.table().revision().number() + 1, replaced.get(i)));
             machine.table(lines.now, applied.table(), List.of(applied.delta()));
             assertTrue(machine.status().deltaBytes() <= History.BYTES_MOST);
         }
         lines.gateway("new", Table.empty(1), "m");
         long began = lines.now;
         while (!lines.subscribers.values().stream().allMatch(each -> each == lines.subscribers.get("g3") || each.table().revision().equals(machine.table().revision()))) {
-            lines.run(Lines.SECOND / 10);
-            assertTrue(lines.now - began < 12 * Lines.SECOND, () -> "after 12 s: " + lines.events);
+            lines.run(SimulatedNetwork.SECOND / 10);
+            assertTrue(lines.now - began < 12 * SimulatedNetwork.SECOND, () -> "after 12 s: " + lines.events);
         }
         lines.frozen.clear();
         long woken = lines.now;
         while (!lines.subscribers.get("g3").table().revision().equals(machine.table().revision())) {
-            lines.run(Lines.SECOND / 10);
-            assertTrue(lines.now - woken < 12 * Lines.SECOND, () -> "after 12 s: " + lines.events);
+            lines.run(SimulatedNetwork.SECOND / 10);
+            assertTrue(lines.now - woken < 12 * SimulatedNetwork.SECOND, () -> "after 12 s: " + lines.events);
         }
         for (Subscriber each : lines.subscribers.values()) {
             assertEquals(other, each.table().get(ResourceKind.ROUTE, "route-of-another").version());
--- a/src/test/java/mastdrift/distribution/Lines.java
+++ b/src/test/java/mastdrift/distribution/SimulatedNetwork.java
@@ -7,13 +7,13 @@
 import java.util.PriorityQueue;
 
 /** Publishers and subscribers with a network between them that takes 5 ms and does what a test says; on a clock of its own, in steps of 5 ms. */
-final class Lines {
+final class SimulatedNetwork {
 
     static final long SECOND = 1_000_000;
     static final long STEP = 5_000;
 
     /** What becomes of a message: false for lost. */
-    interface Fate {
+    interface DeliveryRule {
         boolean arrives(String from, String to, Message message);
     }
 
@@ -29,16 +29,16 @@
     final List<String> frozen = new ArrayList<>();
     private final PriorityQueue<Event> queue = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
     private final PublisherSettings settings;
-    Fate fate = (from, to, message) -> true;
+    DeliveryRule fate = (from, to, message) -> true;
     int times = 1;  // that each message arrives
     long now = SECOND;
     private long numbers;
 
-    Lines(PublisherSettings settings) {
+    SimulatedNetwork(PublisherSettings settings) {
         this.settings = settings;
     }
 
-    Lines() {
+    SimulatedNetwork() {
         this(PublisherSettings.USUAL);
     }
 
@@ -109,7 +109,7 @@
             }
         });
         subscribers.put(name, gateway);
-        gateway.machines(now, List.of(of).stream().map(machine -> new Machine(machine, "z-1")).toList());
+        gateway.machines(now, List.of(of).stream().map(machine -> new ControlMachine(machine, "z-1")).toList());
         return gateway;
     }
 
@@ -163,7 +163,7 @@
 
     /** A change at a machine: a route of that name and value; the delta. */
     Delta change(Publisher machine, String name, String value) {
-        Outcome.Applied applied = Changes.applied(machine.table().apply(machine.table().revision().number() + 1, Changes.of("c", Changes.put(name, value))));
+        Outcome.Applied applied = TestChanges.applied(machine.table().apply(machine.table().revision().number() + 1, TestChanges.of("c", TestChanges.put(name, value))));
         machine.table(now, applied.table(), List.of(applied.delta()));
         return applied.delta();
     }
--- a/src/test/java/mastdrift/distribution/StoreTest.java
+++ b/src/test/java/mastdrift/distribution/StoreTest.java
@@ -1,7 +1,7 @@
 package mastdrift.distribution;
 
-import static mastdrift.distribution.Changes.bytes;
-import static mastdrift.distribution.Changes.put;
+import static mastdrift.distribution.TestChanges.bytes;
+import static mastdrift.distribution.TestChanges.put;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
@@ -25,7 +25,7 @@
 class StoreTest {
 
     /** Notes what a store wants, and that its tables only go forward, each by what was told. */
-    private static final class Noted implements Store.Actions {
+    private static final class RecordingActions implements Store.Actions {
         private final List<String> events = new ArrayList<>();
         private Table table;
         private int jumps;
@@ -56,8 +56,8 @@
     @Test
     void aChangeAskedTwiceUnderOneIdIsInOnce() {
         Decisions log = new Decisions();
-        Store store = new Store(Table.empty(1), 1, new Noted());
-        Map<String, Change> asked = Map.of("one", Changes.of("one", new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("1"), Edit.NONE)), "two", Changes.of("two", put("s", "1")));
+        Store store = new Store(Table.empty(1), 1, new RecordingActions());
+        Map<String, Change> asked = Map.of("one", TestChanges.of("one", new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("1"), Edit.NONE)), "two", TestChanges.of("two", put("s", "1")));
         long index = 0;
         for (String id : List.of("one", "two", "one", "one", "two")) {
             long before = log.count();
@@ -76,10 +76,10 @@
     /** Writers in two regions that were apart both believe the resource to be as it was: the first in the agreed order is in, the other is told what there is. */
     @Test
     void ofTwoChangesToOneResourceOfRegionsThatWereApartOneConflictIsTold() {
-        Store store = new Store(Table.empty(1), 1, new Noted());
-        store.decided(1, "before", Changes.of("before", put("r", "0")));
-        ChangeOutcome first = store.decided(2, "east", Changes.of("east", new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("east"), 1)));
-        ChangeOutcome second = store.decided(3, "west", Changes.of("west", put("also", "1"), new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("west"), 1)));
+        Store store = new Store(Table.empty(1), 1, new RecordingActions());
+        store.decided(1, "before", TestChanges.of("before", put("r", "0")));
+        ChangeOutcome first = store.decided(2, "east", TestChanges.of("east", new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("east"), 1)));
+        ChangeOutcome second = store.decided(3, "west", TestChanges.of("west", put("also", "1"), new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("west"), 1)));
         assertInstanceOf(ChangeOutcome.Applied.class, first);
         assertEquals(new ChangeOutcome.Conflict("edits[1] (route r): expected version 1, found version 2"), second);
         assertEquals("east", new String(store.table().get(ResourceKind.ROUTE, "r").value(), StandardCharsets.UTF_8));
@@ -93,16 +93,16 @@
     @Property(tries = 150)
     void allWhoHearTheLogHaveTheSameHoweverTheyHeardIt(@ForAll long seed) {
         Random random = new Random(seed);
-        Store whole = new Store(Table.empty(1), 1, new Noted());
+        Store whole = new Store(Table.empty(1), 1, new RecordingActions());
         List<Table> tables = new ArrayList<>(List.of(whole.table()));
         List<Change> log = new ArrayList<>();
         for (int i = 1; i <= 80; i++) {
-            Change change = random.nextInt(15) == 0 ? null : Changes.drawn(random, "c" + i);
+            Change change = random.nextInt(15) == 0 ? null : TestChanges.drawn(random, "c" + i);
             log.add(change);
             whole.decided(i, "c" + i, change);
             tables.add(whole.table());
         }
-        Noted noted = new Noted();
+        RecordingActions noted = new RecordingActions();
         Store store = new Store(tables.get(random.nextInt(20)), 1, noted);
         Map<String, ChangeOutcome> outcomes = new HashMap<>();
         for (int at = 1; at <= 80; at++) {
@@ -132,11 +132,11 @@
 
     @Test
     void whatWaitsAndWhatIsRememberedIsBounded() {
-        Noted noted = new Noted();
+        RecordingActions noted = new RecordingActions();
         Store store = new Store(Table.empty(1), 1, noted);
-        Store other = new Store(Table.empty(1), 1, new Noted());
+        Store other = new Store(Table.empty(1), 1, new RecordingActions());
         for (int i = 1; i <= 9_000; i++) {
-            Change change = Changes.of("c" + i, put("r", "" + i));
+            Change change = TestChanges.of("c" + i, put("r", "" + i));
             other.decided(i, "c" + i, change);
             if (i > 10) {
                 assertInstanceOf(ChangeOutcome.Pending.class, store.decided(i, "c" + i, change));
@@ -153,7 +153,7 @@
         assertInstanceOf(ChangeOutcome.Applied.class, other.outcome("c" + (9_001 - Store.OUTCOMES_MOST)));
         Store large = new Store(Table.empty(1), 1, noted);
         for (int i = 2; i < 1_000; i++) {
-            large.decided(i, "c" + i, Changes.of("c" + i, new Edit.Upsert(ResourceKind.POOL, "p", new byte[60_000], Edit.ANY)));
+            large.decided(i, "c" + i, TestChanges.of("c" + i, new Edit.Upsert(ResourceKind.POOL, "p", new byte[60_000], Edit.ANY)));
         }
         assertTrue(large.pending() < 290 && large.pending() > 250, large.pending() + " of 60 kB wait");
     }
@@ -161,7 +161,7 @@
     private static Table after(int changes) {
         Table table = Table.empty(1);
         for (int i = 1; i <= changes; i++) {
-            table = Changes.applied(table.apply(i, Changes.of("c" + i, put("r" + i, "" + i)))).table();
+            table = TestChanges.applied(table.apply(i, TestChanges.of("c" + i, put("r" + i, "" + i)))).table();
         }
         return table;
     }
@@ -169,7 +169,7 @@
     /** Who has the state that the first decision names goes on from it, whatever the number; until then its table is still of the epoch before, and it has not begun. */
     @Test
     void anEpochBeginsFromTheRevisionThatItsFirstDecisionNames() {
-        Noted noted = new Noted();
+        RecordingActions noted = new RecordingActions();
         Table had = after(7);
         Store store = new Store(had, 2, noted);
         assertFalse(store.begun());
@@ -179,10 +179,10 @@
         assertEquals(new ChangeOutcome.Applied(new Revision(2, 1, had.revision().high(), had.revision().low())), outcome);
         assertTrue(store.begun());
         assertNull(store.toBegin());
-        assertInstanceOf(ChangeOutcome.Applied.class, store.decided(2, "next", Changes.of("next", put("r1", "new"))));
-        Store passed = new Store(had.passed(9).table(), 2, new Noted());
+        assertInstanceOf(ChangeOutcome.Applied.class, store.decided(2, "next", TestChanges.of("next", put("r1", "new"))));
+        Store passed = new Store(had.passed(9).table(), 2, new RecordingActions());
         passed.decided(1, "begin", new EpochStart(had.revision()));
-        passed.decided(2, "next", Changes.of("next", put("r1", "new")));
+        passed.decided(2, "next", TestChanges.of("next", put("r1", "new")));
         assertEquals(store.table().revision(), passed.table().revision(), "the same resources at another number");
         assertEquals(new ChangeOutcome.Conflict("expected a change, found an epoch's beginning behind its first decision"), store.decided(3, "late", new EpochStart(had.revision())));
         assertEquals(3, store.table().revision().number());
@@ -192,13 +192,13 @@
     @Test
     void aVoterWithAnotherTableThanTheEpochBeginsFromWaitsForOne() {
         Table had = after(7);
-        Store right = new Store(had, 2, new Noted());
+        Store right = new Store(had, 2, new RecordingActions());
         right.decided(1, "begin", new EpochStart(had.revision()));
         Table begun = right.table();
-        Change next = Changes.of("next", put("r1", "new"));
+        Change next = TestChanges.of("next", put("r1", "new"));
         right.decided(2, "next", next);
         for (Table other : List.of(after(5), after(9), Store.nothing(2))) {
-            Noted noted = new Noted();
+            RecordingActions noted = new RecordingActions();
             Store store = new Store(other, 2, noted);
             assertEquals(new ChangeOutcome.Pending(1), store.decided(1, "begin", new EpochStart(had.revision())));
             assertEquals(new ChangeOutcome.Pending(1), store.decided(2, "next", next));
@@ -222,31 +222,31 @@
     /** A voter that knows nothing names nothing, or all would take its empty table. Its own is earlier than whatever others had. */
     @Test
     void aVoterWithoutAFolderAsksForNoBeginning() {
-        assertNull(new Store(Store.nothing(2), 2, new Noted()).toBegin());
+        assertNull(new Store(Store.nothing(2), 2, new RecordingActions()).toBegin());
         assertTrue(after(1).revision().after(Store.nothing(2).revision()));
-        Store first = new Store(Store.nothing(1), 1, new Noted());
+        Store first = new Store(Store.nothing(1), 1, new RecordingActions());
         assertTrue(first.begun(), "a first epoch begins with an empty table");
-        assertInstanceOf(ChangeOutcome.Applied.class, first.decided(1, "one", Changes.of("one", put("r", "1"))));
+        assertInstanceOf(ChangeOutcome.Applied.class, first.decided(1, "one", TestChanges.of("one", put("r", "1"))));
     }
 
     /** Folders and logs of builds that knew no such decision: a copy that is of the epoch already, at number 0, and a log that begins with a change. */
     @Test
     void foldersAndLogsOfBuildsBeforeAreReadAsTheyWere() {
         Table had = after(7).begun(2);
-        Store store = new Store(had, 2, new Noted());
+        Store store = new Store(had, 2, new RecordingActions());
         assertEquals(had.revision(), store.toBegin());
-        Change change = Changes.of("one", put("r", "1"));
+        Change change = TestChanges.of("one", put("r", "1"));
         assertInstanceOf(ChangeOutcome.Applied.class, store.decided(1, "one", change));
-        assertEquals(Changes.applied(had.apply(1, change)).table().revision(), store.table().revision());
-        Store named = new Store(had, 2, new Noted());
+        assertEquals(TestChanges.applied(had.apply(1, change)).table().revision(), store.table().revision());
+        Store named = new Store(had, 2, new RecordingActions());
         named.decided(1, "begin", new EpochStart(after(7).revision()));
         assertEquals(had.passed(1).table().revision(), named.table().revision());
-        Store without = new Store(Store.nothing(2), 2, new Noted());
+        Store without = new Store(Store.nothing(2), 2, new RecordingActions());
         assertEquals(new ChangeOutcome.Pending(1), without.decided(1, "one", change), "nobody says what it began from");
-        assertEquals(new ChangeOutcome.Pending(1), new Store(after(7), 2, new Noted()).decided(1, "later", null), "a later build's beginning may be any");
-        Store on = new Store(Changes.applied(had.apply(1, change)).table(), 2, new Noted());
+        assertEquals(new ChangeOutcome.Pending(1), new Store(after(7), 2, new RecordingActions()).decided(1, "later", null), "a later build's beginning may be any");
+        Store on = new Store(TestChanges.applied(had.apply(1, change)).table(), 2, new RecordingActions());
         assertTrue(on.begun());
-        assertInstanceOf(ChangeOutcome.Applied.class, on.decided(2, "two", Changes.of("two", put("r", "2"))));
-        assertThrows(IllegalArgumentException.class, () -> new Store(had, 1, new Noted()));
+        assertInstanceOf(ChangeOutcome.Applied.class, on.decided(2, "two", TestChanges.of("two", put("r", "2"))));
+        assertThrows(IllegalArgumentException.class, () -> new Store(had, 1, new RecordingActions()));
     }
 }
--- a/src/test/java/mastdrift/distribution/SubscriberTest.java
+++ b/src/test/java/mastdrift/distribution/SubscriberTest.java
@@ -1,8 +1,8 @@
 package mastdrift.distribution;
 
-import static mastdrift.distribution.Changes.applied;
-import static mastdrift.distribution.Changes.put;
-import static mastdrift.distribution.Lines.SECOND;
+import static mastdrift.distribution.TestChanges.applied;
+import static mastdrift.distribution.TestChanges.put;
+import static mastdrift.distribution.SimulatedNetwork.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -23,18 +23,18 @@
 
 class SubscriberTest {
 
-    private static void together(Lines lines, Publisher machine, Subscriber gateway) {
+    private static void together(SimulatedNetwork lines, Publisher machine, Subscriber gateway) {
         assertEquals(machine.table().revision(), gateway.table().revision(), () -> lines.events.toString());
     }
 
     /** Lost one by one, all doubled, turned round, and cut off for ten seconds: the last is there soon after, by deltas alone. */
     @Test
     void deltasLostDoubledOutOfOrderAndCutEndInTheSameTable() {
-        Lines lines = new Lines();
-        Publisher machine = lines.machine("a", Changes.table(100));
+        SimulatedNetwork lines = new SimulatedNetwork();
+        Publisher machine = lines.machine("a", TestChanges.table(100));
         Subscriber gateway = lines.gateway("g", machine.table(), "a");
         Random random = new Random(5);
-        for (Lines.Fate fate : List.<Lines.Fate>of((from, to, message) -> !(message instanceof Message.Deltas) || random.nextInt(3) > 0,
+        for (SimulatedNetwork.DeliveryRule fate : List.<SimulatedNetwork.DeliveryRule>of((from, to, message) -> !(message instanceof Message.Deltas) || random.nextInt(3) > 0,
                 (from, to, message) -> random.nextInt(3) > 0, (from, to, message) -> false, (from, to, message) -> true)) {
             lines.fate = fate;
             lines.times = random.nextBoolean() ? 1 : 2;
@@ -64,21 +64,21 @@
     @Property(tries = 300)
     void aMessageOfDeltasDoesAsOneByOneWould(@ForAll long seed) {
         Random random = new Random(seed);
-        Lines lines = new Lines();
-        Table begin = Changes.table(60);
+        SimulatedNetwork lines = new SimulatedNetwork();
+        Table begin = TestChanges.table(60);
         lines.machine("a", begin);
         Subscriber gateway = lines.gateway("g", begin, "a");
         List<Delta> deltas = new ArrayList<>();
         Table end = begin;
         for (int i = 0; i < 12; i++) {
-            Outcome.Applied applied = applied(end.apply(end.revision().number() + 1, Changes.of("c" + i, put("r" + random.nextInt(5), "v" + random.nextInt()))));
+            Outcome.Applied applied = applied(end.apply(end.revision().number() + 1, TestChanges.of("c" + i, put("r" + random.nextInt(5), "v" + random.nextInt()))));
             end = applied.table();
             Delta delta = applied.delta();
             Revision to = delta.to();
             switch (random.nextInt(12)) {
                 case 0 -> { }  // lost
                 case 1 -> deltas.addAll(List.of(delta, delta));
-                case 2 -> deltas.add(new Delta(delta.from(), to, List.of(new Resource(ResourceKind.ROUTE, "r1", to.number(), Changes.bytes("spoilt"))), delta.deletes()));
+                case 2 -> deltas.add(new Delta(delta.from(), to, List.of(new Resource(ResourceKind.ROUTE, "r1", to.number(), TestChanges.bytes("spoilt"))), delta.deletes()));
                 case 3 -> deltas.addAll(List.of(delta, new Delta(delta.from(), new Revision(to.epoch(), to.number(), to.high() + 1, to.low()), delta.upserts(), delta.deletes())));
                 case 4 -> deltas.add(new Delta(delta.from(), new Revision(to.epoch() + 1, to.number(), to.high(), to.low()), delta.upserts(), delta.deletes()));
                 default -> deltas.add(delta);
@@ -123,10 +123,10 @@
     /** Whatever an older machine says, of an older number or epoch, nothing is taken back; and who stays behind is left. */
     @Test
     void nothingThatIsOlderIsTaken() {
-        Lines lines = new Lines();
-        Table old = Changes.table(2_000);
-        Table before = applied(old.apply(old.revision().number() + 1, Changes.of("c", put("r", "1")))).table().begun(2);
-        Table have = applied(before.apply(1, Changes.of("c", put("r", "2")))).table();
+        SimulatedNetwork lines = new SimulatedNetwork();
+        Table old = TestChanges.table(2_000);
+        Table before = applied(old.apply(old.revision().number() + 1, TestChanges.of("c", put("r", "1")))).table().begun(2);
+        Table have = applied(before.apply(1, TestChanges.of("c", put("r", "2")))).table();
         lines.machine("a", before);
         Subscriber gateway = lines.gateway("g", have, "a");
         lines.run(SECOND);
@@ -146,7 +146,7 @@
         assertSame(have, gateway.table());
         assertEquals(List.of(before.revision()), lines.to("g", Message.SnapshotChunk.class).stream().map(Message.SnapshotChunk::revision).distinct().toList());
         lines.machine("b", have);
-        gateway.machines(lines.now, List.of(new Machine("a", "z-1"), new Machine("b", "z-1")));
+        gateway.machines(lines.now, List.of(new ControlMachine("a", "z-1"), new ControlMachine("b", "z-1")));
         lines.run(8 * SECOND);
         assertEquals("b", gateway.machine(), lines.events::toString);
     }
@@ -154,8 +154,8 @@
     /** The machine is frozen for ten seconds: who was there is elsewhere by then. It wakes and believes itself current; who comes to it with a later revision isn't taken back, and leaves. */
     @Test
     void aMachineFrozenForTenSecondsTakesNobodyBack() {
-        Lines lines = new Lines();
-        Table table = Changes.table(50);
+        SimulatedNetwork lines = new SimulatedNetwork();
+        Table table = TestChanges.table(50);
         lines.machine("a", table);
         lines.machine("b", table);
         Subscriber gateway = lines.gateway("g", table, "a", "b");
@@ -184,14 +184,14 @@
     /** The machine ends half way through a snapshot: what has come isn't fetched again from the next one, which has a later revision by then. */
     @Test
     void aSnapshotBrokenOffIsGoneOnWithElsewhereAndNothingIsFetchedTwice() {
-        Lines lines = new Lines(new PublisherSettings(200_000, 2 * SECOND, 8, 4_096, 1 << 20, 20 * SECOND, 30 * SECOND, 10 * SECOND, 4 << 10));
-        Table table = Changes.table(5_000);
+        SimulatedNetwork lines = new SimulatedNetwork(new PublisherSettings(200_000, 2 * SECOND, 8, 4_096, 1 << 20, 20 * SECOND, 30 * SECOND, 10 * SECOND, 4 << 10));
+        Table table = TestChanges.table(5_000);
         lines.machine("a", table);
         Publisher other = lines.machine("b", table);
         Subscriber gateway = lines.gateway("g", Table.empty(1), "a", "b");
         assertFalse(gateway.ready());
         while (lines.to("g", Message.SnapshotChunk.class).size() < 40) {
-            lines.run(Lines.STEP);
+            lines.run(SimulatedNetwork.STEP);
         }
         if (gateway.machine().equals("b")) {
             other = lines.machines.get("a");
@@ -212,8 +212,8 @@
     /** A chunk that gets lost is asked for again, and one of nonsense leads elsewhere. */
     @Test
     void aChunkThatIsLostIsAskedForAgainAndOneThatIsWrongLeadsElsewhere() {
-        Lines lines = new Lines(new PublisherSettings(200_000, 2 * SECOND, 8, 4_096, 1 << 20, 20 * SECOND, 30 * SECOND, 10 * SECOND, 8 << 10));
-        Publisher machine = lines.machine("a", Changes.table(3_000));
+        SimulatedNetwork lines = new SimulatedNetwork(new PublisherSettings(200_000, 2 * SECOND, 8, 4_096, 1 << 20, 20 * SECOND, 30 * SECOND, 10 * SECOND, 8 << 10));
+        Publisher machine = lines.machine("a", TestChanges.table(3_000));
         int[] count = new int[1];
         lines.fate = (from, to, message) -> !(message instanceof Message.SnapshotChunk) || ++count[0] % 9 != 0;
         Subscriber gateway = lines.gateway("g", Table.empty(1), "a");
@@ -232,12 +232,12 @@
     /** One machine of two has another state by the same number: it is told, the other is asked, and nothing changes here. Where both say so, theirs is taken. */
     @Test
     void oneForkedMachineChangesNothingAndTwoThatAgreeDo() {
-        Table table = Changes.table(50);
-        Table forked = applied(Changes.table(40).apply(table.revision().number() + 1, Changes.of("f", put("f", "1")))).table();
-        Table right = applied(table.apply(table.revision().number() + 1, Changes.of("c", put("r", "1")))).table();
+        Table table = TestChanges.table(50);
+        Table forked = applied(TestChanges.table(40).apply(table.revision().number() + 1, TestChanges.of("f", put("f", "1")))).table();
+        Table right = applied(table.apply(table.revision().number() + 1, TestChanges.of("c", put("r", "1")))).table();
         assertTrue(right.revision().forkedFrom(forked.revision()));
         for (String bad : List.of("a", "b")) {
-            Lines lines = new Lines();
+            SimulatedNetwork lines = new SimulatedNetwork();
             lines.machine("a", bad.equals("a") ? forked : right);
             lines.machine("b", bad.equals("b") ? forked : right);
             Subscriber gateway = lines.gateway("g", right, "a", "b");
@@ -247,7 +247,7 @@
             assertNotEquals(bad, gateway.machine());
             assertEquals(first, lines.events.stream().anyMatch(each -> each.startsWith("g config_forked " + bad)), lines.events.toString());
         }
-        Lines lines = new Lines();
+        SimulatedNetwork lines = new SimulatedNetwork();
         lines.machine("a", right);
         lines.machine("b", right);
         Subscriber gateway = lines.gateway("g", forked, "a", "b");
@@ -255,7 +255,7 @@
         assertEquals(right.revision(), gateway.table().revision(), lines.events::toString);
         assertEquals(2, lines.events.stream().filter(each -> each.startsWith("g config_forked")).count());
         assertTrue(lines.events.contains("g takes " + right.revision().number() + " by a snapshot"));
-        Lines alone = new Lines();
+        SimulatedNetwork alone = new SimulatedNetwork();
         alone.machine("a", right);
         Subscriber only = alone.gateway("g", forked, "a");
         alone.run(5 * SECOND);
@@ -265,8 +265,8 @@
     /** Cut off for an hour in which 625 changes were made: caught up by deltas within seconds, and who has a copy serves by it meanwhile. */
     @Test
     void anHourApartIsCaughtUpByDeltas() {
-        Lines lines = new Lines();
-        Publisher machine = lines.machine("a", Changes.table(2_000));
+        SimulatedNetwork lines = new SimulatedNetwork();
+        Publisher machine = lines.machine("a", TestChanges.table(2_000));
         Subscriber gateway = lines.gateway("g", machine.table(), "a");
         lines.run(SECOND);
         lines.fate = (from, to, message) -> false;
@@ -280,7 +280,7 @@
         lines.fate = (from, to, message) -> true;
         long before = lines.now;
         while (!gateway.table().revision().equals(machine.table().revision())) {
-            lines.run(Lines.STEP);
+            lines.run(SimulatedNetwork.STEP);
             assertTrue(lines.now - before < 8 * SECOND);
         }
         assertEquals(0, gateway.aloneSince());
@@ -291,14 +291,14 @@
     /** What is told to come later comes later, and not all at one moment. */
     @Test
     void laterIsHeededAndSpread() {
-        Lines lines = new Lines();
-        lines.machine("a", Changes.table(100));
+        SimulatedNetwork lines = new SimulatedNetwork();
+        lines.machine("a", TestChanges.table(100));
         TreeSet<Long> fetched = new TreeSet<>();
         for (int i = 0; i < 20; i++) {
             Subscriber each = lines.gateway("g" + i, Table.empty(1), "a");
             each.received(lines.now, "a", new Message.SnapshotNeeded(lines.machines.get("a").table().revision(), "x"));
             each.received(lines.now, "a", new Message.RetryAfter(3_000));
-            long due = IntStream.range(1, 2_000).mapToLong(step -> lines.now + step * Lines.STEP).filter(at -> {
+            long due = IntStream.range(1, 2_000).mapToLong(step -> lines.now + step * SimulatedNetwork.STEP).filter(at -> {
                 int before = lines.to("a", Message.Fetch.class).size();
                 each.received(at, "a", new Message.Heartbeat(lines.machines.get("a").table().revision()));
                 return lines.to("a", Message.Fetch.class).size() > before;
@@ -312,8 +312,8 @@
     /** Zone, region, the others; evenly within one; and a machine that goes moves only its own. */
     @Test
     void subscribersSpreadOverMachinesTheNearestFirst() {
-        List<Machine> machines = new ArrayList<>(IntStream.range(0, 12).mapToObj(i -> new Machine("m" + i, "eu-" + i / 4)).toList());
-        machines.add(new Machine("far", "us-1"));
+        List<ControlMachine> machines = new ArrayList<>(IntStream.range(0, 12).mapToObj(i -> new ControlMachine("m" + i, "eu-" + i / 4)).toList());
+        machines.add(new ControlMachine("far", "us-1"));
         Map<String, Integer> counts = new HashMap<>();
         for (int i = 0; i < 4_100; i++) {
             Subscriber each = subscriber("g" + i, "eu-1", machines);
@@ -327,7 +327,7 @@
         counts.forEach((machine, count) -> assertTrue(count > 900 && count < 1_150, counts.toString()));
     }
 
-    private static Subscriber subscriber(String name, String zone, List<Machine> machines) {
+    private static Subscriber subscriber(String name, String zone, List<ControlMachine> machines) {
         Subscriber made = new Subscriber(name, zone, Table.empty(1), SubscriberSettings.USUAL, name.hashCode(), new Subscriber.Actions() {
             @Override
             public void send(String to, Message message) {
@@ -356,7 +356,7 @@
     /** The machine of 370 ends: they come to others over half a second, and later the longer nobody answers, up to two seconds. */
     @Test
     void reconnectsAreSpread() {
-        List<Machine> machines = List.of(new Machine("a", "z"), new Machine("b", "z"));
+        List<ControlMachine> machines = List.of(new ControlMachine("a", "z"), new ControlMachine("b", "z"));
         int[] halves = new int[2];
         for (int i = 0; i < 370; i++) {
             Subscriber each = subscriber("g" + i, "z", machines);
@@ -377,10 +377,10 @@
     /** A process that did not run for ten seconds reads first what was said meanwhile; only then is a machine silent. */
     @Test
     void timeInWhichItDidNotRunIsNotHeldAgainstTheMachine() {
-        Lines lines = new Lines();
-        lines.machine("a", Changes.table(10));
-        lines.machine("b", Changes.table(10));
-        Subscriber gateway = lines.gateway("g", Changes.table(10), "a", "b");
+        SimulatedNetwork lines = new SimulatedNetwork();
+        lines.machine("a", TestChanges.table(10));
+        lines.machine("b", TestChanges.table(10));
+        Subscriber gateway = lines.gateway("g", TestChanges.table(10), "a", "b");
         lines.run(SECOND);
         String at = gateway.machine();
         lines.frozen.add("g");
@@ -395,8 +395,8 @@
     /** After its machine was away it goes back there in five to ten minutes, so that load doesn't stay where it once fled to. */
     @Test
     void itGoesBackToItsFirstMachine() {
-        Lines lines = new Lines();
-        Table table = Changes.table(10);
+        SimulatedNetwork lines = new SimulatedNetwork();
+        Table table = TestChanges.table(10);
         lines.machine("a", table);
         lines.machine("b", table);
         Subscriber gateway = lines.gateway("g", table, "a", "b");
@@ -416,8 +416,8 @@
     /** A later epoch begins with the same resources: nothing but its revision is fetched. */
     @Test
     void aLaterEpochIsTakenWithoutFetchingWhatIsHere() {
-        Lines lines = new Lines();
-        Table table = Changes.table(3_000);
+        SimulatedNetwork lines = new SimulatedNetwork();
+        Table table = TestChanges.table(3_000);
         Publisher machine = lines.machine("a", table.begun(2));
         Subscriber gateway = lines.gateway("g", table, "a");
         lines.run(2 * SECOND);
--- a/src/test/java/mastdrift/distribution/TableTest.java
+++ b/src/test/java/mastdrift/distribution/TableTest.java
@@ -1,8 +1,8 @@
 package mastdrift.distribution;
 
-import static mastdrift.distribution.Changes.applied;
-import static mastdrift.distribution.Changes.bytes;
-import static mastdrift.distribution.Changes.put;
+import static mastdrift.distribution.TestChanges.applied;
+import static mastdrift.distribution.TestChanges.bytes;
+import static mastdrift.distribution.TestChanges.put;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
@@ -61,7 +61,7 @@
         long number = 0;
         for (int i = 0; i < 60; i++) {
             number += 1 + random.nextInt(3);
-            Change change = Changes.drawn(random, "c" + i);
+            Change change = TestChanges.drawn(random, "c" + i);
             Map<String, Resource> next = new TreeMap<>(model);
             boolean conflict = false;
             for (Edit edit : change.edits()) {
@@ -105,8 +105,8 @@
         List<Edit> edits = new ArrayList<>(IntStream.range(0, 40).mapToObj(i -> put("n" + i, "v" + random.nextInt())).toList());
         Table one = applied(Table.empty(1).apply(9, new Change("a", edits))).table();
         Collections.shuffle(edits, random);
-        Table other = applied(Table.empty(1).apply(4, Changes.of("x", put("n3", "old"), put("gone", "old")))).table();
-        other = applied(other.apply(5, Changes.of("y", new Edit.Delete(ResourceKind.ROUTE, "gone", 4)))).table();
+        Table other = applied(Table.empty(1).apply(4, TestChanges.of("x", put("n3", "old"), put("gone", "old")))).table();
+        other = applied(other.apply(5, TestChanges.of("y", new Edit.Delete(ResourceKind.ROUTE, "gone", 4)))).table();
         other = applied(other.apply(9, new Change("a", edits))).table();
         assertEquals(one.revision(), other.revision());
         assertArrayEquals(one.digests(), other.digests());
@@ -115,17 +115,17 @@
         Collections.shuffle(shards, random);
         shards.forEach(each -> assertNull(assembly.add(new SnapshotChunk(one.revision(), List.of(each), false))));
         assertEquals(one.revision(), assembly.finish().revision());
-        assertNotEquals(one.revision(), applied(one.apply(10, Changes.of("z", put("n1", "else")))).table().revision());
+        assertNotEquals(one.revision(), applied(one.apply(10, TestChanges.of("z", put("n1", "else")))).table().revision());
     }
 
     @Test
     void aConflictTellsWhatWasExpectedAndWhatWasFoundAndNothingOfTheChangeIsIn() {
-        Table table = applied(Table.empty(1).apply(7, Changes.of("a", put("r", "1")))).table();
-        Change change = Changes.of("b", put("new", "1"), new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("2"), 3));
+        Table table = applied(Table.empty(1).apply(7, TestChanges.of("a", put("r", "1")))).table();
+        Change change = TestChanges.of("b", put("new", "1"), new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("2"), 3));
         assertEquals("edits[1] (route r): expected version 3, found version 7", assertInstanceOf(Outcome.Conflict.class, table.apply(8, change)).reason());
-        Change there = Changes.of("c", new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("2"), Edit.NONE));
+        Change there = TestChanges.of("c", new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("2"), Edit.NONE));
         assertEquals("edits[0] (route r): expected none there, found version 7", assertInstanceOf(Outcome.Conflict.class, table.apply(8, there)).reason());
-        Change gone = Changes.of("d", new Edit.Delete(ResourceKind.POOL, "r", 7));
+        Change gone = TestChanges.of("d", new Edit.Delete(ResourceKind.POOL, "r", 7));
         assertEquals("edits[0] (pool r): expected version 7, found none there", assertInstanceOf(Outcome.Conflict.class, table.apply(8, gone)).reason());
         assertNull(table.get(ResourceKind.ROUTE, "new"));
         assertThrows(IllegalArgumentException.class, () -> table.apply(7, change));
@@ -134,8 +134,8 @@
     /** Out of its place, of another epoch, or not what it says: told, and the table is as it was. */
     @Test
     void aDeltaThatDoesNotFitIsNotTaken() {
-        Table table = applied(Table.empty(1).apply(7, Changes.of("a", put("r", "1")))).table();
-        Delta next = applied(table.apply(8, Changes.of("b", put("s", "2")))).delta();
+        Table table = applied(Table.empty(1).apply(7, TestChanges.of("a", put("r", "1")))).table();
+        Delta next = applied(table.apply(8, TestChanges.of("b", put("s", "2")))).delta();
         Table later = table.with(next);
         assertEquals("expected a delta from 8 of epoch 1, found one from 7 to 8 of epoch 1", assertThrows(MismatchException.class, () -> later.with(next)).getMessage());
         Delta other = new Delta(7, next.to(), List.of(new Resource(ResourceKind.ROUTE, "s", 8, bytes("3"))), List.of());
@@ -149,12 +149,12 @@
     @Property(tries = 300)
     void aListOfDeltasAtOnceDoesAsOneByOneWould(@ForAll long seed) {
         Random random = new Random(seed);
-        Table begin = Changes.table(random.nextInt(3) * 40);
+        Table begin = TestChanges.table(random.nextInt(3) * 40);
         List<Delta> deltas = new ArrayList<>();
         Table end = begin;
         for (int i = random.nextInt(40); i >= 0; i--) {
             long number = end.revision().number() + 1 + random.nextInt(3);
-            Outcome outcome = end.apply(number, Changes.drawn(random, "c" + i));
+            Outcome outcome = end.apply(number, TestChanges.drawn(random, "c" + i));
             Outcome.Applied applied = outcome instanceof Outcome.Applied in ? in : end.passed(number);
             deltas.add(applied.delta());
             end = applied.table();
@@ -175,7 +175,7 @@
                 problem = e.getMessage();
             }
         }
-        Table.Followed followed = begin.follow(deltas);
+        Table.ApplyResult followed = begin.follow(deltas);
         assertEquals(taken, followed.taken());
         assertEquals(problem, followed.problem());
         assertEquals(one.revision(), followed.table().revision());
@@ -191,7 +191,7 @@
             assertEquals(bad, taken, "the last good one is before the bad one");
         }
         Table next = followed.table();
-        Delta more = applied(next.apply(next.revision().number() + 1, Changes.of("more", put("n3", "else")))).delta();
+        Delta more = applied(next.apply(next.revision().number() + 1, TestChanges.of("more", put("n3", "else")))).delta();
         assertEquals(more.to(), next.follow(List.of(more)).table().revision(), "it is gone on from");
         assertEquals(all(one), all(next), "and stays itself");
     }
@@ -220,13 +220,13 @@
         Table table = Table.empty(1);
         List<Delta> deltas = new ArrayList<>();
         for (int i = 0; i < 23; i++) {
-            Outcome.Applied applied = applied(table.apply(i + 1, Changes.of("c", new Edit.Upsert(ResourceKind.POOL, names.get(i), value, Edit.NONE))));
+            Outcome.Applied applied = applied(table.apply(i + 1, TestChanges.of("c", new Edit.Upsert(ResourceKind.POOL, names.get(i), value, Edit.NONE))));
             table = applied.table();
             deltas.add(applied.delta());
         }
         deltas.add(new Delta(23, new Revision(1, 24, 0, 0), List.of(new Resource(ResourceKind.POOL, names.get(23), 24, value)), List.of()));
         deltas.add(new Delta(24, new Revision(1, 25, table.revision().high(), table.revision().low()), List.of(), List.of(new Delta.Deletion(ResourceKind.POOL, names.get(23)))));
-        Table.Followed followed = Table.empty(1).follow(deltas);
+        Table.ApplyResult followed = Table.empty(1).follow(deltas);
         assertEquals(23, followed.taken());
         assertEquals(table.revision(), followed.table().revision());
         assertTrue(followed.problem().startsWith("delta to 24: shard 5: expected at most 393216 bytes, found "), followed.problem());
@@ -234,11 +234,11 @@
 
     @Test
     void theSameResourcesMayBeginALaterEpoch() {
-        Table table = applied(Table.empty(1).apply(7, Changes.of("a", put("r", "1")))).table();
+        Table table = applied(Table.empty(1).apply(7, TestChanges.of("a", put("r", "1")))).table();
         Table begun = table.begun(2);
         assertTrue(begun.revision().after(table.revision()));
         assertEquals(0, begun.revision().number());
-        assertEquals(1, applied(begun.apply(1, Changes.of("b", new Edit.Delete(ResourceKind.ROUTE, "r", 7)))).delta().to().number());
+        assertEquals(1, applied(begun.apply(1, TestChanges.of("b", new Edit.Delete(ResourceKind.ROUTE, "r", 7)))).delta().to().number());
         assertThrows(IllegalArgumentException.class, () -> begun.begun(2));
     }
 
@@ -251,9 +251,9 @@
         Table.Assembly assembly = Table.empty(1).assembly();
         assertNull(assembly.add(new SnapshotChunk(new Revision(1, 1, hash[0], hash[1]), IntStream.range(0, Table.SHARDS).mapToObj(i -> new Shard(i, shards.get(i))).toList(), true)));
         Table table = assembly.finish();
-        Outcome.Conflict conflict = assertInstanceOf(Outcome.Conflict.class, table.apply(1_000, Changes.of("d", put("r", "1"))));
+        Outcome.Conflict conflict = assertInstanceOf(Outcome.Conflict.class, table.apply(1_000, TestChanges.of("d", put("r", "1"))));
         assertEquals("expected at most 500000 resources, found 500001", conflict.reason());
-        assertEquals(Table.RESOURCES_MOST, applied(table.apply(1_000, Changes.of("e", put("r", "1"), new Edit.Delete(ResourceKind.TENANT, "0", Edit.ANY)))).table().size());
+        assertEquals(Table.RESOURCES_MOST, applied(table.apply(1_000, TestChanges.of("e", put("r", "1"), new Edit.Delete(ResourceKind.TENANT, "0", Edit.ANY)))).table().size());
     }
 
     @Test
@@ -262,16 +262,16 @@
         byte[] value = new byte[Resource.VALUE_MOST];
         long number = 0;
         for (int made = 0; made < Table.VALUE_BYTES_MOST / value.length; made += 2) {
-            table = applied(table.apply(++number, Changes.of("c", new Edit.Upsert(ResourceKind.POOL, "p" + made, value, Edit.NONE),
+            table = applied(table.apply(++number, TestChanges.of("c", new Edit.Upsert(ResourceKind.POOL, "p" + made, value, Edit.NONE),
                     new Edit.Upsert(ResourceKind.POOL, "p" + (made + 1), value, Edit.NONE)))).table();
         }
-        assertEquals("expected at most 134217728 bytes of values, found 134217729", assertInstanceOf(Outcome.Conflict.class, table.apply(number + 1, Changes.of("d", put("r", "1")))).reason());
+        assertEquals("expected at most 134217728 bytes of values, found 134217729", assertInstanceOf(Outcome.Conflict.class, table.apply(number + 1, TestChanges.of("d", put("r", "1")))).reason());
         Table one = Table.empty(1);
         List<String> names = IntStream.range(0, 100_000).mapToObj(i -> "s" + i).filter(name -> Table.shardOf(ResourceKind.POOL, name) == 5).limit(24).toList();
         for (int i = 0; i < 23; i++) {
-            one = applied(one.apply(i + 1, Changes.of("c", new Edit.Upsert(ResourceKind.POOL, names.get(i), value, Edit.NONE)))).table();
+            one = applied(one.apply(i + 1, TestChanges.of("c", new Edit.Upsert(ResourceKind.POOL, names.get(i), value, Edit.NONE)))).table();
         }
-        String reason = assertInstanceOf(Outcome.Conflict.class, one.apply(99, Changes.of("c", new Edit.Upsert(ResourceKind.POOL, names.get(23), value, Edit.NONE)))).reason();
+        String reason = assertInstanceOf(Outcome.Conflict.class, one.apply(99, TestChanges.of("c", new Edit.Upsert(ResourceKind.POOL, names.get(23), value, Edit.NONE)))).reason();
         assertTrue(reason.startsWith("shard 5: expected at most 393216 bytes, found "), reason);
     }
 
@@ -279,14 +279,14 @@
     @Property(tries = 50)
     void aSnapshotIsGoneOnWithAtAnotherRevision(@ForAll long seed) {
         Random random = new Random(seed);
-        Table first = Changes.table(2_000);
-        Table have = random.nextBoolean() ? Table.empty(1) : Changes.table(600);
+        Table first = TestChanges.table(2_000);
+        Table have = random.nextBoolean() ? Table.empty(1) : TestChanges.table(600);
         Table.Assembly assembly = have.assembly();
         int half = random.nextInt(Table.SHARDS);
         for (int i = 0; i < half; i++) {
             assertNull(assembly.add(new SnapshotChunk(first.revision(), List.of(new Shard(i, first.shard(i))), false)));
         }
-        Table later = applied(first.apply(99, Changes.of("x", put("resource-4", "else"), put("new", "1"), new Edit.Delete(ResourceKind.POOL, "resource-9", Edit.ANY)))).table();
+        Table later = applied(first.apply(99, TestChanges.of("x", put("resource-4", "else"), put("new", "1"), new Edit.Delete(ResourceKind.POOL, "resource-9", Edit.ANY)))).table();
         long[] digests = assembly.digests();
         int differ = 0;
         for (int i = 0; i < Table.SHARDS; i++) {
@@ -305,7 +305,7 @@
 
     @Test
     void aChunkThatIsWrongIsToldAndNothingOfItIsTaken() {
-        Table table = Changes.table(4_000);
+        Table table = TestChanges.table(4_000);
         Table.Assembly assembly = Table.empty(1).assembly();
         assertEquals(Revision.none(1), assembly.finish().revision(), "nothing came, so it is what it began from");
         Shard zero = new Shard(0, table.shard(0));
--- a/src/test/java/mastdrift/distribution/Changes.java
+++ b/src/test/java/mastdrift/distribution/TestChanges.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 
 /** Changes for tests. */
-final class Changes {
+final class TestChanges {
 
-    private Changes() { }
+    private TestChanges() { }
 
     static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
--- a/src/test/java/mastdrift/distribution/edge/PublicationTest.java
+++ b/src/test/java/mastdrift/distribution/edge/PublicationTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import mastdrift.distribution.Delta;
-import mastdrift.distribution.Machine;
+import mastdrift.distribution.ControlMachine;
 import mastdrift.distribution.Message;
 import mastdrift.distribution.PublisherSettings;
 import mastdrift.distribution.Revision;
@@ -175,7 +175,7 @@
         Subscription subscription = new Subscription(loop, transport, "g", "z", Table.empty(1), new SubscriberSettings(60_000_000, 60_000_000, 1_000, 60_000_000, 1, 60_000_000, 4,
                 600_000_000), 1, (level, name, text, fields) -> events.add(level + " " + name), (table, deltas) -> taken.add(table));
         on(() -> {
-            subscription.machines(List.of(new Machine("m1", "z"), new Machine("m2", "z")));
+            subscription.machines(List.of(new ControlMachine("m1", "z"), new ControlMachine("m2", "z")));
             return null;
         });
         String first = subscription.subscriber().machine();
@@ -265,7 +265,7 @@
         Subscription subscription = new Subscription(loop, transport, "g", "z", Table.empty(1), new SubscriberSettings(60_000_000, 60_000_000, 1_000, 60_000_000, 1, 60_000_000, 4,
                 600_000_000), 1, (level, name, text, fields) -> events.add(level + " " + name), (table, deltas) -> taken.add(table));
         on(() -> {
-            subscription.machines(List.of(new Machine("m", "z")));
+            subscription.machines(List.of(new ControlMachine("m", "z")));
             subscription.received("m", MessageCodec.bytes(new Message.Deltas(List.of(one))));
             for (byte[] each : later) {
                 subscription.received("m", each);
--- a/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
+++ b/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
@@ -23,7 +23,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.IntConsumer;
 import mastdrift.distribution.Delta;
-import mastdrift.distribution.Machine;
+import mastdrift.distribution.ControlMachine;
 import mastdrift.distribution.Message;
 import mastdrift.distribution.PublisherSettings;
 import mastdrift.distribution.Revision;
@@ -91,7 +91,7 @@
             on(() -> {
                 links.addresses(at);
                 subscription = new Subscription(loop, this, name, "z", have, SUBSCRIBER, name.hashCode(), (level, what, text, fields) -> events.add(what), this::taken);
-                subscription.machines(at.keySet().stream().map(machine -> new Machine(machine, "z")).toList());
+                subscription.machines(at.keySet().stream().map(machine -> new ControlMachine(machine, "z")).toList());
                 return null;
             });
             return this;
