--- a/src/main/java/mastdrift/distribution/Command.java
+++ b/src/main/java/mastdrift/distribution/Command.java
@@ -1,4 +1,4 @@
 package mastdrift.distribution;
 
-/** What voters agree on. */
+/** An entry of the log that the voters replicate. */
 public sealed interface Command permits Change, EpochStart { }
--- a/src/main/java/mastdrift/distribution/EpochStart.java
+++ b/src/main/java/mastdrift/distribution/EpochStart.java
@@ -1,8 +1,8 @@
 package mastdrift.distribution;
 
 /**
- * The first decision of an epoch after the first one. It changes no resource.
- *
- * @param from the revision whose resources the epoch begins with, as the voter has it that asked for this; what counts is its hash
+ * The first log entry of every epoch but the first. It changes no resource.
+ * @param from revision whose resources the epoch starts with, as reported by the voter that proposed this; only its
+ * hash is compared
  */
 public record EpochStart(Revision from) implements Command { }
--- a/src/main/java/mastdrift/distribution/MismatchException.java
+++ b/src/main/java/mastdrift/distribution/MismatchException.java
@@ -1,11 +1,14 @@
 package mastdrift.distribution;
 
-/** A delta that doesn't fit the table that it was given to: it begins elsewhere, or what comes out isn't what it says. The table is as it was. */
+/**
+ * Thrown when a delta does not fit a table: it starts at another revision, or its result does not have the stated hash.
+ * The table is unchanged.
+ */
 public final class MismatchException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
-    /** With place, expected and found. */
+    /** Creates an exception whose message names the place, the expected and the actual value. */
     public MismatchException(String message) {
         super(message);
     }
--- a/src/main/java/mastdrift/distribution/Outcome.java
+++ b/src/main/java/mastdrift/distribution/Outcome.java
@@ -1,11 +1,11 @@
 package mastdrift.distribution;
 
-/** What became of a change at a table. */
+/** Result of applying a change to a table. */
 public sealed interface Outcome {
 
-    /** It is in. */
+    /** The change was applied. */
     record Applied(Table table, Delta delta) implements Outcome { }
 
-    /** It isn't, and nothing of it; the reason names place, expected and found. */
+    /** Nothing of the change was applied; the reason names the place, the expected and the actual value. */
     record Conflict(String reason) implements Outcome { }
 }
--- a/src/main/java/mastdrift/distribution/ResourceKind.java
+++ b/src/main/java/mastdrift/distribution/ResourceKind.java
@@ -1,12 +1,14 @@
 package mastdrift.distribution;
 
-/** What a resource is. Their order is that of their codes in messages and copies: new ones come at the end. */
+/**
+ * Kind of a resource. The ordinals are the codes in messages and in stored copies: new kinds are appended at the end.
+ */
 public enum ResourceKind {
-    /** Which pool a request goes to. */
+    /** Selects the pool that a request is sent to. */
     ROUTE,
-    /** A group of hosts that serve alike. */
+    /** A group of equivalent hosts. */
     POOL,
-    /** Who shares the service, and what it may take. */
+    /** A tenant of the service and its limits. */
     TENANT,
     /** A host of a pool. */
     HOST
--- a/src/main/java/mastdrift/distribution/ValueCheck.java
+++ b/src/main/java/mastdrift/distribution/ValueCheck.java
@@ -1,9 +1,9 @@
 package mastdrift.distribution;
 
-/** Says whether a value means something, by the kind of its resource. */
+/** Validates the meaning of a resource's value, by kind. */
 @FunctionalInterface
 public interface ValueCheck {
 
-    /** What is wrong with the value, with place, expected and found; null for nothing. */
+    /** Returns what is wrong with the value, with the place, the expected and the actual value; null if it is valid. */
     String problem(ResourceKind kind, String name, byte[] value);
 }
