--- a/src/main/java/mastdrift/cli/ConfigRequests.java
+++ b/src/main/java/mastdrift/cli/ConfigRequests.java
@@ -81,15 +81,15 @@
             refused.problems().forEach(each -> err.println("change " + id + ": refused: " + each));
             return REFUSED;
         }
-        err.println("change " + id + ": not known whether it is in (" + (answer instanceof ControlMessage.Unknown unknown ? unknown.why() : answer instanceof ControlMessage.AskVoter ask ? ask.why()
+        err.println("change " + id + ": not known whether it is in (" + (answer instanceof ControlMessage.Unknown unknown ? unknown.reason() : answer instanceof ControlMessage.AskVoter ask ? ask.reason()
                 : "another answer") + "); ask again with --id " + id);
         return NOTHING;
     }
 
     int get(Path config, String kind, String name) throws InterruptedException {
         ResourceKind of = ChangeReader.kind(kind);
-        if (of == null || name.isEmpty() || name.length() > Resource.NAME_MOST) {
-            err.println(of == null ? "KIND: expected route, pool, tenant or host, found \"" + kind + '"' : "NAME: expected 1 to " + Resource.NAME_MOST + " characters, found " + name.length());
+        if (of == null || name.isEmpty() || name.length() > Resource.MAX_NAME_CHARS) {
+            err.println(of == null ? "KIND: expected route, pool, tenant or host, found \"" + kind + '"' : "NAME: expected 1 to " + Resource.MAX_NAME_CHARS + " characters, found " + name.length());
             return WORDS;
         }
         return by(config, client -> {
@@ -123,9 +123,9 @@
             String name = each.getKey();
             if (each.getValue() instanceof ControlMessage.Status status) {
                 answers++;
-                newest = newest == null || status.revision().after(newest) ? status.revision() : newest;
+                newest = newest == null || status.revision().isAfter(newest) ? status.revision() : newest;
                 out.println(String.format(Locale.ROOT, "%-20s %-6s %s, %d subscribers%s%s", name, status.role(), shown(status.revision()), status.subscribers(),
-                        status.leader().isEmpty() ? "" : ", leader " + status.leader(), status.aloneMillis() == 0 ? "" : ", hears nobody for " + status.aloneMillis() / 1_000 + " s"));
+                        status.leader().isEmpty() ? "" : ", leader " + status.leader(), status.disconnectedMillis() == 0 ? "" : ", hears nobody for " + status.disconnectedMillis() / 1_000 + " s"));
                 if (!byVoters || status.role().equals("voter")) {
                     status.zones().forEach(zones::add);
                 }
@@ -134,7 +134,7 @@
             }
         }
         for (ZoneSummary each : zones.zones()) {
-            out.println("zone " + each.zone() + ": " + each.subscribers() + " subscribers, lowest in force " + shown(each.lowest()) + ", " + each.refused() + " hold something back"
+            out.println("zone " + each.zone() + ": " + each.subscribers() + " subscribers, lowest in force " + shown(each.lowest()) + ", " + each.rejecting() + " hold something back"
                     + (each.lagging().isEmpty() ? "" : ", behind: " + String.join(" ", each.lagging())));
         }
         if (answers == 0) {
--- a/src/main/java/mastdrift/config/ChangeReader.java
+++ b/src/main/java/mastdrift/config/ChangeReader.java
@@ -31,12 +31,12 @@
 
     private static Change change(Section root, String absent) {
         String id = root.text("id", absent);
-        if (id.length() > Change.ID_MOST) {
-            root.problem("id", "expected 1 to " + Change.ID_MOST + " characters, found " + id.length());
+        if (id.length() > Change.MAX_ID_CHARS) {
+            root.problem("id", "expected 1 to " + Change.MAX_ID_CHARS + " characters, found " + id.length());
         }
         List<Edit> edits = new ArrayList<>();
         Set<String> met = Section.met();
-        for (Section each : root.sections("upsert", Change.EDITS_MOST)) {
+        for (Section each : root.sections("upsert", Change.MAX_EDITS)) {
             ResourceKind kind = kind(each);
             String name = name(each, kind, met);
             byte[] value = each.json("value");
@@ -50,7 +50,7 @@
             edits.add(new Edit.Upsert(kind, name, value, expected(each)));
             each.noMore();
         }
-        for (Section each : root.sections("delete", Change.EDITS_MOST)) {
+        for (Section each : root.sections("delete", Change.MAX_EDITS)) {
             ResourceKind kind = kind(each);
             edits.add(new Edit.Delete(kind, name(each, kind, met), expected(each)));
             each.noMore();
@@ -59,8 +59,8 @@
         if (edits.isEmpty()) {
             root.problem("upsert", "expected at least one [[upsert]] or [[delete]], found none");
         }
-        if (edits.size() > Change.EDITS_MOST) {
-            root.problem("upsert", "expected at most " + Change.EDITS_MOST + " edits, found " + edits.size());
+        if (edits.size() > Change.MAX_EDITS) {
+            root.problem("upsert", "expected at most " + Change.MAX_EDITS + " edits, found " + edits.size());
         }
         return new Change(id, edits);
     }
@@ -81,7 +81,7 @@
 
     /** Without it whatever version there is will do. */
     private static long expected(Section section) {
-        return section.whole("expected", Edit.ANY, Edit.NONE, Long.MAX_VALUE);
+        return section.whole("expected", Edit.ANY_VERSION, Edit.NOT_PRESENT, Long.MAX_VALUE);
     }
 
     /** A kind by its word; null for none. */
--- a/src/main/java/mastdrift/config/ResourceValues.java
+++ b/src/main/java/mastdrift/config/ResourceValues.java
@@ -18,8 +18,8 @@
         if (!Tables.isWord(name)) {
             problems.add("name: expected up to 64 letters, digits, dots, - and _");
         }
-        if (value.length > Resource.VALUE_MOST) {
-            problems.add("expected at most " + Resource.VALUE_MOST + " bytes, found " + value.length);
+        if (value.length > Resource.MAX_VALUE_BYTES) {
+            problems.add("expected at most " + Resource.MAX_VALUE_BYTES + " bytes, found " + value.length);
         }
         if (problems.isEmpty()) {
             switch (kind) {
--- a/src/main/java/mastdrift/distribution/Change.java
+++ b/src/main/java/mastdrift/distribution/Change.java
@@ -3,21 +3,20 @@
 import java.util.List;
 
 /**
- * What a writer wants changed, whole or not at all.
- *
- * @param id the writer's own: the same change asked for twice under one id is in once
- * @param edits in their order, each of another resource
+ * An atomic set of edits that a writer requests: all of them are applied, or none.
+ * @param id chosen by the writer; a change that is requested twice under the same id is applied once
+ * @param edits in order of application, each of a different resource
  */
 public record Change(String id, List<Edit> edits) implements Command {
 
-    /** Bytes of a change as it is agreed on, at most. */
-    public static final int BYTES_MOST = 64 << 10;
-    /** Edits of a change, at most. */
-    public static final int EDITS_MOST = 1_024;
-    /** Characters of an id, at most. */
-    public static final int ID_MOST = 64;
+    /** Maximum size of a change in the replicated log. */
+    public static final int MAX_BYTES = 64 << 10;
+    /** Maximum number of edits in a change. */
+    public static final int MAX_EDITS = 1_024;
+    /** Maximum length of an id. */
+    public static final int MAX_ID_CHARS = 64;
 
-    /** Keeps its own list. */
+    /** Takes an immutable copy of the list. */
     public Change {
         edits = List.copyOf(edits);
     }
--- a/src/main/java/mastdrift/distribution/ChangeCheck.java
+++ b/src/main/java/mastdrift/distribution/ChangeCheck.java
@@ -10,109 +10,114 @@
 import java.util.List;
 import java.util.Set;
 
-/** Looks at a change before it is agreed on, so that what can't be applied anywhere doesn't get that far. Tells all that is wrong at once, each with place, expected and found,
-    {@value #PROBLEMS_MOST} at most. */
+/**
+ * Validates a change before it is proposed to the log, so that a change that no machine could apply is rejected early.
+ * Reports all problems at once, each with its place, the expected and the actual value, at most {@value #MAX_PROBLEMS}.
+ */
 public final class ChangeCheck {
 
-    /** Problems that are told, at most. */
-    public static final int PROBLEMS_MOST = 32;
-    /** What a change takes beside names and values, and an edit, at most. */
-    private static final int EDIT_BYTES = 32;
+    /** Maximum number of problems reported for one change. */
+    public static final int MAX_PROBLEMS = 32;
+    /** Upper bound of the encoded size of a change, and of each edit, beside names and values. */
+    private static final int EDIT_OVERHEAD_BYTES = 32;
 
-    private final ValueCheck values;
+    private final ValueCheck valueCheck;
 
-    /** With a check of what values mean. */
-    public ChangeCheck(ValueCheck values) {
-        this.values = values;
+    /** Creates a check that validates values with {@code valueCheck}. */
+    public ChangeCheck(ValueCheck valueCheck) {
+        this.valueCheck = valueCheck;
     }
 
-    /** What is wrong with a change; empty for nothing. */
+    /** Returns the problems of a change; empty if it is valid. */
     public List<String> problems(Change change) {
         List<String> problems = new ArrayList<>();
-        shape(change, problems, PROBLEMS_MOST);
-        for (int i = 0; i < change.edits().size() && problems.size() < PROBLEMS_MOST; i++) {
+        validateStructure(change, problems, MAX_PROBLEMS);
+        for (int i = 0; i < change.edits().size() && problems.size() < MAX_PROBLEMS; i++) {
             Edit edit = change.edits().get(i);
-            if (edit instanceof Edit.Upsert upsert && upsert.value().length <= Resource.VALUE_MOST) {
-                String text = text(upsert.value());
-                String problem = text == null ? values.problem(edit.kind(), edit.name(), upsert.value()) : text;
+            if (edit instanceof Edit.Upsert upsert && upsert.value().length <= Resource.MAX_VALUE_BYTES) {
+                String encodingProblem = utf8Problem(upsert.value());
+                String problem = encodingProblem == null ? valueCheck.problem(edit.kind(), edit.name(), upsert.value()) : encodingProblem;
                 if (problem != null) {
-                    problems.add(Table.place(i, edit) + ": value: " + problem);
+                    problems.add(Table.describe(i, edit) + ": value: " + problem);
                 }
             }
         }
         return problems;
     }
 
-    /** The first thing that keeps a change from being applied at any table, whatever its values mean; null for none. The same at every machine. */
-    static String shape(Change change) {
+    /**
+     * Returns the first problem that keeps a change from being applied to any table, whatever its values mean; null if
+     * there is none. Deterministic: every machine gets the same result.
+     */
+    static String validateStructure(Change change) {
         List<String> problems = new ArrayList<>();
-        shape(change, problems, 1);
+        validateStructure(change, problems, 1);
         return problems.isEmpty() ? null : problems.get(0);
     }
 
-    private static void shape(Change change, List<String> problems, int most) {
-        if (change.id().isEmpty() || change.id().length() > Change.ID_MOST) {
-            add(problems, most, "id: expected 1 to " + Change.ID_MOST + " characters, found " + change.id().length());
+    private static void validateStructure(Change change, List<String> problems, int maxProblems) {
+        if (change.id().isEmpty() || change.id().length() > Change.MAX_ID_CHARS) {
+            addProblem(problems, maxProblems, "id: expected 1 to " + Change.MAX_ID_CHARS + " characters, found " + change.id().length());
         }
-        if (change.edits().isEmpty() || change.edits().size() > Change.EDITS_MOST) {
-            add(problems, most, "edits: expected 1 to " + Change.EDITS_MOST + ", found " + change.edits().size());
+        if (change.edits().isEmpty() || change.edits().size() > Change.MAX_EDITS) {
+            addProblem(problems, maxProblems, "edits: expected 1 to " + Change.MAX_EDITS + ", found " + change.edits().size());
         }
-        long bytes = EDIT_BYTES + 3L * change.id().length();
-        List<Set<String>> seen = new ArrayList<>();
+        long bytes = EDIT_OVERHEAD_BYTES + 3L * change.id().length();
+        List<Set<String>> seenNames = new ArrayList<>();
         for (int i = 0; i < ResourceKind.values().length; i++) {
-            seen.add(new HashSet<>());
+            seenNames.add(new HashSet<>());
         }
-        for (int i = 0; i < change.edits().size() && problems.size() < most; i++) {
+        for (int i = 0; i < change.edits().size() && problems.size() < maxProblems; i++) {
             Edit edit = change.edits().get(i);
-            String name = nameProblem(edit.name());
-            if (name != null) {
-                add(problems, most, "edits[" + i + "]: name: " + name);
-            } else if (!seen.get(edit.kind().ordinal()).add(edit.name())) {
-                add(problems, most, Table.place(i, edit) + ": expected each resource once, found it again");
+            String nameProblem = nameProblem(edit.name());
+            if (nameProblem != null) {
+                addProblem(problems, maxProblems, "edits[" + i + "]: name: " + nameProblem);
+            } else if (!seenNames.get(edit.kind().ordinal()).add(edit.name())) {
+                addProblem(problems, maxProblems, Table.describe(i, edit) + ": expected each resource once, found a duplicate");
             }
-            if (edit.expectedVersion() < Edit.ANY) {
-                add(problems, most, Table.place(i, edit) + ": expected: expected a version, 0 for none there or -1 for any, found " + edit.expectedVersion());
+            if (edit.expectedVersion() < Edit.ANY_VERSION) {
+                addProblem(problems, maxProblems, Table.describe(i, edit) + ": expected: expected a version, 0 for none there or -1 for any, found " + edit.expectedVersion());
             }
-            int value = edit instanceof Edit.Upsert upsert ? upsert.value().length : 0;
-            if (value > Resource.VALUE_MOST) {
-                add(problems, most, Table.place(i, edit) + ": value: expected at most " + Resource.VALUE_MOST + " bytes, found " + value);
+            int valueBytes = edit instanceof Edit.Upsert upsert ? upsert.value().length : 0;
+            if (valueBytes > Resource.MAX_VALUE_BYTES) {
+                addProblem(problems, maxProblems, Table.describe(i, edit) + ": value: expected at most " + Resource.MAX_VALUE_BYTES + " bytes, found " + valueBytes);
             }
-            bytes += EDIT_BYTES + edit.name().getBytes(StandardCharsets.UTF_8).length + value;
+            bytes += EDIT_OVERHEAD_BYTES + edit.name().getBytes(StandardCharsets.UTF_8).length + valueBytes;
         }
-        if (bytes > Change.BYTES_MOST) {
-            add(problems, most, "change: expected at most " + Change.BYTES_MOST + " bytes, found " + bytes);
+        if (bytes > Change.MAX_BYTES) {
+            addProblem(problems, maxProblems, "change: expected at most " + Change.MAX_BYTES + " bytes, found " + bytes);
         }
     }
 
-    private static void add(List<String> problems, int most, String problem) {
-        if (problems.size() < most) {
+    private static void addProblem(List<String> problems, int maxProblems, String problem) {
+        if (problems.size() < maxProblems) {
             problems.add(problem);
         }
     }
 
     private static String nameProblem(String name) {
-        if (name.isEmpty() || name.length() > Resource.NAME_MOST) {
-            return "expected 1 to " + Resource.NAME_MOST + " characters, found " + name.length();
+        if (name.isEmpty() || name.length() > Resource.MAX_NAME_CHARS) {
+            return "expected 1 to " + Resource.MAX_NAME_CHARS + " characters, found " + name.length();
         }
         for (int i = 0; i < name.length(); i++) {
-            char each = name.charAt(i);
-            boolean pair = Character.isHighSurrogate(each) && i + 1 < name.length() && Character.isLowSurrogate(name.charAt(i + 1));
-            if (Character.isISOControl(each) || Character.isSurrogate(each) && !pair) {
-                return "expected text without control characters, found " + String.format("\\u%04x", (int) each);
+            char character = name.charAt(i);
+            boolean isSurrogatePair = Character.isHighSurrogate(character) && i + 1 < name.length() && Character.isLowSurrogate(name.charAt(i + 1));
+            if (Character.isISOControl(character) || Character.isSurrogate(character) && !isSurrogatePair) {
+                return "expected text without control characters, found " + String.format("\\u%04x", (int) character);
             }
-            i += pair ? 1 : 0;
+            i += isSurrogatePair ? 1 : 0;
         }
         return null;
     }
 
-    private static String text(byte[] value) {
+    private static String utf8Problem(byte[] value) {
         CharsetDecoder decoder = StandardCharsets.UTF_8.newDecoder().onMalformedInput(CodingErrorAction.REPORT).onUnmappableCharacter(CodingErrorAction.REPORT);
-        ByteBuffer in = ByteBuffer.wrap(value);
+        ByteBuffer input = ByteBuffer.wrap(value);
         try {
-            decoder.decode(in);
+            decoder.decode(input);
             return null;
         } catch (CharacterCodingException e) {
-            return "expected UTF-8, found a byte that isn't at " + in.position();
+            return "expected UTF-8, found an invalid byte at " + input.position();
         }
     }
 }
--- a/src/main/java/mastdrift/distribution/ControlMachine.java
+++ b/src/main/java/mastdrift/distribution/ControlMachine.java
@@ -1,4 +1,4 @@
 package mastdrift.distribution;
 
-/** A control machine that subscribers may choose; {@code zone} is the one that it stands in. */
+/** A control machine that a subscriber may connect to, and the zone that it is located in. */
 public record ControlMachine(String name, String zone) { }
--- a/src/main/java/mastdrift/distribution/ControlMessage.java
+++ b/src/main/java/mastdrift/distribution/ControlMessage.java
@@ -2,68 +2,71 @@
 
 import java.util.List;
 
-/** Requests of an operator to a control machine, and its responses. {@code requestId} is the number of the request, which its response repeats. */
+/**
+ * Requests of an operator to a control machine, and its responses. A response repeats the {@code requestId} of its
+ * request.
+ */
 public sealed interface ControlMessage {
 
-    /** Problems of a change that are told, at most. */
-    int PROBLEMS_MOST = 32;
-    /** Characters of a line for a person, at most. */
-    int TEXT_MOST = 1_024;
+    /** Maximum number of problems of a change that are reported. */
+    int MAX_PROBLEMS = 32;
+    /** Maximum length of a human-readable text. */
+    int MAX_TEXT_CHARS = 1_024;
 
-    /** Of the request, or of the one that it responds to. */
+    /** Id of the request, or of the request that this is a response to. */
     long requestId();
 
     // ---- requests
 
-    /** Have this change agreed on. Requested again under the same id it is in once. */
+    /** Requests that a change be agreed on. Requesting it again under the same change id applies it only once. */
     record Apply(long requestId, Change change) implements ControlMessage { }
 
-    /** What a resource is there. */
+    /** Requests a resource as the machine has it. */
     record Get(long requestId, ResourceKind kind, String name) implements ControlMessage { }
 
-    /** How the machine and its subscribers do. */
+    /** Requests the status of the machine and its subscribers. */
     record GetStatus(long requestId) implements ControlMessage { }
 
     // ---- responses
 
-    /** The change is in; {@code revision} is null where it is known to be in and no longer by which revision. */
+    /** The change was applied; {@code revision} is null if the revision that it made is no longer known. */
     record Applied(long requestId, Revision revision) implements ControlMessage { }
 
-    /** The change was agreed on and changed nothing: a resource had another version than the writer expected. */
+    /** The change was agreed on but changed nothing: a resource had another version than the writer expected. */
     record Conflicted(long requestId, String reason) implements ControlMessage { }
 
-    /** The change isn't in, and never will be as it is. */
+    /** The change was not applied, and cannot be applied unless it is corrected. */
     record Refused(long requestId, List<String> problems) implements ControlMessage {
 
-        /** Keeps its own list. */
+        /** Takes an immutable copy of the list. */
         public Refused {
             problems = List.copyOf(problems);
         }
     }
 
-    /** It may be in or may come in: ask again under the same id. */
-    record Unknown(long requestId, String why) implements ControlMessage { }
+    /** The result is unknown, the change may be applied now or later: retry under the same id. */
+    record Unknown(long requestId, String reason) implements ControlMessage { }
 
-    /** This machine passes on and agrees on nothing: ask a voter. */
-    record AskVoter(long requestId, String why) implements ControlMessage { }
+    /** This machine is a relay and does not propose changes: ask a voter. */
+    record AskVoter(long requestId, String reason) implements ControlMessage { }
 
-    /** A resource as it stands in the machine's table of that revision; null where there is none. */
+    /** A resource at the given revision of the machine's table; {@code resource} is null if there is none. */
     record Found(long requestId, Revision revision, Resource resource) implements ControlMessage { }
 
     /**
-     * How the machine does.
-     *
-     * @param requestId of the request
-     * @param revision that it has
-     * @param role what it is
-     * @param leader of the agreed log as far as it knows; empty for not known, and at one that passes on
-     * @param subscribers that are connected to it
-     * @param aloneMillis for how long it has heard nobody of whom its table comes; 0 where it hears one
-     * @param zones how subscribers do, at most {@link ZoneSummaries#ZONES_MOST}
+     * Status of the machine.
+     * @param requestId id of the request
+     * @param revision revision of the machine's table
+     * @param role role of the machine
+     * @param leader leader of the replicated log as far as known; empty if unknown, and on a relay
+     * @param subscribers number of connected subscribers
+     * @param disconnectedMillis time since the machine lost contact with the source of its table; 0 while it has
+     * contact
+     * @param zones status of subscribers by zone, at most {@link ZoneSummaries#MAX_ZONES}
      */
-    record Status(long requestId, Revision revision, String role, String leader, int subscribers, long aloneMillis, List<Message.ZoneSummary> zones) implements ControlMessage {
+    record Status(long requestId, Revision revision, String role, String leader, int subscribers, long disconnectedMillis, List<Message.ZoneSummary> zones) implements ControlMessage {
 
-        /** Keeps its own list. */
+        /** Takes an immutable copy of the list. */
         public Status {
             zones = List.copyOf(zones);
         }
--- a/src/main/java/mastdrift/distribution/Edit.java
+++ b/src/main/java/mastdrift/distribution/Edit.java
@@ -1,26 +1,28 @@
 package mastdrift.distribution;
 
-/** One part of a change. {@code expectedVersion} is the version that the writer believes the resource to have: {@link #ANY} for whatever it has, {@link #NONE} for a resource
-    that is not there. */
+/**
+ * One edit of a change. {@code expectedVersion} is a precondition (compare-and-set): the version that the resource must
+ * have, {@link #ANY_VERSION} for any, {@link #NOT_PRESENT} if it must not exist.
+ */
 public sealed interface Edit {
 
-    /** Whatever version the resource has, or none. */
-    long ANY = -1;
-    /** The resource is not there. */
-    long NONE = 0;
+    /** No precondition: the resource may have any version or not exist. */
+    long ANY_VERSION = -1;
+    /** The resource must not exist. */
+    long NOT_PRESENT = 0;
 
-    /** Of the resource. */
+    /** Kind of the resource. */
     ResourceKind kind();
 
-    /** Of the resource. */
+    /** Name of the resource. */
     String name();
 
-    /** The version that it is expected to have. */
+    /** Version that the resource must have, or {@link #ANY_VERSION} or {@link #NOT_PRESENT}. */
     long expectedVersion();
 
-    /** Puts a value in place, of a new resource or of one that is there. */
+    /** Creates a resource or replaces its value. */
     record Upsert(ResourceKind kind, String name, byte[] value, long expectedVersion) implements Edit { }
 
-    /** Takes a resource out; with {@link #ANY} one that isn't there is no fault. */
+    /** Deletes a resource; with {@link #ANY_VERSION}, deleting a resource that does not exist is not an error. */
     record Delete(ResourceKind kind, String name, long expectedVersion) implements Edit { }
 }
--- a/src/main/java/mastdrift/distribution/History.java
+++ b/src/main/java/mastdrift/distribution/History.java
@@ -4,163 +4,171 @@
 import java.util.List;
 
 /**
- * The last deltas that led to a table, for those who have an earlier one: {@value #DELTAS_MOST} of them and {@value #BYTES_MOST} bytes at most, a day's changes at the target. A ring, and a revision
- * is found in it by its number in a dozen steps. Knows of each revision in it the hash, so that who claims to have one and has another state is found out.
+ * The most recent deltas that led to a table, for subscribers with an earlier revision: at most {@value #MAX_DELTAS}
+ * deltas and {@value #MAX_BYTES} bytes, which holds a day of changes at the target load. A ring buffer; a revision is
+ * found by binary search for its number. It keeps the hash of each of its revisions, so that a subscriber that claims a
+ * revision but has another state (a fork) is detected.
  */
 public final class History {
 
-    /** Deltas, at most. */
-    public static final int DELTAS_MOST = 16_384;
-    /** Bytes of them in messages, about, at most. */
-    public static final int BYTES_MOST = 16 << 20;
-    /** What a delta takes beside its resources, at most. */
-    private static final int DELTA_BYTES = 64;
-
-    private final int deltasMost;
-    private final long bytesMost;
-    private Revision base;  // that the first one begins at
-    private long baseBytes;  // of all that are forgotten
+    /** Maximum number of deltas. */
+    public static final int MAX_DELTAS = 16_384;
+    /** Maximum total size of the deltas in messages, approximate. */
+    public static final int MAX_BYTES = 16 << 20;
+    /** Upper bound of the encoded size of a delta beside its resources. */
+    private static final int DELTA_OVERHEAD_BYTES = 64;
+
+    private final int maxDeltas;
+    private final long maxBytes;
+    private Revision base;  // revision that the oldest delta applies to
+    private long evictedBytes;  // total bytes of all evicted deltas
     private Delta[] ring = new Delta[64];
-    private long[] ends = new long[64];  // bytes of all up to and with it, ever
-    private int first;
+    private long[] cumulativeBytes = new long[64];  // bytes of all deltas up to and including this one since the start
+    private int head;
     private int count;
 
-    /** Of a table at this revision, with nothing before it. */
+    /** Creates an empty history that starts at a revision. */
     public History(Revision base) {
-        this(base, DELTAS_MOST, BYTES_MOST);
+        this(base, MAX_DELTAS, MAX_BYTES);
     }
 
-    /** With bounds of its own. */
-    History(Revision base, int deltasMost, long bytesMost) {
+    /** Creates a history with other bounds, for tests. */
+    History(Revision base, int maxDeltas, long maxBytes) {
         this.base = base;
-        this.deltasMost = deltasMost;
-        this.bytesMost = bytesMost;
+        this.maxDeltas = maxDeltas;
+        this.maxBytes = maxBytes;
     }
 
-    /** What a delta takes in a message, about, and never less than its values. */
-    public static int bytes(Delta delta) {
-        int bytes = DELTA_BYTES;
+    /** Approximate size of a delta in a message; never less than the size of its values. */
+    public static int sizeBytes(Delta delta) {
+        int bytes = DELTA_OVERHEAD_BYTES;
         for (Resource each : delta.upserts()) {
-            bytes += Table.bytes(each);
+            bytes += Table.maxEncodedBytes(each);
         }
         for (Delta.Deletion each : delta.deletes()) {
-            bytes += Table.RESOURCE_BYTES + each.name().length();
+            bytes += Table.RESOURCE_OVERHEAD_BYTES + each.name().length();
         }
         return bytes;
     }
 
-    /** The newest one; forgets the oldest where there are too many. Throws IllegalArgumentException for one that doesn't begin where the last ends. */
+    /**
+     * Appends a delta and evicts the oldest ones beyond the bounds. Throws IllegalArgumentException if the delta does
+     * not start at the latest revision.
+     */
     public void add(Delta delta) {
         if (delta.from() != latest().number() || delta.to().epoch() != latest().epoch()) {
             throw new IllegalArgumentException("expected a delta from " + latest().number() + ", found one from " + delta.from());
         }
-        if (count == ring.length && count < deltasMost) {
+        if (count == ring.length && count < maxDeltas) {
             grow();
         }
         if (count == ring.length) {
-            forget();
+            evictOldest();
         }
-        int at = at(count);
-        ring[at] = delta;
-        ends[at] = (count == 0 ? baseBytes : ends[at(count - 1)]) + bytes(delta);
+        int slot = slot(count);
+        ring[slot] = delta;
+        cumulativeBytes[slot] = (count == 0 ? evictedBytes : cumulativeBytes[slot(count - 1)]) + sizeBytes(delta);
         count++;
-        while (bytes() > bytesMost || count > deltasMost) {
-            forget();
+        while (sizeBytes() > maxBytes || count > maxDeltas) {
+            evictOldest();
         }
     }
 
     private void grow() {
-        int size = Math.min(ring.length * 2, Math.max(deltasMost, 1));
+        int size = Math.min(ring.length * 2, Math.max(maxDeltas, 1));
         Delta[] larger = new Delta[Math.max(size, ring.length)];
-        long[] largerEnds = new long[larger.length];
+        long[] largerCumulativeBytes = new long[larger.length];
         for (int i = 0; i < count; i++) {
-            larger[i] = ring[at(i)];
-            largerEnds[i] = ends[at(i)];
+            larger[i] = ring[slot(i)];
+            largerCumulativeBytes[i] = cumulativeBytes[slot(i)];
         }
         ring = larger;
-        ends = largerEnds;
-        first = 0;
+        cumulativeBytes = largerCumulativeBytes;
+        head = 0;
     }
 
-    private void forget() {
-        base = ring[first].to();
-        baseBytes = ends[first];
-        ring[first] = null;
-        first = at(1);
+    private void evictOldest() {
+        base = ring[head].to();
+        evictedBytes = cumulativeBytes[head];
+        ring[head] = null;
+        head = slot(1);
         count--;
     }
 
-    private int at(int index) {
-        return (first + index) % ring.length;
+    private int slot(int index) {
+        return (head + index) % ring.length;
     }
 
-    /** The revision that the last one leads to. */
+    /** The revision that the newest delta leads to. */
     public Revision latest() {
-        return count == 0 ? base : ring[at(count - 1)].to();
+        return count == 0 ? base : ring[slot(count - 1)].to();
     }
 
-    /** Deltas that are kept. */
+    /** Number of deltas kept. */
     public int size() {
         return count;
     }
 
-    /** Bytes of those, about. */
-    public long bytes() {
-        return count == 0 ? 0 : ends[at(count - 1)] - baseBytes;
+    /** Approximate total size of the deltas kept. */
+    public long sizeBytes() {
+        return count == 0 ? 0 : cumulativeBytes[slot(count - 1)] - evictedBytes;
     }
 
-    /** What comes behind a revision, in order, as much as fits into so many bytes and at least one; empty for the latest. Null where it isn't known any more, or never was. */
-    public List<Delta> after(Revision have, int most) {
-        int index = index(have);
+    /**
+     * Returns the deltas that follow a revision, in order, up to {@code limitBytes} but at least one; empty for the
+     * latest revision. Null if the revision was evicted or was never part of this history.
+     */
+    public List<Delta> deltasAfter(Revision revision, int limitBytes) {
+        int index = indexOf(revision);
         if (index < 0) {
             return null;
         }
-        List<Delta> after = new ArrayList<>();
-        long from = index == 0 ? baseBytes : ends[at(index - 1)];
-        while (index < count && (after.isEmpty() || ends[at(index)] - from <= most)) {
-            after.add(ring[at(index++)]);
+        List<Delta> deltas = new ArrayList<>();
+        long startBytes = index == 0 ? evictedBytes : cumulativeBytes[slot(index - 1)];
+        while (index < count && (deltas.isEmpty() || cumulativeBytes[slot(index)] - startBytes <= limitBytes)) {
+            deltas.add(ring[slot(index++)]);
         }
-        return after;
+        return deltas;
     }
 
-    /** Whether it knows a revision with that number, and of another state. */
-    public boolean forked(Revision have) {
-        int index = have.epoch() == base.epoch() ? search(have.number()) : -1;
-        return index >= 0 && revision(index).forkedFrom(have);
+    /** Whether the history has a revision with the same epoch and number but another state. */
+    public boolean isForked(Revision revision) {
+        int index = revision.epoch() == base.epoch() ? indexOfNumber(revision.number()) : -1;
+        return index >= 0 && revision(index).isForkOf(revision);
     }
 
-    /** Bytes of all deltas behind a number, as far as they are kept. */
+    /** Total size of the deltas after a revision number, as far as they are kept. */
     long bytesAfter(long number) {
         if (count == 0 || number >= latest().number()) {
             return 0;
         }
-        int index = search(number);
-        return ends[at(count - 1)] - (index <= 0 ? baseBytes : ends[at(index - 1)]);
+        int index = indexOfNumber(number);
+        return cumulativeBytes[slot(count - 1)] - (index <= 0 ? evictedBytes : cumulativeBytes[slot(index - 1)]);
     }
 
     private Revision revision(int index) {
-        return index == 0 ? base : ring[at(index - 1)].to();
+        return index == 0 ? base : ring[slot(index - 1)].to();
     }
 
-    /** How many deltas lead to it from the base; -1 where it isn't known. */
-    private int index(Revision have) {
-        int index = have.epoch() == base.epoch() ? search(have.number()) : -1;
-        return index >= 0 && revision(index).equals(have) ? index : -1;
+    /** Number of deltas that lead from the base to a revision; -1 if it is not in this history. */
+    private int indexOf(Revision revision) {
+        int index = revision.epoch() == base.epoch() ? indexOfNumber(revision.number()) : -1;
+        return index >= 0 && revision(index).equals(revision) ? index : -1;
     }
 
-    private int search(long number) {
+    private int indexOfNumber(long number) {
         int low = 0;
         int high = count;
         while (low <= high) {
-            int mid = low + high >>> 1;
-            long there = revision(mid).number();
-            if (there == number) {
-                return mid;
+            int middle = low + high >>> 1;
+            long found = revision(middle).number();
+            if (found == number) {
+                return middle;
             }
-            if (there < number) {
-                low = mid + 1;
+            if (found < number) {
+                low = middle + 1;
             } else {
-                high = mid - 1;
+                high = middle - 1;
             }
         }
         return -1;
--- a/src/main/java/mastdrift/distribution/Message.java
+++ b/src/main/java/mastdrift/distribution/Message.java
@@ -3,60 +3,71 @@
 import java.util.List;
 
 /**
- * What a subscriber (a gateway, or a control machine that passes on) and a publisher (a control machine) say to each other. In the style of xDS's incremental protocol: a
- * subscriber says which revision it has, gets deltas or a snapshot, and answers each with an ACK or a NACK.
+ * Messages between a subscriber (a gateway, or a control machine that is a relay) and a publisher (a control machine).
+ * Modelled on the incremental (delta) xDS protocol: a subscriber states which revision it has, receives deltas or a
+ * snapshot, and answers each with an ACK or a NACK.
  */
 public sealed interface Message {
 
-    /** By a subscriber, first on each connection and again where it is told nothing: what it has. {@code zone} is its own. */
-    record Subscribe(Revision have, String zone) implements Message { }
+    /**
+     * Subscriber: first message on each connection, repeated if nothing is received; states the revision that it has.
+     * {@code zone} is the subscriber's zone.
+     */
+    record Subscribe(Revision revision, String zone) implements Message { }
 
-    /** By a subscriber that was told {@link SnapshotNeeded}: digests of the shards that it has, one for each of the table's; it gets the shards that differ.
-        {@code credit} is how many chunks it takes now. */
+    /**
+     * Subscriber, in answer to {@link SnapshotNeeded}: digests of the shards that it has, one for each shard of the
+     * table; the publisher sends the shards that differ. {@code credit} is the number of chunks that may be sent before
+     * further {@link Credit}.
+     */
     record Fetch(long[] digests, int credit) implements Message { }
 
-    /** By a subscriber: so many chunks more. */
+    /** Subscriber: flow control, permits the publisher to send this many more chunks. */
     record Credit(int chunks) implements Message { }
 
-    /** By a subscriber: this revision is in force there, or passed on. */
-    record Ack(Revision inForce) implements Message { }
+    /** Subscriber: this revision is active there, or was relayed. */
+    record Ack(Revision activeRevision) implements Message { }
 
-    /** By a subscriber: it has the revision and can't put it in force; the one before stays. */
-    record Nack(Revision refused, Revision inForce, String reason) implements Message { }
+    /** Subscriber: it received a revision but cannot activate it; the previous one stays active. */
+    record Nack(Revision rejectedRevision, Revision activeRevision, String reason) implements Message { }
 
-    /** By a subscriber that passes on, now and then: what its own subscribers have in force. */
+    /** Subscriber that is a relay, periodically: which revisions its own subscribers have active. */
     record Summary(List<ZoneSummary> zones) implements Message { }
 
-    /** By a publisher: what changed, in its order, each delta from where the one before ends. */
+    /** Publisher: changes in order, each delta starting where the previous one ends. */
     record Deltas(List<Delta> deltas) implements Message { }
 
-    /** By a publisher, where there was nothing to tell for a while: it is there, and this is what it has. */
+    /** Publisher, after a time without other messages: signals that it is alive, with the revision that it has. */
     record Heartbeat(Revision revision) implements Message { }
 
-    /** By a publisher: it can't go on from what the subscriber has, for this reason; {@link Fetch} what differs from this revision. */
+    /**
+     * Publisher: it cannot send deltas from the subscriber's revision, for this reason; the subscriber has to {@link
+     * Fetch} the shards that differ from {@code revision}.
+     */
     record SnapshotNeeded(Revision revision, String reason) implements Message { }
 
-    /** By a publisher: shards of a snapshot of one revision, whole ones and in ascending order; {@code last} with the last of them. */
+    /**
+     * Publisher: complete shards of a snapshot of one revision, in ascending order; {@code last} marks the final chunk.
+     */
     record SnapshotChunk(Revision revision, List<Shard> shards, boolean last) implements Message { }
 
-    /** By a publisher: it serves as many snapshots as it can; come again after so many milliseconds. */
+    /** Publisher: the maximum number of snapshots is being served; retry after this delay. */
     record RetryAfter(int millis) implements Message { }
 
     /** All resources of one shard of a table. */
     record Shard(int number, List<Resource> resources) { }
 
     /**
-     * How a zone's subscribers do.
-     *
-     * @param zone of them
-     * @param subscribers that are connected
-     * @param lowest revision in force among them; null where there are none
-     * @param refused how many refuse the latest revision that they were told of
-     * @param lagging names of those that are furthest behind, at most {@link #LAGGING_MOST}
+     * Status of the subscribers of a zone.
+     * @param zone name of the zone
+     * @param subscribers number of connected subscribers
+     * @param lowest lowest active revision among them; null if there are none
+     * @param rejecting number of subscribers that reject the latest revision they received
+     * @param lagging names of the subscribers that are furthest behind, at most {@link #MAX_LAGGING_NAMES}
      */
-    record ZoneSummary(String zone, int subscribers, Revision lowest, int refused, List<String> lagging) {
+    record ZoneSummary(String zone, int subscribers, Revision lowest, int rejecting, List<String> lagging) {
 
-        /** Names, at most. */
-        public static final int LAGGING_MOST = 8;
+        /** Maximum number of names in {@code lagging}. */
+        public static final int MAX_LAGGING_NAMES = 8;
     }
 }
--- a/src/main/java/mastdrift/distribution/Publisher.java
+++ b/src/main/java/mastdrift/distribution/Publisher.java
@@ -11,76 +11,87 @@
 import mastdrift.distribution.Message.ZoneSummary;
 
 /**
- * A control machine's side: tells subscribers what changes, in the style of xDS's incremental protocol. Who says which revision it has gets the deltas behind it, or where they are no longer kept, the
+ * The publishing side of a control machine: sends changes to its subscribers, modelled on the incremental (delta) xDS
+ * protocol. A subscriber states which revision it has and gets the deltas after it or, if those are no longer kept, the
  * shards of a snapshot that differ.
- *
- * <p>A change costs its deltas once and one message for each subscriber, the same object for all that are at the same revision, so that it is made bytes of once. A subscriber costs some hundred bytes
- * here, whatever it does: what it has not been told stands in the {@link History} that all share; who answers nothing is told no more at a bound of bytes, and dropped at a bound of time.
- *
- * <p>A machine that can't hear where its own table comes from is told so ({@link #alone}): it goes on serving what it has, but says of itself no more that it is current, so that subscribers look for one
- * that is. No I/O, no thread, no clock; not safe for use by several threads. Times are microseconds of one clock that doesn't run back.
+ * <p>A change costs its deltas once and one message for each subscriber; the same message object is sent to all
+ * subscribers at the same revision, so that it is encoded once. A subscriber takes some hundred bytes of memory here,
+ * whatever it does: deltas not sent to it yet are in the {@link History} that all share. A subscriber that does not
+ * acknowledge is sent no more beyond a bound of bytes, and dropped after a timeout.
+ * <p>A machine that lost contact with the source of its table is told so ({@link #setSourceUnreachable}): it continues
+ * to serve what it has but sends no heartbeats, so that subscribers look for a machine that is current. No I/O, no
+ * threads, no clock; not thread-safe. Times are microseconds of one monotonic clock.
  */
 public final class Publisher {
 
-    /** What the reason of {@link Message.SnapshotNeeded} begins with where states differ, and not only ages. */
-    static final String FORKED = "forked: ";
-    private static final long TICK = 250_000;
-    private static final long LATE = 1_000_000;
-    private static final int CREDIT_MOST = 64;
-    private static final int SHARED_MOST = 64;
-    private static final int LOUD_MOST = 8;  // refusals of a revision that are events; all are counted
-    private static final int REASON_MOST = 200;
-    private static final int ZONE_MOST = 64;
-    private static final long RETRY_AFTER_LEAST = 500_000;
-    private static final long RETRY_AFTER_MOST = 30_000_000;
-    private static final long RETRY_AFTER_KEPT = 10_000_000;  // who was told to come again and doesn't is forgotten by then
-
-    /** What it wants done. Called in the middle of an event: what it leads to comes as another. */
+    /**
+     * Prefix of the reason of {@link Message.SnapshotNeeded} if the states are forked, and not only the deltas evicted.
+     */
+    static final String FORKED_REASON_PREFIX = "forked: ";
+    private static final long TICK_INTERVAL_MICROS = 250_000;
+    private static final long MAX_TICK_DELAY_MICROS = 1_000_000;
+    private static final int MAX_CREDIT_CHUNKS = 64;
+    private static final int MAX_SHARED_MESSAGES = 64;
+    private static final int MAX_NACK_EVENTS = 8;  // further NACKs of the same revision are not reported as events
+    private static final int MAX_REASON_CHARS = 200;
+    private static final int MAX_ZONE_CHARS = 64;
+    private static final long MIN_RETRY_AFTER_MICROS = 500_000;
+    private static final long MAX_RETRY_AFTER_MICROS = 30_000_000;
+    // a subscriber that does not return within this time after its retry delay is no longer counted as waiting
+    private static final long RETRY_RECORD_TTL_MICROS = 10_000_000;
+
+    /**
+     * Callbacks to the caller. They are called while an event is being handled: their consequences must be delivered as
+     * separate events.
+     */
     public interface Actions {
 
-        /** A message to a subscriber. Whether it arrives is not known. The same object goes to many. */
+        /**
+         * Sends a message to a subscriber, without guarantee of delivery. The same object is sent to many subscribers.
+         */
         void send(String to, Message message);
 
-        /** Ends the connection of a subscriber, which is forgotten here. */
-        void drop(String subscriber, String why);
+        /** Closes the connection of a subscriber, which has been removed here. */
+        void drop(String subscriber, String reason);
 
-        /** Something that operators want to know. */
+        /** Reports an event to operators. */
         void event(String name, String text);
     }
 
     /**
-     * How it does.
-     *
-     * @param revision that it publishes
-     * @param subscribers that are there
-     * @param snapshots that are being served
-     * @param waiting subscribers that were told to come again for one
-     * @param deltas that are kept
-     * @param deltaBytes of those, about
-     * @param dropped subscribers, since the start
-     * @param alone whether it can't hear its own source
+     * Status of the publisher.
+     * @param revision revision that it publishes
+     * @param subscribers number of subscribers
+     * @param snapshots number of snapshots being served
+     * @param waiting number of subscribers that were told to retry for a snapshot
+     * @param deltas number of deltas kept
+     * @param deltaBytes approximate size of those
+     * @param dropped number of subscribers dropped since the start
+     * @param sourceUnreachable whether it lost contact with the source of its table
      */
-    public record Status(Revision revision, int subscribers, int snapshots, int waiting, int deltas, long deltaBytes, long dropped, boolean alone) { }
+    public record Status(Revision revision, int subscribers, int snapshots, int waiting, int deltas, long deltaBytes, long dropped, boolean sourceUnreachable) { }
 
-    private enum Stage { FOLLOWS, SNAPSHOT_NEEDED, FETCHES }
+    /** What a subscriber is sent next: deltas, nothing until it fetches a snapshot, or chunks of a snapshot. */
+    private enum Stage { STREAMING, SNAPSHOT_NEEDED, FETCHING }
 
+    /** State kept for a connected subscriber. */
     private static final class Subscription {
         private final String name;
         private String zone = "";
-        private Stage stage = Stage.FOLLOWS;
-        private Revision told;  // what it has, once it has heard all that was sent
-        private long acked;  // the number up to which it has answered
-        private long unackedSince;  // 0 for nothing unanswered
-        private Revision inForce;  // null for not known
-        private Revision refused;
-        private long heardAt;
-        private long sentAt;
+        private Stage stage = Stage.STREAMING;
+        private Revision sentRevision;  // revision of the subscriber once it has received all that was sent
+        private long ackedNumber;  // revision number up to which it has acknowledged
+        private long unackedSince;  // 0 if nothing is unacknowledged
+        private Revision activeRevision;  // null if not known
+        private Revision rejectedRevision;
+        private long lastReceivedAt;
+        private long lastSentAt;
         private Table snapshot;
-        private BitSet wanted;
+        private BitSet remainingShards;
         private int credit;
-        private long begunAt;
-        private long movedAt;  // the snapshot
-        private List<ZoneSummary> below;  // of one that passes on
+        private long snapshotStartedAt;
+        private long snapshotProgressAt;
+        private List<ZoneSummary> relayedZones;  // zone summaries of a relay's own subscribers
 
         Subscription(String name) {
             this.name = name;
@@ -90,22 +101,23 @@
     private final PublisherSettings settings;
     private final Actions actions;
     private final Map<String, Subscription> subscribers = new LinkedHashMap<>();
-    private final Map<String, Long> waiting = new LinkedHashMap<>();  // for a snapshot, and until when they are remembered
-    private final Map<Long, Message.Deltas> shared = new HashMap<>();  // by the number that they begin at
+    // subscribers told to retry for a snapshot, and until when they are counted
+    private final Map<String, Long> retryRecordExpiry = new LinkedHashMap<>();
+    private final Map<Long, Message.Deltas> sharedMessages = new HashMap<>();  // by the revision number that they start from
     private Table table;
     private History history;
     private Message.Heartbeat heartbeat;
-    private boolean alone;
-    private boolean changed;  // and not sent yet
+    private boolean sourceUnreachable;
+    private boolean hasUnsentChange;
     private long flushAt;
     private long tickAt;
-    private int snapshots;
-    private long snapshotTime = 2_000_000;  // on the mean, lately
-    private long dropped;
-    private Revision loudAt;
-    private int loud;
+    private int activeSnapshots;
+    private long meanSnapshotMicros = 2_000_000;  // moving average
+    private long droppedCount;
+    private Revision nackEventRevision;
+    private int nackEventCount;
 
-    /** Of a table, of which it knows nothing before. */
+    /** Creates a publisher of a table, with an empty history. */
     public Publisher(Table table, PublisherSettings settings, Actions actions) {
         this.table = table;
         this.settings = settings;
@@ -114,353 +126,362 @@
         heartbeat = new Message.Heartbeat(table.revision());
     }
 
-    // ---- its table
+    // ---- published table
 
-    /** What it publishes. */
+    /** The published table. */
     public Table table() {
         return table;
     }
 
-    /** Whether it can't hear where its table comes from: a voter that hears no majority, one that passes on and hears no machine. */
-    public void alone(long now, boolean alone) {
-        this.alone = alone;
+    /**
+     * Sets whether the source of the table is unreachable: a voter without contact to a majority, or a relay without
+     * contact to any machine.
+     */
+    public void setSourceUnreachable(long now, boolean sourceUnreachable) {
+        this.sourceUnreachable = sourceUnreachable;
         tick(now);
     }
 
-    /** Another table, and what led there from the one before; no deltas where that isn't known (a snapshot was taken). One that is neither later nor of another state is not taken. */
+    /**
+     * Publishes another table; {@code deltasAfter} lead to it from the previous one, empty if they are not known (a snapshot
+     * was taken). Ignored if it is neither later nor forked.
+     */
     public void table(long now, Table next, List<Delta> deltas) {
-        Revision before = table.revision();
-        if (!next.revision().after(before) && !next.revision().forkedFrom(before)) {
+        Revision previous = table.revision();
+        if (!next.revision().isAfter(previous) && !next.revision().isForkOf(previous)) {
             return;
         }
         table = next;
         heartbeat = new Message.Heartbeat(next.revision());
-        shared.clear();
-        if (leads(before, next.revision(), deltas)) {
+        sharedMessages.clear();
+        if (formsChain(previous, next.revision(), deltas)) {
             deltas.forEach(history::add);
         } else {
             history = new History(next.revision());
         }
-        changed = true;
+        hasUnsentChange = true;
         tick(now);
     }
 
-    private static boolean leads(Revision from, Revision to, List<Delta> deltas) {
-        Revision at = from;
+    private static boolean formsChain(Revision start, Revision end, List<Delta> deltas) {
+        Revision current = start;
         for (Delta each : deltas) {
-            if (each.from() != at.number() || each.to().epoch() != at.epoch()) {
+            if (each.from() != current.number() || each.to().epoch() != current.epoch()) {
                 return false;
             }
-            at = each.to();
+            current = each.to();
         }
-        return !deltas.isEmpty() && at.equals(to);
+        return !deltas.isEmpty() && current.equals(end);
     }
 
     // ---- events
 
-    /** When it wants to be called at the latest. */
+    /** Latest time at which {@link #tick} must be called. */
     public long dueAt() {
-        return changed ? Math.min(flushAt, tickAt) : tickAt;
+        return hasUnsentChange ? Math.min(flushAt, tickAt) : tickAt;
     }
 
-    /** Time has passed. */
+    /** Handles timeouts and sends due messages. */
     public void tick(long now) {
-        stopped(now);
-        if (changed && now >= flushAt) {
-            changed = false;
-            flushAt = now + settings.coalesce();
+        extendTimeouts(now);
+        if (hasUnsentChange && now >= flushAt) {
+            hasUnsentChange = false;
+            flushAt = now + settings.coalesceMicros();
             for (Subscription each : subscribers.values()) {
-                tell(now, each);
+                sendPendingDeltas(now, each);
             }
         }
         if (now >= tickAt) {
-            tickAt = now + Math.min(TICK, settings.heartbeat());
-            waiting.values().removeIf(until -> now >= until);
+            tickAt = now + Math.min(TICK_INTERVAL_MICROS, settings.heartbeatIntervalMicros());
+            retryRecordExpiry.values().removeIf(until -> now >= until);
             for (Subscription each : List.copyOf(subscribers.values())) {
-                check(now, each);
+                checkTimeouts(now, each);
             }
         }
     }
 
-    /** It came later than it wanted to: what subscribers said meanwhile may be lying unread. */
-    private void stopped(long now) {
-        long late = now - tickAt;
-        if (late > LATE) {
+    /** Extends timeouts after a late tick (a pause of this process): messages of subscribers may still be unread. */
+    private void extendTimeouts(long now) {
+        long delay = now - tickAt;
+        if (delay > MAX_TICK_DELAY_MICROS) {
             for (Subscription each : subscribers.values()) {
-                each.heardAt += late;
-                each.movedAt += late;
-                each.unackedSince = each.unackedSince == 0 ? 0 : each.unackedSince + late;
+                each.lastReceivedAt += delay;
+                each.snapshotProgressAt += delay;
+                each.unackedSince = each.unackedSince == 0 ? 0 : each.unackedSince + delay;
             }
             tickAt = now;
         }
     }
 
-    private void check(long now, Subscription of) {
-        if (now - of.heardAt > settings.silent()) {
-            drop(of, "expected a message within " + settings.silent() / 1_000_000 + " s, found none");
-        } else if (of.unackedSince != 0 && now - of.unackedSince > settings.unacked()) {
-            drop(of, "expected an acknowledgement within " + settings.unacked() / 1_000_000 + " s, found none");
-        } else if (of.stage == Stage.FETCHES && now - of.movedAt > settings.stalled()) {
-            drop(of, "expected credit for a snapshot within " + settings.stalled() / 1_000_000 + " s, found none");
-        } else if (!alone && now - of.sentAt >= settings.heartbeat()) {
-            send(now, of, heartbeat);
+    private void checkTimeouts(long now, Subscription subscription) {
+        if (now - subscription.lastReceivedAt > settings.silenceTimeoutMicros()) {
+            drop(subscription, "expected a message within " + settings.silenceTimeoutMicros() / 1_000_000 + " s, found none");
+        } else if (subscription.unackedSince != 0 && now - subscription.unackedSince > settings.ackTimeoutMicros()) {
+            drop(subscription, "expected an acknowledgement within " + settings.ackTimeoutMicros() / 1_000_000 + " s, found none");
+        } else if (subscription.stage == Stage.FETCHING && now - subscription.snapshotProgressAt > settings.snapshotStallTimeoutMicros()) {
+            drop(subscription, "expected credit for a snapshot within " + settings.snapshotStallTimeoutMicros() / 1_000_000 + " s, found none");
+        } else if (!sourceUnreachable && now - subscription.lastSentAt >= settings.heartbeatIntervalMicros()) {
+            send(now, subscription, heartbeat);
         }
     }
 
-    private void drop(Subscription of, String why) {
-        forget(of.name);
-        dropped++;
-        actions.event("config_subscriber_dropped", of.name + ": " + why);
-        actions.drop(of.name, why);
+    private void drop(Subscription subscription, String reason) {
+        removeSubscriber(subscription.name);
+        droppedCount++;
+        actions.event("config_subscriber_dropped", subscription.name + ": " + reason);
+        actions.drop(subscription.name, reason);
     }
 
-    private void forget(String name) {
-        Subscription of = subscribers.remove(name);
-        waiting.remove(name);
-        if (of != null) {
-            ends(of);
+    private void removeSubscriber(String name) {
+        Subscription subscription = subscribers.remove(name);
+        retryRecordExpiry.remove(name);
+        if (subscription != null) {
+            endSnapshot(subscription);
         }
     }
 
-    private void ends(Subscription of) {
-        if (of.stage == Stage.FETCHES) {
-            snapshots--;
-            of.snapshot = null;
-            of.wanted = null;
+    private void endSnapshot(Subscription subscription) {
+        if (subscription.stage == Stage.FETCHING) {
+            activeSnapshots--;
+            subscription.snapshot = null;
+            subscription.remainingShards = null;
         }
-        of.stage = Stage.FOLLOWS;
+        subscription.stage = Stage.STREAMING;
     }
 
-    /** The connection of a subscriber has ended. */
+    /** The connection of a subscriber was closed. */
     public void inboundClosed(long now, String from) {
-        forget(from);
+        removeSubscriber(from);
     }
 
-    private void send(long now, Subscription to, Message message) {
-        to.sentAt = now;
-        actions.send(to.name, message);
+    private void send(long now, Subscription subscription, Message message) {
+        subscription.lastSentAt = now;
+        actions.send(subscription.name, message);
     }
 
-    /** A message has come from a subscriber; that it is that one has been checked. */
+    /** Handles a message of a subscriber whose identity has been verified. */
     public void received(long now, String from, Message message) {
-        stopped(now);
-        Subscription of = subscribers.get(from);
-        if (of == null && message instanceof Message.Subscribe) {
-            if (subscribers.size() >= settings.subscribers()) {
-                dropped++;
-                actions.drop(from, "expected at most " + settings.subscribers() + " subscribers");
+        extendTimeouts(now);
+        Subscription subscription = subscribers.get(from);
+        if (subscription == null && message instanceof Message.Subscribe) {
+            if (subscribers.size() >= settings.maxSubscribers()) {
+                droppedCount++;
+                actions.drop(from, "expected at most " + settings.maxSubscribers() + " subscribers");
                 return;
             }
-            of = new Subscription(from);
-            subscribers.put(from, of);
+            subscription = new Subscription(from);
+            subscribers.put(from, subscription);
         }
-        if (of == null) {
-            dropped++;
+        if (subscription == null) {
+            droppedCount++;
             actions.drop(from, "expected subscribe first, found " + message.getClass().getSimpleName());
             return;
         }
-        of.heardAt = now;
+        subscription.lastReceivedAt = now;
         if (message instanceof Message.Subscribe subscribe) {
-            subscribed(now, of, subscribe);
+            handleSubscribe(now, subscription, subscribe);
         } else if (message instanceof Message.Ack ack) {
-            of.inForce = ack.inForce();
-            of.refused = of.refused == null || ack.inForce().after(of.refused) ? null : of.refused;
-            acked(now, of, ack.inForce());
+            subscription.activeRevision = ack.activeRevision();
+            subscription.rejectedRevision = subscription.rejectedRevision == null || ack.activeRevision().isAfter(subscription.rejectedRevision) ? null : subscription.rejectedRevision;
+            handleAck(now, subscription, ack.activeRevision());
         } else if (message instanceof Message.Nack nack) {
-            refused(now, of, nack);
+            handleNack(now, subscription, nack);
         } else if (message instanceof Message.Fetch fetch) {
-            fetch(now, of, fetch);
+            handleFetch(now, subscription, fetch);
         } else if (message instanceof Message.Credit credit) {
-            if (of.stage == Stage.FETCHES) {
-                of.credit = Math.min(CREDIT_MOST, of.credit + Math.max(0, credit.chunks()));
-                of.movedAt = now;
-                chunks(now, of);
+            if (subscription.stage == Stage.FETCHING) {
+                subscription.credit = Math.min(MAX_CREDIT_CHUNKS, subscription.credit + Math.max(0, credit.chunks()));
+                subscription.snapshotProgressAt = now;
+                sendChunks(now, subscription);
             }
         } else if (message instanceof Message.Summary summary) {
-            of.below = summary.zones().size() <= ZoneSummaries.ZONES_MOST ? summary.zones() : summary.zones().subList(0, ZoneSummaries.ZONES_MOST);
+            subscription.relayedZones = summary.zones().size() <= ZoneSummaries.MAX_ZONES ? summary.zones() : summary.zones().subList(0, ZoneSummaries.MAX_ZONES);
         } else {
-            drop(of, "expected a subscriber's message, found " + message.getClass().getSimpleName());
+            drop(subscription, "expected a subscriber's message, found " + message.getClass().getSimpleName());
         }
         tick(now);
     }
 
-    private void subscribed(long now, Subscription of, Message.Subscribe message) {
-        ends(of);
-        of.zone = message.zone().length() <= ZONE_MOST ? message.zone() : message.zone().substring(0, ZONE_MOST);
-        of.told = message.have();
-        of.acked = message.have().number();
-        of.unackedSince = 0;
-        of.sentAt = now - settings.heartbeat();
-        tell(now, of);
-        if (of.stage == Stage.FOLLOWS && of.sentAt != now && !alone) {
-            send(now, of, heartbeat);
+    private void handleSubscribe(long now, Subscription subscription, Message.Subscribe message) {
+        endSnapshot(subscription);
+        subscription.zone = message.zone().length() <= MAX_ZONE_CHARS ? message.zone() : message.zone().substring(0, MAX_ZONE_CHARS);
+        subscription.sentRevision = message.revision();
+        subscription.ackedNumber = message.revision().number();
+        subscription.unackedSince = 0;
+        subscription.lastSentAt = now - settings.heartbeatIntervalMicros();
+        sendPendingDeltas(now, subscription);
+        if (subscription.stage == Stage.STREAMING && subscription.lastSentAt != now && !sourceUnreachable) {
+            send(now, subscription, heartbeat);
         }
     }
 
-    private void acked(long now, Subscription of, Revision upTo) {
-        if (upTo.number() > of.acked && upTo.epoch() == table.revision().epoch()) {
-            of.acked = upTo.number();
-            of.unackedSince = of.acked >= of.told.number() ? 0 : now;
-            tell(now, of);
+    private void handleAck(long now, Subscription subscription, Revision upTo) {
+        if (upTo.number() > subscription.ackedNumber && upTo.epoch() == table.revision().epoch()) {
+            subscription.ackedNumber = upTo.number();
+            subscription.unackedSince = subscription.ackedNumber >= subscription.sentRevision.number() ? 0 : now;
+            sendPendingDeltas(now, subscription);
         }
     }
 
-    private void refused(long now, Subscription of, Message.Nack nack) {
-        of.inForce = nack.inForce();
-        of.refused = nack.refused();
-        if (!nack.refused().equals(loudAt)) {
-            loudAt = nack.refused();
-            loud = 0;
+    private void handleNack(long now, Subscription subscription, Message.Nack nack) {
+        subscription.activeRevision = nack.activeRevision();
+        subscription.rejectedRevision = nack.rejectedRevision();
+        if (!nack.rejectedRevision().equals(nackEventRevision)) {
+            nackEventRevision = nack.rejectedRevision();
+            nackEventCount = 0;
         }
-        if (loud++ < LOUD_MOST) {
+        if (nackEventCount++ < MAX_NACK_EVENTS) {
             String reason = nack.reason();
-            actions.event("config_refused", of.name + " refuses " + nack.refused().number() + ": " + reason.substring(0, Math.min(reason.length(), REASON_MOST)));
+            actions.event("config_refused", subscription.name + " refuses " + nack.rejectedRevision().number() + ": " + reason.substring(0, Math.min(reason.length(), MAX_REASON_CHARS)));
         }
-        acked(now, of, nack.refused());
+        handleAck(now, subscription, nack.rejectedRevision());
     }
 
     // ---- deltas
 
-    /** All that a subscriber doesn't have, as far as it may be under way. */
-    private void tell(long now, Subscription to) {
-        while (to.stage == Stage.FOLLOWS && !to.told.equals(table.revision()) && !to.told.after(table.revision())) {
-            if (history.bytesAfter(to.acked) - history.bytesAfter(to.told.number()) >= settings.unackedBytes()) {
+    /** Sends all deltas that a subscriber does not have, up to the bound of unacknowledged bytes. */
+    private void sendPendingDeltas(long now, Subscription subscription) {
+        while (subscription.stage == Stage.STREAMING && !subscription.sentRevision.equals(table.revision()) && !subscription.sentRevision.isAfter(table.revision())) {
+            if (history.bytesAfter(subscription.ackedNumber) - history.bytesAfter(subscription.sentRevision.number()) >= settings.maxUnackedBytes()) {
                 return;
             }
-            Message.Deltas deltas = deltas(to.told);
+            Message.Deltas deltas = deltasAfter(subscription.sentRevision);
             if (deltas == null) {
-                needsSnapshot(now, to);
+                sendSnapshotNeeded(now, subscription);
                 return;
             }
-            to.told = deltas.deltas().get(deltas.deltas().size() - 1).to();
-            to.unackedSince = to.unackedSince == 0 ? now : to.unackedSince;
-            send(now, to, deltas);
+            subscription.sentRevision = deltas.deltas().get(deltas.deltas().size() - 1).to();
+            subscription.unackedSince = subscription.unackedSince == 0 ? now : subscription.unackedSince;
+            send(now, subscription, deltas);
         }
     }
 
-    private Message.Deltas deltas(Revision have) {
-        Message.Deltas there = shared.get(have.number());
-        if (there != null && !history.forked(have) && have.epoch() == table.revision().epoch()) {
-            return there;
+    private Message.Deltas deltasAfter(Revision revision) {
+        Message.Deltas cached = sharedMessages.get(revision.number());
+        if (cached != null && !history.isForked(revision) && revision.epoch() == table.revision().epoch()) {
+            return cached;
         }
-        List<Delta> after = history.after(have, settings.messageBytes());
-        if (after == null || after.isEmpty()) {
+        List<Delta> following = history.deltasAfter(revision, settings.targetMessageBytes());
+        if (following == null || following.isEmpty()) {
             return null;
         }
-        Message.Deltas deltas = new Message.Deltas(after);
-        if (shared.size() < SHARED_MOST) {
-            shared.put(have.number(), deltas);
+        Message.Deltas deltas = new Message.Deltas(following);
+        if (sharedMessages.size() < MAX_SHARED_MESSAGES) {
+            sharedMessages.put(revision.number(), deltas);
         }
         return deltas;
     }
 
     // ---- snapshots
 
-    private void needsSnapshot(long now, Subscription to) {
-        boolean forked = to.told.forkedFrom(table.revision()) || history.forked(to.told);
-        String reason = forked ? FORKED + "another state is known by the number " + to.told.number() : "the changes behind " + to.told.number() + " of epoch " + to.told.epoch() + " are not kept";
+    private void sendSnapshotNeeded(long now, Subscription subscription) {
+        boolean forked = subscription.sentRevision.isForkOf(table.revision()) || history.isForked(subscription.sentRevision);
+        String reason = forked ? FORKED_REASON_PREFIX + "this machine has a different state at number " + subscription.sentRevision.number() : "the changes after " + subscription.sentRevision.number() + " of epoch " + subscription.sentRevision.epoch() + " are not kept";
         if (forked) {
-            actions.event("config_forked", to.name + " has " + to.told + ", expected another state by that number");
+            actions.event("config_forked", subscription.name + " has " + subscription.sentRevision + ", expected the state that this machine has at that number");
         }
-        to.stage = Stage.SNAPSHOT_NEEDED;
-        to.unackedSince = 0;
-        send(now, to, new Message.SnapshotNeeded(table.revision(), reason));
+        subscription.stage = Stage.SNAPSHOT_NEEDED;
+        subscription.unackedSince = 0;
+        send(now, subscription, new Message.SnapshotNeeded(table.revision(), reason));
     }
 
-    private void fetch(long now, Subscription by, Message.Fetch fetch) {
+    private void handleFetch(long now, Subscription subscription, Message.Fetch fetch) {
         if (fetch.digests().length != Table.SHARDS) {
-            drop(by, "expected " + Table.SHARDS + " digests, found " + fetch.digests().length);
+            drop(subscription, "expected " + Table.SHARDS + " digests, found " + fetch.digests().length);
             return;
         }
-        if (by.stage != Stage.FETCHES && snapshots >= settings.snapshots()) {
-            retryAfter(now, by);
+        if (subscription.stage != Stage.FETCHING && activeSnapshots >= settings.maxConcurrentSnapshots()) {
+            sendRetryAfter(now, subscription);
             return;
         }
-        snapshots += by.stage == Stage.FETCHES ? 0 : 1;
-        waiting.remove(by.name);
-        by.stage = Stage.FETCHES;
-        by.unackedSince = 0;
-        by.snapshot = table;
-        by.wanted = new BitSet(Table.SHARDS);
+        activeSnapshots += subscription.stage == Stage.FETCHING ? 0 : 1;
+        retryRecordExpiry.remove(subscription.name);
+        subscription.stage = Stage.FETCHING;
+        subscription.unackedSince = 0;
+        subscription.snapshot = table;
+        subscription.remainingShards = new BitSet(Table.SHARDS);
         for (int i = 0; i < Table.SHARDS; i++) {
-            by.wanted.set(i, table.digest(i) != fetch.digests()[i]);
+            subscription.remainingShards.set(i, table.digest(i) != fetch.digests()[i]);
         }
-        by.credit = Math.max(1, Math.min(CREDIT_MOST, fetch.credit()));
-        by.begunAt = now;
-        by.movedAt = now;
-        chunks(now, by);
+        subscription.credit = Math.max(1, Math.min(MAX_CREDIT_CHUNKS, fetch.credit()));
+        subscription.snapshotStartedAt = now;
+        subscription.snapshotProgressAt = now;
+        sendChunks(now, subscription);
     }
 
-    /** Come again: each as many together as are served at once, spread over the time that a snapshot takes. */
-    private void retryAfter(long now, Subscription by) {
-        waiting.remove(by.name);
-        int before = waiting.size();
-        long in = Math.min(RETRY_AFTER_MOST, snapshotTime + snapshotTime * before / settings.snapshots());
-        waiting.put(by.name, now + in + RETRY_AFTER_KEPT);
-        by.stage = Stage.SNAPSHOT_NEEDED;
-        send(now, by, new Message.RetryAfter((int) (in / 1_000)));
+    /**
+     * Asks a subscriber to retry: as many at a time as are served concurrently, spread by the mean duration of a
+     * snapshot.
+     */
+    private void sendRetryAfter(long now, Subscription subscription) {
+        retryRecordExpiry.remove(subscription.name);
+        int waitingBefore = retryRecordExpiry.size();
+        long delayMicros = Math.min(MAX_RETRY_AFTER_MICROS, meanSnapshotMicros + meanSnapshotMicros * waitingBefore / settings.maxConcurrentSnapshots());
+        retryRecordExpiry.put(subscription.name, now + delayMicros + RETRY_RECORD_TTL_MICROS);
+        subscription.stage = Stage.SNAPSHOT_NEEDED;
+        send(now, subscription, new Message.RetryAfter((int) (delayMicros / 1_000)));
     }
 
-    private void chunks(long now, Subscription to) {
-        while (to.stage == Stage.FETCHES && to.credit > 0) {
+    private void sendChunks(long now, Subscription subscription) {
+        while (subscription.stage == Stage.FETCHING && subscription.credit > 0) {
             List<Shard> shards = new ArrayList<>();
             int bytes = 0;
-            int next = to.wanted.nextSetBit(0);
-            while (next >= 0) {
-                List<Resource> resources = to.snapshot.shard(next);
-                int more = 0;
+            int shardNumber = subscription.remainingShards.nextSetBit(0);
+            while (shardNumber >= 0) {
+                List<Resource> resources = subscription.snapshot.shard(shardNumber);
+                int shardBytes = 0;
                 for (Resource each : resources) {
-                    more += Table.bytes(each);
+                    shardBytes += Table.maxEncodedBytes(each);
                 }
-                if (!shards.isEmpty() && bytes + more > settings.messageBytes()) {
+                if (!shards.isEmpty() && bytes + shardBytes > settings.targetMessageBytes()) {
                     break;
                 }
-                bytes += more;
-                shards.add(new Shard(next, resources));
-                to.wanted.clear(next);
-                next = to.wanted.nextSetBit(next);
+                bytes += shardBytes;
+                shards.add(new Shard(shardNumber, resources));
+                subscription.remainingShards.clear(shardNumber);
+                shardNumber = subscription.remainingShards.nextSetBit(shardNumber);
             }
-            to.credit--;
-            Message.SnapshotChunk chunk = new Message.SnapshotChunk(to.snapshot.revision(), shards, next < 0);
-            if (next < 0) {
-                snapshotTime = Math.max(RETRY_AFTER_LEAST, (snapshotTime * 3 + Math.min(RETRY_AFTER_MOST, now - to.begunAt)) / 4);
-                ends(to);
-                to.stage = Stage.SNAPSHOT_NEEDED;  // until it says what it has now
+            subscription.credit--;
+            Message.SnapshotChunk chunk = new Message.SnapshotChunk(subscription.snapshot.revision(), shards, shardNumber < 0);
+            if (shardNumber < 0) {
+                meanSnapshotMicros = Math.max(MIN_RETRY_AFTER_MICROS, (meanSnapshotMicros * 3 + Math.min(MAX_RETRY_AFTER_MICROS, now - subscription.snapshotStartedAt)) / 4);
+                endSnapshot(subscription);
+                subscription.stage = Stage.SNAPSHOT_NEEDED;  // until it subscribes with its new revision
             }
-            send(now, to, chunk);
+            send(now, subscription, chunk);
         }
     }
 
     // ---- for operators
 
-    /** How it does. */
+    /** Current status. */
     public Status status() {
-        return new Status(table.revision(), subscribers.size(), snapshots, waiting.size(), history.size(), history.bytes(), dropped, alone);
+        return new Status(table.revision(), subscribers.size(), activeSnapshots, retryRecordExpiry.size(), history.size(), history.sizeBytes(), droppedCount, sourceUnreachable);
     }
 
-    /** How subscribers do by zone; for one that passes on, those that it told of in its own place. */
+    /** Status of subscribers by zone; relays are replaced by the subscribers that they report. */
     public List<ZoneSummary> summary() {
         ZoneSummaries all = new ZoneSummaries();
         Map<String, List<Subscription>> zones = new LinkedHashMap<>();
         for (Subscription each : subscribers.values()) {
-            if (each.below == null) {
+            if (each.relayedZones == null) {
                 zones.computeIfAbsent(each.zone, zone -> new ArrayList<>()).add(each);
             }
         }
-        zones.forEach((zone, of) -> all.add(summary(zone, of)));
+        zones.forEach((zone, subscriptions) -> all.add(summary(zone, subscriptions)));
         for (Subscription each : subscribers.values()) {
-            if (each.below != null) {
-                each.below.forEach(all::add);
+            if (each.relayedZones != null) {
+                each.relayedZones.forEach(all::add);
             }
         }
         return all.zones();
     }
 
-    private ZoneSummary summary(String zone, List<Subscription> of) {
-        Comparator<Subscription> byPlace = Comparator.comparing(each -> each.inForce, Comparator.nullsFirst(Comparator.comparingLong(Revision::epoch).thenComparingLong(Revision::number)));
-        List<Subscription> behind = of.stream().filter(each -> each.inForce == null || table.revision().after(each.inForce)).sorted(byPlace).toList();
-        Revision lowest = of.stream().filter(each -> each.inForce != null).min(byPlace).map(each -> each.inForce).orElse(null);
-        List<String> lagging = behind.stream().limit(ZoneSummary.LAGGING_MOST).map(each -> each.name).toList();
-        return new ZoneSummary(zone, of.size(), lowest, (int) of.stream().filter(each -> each.refused != null).count(), lagging);
+    private ZoneSummary summary(String zone, List<Subscription> subscriptions) {
+        Comparator<Subscription> byRevision = Comparator.comparing(each -> each.activeRevision, Comparator.nullsFirst(Comparator.comparingLong(Revision::epoch).thenComparingLong(Revision::number)));
+        List<Subscription> behind = subscriptions.stream().filter(each -> each.activeRevision == null || table.revision().isAfter(each.activeRevision)).sorted(byRevision).toList();
+        Revision lowest = subscriptions.stream().filter(each -> each.activeRevision != null).min(byRevision).map(each -> each.activeRevision).orElse(null);
+        List<String> lagging = behind.stream().limit(ZoneSummary.MAX_LAGGING_NAMES).map(each -> each.name).toList();
+        return new ZoneSummary(zone, subscriptions.size(), lowest, (int) subscriptions.stream().filter(each -> each.rejectedRevision != null).count(), lagging);
     }
 }
--- a/src/main/java/mastdrift/distribution/PublisherSettings.java
+++ b/src/main/java/mastdrift/distribution/PublisherSettings.java
@@ -1,32 +1,33 @@
 package mastdrift.distribution;
 
 /**
- * How a {@link Publisher} tells and for how long it waits; times in microseconds. Throws IllegalArgumentException for what isn't positive.
- *
- * @param coalesce changes within so long go out together
- * @param heartbeat a subscriber that was told nothing for so long is told that the machine is there
- * @param snapshots that are served at once
- * @param subscribers at most
- * @param unackedBytes a subscriber that has so many bytes unanswered is told no more until it answers
- * @param unacked a subscriber that has answered none of what it was told for so long is dropped
- * @param silent a subscriber that has said nothing for so long is dropped
- * @param stalled a snapshot for which no credit came for so long ends, and its subscriber is dropped
- * @param messageBytes of deltas or shards go into one message, about
+ * Timing and limits of a {@link Publisher}; times in microseconds. Throws IllegalArgumentException for values that are
+ * not positive.
+ * @param coalesceMicros minimum time between two rounds of sending deltas; changes within it are sent together
+ * @param heartbeatIntervalMicros time without a message after which a subscriber is sent a heartbeat
+ * @param maxConcurrentSnapshots maximum number of snapshots served at the same time
+ * @param maxSubscribers maximum number of subscribers
+ * @param maxUnackedBytes a subscriber with this many unacknowledged bytes is sent no more deltas until it acknowledges
+ * @param ackTimeoutMicros a subscriber that has acknowledged nothing for this long is dropped
+ * @param silenceTimeoutMicros a subscriber that has sent nothing for this long is dropped
+ * @param snapshotStallTimeoutMicros a snapshot that received no credit for this long is ended, and its subscriber is
+ * dropped
+ * @param targetMessageBytes approximate size up to which deltas or shards are packed into one message
  */
-public record PublisherSettings(long coalesce, long heartbeat, int snapshots, int subscribers, int unackedBytes, long unacked, long silent, long stalled, int messageBytes) {
+public record PublisherSettings(long coalesceMicros, long heartbeatIntervalMicros, int maxConcurrentSnapshots, int maxSubscribers, int maxUnackedBytes, long ackTimeoutMicros, long silenceTimeoutMicros, long snapshotStallTimeoutMicros, int targetMessageBytes) {
 
-    /** Snapshots that are served at once. */
-    public static final int SNAPSHOTS_MOST = 8;
-    /** Subscribers of a machine, at most. */
-    public static final int SUBSCRIBERS_MOST = 4_096;
-    /** For the target: 342 gateways a machine, 1.7 changes a second. */
-    public static final PublisherSettings USUAL = new PublisherSettings(200_000, 2_000_000, SNAPSHOTS_MOST, SUBSCRIBERS_MOST, 1 << 20, 20_000_000, 30_000_000, 10_000_000, 64 << 10);
+    /** Default maximum number of snapshots served at the same time. */
+    public static final int MAX_CONCURRENT_SNAPSHOTS = 8;
+    /** Default maximum number of subscribers of a machine. */
+    public static final int MAX_SUBSCRIBERS = 4_096;
+    /** Defaults, sized for the target load: 342 gateways a machine, 1.7 changes a second. */
+    public static final PublisherSettings DEFAULTS = new PublisherSettings(200_000, 2_000_000, MAX_CONCURRENT_SNAPSHOTS, MAX_SUBSCRIBERS, 1 << 20, 20_000_000, 30_000_000, 10_000_000, 64 << 10);
 
-    /** Checks them. */
+    /** Validates the settings. */
     public PublisherSettings {
-        if (coalesce <= 0 || heartbeat <= 0 || snapshots <= 0 || subscribers <= 0 || unackedBytes <= 0 || unacked <= 0 || silent <= 0 || stalled <= 0 || messageBytes <= 0) {
-            throw new IllegalArgumentException("expected settings above 0, found " + coalesce + " " + heartbeat + " " + snapshots + " " + subscribers + " " + unackedBytes + " " + unacked + " "
-                    + silent + " " + stalled + " " + messageBytes);
+        if (coalesceMicros <= 0 || heartbeatIntervalMicros <= 0 || maxConcurrentSnapshots <= 0 || maxSubscribers <= 0 || maxUnackedBytes <= 0 || ackTimeoutMicros <= 0 || silenceTimeoutMicros <= 0 || snapshotStallTimeoutMicros <= 0 || targetMessageBytes <= 0) {
+            throw new IllegalArgumentException("expected settings above 0, found " + coalesceMicros + " " + heartbeatIntervalMicros + " " + maxConcurrentSnapshots + " " + maxSubscribers + " " + maxUnackedBytes + " " + ackTimeoutMicros + " "
+                    + silenceTimeoutMicros + " " + snapshotStallTimeoutMicros + " " + targetMessageBytes);
         }
     }
 }
--- a/src/main/java/mastdrift/distribution/Resource.java
+++ b/src/main/java/mastdrift/distribution/Resource.java
@@ -2,28 +2,33 @@
 
 import java.util.Arrays;
 
-/** A named piece of configuration as it stands in a table. Immutable: whoever gives or takes its value doesn't change it. Fields and no key object, since there are some
-    hundred thousand of them. */
+/**
+ * A named item of configuration as it is in a table. Immutable: neither the supplier nor the reader of its value may
+ * modify it. Kind and name are fields and not a key object to save memory, since there are several hundred thousand
+ * resources.
+ */
 public final class Resource {
 
-    /** Characters of a name, at most. */
-    public static final int NAME_MOST = 128;
-    /** Bytes of a value, at most. */
-    public static final int VALUE_MOST = 16 << 10;
+    /** Maximum length of a name. */
+    public static final int MAX_NAME_CHARS = 128;
+    /** Maximum size of a value. */
+    public static final int MAX_VALUE_BYTES = 16 << 10;
 
     private final ResourceKind kind;
     private final String name;
     private final long version;
     private final byte[] value;
 
-    /** {@code version} is the number of the revision that last changed it; {@code value} is UTF-8 text in JSON, whose meaning goes by the kind. Throws
-        IllegalArgumentException for a name or value out of bounds. */
+    /**
+     * Creates a resource. {@code version} is the number of the revision that last changed it; {@code value} is JSON in
+     * UTF-8, whose schema depends on the kind. Throws IllegalArgumentException for a name or value beyond the limits.
+     */
     public Resource(ResourceKind kind, String name, long version, byte[] value) {
-        if (name.isEmpty() || name.length() > NAME_MOST) {
-            throw new IllegalArgumentException("name: expected 1 to " + NAME_MOST + " characters, found " + name.length());
+        if (name.isEmpty() || name.length() > MAX_NAME_CHARS) {
+            throw new IllegalArgumentException("name: expected 1 to " + MAX_NAME_CHARS + " characters, found " + name.length());
         }
-        if (value.length > VALUE_MOST) {
-            throw new IllegalArgumentException(kind + " " + name + ": expected a value of at most " + VALUE_MOST + " bytes, found " + value.length);
+        if (value.length > MAX_VALUE_BYTES) {
+            throw new IllegalArgumentException(kind + " " + name + ": expected a value of at most " + MAX_VALUE_BYTES + " bytes, found " + value.length);
         }
         this.kind = kind;
         this.name = name;
@@ -31,12 +36,11 @@
         this.value = value;
     }
 
-    /** What it is. */
     public ResourceKind kind() {
         return kind;
     }
 
-    /** Unique among resources of its kind. */
+    /** Name, unique among resources of the same kind. */
     public String name() {
         return name;
     }
@@ -46,7 +50,7 @@
         return version;
     }
 
-    /** Not to be changed. */
+    /** The value, not copied; callers must not modify it. */
     public byte[] value() {
         return value;
     }
--- a/src/main/java/mastdrift/distribution/Revision.java
+++ b/src/main/java/mastdrift/distribution/Revision.java
@@ -1,32 +1,31 @@
 package mastdrift.distribution;
 
 /**
- * Which state a table is in. Of two the one with the larger epoch is later, in one epoch the one with the larger number. Two with the same epoch and number and another
- * hash are forked: at most one of them is what was agreed on.
- *
- * @param epoch of the agreed log: the operator raises it where that begins anew
- * @param number of the change that made it, in the order in which changes were agreed on; 0 for an empty table
- * @param high half of the hash of all resources, which doesn't depend on how they came
- * @param low the other half
+ * Identifies a state of the table. Revisions are ordered by epoch, then by number. Two revisions with the same epoch
+ * and number but different hashes are forked: at most one of them is the state that was agreed on.
+ * @param epoch epoch of the replicated log; the operator raises it when the log is started anew
+ * @param number position of the change that made this revision in the agreed order; 0 for the start of an epoch
+ * @param high high half of the hash of all resources, which is independent of the order in which they were added
+ * @param low low half of that hash
  */
 public record Revision(long epoch, long number, long high, long low) {
 
-    /** Of an empty table. */
-    public static Revision none(long epoch) {
+    /** Revision of an empty table. */
+    public static Revision empty(long epoch) {
         return new Revision(epoch, 0, 0, 0);
     }
 
-    /** Whether this one is later. */
-    public boolean after(Revision other) {
+    /** Whether this revision is later than the other. */
+    public boolean isAfter(Revision other) {
         return epoch != other.epoch ? epoch > other.epoch : number > other.number;
     }
 
-    /** Whether both claim the same place and differ. */
-    public boolean forkedFrom(Revision other) {
+    /** Whether both have the same epoch and number but different states. */
+    public boolean isForkOf(Revision other) {
         return epoch == other.epoch && number == other.number && !sameState(other);
     }
 
-    /** Whether both are of the same resources, by their hashes, at whatever place. */
+    /** Whether both have the same resources, compared by hash, at whatever epoch and number. */
     public boolean sameState(Revision other) {
         return high == other.high && low == other.low;
     }
--- a/src/main/java/mastdrift/distribution/Store.java
+++ b/src/main/java/mastdrift/distribution/Store.java
@@ -8,53 +8,62 @@
 import java.util.Map;
 
 /**
- * What a voter makes of the agreed log: a table, by decisions in their order, and what became of the last {@value #OUTCOMES_MOST} for who asks again. A revision's number is the place of a decision
- * among all decisions of the log; one that changes nothing (a conflict, or of another build) moves the number on too, so that of any two voters with the same number both have heard all up to it.
- *
- * <p>An epoch after the first begins with a decision that names the revision it begins from ({@link EpochStart}), asked for by a voter that {@linkplain #toBegin has a table}. Who has that state goes on from it, who has another
- * waits for a table as behind a gap; until then its table stays what it was in the epoch before, so that no two voters have different states by one revision. Logs of builds that know no such decision begin with a change: who
- * has a table goes on from that, since nothing says which one was meant; who has none waits.
- *
- * <p>That an id is in only once is the log's to see to, since all members share its memory of them; a memory of its own would differ from voter to voter, and their tables with it.
- *
- * <p>A decision that doesn't follow (the log has forgotten what came between, or a folder is old) waits, {@value #PENDING_MOST} and {@value #PENDING_BYTES} bytes at most, the newest of them, until it is
- * {@linkplain #take given} another voter's table. Not safe for use by several threads.
+ * State machine of a voter: applies the entries of the replicated log in order to a table, and remembers the last
+ * {@value #MAX_OUTCOMES} outcomes for writers that retry. A revision's number is the position of an entry in the log;
+ * an entry that changes nothing (a conflict, or one that this build cannot read) also advances the number, so that two
+ * voters with the same number have both seen all entries up to it.
+ * <p>Every epoch after the first starts with an entry that names the revision it starts from ({@link EpochStart}),
+ * proposed by a voter that {@linkplain #epochStartCandidate has a table}. A voter with that state continues from it; a
+ * voter with another state waits for a table as after a gap, and keeps its table of the previous epoch until then, so
+ * that no two voters have different states at one revision. The log of a build that does not have this entry starts
+ * with a change: a voter that has a table continues from it, since nothing names the intended one; a voter without a
+ * table waits.
+ * <p>Duplicate ids are removed by the log, whose memory of ids is shared by all members; a separate memory here would
+ * differ between voters, and so would their tables.
+ * <p>An entry that does not directly follow (the log was truncated, or the stored table is old) is queued, at most
+ * {@value #MAX_PENDING} entries and {@value #MAX_PENDING_BYTES} bytes of the newest, until another voter's table is
+ * {@linkplain #installTable installed}. Not thread-safe.
  */
 public final class Store {
 
-    /** Outcomes that are remembered. */
-    public static final int OUTCOMES_MOST = 4_096;
-    /** Decisions that wait for a table, at most. */
-    public static final int PENDING_MOST = 4_096;
-    /** Bytes of those, about, at most. */
-    public static final int PENDING_BYTES = 16 << 20;
+    /** Maximum number of outcomes that are remembered. */
+    public static final int MAX_OUTCOMES = 4_096;
+    /** Maximum number of entries that are queued until a table is installed. */
+    public static final int MAX_PENDING = 4_096;
+    /** Maximum total size of the queued entries, approximate. */
+    public static final int MAX_PENDING_BYTES = 16 << 20;
 
-    /** What became of a decision. */
+    /** Outcome of a log entry. */
     public sealed interface ChangeOutcome {
 
-        /** It is in, and made that revision. */
+        /** It was applied and made this revision. */
         record Applied(Revision revision) implements ChangeOutcome { }
 
-        /** It changed nothing, for that reason. */
+        /** It changed nothing, for this reason. */
         record Conflict(String reason) implements ChangeOutcome { }
 
-        /** It waits for those from {@code missing} on. */
+        /** It is queued because entries up to {@code lastMissingOrdinal} have not been seen. */
         record Pending(long missing) implements ChangeOutcome { }
     }
 
-    /** What it wants done. */
+    /** Callbacks to the caller. */
     public interface Actions {
 
-        /** The next table, and what led there from the one before; with no deltas, another voter's or the first of an epoch. */
+        /**
+         * The table was replaced by {@code next}; {@code deltas} lead to it from the previous one. Empty if it is
+         * another voter's table or the first of an epoch.
+         */
         void table(Table next, List<Delta> deltas);
 
-        /** Something that operators want to know. */
+        /** Reports an event to operators. */
         void event(String name, String text);
     }
 
+    /** An entry of the replicated log; {@code bytes} is its approximate size, {@code command} null if unreadable. */
     private record LogEntry(long ordinal, String id, Command command, int bytes) { }
 
-    private static final long FIRST_EPOCH = 1;  // begins with an empty table at all, so nothing has to be named
+    // starts with an empty table on every machine, so it needs no EpochStart
+    private static final long FIRST_EPOCH = 1;
 
     private final long epoch;
     private final Actions actions;
@@ -62,9 +71,12 @@
     private final Deque<LogEntry> pending = new ArrayDeque<>();
     private long pendingBytes;
     private Table table;
-    private boolean elsewhere;  // the epoch began from another table than the one here
+    private boolean awaitsEpochTable;  // the epoch started from another table than the local one
 
-    /** In an epoch, from a table of it or of an earlier one: that of the folder, or {@linkplain #nothing none}. Throws IllegalArgumentException for a table of a later epoch. */
+    /**
+     * Creates a store for an epoch, from a table of that epoch or an earlier one: the stored table, or the {@linkplain
+     * #initialTable initial one}. Throws IllegalArgumentException for a table of a later epoch.
+     */
     public Store(Table table, long epoch, Actions actions) {
         if (table.revision().epoch() > epoch) {
             throw new IllegalArgumentException("expected a table of epoch " + epoch + " at most, found one of epoch " + table.revision().epoch());
@@ -74,89 +86,98 @@
         this.actions = actions;
     }
 
-    /** What a control machine without a folder has in an epoch: it must not be later than what others had before, or who asks it would take an empty table for the newest. */
-    public static Table nothing(long epoch) {
+    /**
+     * The table of a control machine that has no stored table. In epochs after the first its revision precedes those of
+     * all other machines; otherwise peers that compare revisions would take an empty table for the newest.
+     */
+    public static Table initialTable(long epoch) {
         return Table.empty(epoch == FIRST_EPOCH ? FIRST_EPOCH : 0);
     }
 
-    /** As it is now. */
+    /** The current table. */
     public Table table() {
         return table;
     }
 
-    /** Whether the table is one of this epoch. */
-    public boolean begun() {
+    /** Whether the table belongs to this epoch. */
+    public boolean isEpochStarted() {
         return table.revision().epoch() == epoch && (epoch == FIRST_EPOCH || table.revision().number() > 0);
     }
 
-    /** Decisions of this epoch that the table has. */
-    public long number() {
-        return begun() ? table.revision().number() : 0;
+    /** Number of log entries of this epoch that the table includes. */
+    public long appliedOrdinal() {
+        return isEpochStarted() ? table.revision().number() : 0;
     }
 
-    /** What this voter would have the epoch begin from, where it hasn't heard that it has begun; null where it has, or where there is no table here: an empty folder is no state that was agreed on. */
-    public Revision toBegin() {
-        return begun() || missing() != 0 || isNothing() ? null : table.revision();
+    /**
+     * The revision that this voter proposes as the start of the epoch, as long as it has not seen the epoch start; null
+     * if the epoch has started or there is no local table: a missing stored table is not an agreed state.
+     */
+    public Revision epochStartCandidate() {
+        return isEpochStarted() || lastMissingOrdinal() != 0 || hasNoState() ? null : table.revision();
     }
 
-    private boolean isNothing() {
-        return table.revision().equals(Revision.none(table.revision().epoch()));
+    private boolean hasNoState() {
+        return table.revision().equals(Revision.empty(table.revision().epoch()));
     }
 
-    /** A decision of the log: {@code ordinal} is its place among all decisions of this epoch, from 1; {@code command} null where it holds none that this build can read. Null for one that the table has
-        already and whose outcome isn't remembered here. */
-    public ChangeOutcome decided(long ordinal, String id, Command command) {
-        if (ordinal <= number()) {
+    /**
+     * Handles a log entry: {@code ordinal} is its position among all entries of this epoch, from 1; {@code command} is
+     * null if this build cannot read it. Returns null if the table already includes the entry and its outcome is not
+     * remembered.
+     */
+    public ChangeOutcome applyEntry(long ordinal, String id, Command command) {
+        if (ordinal <= appliedOrdinal()) {
             return outcomes.get(id);
         }
-        long last = pending.isEmpty() ? Math.max(number(), missing()) : pending.peekLast().ordinal;
-        if (ordinal <= last) {
-            return new ChangeOutcome.Pending(missing());  // heard again
+        long lastOrdinal = pending.isEmpty() ? Math.max(appliedOrdinal(), lastMissingOrdinal()) : pending.peekLast().ordinal;
+        if (ordinal <= lastOrdinal) {
+            return new ChangeOutcome.Pending(lastMissingOrdinal());  // duplicate
         }
-        LogEntry decided = new LogEntry(ordinal, id, command, bytes(command));
-        if (missing() != 0 || ordinal != number() + 1) {
-            if (missing() == 0) {
-                actions.event("config_gap", "expected decision " + (number() + 1) + ", found " + ordinal + ": waits for another voter's table");
+        LogEntry entry = new LogEntry(ordinal, id, command, sizeBytes(command));
+        if (lastMissingOrdinal() != 0 || ordinal != appliedOrdinal() + 1) {
+            if (lastMissingOrdinal() == 0) {
+                actions.event("config_gap", "expected log entry " + (appliedOrdinal() + 1) + ", found " + ordinal + ": waiting for another voter's table");
             }
-            await(decided, ordinal != last + 1);
-            return new ChangeOutcome.Pending(missing());
+            enqueue(entry, ordinal != lastOrdinal + 1);
+            return new ChangeOutcome.Pending(lastMissingOrdinal());
         }
-        if (!begun()) {
-            return begin(decided);
+        if (!isEpochStarted()) {
+            return startEpoch(entry);
         }
         List<Delta> deltas = new ArrayList<>();
-        ChangeOutcome outcome = apply(decided, deltas);
+        ChangeOutcome outcome = applyToTable(entry, deltas);
         actions.table(table, deltas);
         return outcome;
     }
 
-    /** The first decision of an epoch after the first one. */
-    private ChangeOutcome begin(LogEntry first) {
-        Revision have = table.revision();
-        if (first.command instanceof EpochStart start ? !start.from().sameState(have) : first.command == null || isNothing()) {
-            elsewhere = true;
-            actions.event("config_gap", "epoch " + epoch + " begins from " + (first.command instanceof EpochStart start ? start.from() : "a table that its first decision doesn't name") + ", found " + have
-                    + ": waits for another voter's table");
-            if (first.command instanceof EpochStart start && start.from().epoch() == have.epoch() && have.after(start.from())) {
-                actions.event("config_epoch_lost", "epoch " + epoch + " begins from revision " + start.from().number() + " of epoch " + have.epoch() + ": what came behind it up to revision " + have.number()
-                        + ", which this voter has, is not in it");
+    /** Handles the first entry of an epoch after the first one. */
+    private ChangeOutcome startEpoch(LogEntry firstEntry) {
+        Revision localRevision = table.revision();
+        if (firstEntry.command instanceof EpochStart start ? !start.from().sameState(localRevision) : firstEntry.command == null || hasNoState()) {
+            awaitsEpochTable = true;
+            actions.event("config_gap", "epoch " + epoch + " begins from " + (firstEntry.command instanceof EpochStart start ? start.from() : "a table that its first entry does not name") + ", found " + localRevision
+                    + ": waiting for another voter's table");
+            if (firstEntry.command instanceof EpochStart start && start.from().epoch() == localRevision.epoch() && localRevision.isAfter(start.from())) {
+                actions.event("config_epoch_lost", "epoch " + epoch + " begins from revision " + start.from().number() + " of epoch " + localRevision.epoch() + ": the changes after it up to revision " + localRevision.number()
+                        + ", which this voter has, are not part of it");
             }
-            return new ChangeOutcome.Pending(missing());
+            return new ChangeOutcome.Pending(lastMissingOrdinal());
         }
-        table = have.epoch() == epoch ? table : table.begun(epoch);
+        table = localRevision.epoch() == epoch ? table : table.withEpoch(epoch);
         ChangeOutcome outcome;
-        if (first.command instanceof EpochStart) {
-            table = table.passed(first.ordinal).table();
-            outcome = remember(first.id, new ChangeOutcome.Applied(table.revision()));
+        if (firstEntry.command instanceof EpochStart) {
+            table = table.advanceTo(firstEntry.ordinal).table();
+            outcome = recordOutcome(firstEntry.id, new ChangeOutcome.Applied(table.revision()));
         } else {
-            outcome = apply(first, new ArrayList<>());
+            outcome = applyToTable(firstEntry, new ArrayList<>());
         }
-        actions.event("config_epoch", "epoch " + epoch + " begins from revision " + have.number() + " of epoch " + have.epoch() + ", which is here");
+        actions.event("config_epoch", "epoch " + epoch + " begins from revision " + localRevision.number() + " of epoch " + localRevision.epoch() + ", the local table");
         actions.table(table, List.of());
         return outcome;
     }
 
-    private static int bytes(Command command) {
+    private static int sizeBytes(Command command) {
         int bytes = 64;
         for (Edit each : command instanceof Change change ? change.edits() : List.<Edit>of()) {
             bytes += 32 + each.name().length() + (each instanceof Edit.Upsert upsert ? upsert.value().length : 0);
@@ -164,67 +185,75 @@
         return bytes;
     }
 
-    private void await(LogEntry decided, boolean anew) {
-        if (anew) {
-            pending.clear();  // what it needs a table for now makes those before it known too
+    private void enqueue(LogEntry entry, boolean newGap) {
+        if (newGap) {
+            pending.clear();  // the entries queued before the new gap are superseded by the table that is now needed
             pendingBytes = 0;
         }
-        pending.add(decided);
-        pendingBytes += decided.bytes;
-        while (pending.size() > PENDING_MOST || pendingBytes > PENDING_BYTES) {
+        pending.add(entry);
+        pendingBytes += entry.bytes;
+        while (pending.size() > MAX_PENDING || pendingBytes > MAX_PENDING_BYTES) {
             pendingBytes -= pending.poll().bytes;
         }
     }
 
-    private ChangeOutcome apply(LogEntry decided, List<Delta> deltas) {
-        Outcome outcome = decided.command instanceof Change change ? table.apply(decided.ordinal, change)
-                : new Outcome.Conflict("expected a change, found " + (decided.command == null ? "what this build can't read" : "an epoch's beginning behind its first decision"));
-        Outcome.Applied applied = outcome instanceof Outcome.Applied in ? in : table.passed(decided.ordinal);
+    private ChangeOutcome applyToTable(LogEntry entry, List<Delta> deltas) {
+        Outcome outcome = entry.command instanceof Change change ? table.apply(entry.ordinal, change)
+                : new Outcome.Conflict("expected a change, found " + (entry.command == null ? "an entry that this build cannot read" : "an epoch start after the first entry"));
+        Outcome.Applied applied = outcome instanceof Outcome.Applied in ? in : table.advanceTo(entry.ordinal);
         table = applied.table();
         deltas.add(applied.delta());
-        return remember(decided.id, outcome instanceof Outcome.Conflict conflict ? new ChangeOutcome.Conflict(conflict.reason()) : new ChangeOutcome.Applied(table.revision()));
+        return recordOutcome(entry.id, outcome instanceof Outcome.Conflict conflict ? new ChangeOutcome.Conflict(conflict.reason()) : new ChangeOutcome.Applied(table.revision()));
     }
 
-    private ChangeOutcome remember(String id, ChangeOutcome outcome) {
+    private ChangeOutcome recordOutcome(String id, ChangeOutcome outcome) {
         outcomes.put(id, outcome);
-        if (outcomes.size() > OUTCOMES_MOST) {
+        if (outcomes.size() > MAX_OUTCOMES) {
             outcomes.remove(outcomes.keySet().iterator().next());
         }
         return outcome;
     }
 
-    /** What became of a decision; null where it isn't remembered: not decided on, of before a table that was taken, or long ago. */
+    /**
+     * Outcome of an entry; null if it is not remembered: not decided yet, decided before an installed table, or too
+     * long ago.
+     */
     public ChangeOutcome outcome(String id) {
         return outcomes.get(id);
     }
 
-    /** The last ordinal of those that are missing; 0 where none are. A table of that number or a later one ends the gap. */
-    public long missing() {
-        return pending.isEmpty() ? elsewhere ? 1 : 0 : pending.peek().ordinal - 1;
+    /**
+     * Ordinal of the last missing entry; 0 if none is missing. A table with that number or a later one closes the gap.
+     */
+    public long lastMissingOrdinal() {
+        return pending.isEmpty() ? awaitsEpochTable ? 1 : 0 : pending.peek().ordinal - 1;
     }
 
-    /** Decisions that wait. */
+    /** Number of queued entries. */
     public int pending() {
         return pending.size();
     }
 
-    /** Another voter's table; whether it is taken: one that isn't later than the own, or not of this epoch since it began, never is. What waited and follows is applied to it. */
-    public boolean take(Table other) {
-        Revision revision = other.revision();
-        if (!revision.after(table.revision()) || revision.epoch() != epoch || revision.number() == 0) {
+    /**
+     * Installs another voter's table and applies the queued entries that follow it. Returns false for a table that is
+     * not later than the local one, of another epoch, or at number 0, which is never installed.
+     */
+    public boolean installTable(Table peerTable) {
+        Revision revision = peerTable.revision();
+        if (!revision.isAfter(table.revision()) || revision.epoch() != epoch || revision.number() == 0) {
             return false;
         }
-        table = other;
-        elsewhere = false;
+        table = peerTable;
+        awaitsEpochTable = false;
         actions.table(table, List.of());
         while (!pending.isEmpty() && pending.peek().ordinal <= table.revision().number()) {
             pendingBytes -= pending.poll().bytes;
         }
         List<Delta> deltas = new ArrayList<>();
         while (!pending.isEmpty() && pending.peek().ordinal == table.revision().number() + 1) {
-            LogEntry next = pending.poll();
-            pendingBytes -= next.bytes;
-            apply(next, deltas);
+            LogEntry entry = pending.poll();
+            pendingBytes -= entry.bytes;
+            applyToTable(entry, deltas);
         }
         if (!deltas.isEmpty()) {
             actions.table(table, deltas);
--- a/src/main/java/mastdrift/distribution/Subscriber.java
+++ b/src/main/java/mastdrift/distribution/Subscriber.java
@@ -8,40 +8,48 @@
 import java.util.Set;
 
 /**
- * A gateway's side, or that of a control machine that passes on: one table that follows what is published, by one machine at a time.
- *
- * <p>Machines of the own zone come first, then those of its region (zones that share what stands before the last {@code -}), then the others; within each, the order is by rendezvous hashing (Thaler,
- * Ravishankar, "Using name-based mappings to increase hit rates", 1998), so that subscribers spread over machines and only those of a machine that goes move. The second is the fallback of the first, and so on.
- *
- * <p>The table never goes back. What is older is not taken, of whatever machine. Where a machine has another state by the same number, or its delta doesn't make what it says, the next machine is asked first: only if that one says the same
- * is a snapshot taken, so that one machine that went astray changes nothing here.
- *
- * <p>A snapshot that is broken off is gone on with at another machine by digests of what has come. Time in which this process did not run is not held against the machine. No I/O, no thread, no clock; not safe for use by
- * several threads. Times are microseconds of one clock that doesn't run back.
+ * The subscribing side of a gateway or of a relay: keeps one table up to date from one control machine at a time.
+ * <p>Machines of the same zone are preferred, then those of the same region (zones with the same prefix before the last
+ * {@code -}), then the others; within each group the order is by rendezvous hashing (Thaler, Ravishankar, "Using
+ * name-based mappings to increase hit rates", 1998), so that subscribers are spread over machines, and only the
+ * subscribers of a removed machine move. Each machine in this order is the fallback of the one before it.
+ * <p>The table never goes back: an older revision is not accepted from any machine. If a machine has another state at
+ * the same number, or its delta does not result in the stated revision, the next machine is asked first; only if that
+ * one confirms it is a snapshot taken, so that a single corrupted machine changes nothing here.
+ * <p>An interrupted snapshot is continued at another machine by digests of the shards received. Time in which this
+ * process was paused does not count towards a machine's timeouts. No I/O, no threads, no clock; not thread-safe. Times
+ * are microseconds of one monotonic clock.
  */
 public final class Subscriber {
 
-    private static final long LATE = 1_000_000;  // it came so much later than it wanted: it was stopped
-    private static final long SUBSCRIBE_INTERVAL = 500_000;  // from one subscribe at a machine to the next
-    private static final int RETRY_AFTER_MOST = 60_000;
-    private static final int TRIES = 3;  // of a snapshot at one machine
-    private static final int BACKOFF_SHIFT_MOST = 2;
-    private static final int REASON_MOST = 200;
-    private static final int ACK_BYTES = 256 << 10;  // of deltas since the last acknowledgement: the next one is told at once
-
-    /** What it wants done. Called in the middle of an event: what it leads to comes as another. */
+    private static final long MAX_TICK_DELAY_MICROS = 1_000_000;  // a tick later than this means that the process was paused
+    private static final long MIN_SUBSCRIBE_INTERVAL_MICROS = 500_000;  // from one Subscribe at a machine to the next
+    private static final int MAX_RETRY_AFTER_MILLIS = 60_000;
+    private static final int MAX_FETCH_ATTEMPTS = 3;  // of a snapshot at one machine
+    private static final int MAX_BACKOFF_SHIFT = 2;
+    private static final int MAX_REASON_CHARS = 200;
+    // unacknowledged bytes of deltas from which on an acknowledgement is sent at once
+    private static final int IMMEDIATE_ACK_BYTES = 256 << 10;
+
+    /**
+     * Callbacks to the caller. They are called while an event is being handled: their consequences must be delivered as
+     * separate events.
+     */
     public interface Actions {
 
-        /** A message to a machine, over a connection that is opened for the first. Whether it arrives is not known. */
+        /** Sends a message to a machine, opening the connection if there is none. Delivery is not guaranteed. */
         void send(String to, Message message);
 
-        /** It is done with a machine: the connection may end. */
-        void leave(String machine);
+        /** The machine is no longer used: the connection may be closed. */
+        void disconnect(String machine);
 
-        /** The next table, and what led there from the one before; with no deltas where it came by a snapshot. */
+        /**
+         * The table was replaced by {@code next}; {@code handleDeltas} lead to it from the previous one, empty if it was
+         * taken from a snapshot.
+         */
         void table(Table next, List<Delta> deltas);
 
-        /** Something that operators want to know. */
+        /** Reports an event to operators. */
         void event(String name, String text);
     }
 
@@ -50,88 +58,92 @@
     private final SubscriberSettings settings;
     private final Random random;
     private final Actions actions;
-    private final Set<String> disagree = new HashSet<>();  // machines that have another state by the number that is here
-    private List<String> machines = List.of();  // in their order
+    // machines that have another state at the current revision number
+    private final Set<String> disagreeingMachines = new HashSet<>();
+    private List<String> machines = List.of();  // in order of preference
     private Table table;
-    private int index;
-    private String at;  // null while it waits to go to the next
+    private int machineIndex;
+    private String currentMachine;  // null while it waits to contact the next one
     private boolean ready;
-    private long nextAt;
+    private long connectAt;
     private int failures;
-    private long aloneSince;
-    private boolean silenceTold;  // once, until somebody is heard
-    private boolean begun;
-    private long heardAt;
+    private long disconnectedSince;
+    private boolean silenceReported;  // silence is reported once, until a machine is heard again
+    private boolean started;
+    private long lastReceivedAt;
     private long subscribedAt;
     private long subscribeAt = Long.MAX_VALUE;
-    private long behindSince;  // 0 for not
-    private long homeAt;
+    private long behindSince;  // 0 if the machine is not behind
+    private long failbackAt;
     private Table.Assembly assembly;
     private boolean fetching;
     private long fetchAt = Long.MAX_VALUE;
-    private long movedAt;
-    private int tries;
-    private int used;  // chunks for which no credit was given yet
-    private Revision inForce;
-    private Message.Nack nack;
+    private long fetchProgressAt;
+    private int fetchAttempts;
+    private int uncreditedChunks;  // chunks received since credit was last granted
+    private Revision activeRevision;
+    private Message.Nack pendingNack;
     private long ackAt = Long.MAX_VALUE;
-    private long unacked;  // bytes of deltas, about
-    private long deadline = Long.MAX_VALUE;
+    private long unackedBytes;  // approximate bytes of deltas since the last acknowledgement
+    private long nextTickAt = Long.MAX_VALUE;
 
-    /** Of this name, from the table that it has; {@code seed} is for when it comes again. */
-    public Subscriber(String name, String zone, Table have, SubscriberSettings settings, long seed, Actions actions) {
+    /** Creates a subscriber that starts from a table; {@code seed} randomizes its delays. */
+    public Subscriber(String name, String zone, Table initialTable, SubscriberSettings settings, long seed, Actions actions) {
         this.name = name;
         this.zone = zone;
         this.settings = settings;
         this.actions = actions;
         random = new Random(seed);
-        table = have;
-        ready = have.revision().number() > 0;
+        table = initialTable;
+        ready = initialTable.revision().number() > 0;
     }
 
-    // ---- what it has
+    // ---- state
 
-    /** The newest that it has, whether in force yet or not. */
+    /** The newest table, whether active yet or not. */
     public Table table() {
         return table;
     }
 
-    /** Whether it has a state that was agreed on, however old: from the start by its copy, else once a machine has told. */
+    /**
+     * Whether it has a state that was agreed on, however old: from the start if it has a stored copy, else once a
+     * machine has confirmed or sent one.
+     */
     public boolean ready() {
         return ready;
     }
 
-    /** Since when no machine is heard; 0 where one is. */
-    public long aloneSince() {
-        return aloneSince;
+    /** Time since which no machine has been heard; 0 while one is. */
+    public long disconnectedSince() {
+        return disconnectedSince;
     }
 
-    /** The machine that it is at; null for none. */
-    public String machine() {
-        return at;
+    /** The machine that it currently uses; null if none. */
+    public String currentMachine() {
+        return currentMachine;
     }
 
-    /** Machines in the order in which it goes to them. */
-    public List<String> order() {
+    /** Machines in order of preference. */
+    public List<String> machinesByPreference() {
         return machines;
     }
 
     // ---- events
 
-    /** Machines that there are; replaces those before. */
-    public void machines(long now, List<ControlMachine> named) {
+    /** Replaces the set of known machines. */
+    public void setMachines(long now, List<ControlMachine> knownMachines) {
         Comparator<ControlMachine> order = Comparator.comparingInt((ControlMachine each) -> each.zone().equals(zone) ? 0 : region(each.zone()).equals(region(zone)) ? 1 : 2)
-                .thenComparing(each -> weight(name, each.name()), Comparator.reverseOrder()).thenComparing(ControlMachine::name);
-        machines = named.stream().sorted(order).map(ControlMachine::name).distinct().toList();
-        if (!begun) {
-            begun = true;
-            aloneSince = Math.max(1, now);
-            nextAt = now;
+                .thenComparing(each -> rendezvousWeight(name, each.name()), Comparator.reverseOrder()).thenComparing(ControlMachine::name);
+        machines = knownMachines.stream().sorted(order).map(ControlMachine::name).distinct().toList();
+        if (!started) {
+            started = true;
+            disconnectedSince = Math.max(1, now);
+            connectAt = now;
         }
-        index = Math.max(0, machines.indexOf(at));
-        if (at != null && !machines.contains(at)) {
-            leave(now);
-            nextAt = now;
+        machineIndex = Math.max(0, machines.indexOf(currentMachine));
+        if (currentMachine != null && !machines.contains(currentMachine)) {
+            disconnect(now);
+            connectAt = now;
         }
         tick(now);
     }
@@ -141,8 +153,8 @@
         return end < 0 ? zone : zone.substring(0, end);
     }
 
-    /** Of a pair, evenly over all 64 bits: FNV-1a, then the end of MurmurHash3. */
-    static long weight(String subscriber, String machine) {
+    /** Rendezvous weight of a pair, uniform over 64 bits: FNV-1a, then the finalizer of MurmurHash3. */
+    static long rendezvousWeight(String subscriber, String machine) {
         long hash = 0xcbf29ce484222325L;
         String pair = subscriber + '\n' + machine;
         for (int i = 0; i < pair.length(); i++) {
@@ -153,153 +165,153 @@
         return hash ^ hash >>> 33;
     }
 
-    /** When it wants to be called at the latest. */
+    /** Latest time at which {@link #tick} must be called. */
     public long dueAt() {
-        return deadline;
+        return nextTickAt;
     }
 
-    /** Time has passed. */
+    /** Handles timeouts and sends due messages. */
     public void tick(long now) {
-        stopped(now);
+        extendTimeouts(now);
         if (!machines.isEmpty()) {
-            if (at != null && now - heardAt >= settings.silent()) {
-                failOver(now, silenceTold ? null : "config_silent", "expected a message within " + settings.silent() / 1_000_000 + " s, found none");
-                silenceTold = true;
-            } else if (at != null && behindSince != 0 && now - behindSince >= settings.silent()) {
-                failOver(now, "config_behind", "expected revision " + table.revision().number() + " or a later one, found an earlier one for " + settings.silent() / 1_000_000 + " s");
-            } else if (at != null && index != 0 && !fetching && assembly == null && now >= homeAt) {
-                leave(now);
-                index = 0;
-                nextAt = now;
+            if (currentMachine != null && now - lastReceivedAt >= settings.silenceTimeoutMicros()) {
+                failOver(now, silenceReported ? null : "config_silent", "expected a message within " + settings.silenceTimeoutMicros() / 1_000_000 + " s, found none");
+                silenceReported = true;
+            } else if (currentMachine != null && behindSince != 0 && now - behindSince >= settings.silenceTimeoutMicros()) {
+                failOver(now, "config_behind", "expected revision " + table.revision().number() + " or a later one, found an earlier one for " + settings.silenceTimeoutMicros() / 1_000_000 + " s");
+            } else if (currentMachine != null && machineIndex != 0 && !fetching && assembly == null && now >= failbackAt) {
+                disconnect(now);
+                machineIndex = 0;
+                connectAt = now;
             }
-            if (at == null && now >= nextAt) {
-                begin(now);
+            if (currentMachine == null && now >= connectAt) {
+                connect(now);
             }
-            if (at != null) {
-                work(now);
+            if (currentMachine != null) {
+                sendDueMessages(now);
             }
         }
-        schedule(now);
+        scheduleNextTick(now);
     }
 
-    /** It came later than it wanted to: what was not heard meanwhile may be lying unread. */
-    private void stopped(long now) {
-        long late = deadline == Long.MAX_VALUE ? 0 : now - deadline;
-        if (late > LATE) {
-            heardAt += late;
-            movedAt += late;
-            behindSince = behindSince == 0 ? 0 : behindSince + late;
-            deadline = now;
+    /** Extends timeouts after a late tick (a pause of this process): messages of the machine may still be unread. */
+    private void extendTimeouts(long now) {
+        long delay = nextTickAt == Long.MAX_VALUE ? 0 : now - nextTickAt;
+        if (delay > MAX_TICK_DELAY_MICROS) {
+            lastReceivedAt += delay;
+            fetchProgressAt += delay;
+            behindSince = behindSince == 0 ? 0 : behindSince + delay;
+            nextTickAt = now;
         }
     }
 
-    private void work(long now) {
-        if (now >= subscribeAt || now - Math.max(heardAt, subscribedAt) >= settings.again()) {
-            subscribe(now);
+    private void sendDueMessages(long now) {
+        if (now >= subscribeAt || now - Math.max(lastReceivedAt, subscribedAt) >= settings.resubscribeMicros()) {
+            sendSubscribe(now);
         }
-        if (fetching && now - movedAt >= settings.stalled()) {
+        if (fetching && now - fetchProgressAt >= settings.fetchStallTimeoutMicros()) {
             fetchAt = now;
         }
         if (now >= fetchAt) {
-            fetch(now);
+            sendFetch(now);
         }
         if (now >= ackAt) {
-            ackAt = now + settings.alive();
-            unacked = 0;
-            actions.send(at, nack != null ? nack : new Message.Ack(inForce == null ? Revision.none(table.revision().epoch()) : inForce));
+            ackAt = now + settings.ackIntervalMicros();
+            unackedBytes = 0;
+            actions.send(currentMachine, pendingNack != null ? pendingNack : new Message.Ack(activeRevision == null ? Revision.empty(table.revision().epoch()) : activeRevision));
         }
     }
 
-    private void schedule(long now) {
+    private void scheduleNextTick(long now) {
         if (machines.isEmpty()) {
-            deadline = Long.MAX_VALUE;
-        } else if (at == null) {
-            deadline = nextAt;
+            nextTickAt = Long.MAX_VALUE;
+        } else if (currentMachine == null) {
+            nextTickAt = connectAt;
         } else {
-            long next = Math.min(Math.min(heardAt + settings.silent(), Math.max(heardAt, subscribedAt) + settings.again()), Math.min(Math.min(subscribeAt, fetchAt), ackAt));
-            next = fetching ? Math.min(next, movedAt + settings.stalled()) : next;
-            next = behindSince == 0 ? next : Math.min(next, behindSince + settings.silent());
-            next = index == 0 || fetching || assembly != null ? next : Math.min(next, homeAt);
-            deadline = Math.max(now, next);
+            long next = Math.min(Math.min(lastReceivedAt + settings.silenceTimeoutMicros(), Math.max(lastReceivedAt, subscribedAt) + settings.resubscribeMicros()), Math.min(Math.min(subscribeAt, fetchAt), ackAt));
+            next = fetching ? Math.min(next, fetchProgressAt + settings.fetchStallTimeoutMicros()) : next;
+            next = behindSince == 0 ? next : Math.min(next, behindSince + settings.silenceTimeoutMicros());
+            next = machineIndex == 0 || fetching || assembly != null ? next : Math.min(next, failbackAt);
+            nextTickAt = Math.max(now, next);
         }
     }
 
-    private void begin(long now) {
-        at = machines.get(index);
-        heardAt = now;
+    private void connect(long now) {
+        currentMachine = machines.get(machineIndex);
+        lastReceivedAt = now;
         behindSince = 0;
-        homeAt = now + settings.home() + (long) (random.nextDouble() * settings.home());
-        ackAt = now + settings.ack();
-        subscribe(now);
+        failbackAt = now + settings.failbackMicros() + (long) (random.nextDouble() * settings.failbackMicros());
+        ackAt = now + settings.ackDelayMicros();
+        sendSubscribe(now);
     }
 
-    private void subscribe(long now) {
+    private void sendSubscribe(long now) {
         subscribedAt = now;
         subscribeAt = Long.MAX_VALUE;
-        actions.send(at, new Message.Subscribe(table.revision(), zone));
+        actions.send(currentMachine, new Message.Subscribe(table.revision(), zone));
     }
 
-    private void subscribeSoon(long now) {
-        subscribeAt = Math.min(subscribeAt, Math.max(now, subscribedAt + SUBSCRIBE_INTERVAL));
+    private void scheduleSubscribe(long now) {
+        subscribeAt = Math.min(subscribeAt, Math.max(now, subscribedAt + MIN_SUBSCRIBE_INTERVAL_MICROS));
     }
 
-    private void leave(long now) {
-        String left = at;
-        at = null;
-        aloneSince = aloneSince == 0 ? Math.max(1, now) : aloneSince;
+    private void disconnect(long now) {
+        String previous = currentMachine;
+        currentMachine = null;
+        disconnectedSince = disconnectedSince == 0 ? Math.max(1, now) : disconnectedSince;
         fetching = false;
         fetchAt = Long.MAX_VALUE;
         subscribeAt = Long.MAX_VALUE;
-        tries = 0;
-        actions.leave(left);
+        fetchAttempts = 0;
+        actions.disconnect(previous);
     }
 
-    /** {@code event} null where operators know already. */
-    private void failOver(long now, String event, String why) {
+    /** Moves to the next machine. {@code event} is null if operators have already been told. */
+    private void failOver(long now, String event, String reason) {
         if (event != null) {
-            actions.event(event, at + ": " + why);
+            actions.event(event, currentMachine + ": " + reason);
         }
-        long since = heardAt;
-        leave(now);
-        aloneSince = Math.max(1, Math.min(aloneSince, since));
-        index = (index + 1) % machines.size();
-        // The only one there is is asked again after a while, others at once.
-        nextAt = machines.size() > 1 ? now : now + (long) (random.nextDouble() * settings.spread());
+        long silentSince = lastReceivedAt;
+        disconnect(now);
+        disconnectedSince = Math.max(1, Math.min(disconnectedSince, silentSince));
+        machineIndex = (machineIndex + 1) % machines.size();
+        // A single machine is retried after a delay; another one is contacted at once.
+        connectAt = machines.size() > 1 ? now : now + (long) (random.nextDouble() * settings.reconnectSpreadMicros());
     }
 
-    /** The connection to a machine has ended, or couldn't be made. */
+    /** The connection to a machine was closed or could not be opened. */
     public void outboundClosed(long now, String from) {
-        stopped(now);
-        if (from.equals(at)) {
-            leave(now);
-            index = (index + 1) % machines.size();
-            nextAt = now + (long) (random.nextDouble() * (settings.spread() << Math.min(BACKOFF_SHIFT_MOST, failures)));
+        extendTimeouts(now);
+        if (from.equals(currentMachine)) {
+            disconnect(now);
+            machineIndex = (machineIndex + 1) % machines.size();
+            connectAt = now + (long) (random.nextDouble() * (settings.reconnectSpreadMicros() << Math.min(MAX_BACKOFF_SHIFT, failures)));
             failures++;
         }
         tick(now);
     }
 
-    /** A message has come from a machine; that it is that one has been checked. */
+    /** Handles a message of a machine whose identity has been verified. */
     public void received(long now, String from, Message message) {
-        stopped(now);
-        if (from.equals(at)) {
-            if (aloneSince != 0 && now - aloneSince >= settings.silent()) {
-                actions.event("config_heard", at + ": after " + (now - aloneSince) / 1_000_000 + " s without any machine");
+        extendTimeouts(now);
+        if (from.equals(currentMachine)) {
+            if (disconnectedSince != 0 && now - disconnectedSince >= settings.silenceTimeoutMicros()) {
+                actions.event("config_heard", currentMachine + ": after " + (now - disconnectedSince) / 1_000_000 + " s without any machine");
             }
-            heardAt = now;
-            aloneSince = 0;
-            silenceTold = false;
+            lastReceivedAt = now;
+            disconnectedSince = 0;
+            silenceReported = false;
             failures = 0;
             if (message instanceof Message.Deltas deltas) {
-                deltas(now, deltas.deltas());
+                handleDeltas(now, deltas.deltas());
             } else if (message instanceof Message.Heartbeat heartbeat) {
-                heartbeat(now, heartbeat.revision());
+                handleHeartbeat(now, heartbeat.revision());
             } else if (message instanceof Message.SnapshotNeeded needed) {
-                needed(now, needed);
+                handleSnapshotNeeded(now, needed);
             } else if (message instanceof Message.SnapshotChunk chunk) {
-                chunk(now, chunk);
+                handleChunk(now, chunk);
             } else if (message instanceof Message.RetryAfter retry) {
-                retryAfter(now, retry);
+                handleRetryAfter(now, retry);
             } else {
                 failOver(now, "config_unexpected", "expected a publisher's message, found " + message.getClass().getSimpleName());
             }
@@ -309,184 +321,191 @@
 
     // ---- deltas
 
-    private void heartbeat(long now, Revision revision) {
+    private void handleHeartbeat(long now, Revision revision) {
         if (revision.equals(table.revision())) {
-            agrees();
+            clearDisagreement();
             ready = true;
-        } else if (revision.forkedFrom(table.revision())) {
-            differs(now, "expected " + table.revision() + ", found " + revision);
-        } else if (revision.after(table.revision())) {
+        } else if (revision.isForkOf(table.revision())) {
+            handleFork(now, "expected " + table.revision() + ", found " + revision);
+        } else if (revision.isAfter(table.revision())) {
             behindSince = 0;
             if (!fetching && fetchAt == Long.MAX_VALUE) {
-                subscribeSoon(now);
+                scheduleSubscribe(now);
             }
         } else if (behindSince == 0) {
             behindSince = now;
         }
     }
 
-    private void agrees() {
-        disagree.clear();
+    private void clearDisagreement() {
+        disagreeingMachines.clear();
         behindSince = 0;
     }
 
-    private void deltas(long now, List<Delta> deltas) {
-        List<Delta> follow = new ArrayList<>();
-        Revision have = table.revision();  // once those before are taken: who says one that isn't, is found out by them
+    private void handleDeltas(long now, List<Delta> deltas) {
+        List<Delta> pending = new ArrayList<>();
+        // revision once the deltas before are applied; a delta that states a wrong one is detected by applying it
+        Revision revision = table.revision();
         String problem = null;
         boolean gap = false;
         for (Delta each : deltas) {
-            if (each.to().forkedFrom(have)) {
-                problem = "expected " + have + ", found " + each.to();
+            if (each.to().isForkOf(revision)) {
+                problem = "expected " + revision + ", found " + each.to();
                 break;
             }
-            if (!each.to().after(have)) {
-                continue;  // heard before
+            if (!each.to().isAfter(revision)) {
+                continue;  // duplicate
             }
-            if (each.from() != have.number() || each.to().epoch() != have.epoch()) {
+            if (each.from() != revision.number() || each.to().epoch() != revision.epoch()) {
                 gap = true;
                 break;
             }
-            follow.add(each);
-            have = each.to();
+            pending.add(each);
+            revision = each.to();
         }
-        Table.ApplyResult followed = table.follow(follow);
-        if (followed.problem() != null) {
-            problem = followed.problem();  // what is said behind that doesn't count
+        Table.ApplyResult result = table.applyDeltas(pending);
+        if (result.problem() != null) {
+            problem = result.problem();  // takes precedence over a problem found in a later delta
         } else if (gap) {
-            subscribeSoon(now);  // something before it got lost
+            scheduleSubscribe(now);  // an earlier message was lost
         }
-        if (followed.taken() > 0) {
-            List<Delta> applied = follow.subList(0, followed.taken());
-            applied.forEach(each -> unacked += History.bytes(each));
-            agrees();
-            dropSnapshot();
-            takes(followed.table(), applied);
+        if (result.appliedCount() > 0) {
+            List<Delta> applied = pending.subList(0, result.appliedCount());
+            applied.forEach(each -> unackedBytes += History.sizeBytes(each));
+            clearDisagreement();
+            abandonSnapshot();
+            replaceTable(result.table(), applied);
         }
         if (problem != null) {
-            differs(now, problem);
+            handleFork(now, problem);
         }
     }
 
-    private void dropSnapshot() {
+    private void abandonSnapshot() {
         assembly = null;
         fetching = false;
         fetchAt = Long.MAX_VALUE;
-        tries = 0;
+        fetchAttempts = 0;
     }
 
-    private void takes(Table next, List<Delta> deltas) {
+    private void replaceTable(Table next, List<Delta> deltas) {
         table = next;
         ready = true;
         actions.table(next, deltas);
     }
 
-    /** The machine has another state than what is here: the next one says who of them is right, where there is one. */
-    private void differs(long now, String why) {
+    /**
+     * The machine has a state that differs from the local one: ask the next machine, if there is one, which of the two
+     * is right.
+     */
+    private void handleFork(long now, String reason) {
         if (fetching || fetchAt != Long.MAX_VALUE) {
             return;
         }
-        actions.event("config_forked", at + ": " + why);
-        boolean again = !disagree.add(at);  // nobody agreed in between, or it would not be in there
-        if (again || disagree.size() >= Math.min(2, machines.size())) {
+        actions.event("config_forked", currentMachine + ": " + reason);
+        boolean confirmed = !disagreeingMachines.add(currentMachine);  // still in the set, so no machine has confirmed the local state since
+        if (confirmed || disagreeingMachines.size() >= Math.min(2, machines.size())) {
             fetchAt = now;
         } else {
-            failOver(now, "config_asks_another", "another state by the number " + table.revision().number());
+            failOver(now, "config_asks_another", "different state at number " + table.revision().number());
         }
     }
 
     // ---- snapshots
 
-    private void needed(long now, Message.SnapshotNeeded needed) {
-        if (needed.revision().forkedFrom(table.revision()) || needed.revision().after(table.revision()) && needed.reason().startsWith(Publisher.FORKED)) {
-            differs(now, needed.reason());
-        } else if (needed.revision().after(table.revision())) {
+    private void handleSnapshotNeeded(long now, Message.SnapshotNeeded needed) {
+        if (needed.revision().isForkOf(table.revision()) || needed.revision().isAfter(table.revision()) && needed.reason().startsWith(Publisher.FORKED_REASON_PREFIX)) {
+            handleFork(now, needed.reason());
+        } else if (needed.revision().isAfter(table.revision())) {
             if (!fetching && fetchAt == Long.MAX_VALUE) {
-                actions.event("config_snapshot", at + ": from " + table.revision().number() + " to " + needed.revision().number() + ", since " + needed.reason());
+                actions.event("config_snapshot", currentMachine + ": from " + table.revision().number() + " to " + needed.revision().number() + ", since " + needed.reason());
                 fetchAt = now;
             }
         }
     }
 
-    private void fetch(long now) {
-        assembly = assembly == null ? table.assembly() : assembly;
+    private void sendFetch(long now) {
+        assembly = assembly == null ? table.newAssembly() : assembly;
         fetching = true;
         fetchAt = Long.MAX_VALUE;
-        movedAt = now;
-        used = 0;
-        actions.send(at, new Message.Fetch(assembly.digests(), settings.credit()));
+        fetchProgressAt = now;
+        uncreditedChunks = 0;
+        actions.send(currentMachine, new Message.Fetch(assembly.digests(), settings.creditChunks()));
     }
 
-    private void retryAfter(long now, Message.RetryAfter retry) {
-        long wait = Math.max(0, Math.min(RETRY_AFTER_MOST, retry.millis())) * 1_000L;
+    private void handleRetryAfter(long now, Message.RetryAfter retry) {
+        long wait = Math.max(0, Math.min(MAX_RETRY_AFTER_MILLIS, retry.millis())) * 1_000L;
         fetching = false;
-        fetchAt = now + wait + (long) (random.nextDouble() * settings.spread());
+        fetchAt = now + wait + (long) (random.nextDouble() * settings.reconnectSpreadMicros());
     }
 
-    private void chunk(long now, Message.SnapshotChunk chunk) {
+    private void handleChunk(long now, Message.SnapshotChunk chunk) {
         if (!fetching) {
-            return;  // of a snapshot that was given up
+            return;  // of a snapshot that was abandoned
         }
         String problem = assembly.add(chunk);
         if (problem != null) {
-            dropSnapshot();
+            abandonSnapshot();
             failOver(now, "config_bad_snapshot", problem);
             return;
         }
-        movedAt = now;
-        used++;
+        fetchProgressAt = now;
+        uncreditedChunks++;
         if (chunk.last()) {
-            finish(now);
-        } else if (used >= Math.max(1, settings.credit() / 2)) {
-            actions.send(at, new Message.Credit(used));
-            used = 0;
+            finishSnapshot(now);
+        } else if (uncreditedChunks >= Math.max(1, settings.creditChunks() / 2)) {
+            actions.send(currentMachine, new Message.Credit(uncreditedChunks));
+            uncreditedChunks = 0;
         }
     }
 
-    private void finish(long now) {
+    private void finishSnapshot(long now) {
         fetching = false;
-        Table made = assembly.finish();
-        if (made == null && ++tries < TRIES) {
-            fetchAt = now;  // a chunk got lost, or it is of two revisions: what differs still
-        } else if (made == null) {
+        Table assembled = assembly.finish();
+        if (assembled == null && ++fetchAttempts < MAX_FETCH_ATTEMPTS) {
+            fetchAt = now;  // a chunk was lost, or the chunks are of two revisions: fetch what still differs
+        } else if (assembled == null) {
             String problem = assembly.problem();
-            dropSnapshot();
+            abandonSnapshot();
             failOver(now, "config_bad_snapshot", problem);
         } else {
-            boolean taken = made.revision().after(table.revision()) || made.revision().forkedFrom(table.revision());
-            dropSnapshot();
-            agrees();
-            if (taken) {
-                takes(made, List.of());
+            boolean isNewer = assembled.revision().isAfter(table.revision()) || assembled.revision().isForkOf(table.revision());
+            abandonSnapshot();
+            clearDisagreement();
+            if (isNewer) {
+                replaceTable(assembled, List.of());
             }
-            subscribe(now);
+            sendSubscribe(now);
         }
     }
 
     // ---- acknowledgements
 
-    /** A revision is in force here, or passed on. */
-    public void inForce(long now, Revision revision) {
-        inForce = revision;
-        nack = null;
-        ackAt = Math.min(ackAt, unacked >= ACK_BYTES ? now : now + settings.ack());
+    /** Acknowledges a revision that is active here, or was relayed. */
+    public void acknowledge(long now, Revision revision) {
+        activeRevision = revision;
+        pendingNack = null;
+        ackAt = Math.min(ackAt, unackedBytes >= IMMEDIATE_ACK_BYTES ? now : now + settings.ackDelayMicros());
         tick(now);
     }
 
-    /** A revision can't be put in force, for a reason; the one before stays, and later ones come all the same. */
-    public void refused(long now, Revision revision, String reason) {
-        nack = new Message.Nack(revision, inForce == null ? Revision.none(revision.epoch()) : inForce,
-                reason.substring(0, Math.min(reason.length(), REASON_MOST)));
-        if (at != null) {
-            actions.send(at, nack);
+    /**
+     * Rejects a revision that cannot be activated; the previous one stays active, and later revisions are still
+     * received.
+     */
+    public void reject(long now, Revision revision, String reason) {
+        pendingNack = new Message.Nack(revision, activeRevision == null ? Revision.empty(revision.epoch()) : activeRevision,
+                reason.substring(0, Math.min(reason.length(), MAX_REASON_CHARS)));
+        if (currentMachine != null) {
+            actions.send(currentMachine, pendingNack);
         }
-        schedule(now);
+        scheduleNextTick(now);
     }
 
-    /** One that passes on tells how its own subscribers do, also that there are none; it gets lost where no machine is heard. */
-    public void summary(List<Message.ZoneSummary> zones) {
-        if (at != null) {
-            actions.send(at, new Message.Summary(zones));
+    /** Reports the status of a relay's own subscribers, also if it has none; lost if no machine is connected. */
+    public void sendSummary(List<Message.ZoneSummary> zones) {
+        if (currentMachine != null) {
+            actions.send(currentMachine, new Message.Summary(zones));
         }
     }
 }
--- a/src/main/java/mastdrift/distribution/SubscriberSettings.java
+++ b/src/main/java/mastdrift/distribution/SubscriberSettings.java
@@ -1,26 +1,31 @@
 package mastdrift.distribution;
 
 /**
- * How a {@link Subscriber} asks and for how long it waits; times in microseconds. Throws IllegalArgumentException for what isn't positive.
- *
- * @param silent a machine that has said nothing for so long is left for the next one, and so is one that stays behind what is here for so long
- * @param again who is told nothing for so long subscribes again at the same machine
- * @param ack what is in force is told within so long, several together
- * @param alive it is told again each so often, in case that it got lost, and so that the machine knows that somebody is there
- * @param spread a machine whose connection ended is followed by the next within so long, at random; twice and four times where the next ones end too
- * @param stalled a snapshot of which nothing came for so long is asked for again
- * @param credit chunks of a snapshot that may be under way
- * @param home who is at another machine than its first one tries that one again after so long, and up to twice that, at random
+ * Timing and limits of a {@link Subscriber}; times in microseconds. Throws IllegalArgumentException for values that are
+ * not positive.
+ * @param silenceTimeoutMicros time without a message, or with only earlier revisions than the local one, after which
+ * the subscriber fails over to the next machine
+ * @param resubscribeMicros time without a message after which the subscriber sends Subscribe again to the same machine
+ * @param ackDelayMicros maximum delay of an acknowledgement, so that several revisions are acknowledged together
+ * @param ackIntervalMicros interval at which the acknowledgement is repeated, in case it was lost, and as a keep-alive
+ * @param reconnectSpreadMicros upper bound of the random delay before the next machine is contacted after a connection
+ * ended; doubled with each further failure, up to four times
+ * @param fetchStallTimeoutMicros time without a chunk after which a snapshot is requested again
+ * @param creditChunks maximum number of snapshot chunks in flight
+ * @param failbackMicros minimum time on another machine before the preferred one is tried again; random up to twice
+ * that
  */
-public record SubscriberSettings(long silent, long again, long ack, long alive, long spread, long stalled, int credit, long home) {
+public record SubscriberSettings(long silenceTimeoutMicros, long resubscribeMicros, long ackDelayMicros, long ackIntervalMicros, long reconnectSpreadMicros, long fetchStallTimeoutMicros, int creditChunks, long failbackMicros) {
 
-    /** For the target: in force everywhere within 12 s, also where a machine is silent first. */
-    public static final SubscriberSettings USUAL = new SubscriberSettings(6_000_000, 3_000_000, 500_000, 8_000_000, 500_000, 3_000_000, 8, 300_000_000);
+    /**
+     * Defaults for the target load: a change is active everywhere within 12 s, even if a machine falls silent first.
+     */
+    public static final SubscriberSettings DEFAULTS = new SubscriberSettings(6_000_000, 3_000_000, 500_000, 8_000_000, 500_000, 3_000_000, 8, 300_000_000);
 
-    /** Checks them. */
+    /** Validates the settings. */
     public SubscriberSettings {
-        if (silent <= 0 || again <= 0 || ack <= 0 || alive <= 0 || spread <= 0 || stalled <= 0 || credit <= 0 || home <= 0) {
-            throw new IllegalArgumentException("expected settings above 0, found " + silent + " " + again + " " + ack + " " + alive + " " + spread + " " + stalled + " " + credit + " " + home);
+        if (silenceTimeoutMicros <= 0 || resubscribeMicros <= 0 || ackDelayMicros <= 0 || ackIntervalMicros <= 0 || reconnectSpreadMicros <= 0 || fetchStallTimeoutMicros <= 0 || creditChunks <= 0 || failbackMicros <= 0) {
+            throw new IllegalArgumentException("expected settings above 0, found " + silenceTimeoutMicros + " " + resubscribeMicros + " " + ackDelayMicros + " " + ackIntervalMicros + " " + reconnectSpreadMicros + " " + fetchStallTimeoutMicros + " " + creditChunks + " " + failbackMicros);
         }
     }
 }
--- a/src/main/java/mastdrift/distribution/ZoneSummaries.java
+++ b/src/main/java/mastdrift/distribution/ZoneSummaries.java
@@ -6,40 +6,46 @@
 import java.util.TreeMap;
 import mastdrift.distribution.Message.ZoneSummary;
 
-/** Adds up how subscribers do, by zone: {@value #ZONES_MOST} zones at most, those beyond together under {@value #OTHERS}. */
+/**
+ * Aggregates the status of subscribers by zone: at most {@value #MAX_ZONES} zones, all others together under {@value
+ * #OTHER_ZONES}.
+ */
 public final class ZoneSummaries {
 
-    /** Zones that are told apart. */
-    public static final int ZONES_MOST = 64;
-    /** The zones beyond. */
-    public static final String OTHERS = "(others)";
+    /** Maximum number of zones, including {@link #OTHER_ZONES}. */
+    public static final int MAX_ZONES = 64;
+    /** Name under which the remaining zones are aggregated. */
+    public static final String OTHER_ZONES = "(others)";
 
     private final Map<String, ZoneSummary> zones = new TreeMap<>();
 
-    /** With nothing in it. */
+    /** Creates an empty aggregate. */
     public ZoneSummaries() {
         // filled by add
     }
 
-    /** Adds a part. Of names that lag those come first that were added first, where both are equally far behind. */
-    public void add(ZoneSummary part) {
-        String zone = zones.containsKey(part.zone()) || zones.size() < ZONES_MOST - 1 ? part.zone() : OTHERS;
-        ZoneSummary there = zones.get(zone);
-        if (there == null) {
-            zones.put(zone, new ZoneSummary(zone, part.subscribers(), part.lowest(), part.refused(), bounded(part.lagging())));
+    /**
+     * Adds a summary. Lagging names of the summary with the lower revision come first; at equal revisions those that
+     * were added first.
+     */
+    public void add(ZoneSummary summary) {
+        String zone = zones.containsKey(summary.zone()) || zones.size() < MAX_ZONES - 1 ? summary.zone() : OTHER_ZONES;
+        ZoneSummary existing = zones.get(zone);
+        if (existing == null) {
+            zones.put(zone, new ZoneSummary(zone, summary.subscribers(), summary.lowest(), summary.rejecting(), firstLagging(summary.lagging())));
             return;
         }
-        boolean lower = part.lowest() != null && (there.lowest() == null || there.lowest().after(part.lowest()));
-        List<String> lagging = new ArrayList<>(lower ? part.lagging() : there.lagging());
-        lagging.addAll(lower ? there.lagging() : part.lagging());
-        zones.put(zone, new ZoneSummary(zone, there.subscribers() + part.subscribers(), lower ? part.lowest() : there.lowest(), there.refused() + part.refused(), bounded(lagging)));
+        boolean isLower = summary.lowest() != null && (existing.lowest() == null || existing.lowest().isAfter(summary.lowest()));
+        List<String> lagging = new ArrayList<>(isLower ? summary.lagging() : existing.lagging());
+        lagging.addAll(isLower ? existing.lagging() : summary.lagging());
+        zones.put(zone, new ZoneSummary(zone, existing.subscribers() + summary.subscribers(), isLower ? summary.lowest() : existing.lowest(), existing.rejecting() + summary.rejecting(), firstLagging(lagging)));
     }
 
-    private static List<String> bounded(List<String> names) {
-        return List.copyOf(names.subList(0, Math.min(names.size(), ZoneSummary.LAGGING_MOST)));
+    private static List<String> firstLagging(List<String> names) {
+        return List.copyOf(names.subList(0, Math.min(names.size(), ZoneSummary.MAX_LAGGING_NAMES)));
     }
 
-    /** By zone, in the order of their names. */
+    /** The aggregated summaries, ordered by zone name. */
     public List<ZoneSummary> zones() {
         return List.copyOf(zones.values());
     }
--- a/src/main/java/mastdrift/distribution/edge/ControlCodec.java
+++ b/src/main/java/mastdrift/distribution/edge/ControlCodec.java
@@ -37,7 +37,7 @@
 
     private ControlCodec() { }
 
-    /** A message as bytes. Lines for a person are cut to {@link ControlMessage#TEXT_MOST}; throws IllegalArgumentException for what else is beyond a bound. */
+    /** A message as bytes. Lines for a person are cut to {@link ControlMessage#MAX_TEXT_CHARS}; throws IllegalArgumentException for what else is beyond a bound. */
     public static byte[] bytes(ControlMessage message) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.write(VERSION);
@@ -73,16 +73,16 @@
         } else if (message instanceof ControlMessage.Refused refused) {
             head(REFUSED, message, to);
             to.writeStartArray();
-            for (String each : refused.problems().subList(0, Math.min(refused.problems().size(), ControlMessage.PROBLEMS_MOST))) {
+            for (String each : refused.problems().subList(0, Math.min(refused.problems().size(), ControlMessage.MAX_PROBLEMS))) {
                 text(each, to);
             }
             to.writeEndArray();
         } else if (message instanceof ControlMessage.Unknown unknown) {
             head(UNKNOWN, message, to);
-            text(unknown.why(), to);
+            text(unknown.reason(), to);
         } else if (message instanceof ControlMessage.AskVoter ask) {
             head(ASK_VOTER, message, to);
-            text(ask.why(), to);
+            text(ask.reason(), to);
         } else if (message instanceof ControlMessage.Found found) {
             head(FOUND, message, to);
             write(found.revision(), to);
@@ -99,7 +99,7 @@
             text(status.role(), to);
             text(status.leader(), to);
             to.writeNumber(status.subscribers());
-            to.writeNumber(status.aloneMillis());
+            to.writeNumber(status.disconnectedMillis());
             to.writeBinary(MessageCodec.bytes(new Message.Summary(status.zones())));
         }
     }
@@ -110,7 +110,7 @@
     }
 
     private static void text(String text, JsonGenerator to) throws IOException {
-        to.writeString(text.substring(0, Math.min(text.length(), ControlMessage.TEXT_MOST)));
+        to.writeString(text.substring(0, Math.min(text.length(), ControlMessage.MAX_TEXT_CHARS)));
     }
 
     private static void write(Revision revision, JsonGenerator to) throws IOException {
@@ -139,8 +139,8 @@
         int type = (int) from.whole("type", APPLY, STATUS);
         long requestId = from.whole("call", 0, Long.MAX_VALUE);
         ControlMessage message = switch (type) {
-            case APPLY -> new ControlMessage.Apply(requestId, MessageCodec.change(from.bytes("change", Change.BYTES_MOST)));
-            case GET -> new ControlMessage.Get(requestId, kind(from), from.text("name", 1, Resource.NAME_MOST));
+            case APPLY -> new ControlMessage.Apply(requestId, MessageCodec.change(from.bytes("change", Change.MAX_BYTES)));
+            case GET -> new ControlMessage.Get(requestId, kind(from), from.text("name", 1, Resource.MAX_NAME_CHARS));
             case GET_STATUS -> new ControlMessage.GetStatus(requestId);
             case APPLIED -> new ControlMessage.Applied(requestId, revision(from));
             case CONFLICTED -> new ControlMessage.Conflicted(requestId, text(from, "reason"));
@@ -161,7 +161,7 @@
     }
 
     private static String text(CborReader from, String what) {
-        return from.text(what, 0, ControlMessage.TEXT_MOST);
+        return from.text(what, 0, ControlMessage.MAX_TEXT_CHARS);
     }
 
     private static Revision revision(CborReader from) {
@@ -178,14 +178,14 @@
     private static List<String> problems(CborReader from) {
         List<String> problems = new ArrayList<>();
         from.list("problems");
-        while (from.next(ControlMessage.PROBLEMS_MOST)) {
+        while (from.next(ControlMessage.MAX_PROBLEMS)) {
             problems.add(text(from, "problem"));
         }
         return problems;
     }
 
     private static Resource resource(CborReader from) {
-        return new Resource(kind(from), from.text("name", 1, Resource.NAME_MOST), from.whole("version", 0, Long.MAX_VALUE), from.bytes("value", Resource.VALUE_MOST));
+        return new Resource(kind(from), from.text("name", 1, Resource.MAX_NAME_CHARS), from.whole("version", 0, Long.MAX_VALUE), from.bytes("value", Resource.MAX_VALUE_BYTES));
     }
 
     private static List<Message.ZoneSummary> zones(CborReader from) {
--- a/src/main/java/mastdrift/distribution/edge/MessageCodec.java
+++ b/src/main/java/mastdrift/distribution/edge/MessageCodec.java
@@ -45,7 +45,7 @@
     /** Characters of a reason, at most. */
     public static final int REASON_MOST = 1_024;
     /** Zones of a summary, at most. */
-    public static final int ZONES_MOST = ZoneSummaries.ZONES_MOST;
+    public static final int ZONES_MOST = ZoneSummaries.MAX_ZONES;
     private static final int DEFLATED_LEAST = 1_024;
     private static final int HEAD = 2;
     private static final byte PLAIN = 0;
@@ -97,21 +97,21 @@
         return whole("a delta", BYTES_MOST, to -> write(delta, to));
     }
 
-    /** A change as bytes, at most {@link Change#BYTES_MOST}. Throws IllegalArgumentException for one that is beyond a bound. */
+    /** A change as bytes, at most {@link Change#MAX_BYTES}. Throws IllegalArgumentException for one that is beyond a bound. */
     public static byte[] bytes(Change change) {
-        return whole("a change", Change.BYTES_MOST, to -> {
+        return whole("a change", Change.MAX_BYTES, to -> {
             to.writeStartArray(null, 2);
-            text(to, "id", change.id(), 1, Change.ID_MOST);
-            to.writeStartArray(null, bounded("edits", change.edits().size(), Change.EDITS_MOST));
+            text(to, "id", change.id(), 1, Change.MAX_ID_CHARS);
+            to.writeStartArray(null, bounded("edits", change.edits().size(), Change.MAX_EDITS));
             for (Edit edit : change.edits()) {
                 boolean upsert = edit instanceof Edit.Upsert;
                 to.writeStartArray(null, upsert ? 5 : 4);
                 to.writeNumber(upsert ? UPSERT : DELETE);
                 to.writeNumber(edit.kind().ordinal());
-                text(to, "name", edit.name(), 1, Resource.NAME_MOST);
-                number(to, "expected", edit.expectedVersion(), Edit.ANY);
+                text(to, "name", edit.name(), 1, Resource.MAX_NAME_CHARS);
+                number(to, "expected", edit.expectedVersion(), Edit.ANY_VERSION);
                 if (edit instanceof Edit.Upsert with) {
-                    bounded("value", with.value().length, Resource.VALUE_MOST);
+                    bounded("value", with.value().length, Resource.MAX_VALUE_BYTES);
                     to.writeBinary(with.value());
                 }
                 to.writeEndArray();
@@ -123,7 +123,7 @@
 
     /** The beginning of an epoch as bytes. */
     public static byte[] bytes(EpochStart start) {
-        return whole("an epoch's beginning", Change.BYTES_MOST, to -> {
+        return whole("an epoch's beginning", Change.MAX_BYTES, to -> {
             to.writeStartArray(null, 2);
             to.writeNumber(EPOCH_START);
             write(start.from(), to);
@@ -174,7 +174,7 @@
         to.writeStartArray();
         if (message instanceof Message.Subscribe subscribe) {
             to.writeNumber(SUBSCRIBE);
-            write(subscribe.have(), to);
+            write(subscribe.revision(), to);
             text(to, "zone", subscribe.zone(), 0, NAME_MOST);
         } else if (message instanceof Message.Fetch fetch) {
             to.writeNumber(FETCH);
@@ -187,11 +187,11 @@
             number(to, "pieces", credit.chunks(), 0);
         } else if (message instanceof Message.Ack ack) {
             to.writeNumber(ACK);
-            write(ack.inForce(), to);
+            write(ack.activeRevision(), to);
         } else if (message instanceof Message.Nack nack) {
             to.writeNumber(NACK);
-            write(nack.refused(), to);
-            write(nack.inForce(), to);
+            write(nack.rejectedRevision(), to);
+            write(nack.activeRevision(), to);
             text(to, "reason", nack.reason(), 0, REASON_MOST);
         } else if (message instanceof Message.Summary summary) {
             to.writeNumber(SUMMARY);
@@ -242,8 +242,8 @@
         } else {
             write(zone.lowest(), to);
         }
-        number(to, "refused", zone.refused(), 0);
-        to.writeStartArray(null, bounded("lagging", zone.lagging().size(), Message.ZoneSummary.LAGGING_MOST));
+        number(to, "refused", zone.rejecting(), 0);
+        to.writeStartArray(null, bounded("lagging", zone.lagging().size(), Message.ZoneSummary.MAX_LAGGING_NAMES));
         for (String name : zone.lagging()) {
             text(to, "name", name, 0, NAME_MOST);
         }
@@ -256,11 +256,11 @@
         number(to, "from", delta.from(), 0);
         write(delta.to(), to);
         write(delta.upserts(), to);
-        to.writeStartArray(null, bounded("deletes", delta.deletes().size(), Change.EDITS_MOST));
+        to.writeStartArray(null, bounded("deletes", delta.deletes().size(), Change.MAX_EDITS));
         for (Delta.Deletion deletion : delta.deletes()) {
             to.writeStartArray(null, 2);
             to.writeNumber(deletion.kind().ordinal());
-            text(to, "name", deletion.name(), 1, Resource.NAME_MOST);
+            text(to, "name", deletion.name(), 1, Resource.MAX_NAME_CHARS);
             to.writeEndArray();
         }
         to.writeEndArray();
@@ -344,7 +344,7 @@
 
     /** What voters have agreed on. Throws IllegalArgumentException for what this build can't read. */
     public static Command command(byte[] bytes) {
-        CborReader from = reader(bytes, Change.BYTES_MOST);
+        CborReader from = reader(bytes, Change.MAX_BYTES);
         from.open("change");
         if (!from.wholeNext("id")) {
             return change(from);
@@ -358,22 +358,22 @@
 
     /** Throws IllegalArgumentException for what is no change. */
     public static Change change(byte[] bytes) {
-        CborReader from = reader(bytes, Change.BYTES_MOST);
+        CborReader from = reader(bytes, Change.MAX_BYTES);
         from.open("change");
         return change(from);
     }
 
     private static Change change(CborReader from) {
-        String id = from.text("id", 1, Change.ID_MOST);
+        String id = from.text("id", 1, Change.MAX_ID_CHARS);
         List<Edit> edits = new ArrayList<>();
         from.list("edits");
-        while (from.next(Change.EDITS_MOST)) {
+        while (from.next(Change.MAX_EDITS)) {
             from.open("edit");
             boolean upsert = from.whole("type", UPSERT, DELETE) == UPSERT;
             ResourceKind kind = kind(from);
-            String name = from.text("name", 1, Resource.NAME_MOST);
-            long expected = from.whole("expected", Edit.ANY, Long.MAX_VALUE);
-            edits.add(upsert ? new Edit.Upsert(kind, name, from.bytes("value", Resource.VALUE_MOST), expected) : new Edit.Delete(kind, name, expected));
+            String name = from.text("name", 1, Resource.MAX_NAME_CHARS);
+            long expected = from.whole("expected", Edit.ANY_VERSION, Long.MAX_VALUE);
+            edits.add(upsert ? new Edit.Upsert(kind, name, from.bytes("value", Resource.MAX_VALUE_BYTES), expected) : new Edit.Delete(kind, name, expected));
             from.close();
         }
         from.close();
@@ -458,7 +458,7 @@
             int refused = count(from, "refused");
             List<String> lagging = new ArrayList<>();
             from.list("lagging");
-            while (from.next(Message.ZoneSummary.LAGGING_MOST)) {
+            while (from.next(Message.ZoneSummary.MAX_LAGGING_NAMES)) {
                 lagging.add(from.text("name", 0, NAME_MOST));
             }
             from.close();
@@ -483,9 +483,9 @@
         List<Resource> upserts = resources(from, "upserts");
         List<Delta.Deletion> deletes = new ArrayList<>();
         from.list("deletes");
-        while (from.next(Change.EDITS_MOST)) {
+        while (from.next(Change.MAX_EDITS)) {
             from.open("gone");
-            deletes.add(new Delta.Deletion(kind(from), from.text("name", 1, Resource.NAME_MOST)));
+            deletes.add(new Delta.Deletion(kind(from), from.text("name", 1, Resource.MAX_NAME_CHARS)));
             from.close();
         }
         from.close();
@@ -508,8 +508,8 @@
         from.list(what);
         while (from.next(ITEMS_MOST)) {
             from.open("resource");
-            resources.add(new Resource(kind(from), from.text("name", 1, Resource.NAME_MOST), from.whole("version", 0, Long.MAX_VALUE),
-                    from.bytes("value", Resource.VALUE_MOST)));
+            resources.add(new Resource(kind(from), from.text("name", 1, Resource.MAX_NAME_CHARS), from.whole("version", 0, Long.MAX_VALUE),
+                    from.bytes("value", Resource.MAX_VALUE_BYTES)));
             from.close();
         }
         return resources;
--- a/src/main/java/mastdrift/distribution/edge/Publication.java
+++ b/src/main/java/mastdrift/distribution/edge/Publication.java
@@ -68,7 +68,7 @@
 
     /** Whether where its table comes from can't be heard. */
     public void alone(boolean alone) {
-        publisher.alone(DeadlineTimer.now(), alone);
+        publisher.setSourceUnreachable(DeadlineTimer.now(), alone);
         arm();
     }
 
--- a/src/main/java/mastdrift/distribution/edge/Subscription.java
+++ b/src/main/java/mastdrift/distribution/edge/Subscription.java
@@ -48,7 +48,7 @@
 
     /** Control machines that there are; replaces those before. The first call begins it. */
     public void machines(List<ControlMachine> machines) {
-        turn(now -> subscriber.machines(now, machines));
+        turn(now -> subscriber.setMachines(now, machines));
     }
 
     /** A reply of a control machine, on the connection that was opened to it. */
@@ -73,17 +73,17 @@
 
     /** A table is in force here, or passed on. */
     public void inForce(Revision revision) {
-        turn(now -> subscriber.inForce(now, revision));
+        turn(now -> subscriber.acknowledge(now, revision));
     }
 
     /** A table can't be put in force; the one before stays. */
     public void refused(Revision revision, String reason) {
-        turn(now -> subscriber.refused(now, revision, reason));
+        turn(now -> subscriber.reject(now, revision, reason));
     }
 
     /** Tells the control machine how those below do, by who passes on. */
     public void summary(List<Message.ZoneSummary> zones) {
-        turn(now -> subscriber.summary(zones));
+        turn(now -> subscriber.sendSummary(zones));
     }
 
     /** One event at a time: what comes in the middle of one (a table that is in force at once, a connection that made room for another) comes behind it. */
@@ -106,8 +106,8 @@
     public void close() {
         closed = true;
         timer.cancel();
-        if (subscriber.machine() != null) {
-            transport.leave(subscriber.machine());
+        if (subscriber.currentMachine() != null) {
+            transport.leave(subscriber.currentMachine());
         }
     }
 
@@ -130,7 +130,7 @@
         }
 
         @Override
-        public void leave(String machine) {
+        public void disconnect(String machine) {
             transport.leave(machine);
         }
 
--- a/src/main/java/mastdrift/distribution/edge/TableFolder.java
+++ b/src/main/java/mastdrift/distribution/edge/TableFolder.java
@@ -37,7 +37,7 @@
     /** A journal of more bytes is compacted. */
     public static final int COMPACT_MOST = 16 << 20;
     /** Bytes of a file that is read, at most: twice the largest table. */
-    public static final long FILE_MOST = 2 * (Table.VALUE_BYTES_MOST + (long) Table.RESOURCES_MOST * (Resource.NAME_MOST + Table.RESOURCE_BYTES));
+    public static final long FILE_MOST = 2 * (Table.MAX_VALUE_BYTES + (long) Table.MAX_RESOURCES * (Resource.MAX_NAME_CHARS + Table.RESOURCE_OVERHEAD_BYTES));
     static final String SNAPSHOT = "snapshot";
     static final String ASIDE = "snapshot.new";
     static final String JOURNAL = "journal";
@@ -105,7 +105,7 @@
         }
         try (Records records = new Records(SNAPSHOT, length)) {
             long writtenAt = head(records.next());
-            Table.Assembly assembly = Table.empty(0).assembly();
+            Table.Assembly assembly = Table.empty(0).newAssembly();
             boolean last = false;
             while (!last) {
                 byte[] record = records.next();
@@ -142,8 +142,8 @@
                             throw new IOException("expected a time and a delta, found " + record.length + " bytes");
                         }
                         Delta delta = MessageCodec.delta(Arrays.copyOfRange(record, Long.BYTES, record.length));
-                        if (delta.to().after(table.revision())) {  // or the snapshot has it
-                            table = table.with(delta);
+                        if (delta.to().isAfter(table.revision())) {  // or the snapshot has it
+                            table = table.applyDelta(delta);
                             writtenAt = ByteBuffer.wrap(record).getLong();
                         }
                         journalBytes = records.at;
@@ -266,7 +266,7 @@
     private static long bytes(List<Resource> shard) {
         long bytes = 0;
         for (Resource each : shard) {
-            bytes += Table.RESOURCE_BYTES + each.name().length() + each.value().length;
+            bytes += Table.RESOURCE_OVERHEAD_BYTES + each.name().length() + each.value().length;
         }
         return bytes;
     }
--- a/src/main/java/mastdrift/distribution/edge/TableWriter.java
+++ b/src/main/java/mastdrift/distribution/edge/TableWriter.java
@@ -73,8 +73,8 @@
         }
         if (deltas != null) {
             deltas.addAll(led);
-            led.forEach(each -> deltaBytes += History.bytes(each));
-            if (deltas.size() > History.DELTAS_MOST || deltaBytes > History.BYTES_MOST) {
+            led.forEach(each -> deltaBytes += History.sizeBytes(each));
+            if (deltas.size() > History.MAX_DELTAS || deltaBytes > History.MAX_BYTES) {
                 deltas = null;
             }
         }
--- a/src/main/java/mastdrift/lab/rig/Fault.java
+++ b/src/main/java/mastdrift/lab/rig/Fault.java
@@ -15,7 +15,7 @@
  * @param from since when
  * @param until when it is over
  * @param gateways to whom, by number from 0: one side of a cut, both ends of a link in their order, those that are stopped or killed
- * @param amount milliseconds, bytes a second or a share, as the kind has it
+ * @param magnitude milliseconds, bytes a second or a share, as the kind has it
  */
 public record Fault(Kind kind, long from, long until, List<Integer> gateways, double amount) {
 
--- a/src/main/java/mastdrift/lab/rig/History.java
+++ b/src/main/java/mastdrift/lab/rig/History.java
@@ -20,7 +20,7 @@
     /**
      * A line.
      *
-     * @param at microseconds of the monotonic clock since the run began
+     * @param slot microseconds of the monotonic clock since the run began
      * @param who a process, {@code client}, {@code host} or {@code rig}
      * @param what a stable word
      * @param more what belongs to it, by name
--- a/src/main/java/mastdrift/lab/scale/HollowGateway.java
+++ b/src/main/java/mastdrift/lab/scale/HollowGateway.java
@@ -39,7 +39,7 @@
         links.keys(List.of(Layout.KEY.getBytes(StandardCharsets.UTF_8)));
         links.generation(System.nanoTime());
         links.addresses(this.upstreams);
-        subscription = new Subscription(loop, this, name, zone, have, SubscriberSettings.USUAL, seed, (level, event, text, fields) -> System.err.println(name + ": " + event + ": " + text),
+        subscription = new Subscription(loop, this, name, zone, have, SubscriberSettings.DEFAULTS, seed, (level, event, text, fields) -> System.err.println(name + ": " + event + ": " + text),
                 this::take);
         subscription.machines(upstreams.stream().map(each -> new ControlMachine(each.name, each.zone)).toList());
     }
--- a/src/main/java/mastdrift/lab/scale/Tables.java
+++ b/src/main/java/mastdrift/lab/scale/Tables.java
@@ -38,12 +38,12 @@
         for (ResourceKind kind : ResourceKind.values()) {
             for (int i = 0; i < counts.getOrDefault(kind, 0); i++) {
                 byte[] value = value(kind, i, random).getBytes(StandardCharsets.UTF_8);
-                if (edits.size() == Change.EDITS_MOST || bytes + value.length + EDIT_BYTES > Change.BYTES_MOST) {
+                if (edits.size() == Change.MAX_EDITS || bytes + value.length + EDIT_BYTES > Change.MAX_BYTES) {
                     changes.add(new Change(id + changes.size(), edits));
                     edits.clear();
                     bytes = 0;
                 }
-                edits.add(new Edit.Upsert(kind, name(kind, i), value, Edit.ANY));
+                edits.add(new Edit.Upsert(kind, name(kind, i), value, Edit.ANY_VERSION));
                 bytes += value.length + EDIT_BYTES;
             }
         }
@@ -68,7 +68,7 @@
     public static Change change(int number, int hosts, long at) {
         int host = number % hosts;
         return new Change("change-" + number, List.of(new Edit.Upsert(ResourceKind.HOST, name(ResourceKind.HOST, host), host(host, at / 1_000).getBytes(StandardCharsets.UTF_8),
-                Edit.ANY)));
+                Edit.ANY_VERSION)));
     }
 
     /** Microseconds, by that clock, at which the change was asked for that made a value; 0 for one of the beginning or of another kind. */
--- a/src/main/java/mastdrift/measure/TableMeasurement.java
+++ b/src/main/java/mastdrift/measure/TableMeasurement.java
@@ -77,7 +77,7 @@
                 bytes += told.length;
                 from = System.nanoTime();
                 Delta heard = MessageCodec.delta(told);
-                Table same = next.with(heard);
+                Table same = next.applyDelta(heard);
                 followed[i] = (System.nanoTime() - from) / 1e3;
                 if (!same.revision().equals(applied.table().revision())) {
                     throw new IllegalStateException("expected " + applied.table().revision() + ", found " + same.revision());
@@ -98,7 +98,7 @@
             Cost once = each;
             for (int turn = 0; turn < TURNS; turn++) {
                 each = less(each, cost(table, deltas, length, TableMeasurement::oneByOne));
-                once = less(once, cost(table, deltas, length, (from, list) -> from.follow(list).table()));
+                once = less(once, cost(table, deltas, length, (from, list) -> from.applyDeltas(list).table()));
             }
             System.out.printf(Locale.ROOT, "  lists of %d, a delta: one by one %.2f us, %.0f bytes; at once %.2f us, %.0f bytes: %.2f of the time, %.3f of the bytes%n", length, each.nanos / 1e3,
                     each.bytes, once.nanos / 1e3, once.bytes, once.nanos / each.nanos, once.bytes / each.bytes);
@@ -108,7 +108,7 @@
     private static Table oneByOne(Table from, List<Delta> deltas) {
         Table table = from;
         for (Delta each : deltas) {
-            table = table.with(each);
+            table = table.applyDelta(each);
         }
         return table;
     }
@@ -156,7 +156,7 @@
 
         Replacing(int count) {
             Table table = Tables.made(1, TARGET);
-            publisher = new Publisher(table, PublisherSettings.USUAL, new Publisher.Actions() {
+            publisher = new Publisher(table, PublisherSettings.DEFAULTS, new Publisher.Actions() {
                 @Override
                 public void send(String to, Message message) {
                     byte[] told = MessageCodec.bytes(message);
@@ -191,7 +191,7 @@
         }
 
         private void follow(String name, Table table) {
-            followers.add(new Subscriber(name, "z", table, SubscriberSettings.USUAL, 1, new Subscriber.Actions() {
+            followers.add(new Subscriber(name, "z", table, SubscriberSettings.DEFAULTS, 1, new Subscriber.Actions() {
                 @Override
                 public void send(String to, Message message) {
                     byte[] told = MessageCodec.bytes(message);
@@ -199,14 +199,14 @@
                 }
 
                 @Override
-                public void leave(String machine) {
+                public void disconnect(String machine) {
                     throw new IllegalStateException(name + " leaves " + machine);
                 }
 
                 @Override
                 public void table(Table next, List<Delta> deltas) {
                     snapshots += deltas.isEmpty() ? 1 : 0;
-                    queue.add(() -> followers.get(Integer.parseInt(name)).inForce(now(), next.revision()));
+                    queue.add(() -> followers.get(Integer.parseInt(name)).acknowledge(now(), next.revision()));
                 }
 
                 @Override
@@ -244,7 +244,7 @@
 
         void run(int seed) {
             for (Subscriber each : followers) {
-                each.machines(now(), List.of(new ControlMachine("voter", "z")));
+                each.setMachines(now(), List.of(new ControlMachine("voter", "z")));
             }
             turn();
             List<Change> changes = Tables.replaced(seed + 1, TARGET.get(ResourceKind.TENANT));
@@ -271,12 +271,12 @@
                 }
             }
             System.out.printf(Locale.ROOT, "%d tenants replaced by %d changes, %d followers: in force at all after %.2f s, another's change after %.2f s at most; a change %.1f ms at the voter; kept at most %d bytes of %d, %d"
-                    + " deltas; told %.1f MB, %d snapshots%n", TARGET.get(ResourceKind.TENANT), changes.size(), followers.size(), all, otherAfter, decided / changes.size(), most, History.BYTES_MOST,
+                    + " deltas; told %.1f MB, %d snapshots%n", TARGET.get(ResourceKind.TENANT), changes.size(), followers.size(), all, otherAfter, decided / changes.size(), most, History.MAX_BYTES,
                     publisher.status().deltas(), bytes / 1e6, snapshots);
         }
 
         private void decide(Change change) {
-            if (!(store.decided(store.number() + 1, change.id(), change) instanceof Store.ChangeOutcome.Applied)) {
+            if (!(store.applyEntry(store.appliedOrdinal() + 1, change.id(), change) instanceof Store.ChangeOutcome.Applied)) {
                 throw new IllegalStateException("expected change " + change.id() + " to be in, found " + store.outcome(change.id()));
             }
         }
--- a/src/main/java/mastdrift/serve/ControlClient.java
+++ b/src/main/java/mastdrift/serve/ControlClient.java
@@ -156,7 +156,7 @@
         ControlMessage.Found newest = null;
         for (Role role : List.of(Role.VOTER, Role.RELAY)) {
             for (ControlMessage each : requestAll(machines(role), requestId -> new ControlMessage.Get(requestId, kind, name)).values()) {
-                newest = each instanceof ControlMessage.Found found && (newest == null || found.revision().after(newest.revision())) ? found : newest;
+                newest = each instanceof ControlMessage.Found found && (newest == null || found.revision().isAfter(newest.revision())) ? found : newest;
             }
             if (newest != null) {
                 return newest;
--- a/src/main/java/mastdrift/serve/ControlMachine.java
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -131,13 +131,13 @@
         boolean voter = settings.role() == Role.VOTER;
         Path folder = file.toAbsolutePath().resolveSibling(settings.folder());
         copy = new ConfigCopy(folder.resolve("table"), settings.epoch(), events);
-        Table initial = copy.there() ? copy.found() : Store.nothing(settings.epoch());
+        Table initial = copy.there() ? copy.found() : Store.initialTable(settings.epoch());
         if (voter && initial.revision().epoch() > settings.epoch()) {
             throw new IllegalArgumentException("distribution.epoch: expected " + initial.revision().epoch() + " or a later one, as its folder has, found " + settings.epoch());
         }
         links = new ControlLinks("control-links", settings, settings.name(), secrets::get, new LinkListener(), events);
-        publication = new Publication(links.loop(), links.transport(), initial, PublisherSettings.USUAL, events);
-        subscription = new Subscription(links.loop(), links.transport(), settings.name(), settings.zone(), initial, SubscriberSettings.USUAL, System.nanoTime(), events, this::taken);
+        publication = new Publication(links.loop(), links.transport(), initial, PublisherSettings.DEFAULTS, events);
+        subscription = new Subscription(links.loop(), links.transport(), settings.name(), settings.zone(), initial, SubscriberSettings.DEFAULTS, System.nanoTime(), events, this::taken);
         store = voter ? new Store(initial, settings.epoch(), new StoreActions()) : null;
         log = voter ? log(folder) : null;
         if (!voter) {
@@ -220,7 +220,7 @@
             publication.table(next, deltas);
         }
         links.loop().execute(() -> {  // not in the middle of the subscriber's turn
-            if (store != null && store.take(next)) {
+            if (store != null && store.installTable(next)) {
                 completeApplied();
                 catchUp();
             }
@@ -230,12 +230,12 @@
 
     /** A voter to which decisions are missing follows another one until it has what they made. */
     private void catchUp() {
-        boolean missing = store.missing() != 0;
+        boolean missing = store.lastMissingOrdinal() != 0;
         if (missing != catchingUp) {
             catchingUp = missing;
             List<Machine> others = settings.machines(Role.VOTER).stream().filter(each -> !each.name().equals(settings.name())).toList();
             subscription.machines(missing ? ControlLinks.machines(others) : List.of());
-            events.event(missing ? Level.WARN : Level.INFO, missing ? "config_catches_up" : "config_caught_up", missing ? "decisions up to " + store.missing()
+            events.event(missing ? Level.WARN : Level.INFO, missing ? "config_catches_up" : "config_caught_up", missing ? "decisions up to " + store.lastMissingOrdinal()
                     + " are missing: another voter's table is asked for" : "no decision is missing any more, revision " + store.table().revision().number());
         }
     }
@@ -276,8 +276,8 @@
         } catch (IllegalArgumentException e) {
             events.event(Level.WARN, "config_unreadable", "decision " + decision.ordinal() + " is none that this build can read, and changes nothing: " + e.getMessage());
         }
-        boolean anew = decision.ordinal() > store.number();
-        Store.ChangeOutcome outcome = store.decided(decision.ordinal(), decision.id(), command);
+        boolean anew = decision.ordinal() > store.appliedOrdinal();
+        Store.ChangeOutcome outcome = store.applyEntry(decision.ordinal(), decision.id(), command);
         lastIndex = decision.index();
         if (anew && command instanceof Change && outcome instanceof Store.ChangeOutcome.Applied in) {
             events.event(Level.INFO, "config_decided", "change " + decision.id() + " is in, revision " + in.revision().number(), "id", decision.id(), "number", in.revision().number());
@@ -295,7 +295,7 @@
             reply(from, new ControlMessage.Refused(apply.requestId(), problems));
         } else if (store.outcome(change.id()) != null && respond(from, apply.requestId(), store.outcome(change.id()))) {
             return;  // asked again
-        } else if (!store.begun()) {
+        } else if (!store.isEpochStarted()) {
             reply(from, new ControlMessage.Unknown(apply.requestId(), "epoch " + settings.epoch() + " has not begun at " + settings.name() + ", ask again; a first installation begins with epoch 1"));
         } else if (pendingCount >= PENDING_MOST) {
             reply(from, new ControlMessage.Unknown(apply.requestId(), "expected at most " + PENDING_MOST + " changes that wait, ask again"));
@@ -313,7 +313,7 @@
 
     /** A voter with a table asks that the epoch begins from it, until it hears that the epoch has begun. All ask under one id: the first is in, the others are passed over. */
     private void begin() {
-        Revision from = votes && !beginning ? store.toBegin() : null;
+        Revision from = votes && !beginning ? store.epochStartCandidate() : null;
         if (from != null) {
             beginning = true;
             String id = "epoch-" + settings.epoch() + "-begins";
@@ -347,7 +347,7 @@
                 complete(id, requestId -> new ControlMessage.Applied(requestId, in.revision()));
             } else if (outcome instanceof Store.ChangeOutcome.Conflict conflict) {
                 complete(id, requestId -> new ControlMessage.Conflicted(requestId, conflict.reason()));
-            } else if (store.missing() == 0 && indices.getOrDefault(id, Long.MAX_VALUE) <= lastIndex) {
+            } else if (store.lastMissingOrdinal() == 0 && indices.getOrDefault(id, Long.MAX_VALUE) <= lastIndex) {
                 complete(id, requestId -> new ControlMessage.Applied(requestId, null));  // decided on before what is remembered here
             }
         }
@@ -409,9 +409,9 @@
     /** Whether it can't hear where its table comes from: then it says of itself no more that it is current. */
     private boolean hearsNobody() {
         if (store != null) {
-            return !votes || !store.begun() || store.missing() != 0 || System.nanoTime() - leaderAt > TimeUnit.MILLISECONDS.toNanos(Alone.MILLIS);
+            return !votes || !store.isEpochStarted() || store.lastMissingOrdinal() != 0 || System.nanoTime() - leaderAt > TimeUnit.MILLISECONDS.toNanos(Alone.MILLIS);
         }
-        return !subscription.subscriber().ready() || subscription.subscriber().aloneSince() != 0;
+        return !subscription.subscriber().ready() || subscription.subscriber().disconnectedSince() != 0;
     }
 
     private void poll() {
--- a/src/main/java/mastdrift/serve/DistributionService.java
+++ b/src/main/java/mastdrift/serve/DistributionService.java
@@ -80,7 +80,7 @@
             distributed = tableOf(routes);
         }
         links = new ControlLinks("distribution", settings, settings.name(), secrets, new LinkListener(), events);
-        subscription = new Subscription(links.loop(), links.transport(), settings.name(), settings.zone(), initial, SubscriberSettings.USUAL, seed, events, this::take);
+        subscription = new Subscription(links.loop(), links.transport(), settings.name(), settings.zone(), initial, SubscriberSettings.DEFAULTS, seed, events, this::take);
         links.loop().execute(() -> {
             if (copy.there()) {
                 acknowledge(initial.revision(), routes.problem());
@@ -206,12 +206,12 @@
         if (subscription.subscriber().ready() && inForce == null && subscription.subscriber().table().revision().number() == 0) {
             acknowledge(subscription.subscriber().table().revision(), null);  // a machine says that there is nothing yet: the file's routes serve
         }
-        if (alone.now(subscription.subscriber().aloneSince() != 0)) {
+        if (alone.now(subscription.subscriber().disconnectedSince() != 0)) {
             aloneSince = alone.millis() == 0 ? null : Instant.now().minusMillis(alone.millis());
             if (aloneSince != null) {
                 events.event(Level.WARN, "config_alone", "no control machine is heard since " + aloneSince + ": serves on by what it has");
             } else {
-                events.event(Level.INFO, "config_alone_over", "a control machine is heard again: " + subscription.subscriber().machine());
+                events.event(Level.INFO, "config_alone_over", "a control machine is heard again: " + subscription.subscriber().currentMachine());
             }
         }
         if (status != null && !writer.isShutdown()) {
@@ -235,7 +235,7 @@
         all.put("held_back", refused);
         all.put("routes", routes.routes().size());
         all.put("copy", copy.written());
-        all.put("machine", subscription.subscriber().machine());
+        all.put("machine", subscription.subscriber().currentMachine());
         all.put("alone_since", aloneSince == null ? null : aloneSince.toString());
         return all;
     }
--- a/src/test/java/mastdrift/cli/DistributionProcessesTest.java
+++ b/src/test/java/mastdrift/cli/DistributionProcessesTest.java
@@ -199,8 +199,8 @@
     }
 
     private static Change change(int number) {
-        return new Change("burst-" + number, List.of(new Edit.Upsert(ResourceKind.TENANT, "t-" + number, "{\"share\":0.5}".getBytes(StandardCharsets.UTF_8), Edit.ANY),
-                new Edit.Upsert(ResourceKind.ROUTE, "r-" + number, ("{\"order\":5,\"path\":\"/r-" + number + "\",\"pools\":[{\"pool\":\"red\",\"weight\":1}]}").getBytes(StandardCharsets.UTF_8), Edit.ANY)));
+        return new Change("burst-" + number, List.of(new Edit.Upsert(ResourceKind.TENANT, "t-" + number, "{\"share\":0.5}".getBytes(StandardCharsets.UTF_8), Edit.ANY_VERSION),
+                new Edit.Upsert(ResourceKind.ROUTE, "r-" + number, ("{\"order\":5,\"path\":\"/r-" + number + "\",\"pools\":[{\"pool\":\"red\",\"weight\":1}]}").getBytes(StandardCharsets.UTF_8), Edit.ANY_VERSION)));
     }
 
     private ControlMessage apply(Change change) throws InterruptedException {
--- a/src/test/java/mastdrift/config/ChangeReaderTest.java
+++ b/src/test/java/mastdrift/config/ChangeReaderTest.java
@@ -46,7 +46,7 @@
         assertEquals("ROUTE shop 12 {\"order\":10,\"path\":\"/shop\",\"pools\":[{\"pool\":\"main\",\"weight\":1.5}]}", route.kind() + " " + route.name() + " " + route.expectedVersion() + " "
                 + new String(route.value(), StandardCharsets.UTF_8));
         assertEquals(ResourceKind.TENANT, edits.get(1).kind());
-        assertEquals(new Edit.Delete(ResourceKind.ROUTE, "old", Edit.ANY), edits.get(2));
+        assertEquals(new Edit.Delete(ResourceKind.ROUTE, "old", Edit.ANY_VERSION), edits.get(2));
     }
 
     /** Each mistake is named with its place. */
