--- a/src/test/java/mastdrift/distribution/BuildCompatibilityTest.java
+++ b/src/test/java/mastdrift/distribution/BuildCompatibilityTest.java
@@ -15,10 +15,13 @@
 import mastdrift.distribution.edge.MessageCodec;
 import org.junit.jupiter.api.Test;
 
-/** Two builds side by side: what one says and the other doesn't know is said by name, changes nothing, and where it parts their tables that is loud. */
+/**
+ * Compatibility between builds: data of a later build that this one does not know is rejected with a reason and changes
+ * nothing; if it makes tables differ, the fork is reported.
+ */
 class BuildCompatibilityTest {
 
-    private static final Store.Actions NOBODY = new Store.Actions() {
+    private static final Store.Actions IGNORE_ACTIONS = new Store.Actions() {
         @Override
         public void table(Table next, List<Delta> deltas) { }
 
@@ -26,64 +29,71 @@
         public void event(String name, String text) { }
     };
 
-    /** What a voter's edge makes of a decision; null for what it can't read, with the reason noted. */
-    private static Command read(byte[] bytes, List<String> why) {
+    /** Decodes a log entry as the voter's edge does; returns null and records the reason if it cannot be read. */
+    private static Command decode(byte[] bytes, List<String> problems) {
         try {
             return MessageCodec.command(bytes);
         } catch (IllegalArgumentException e) {
-            why.add(e.getMessage());
+            problems.add(e.getMessage());
             return null;
         }
     }
 
     private static final Object[] UPSERT = {0, 0, "r", -1, new byte[] {'1'}};
 
-    /** Decisions of a later build: each is refused whole and by name, counted, and changes nothing; what comes behind it goes in. */
+    /**
+     * Log entries of a later build: each is rejected completely with a reason, advances the number and changes nothing;
+     * the entries after it are applied.
+     */
     @Test
-    void decisionsOfALaterBuildAreCountedAndSaid() {
-        Map<String, byte[]> later = Map.of(
+    void entriesOfALaterBuildAdvanceTheNumberAndAreRejected() {
+        Map<String, byte[]> entries = Map.of(
                 "another version", LaterCodec.bytes(2, 0, new Object[] {"id", new Object[] {UPSERT}}),
-                "another form", LaterCodec.bytes(1, 2, new Object[] {"id", new Object[] {UPSERT}}),
-                "a field more", LaterCodec.plain("id", new Object[] {UPSERT}, "why"),
-                "a field more in an edit", LaterCodec.plain("id", new Object[] {new Object[] {0, 0, "r", -1, new byte[] {'1'}, 9}}),
+                "another format", LaterCodec.bytes(1, 2, new Object[] {"id", new Object[] {UPSERT}}),
+                "an additional field", LaterCodec.plain("id", new Object[] {UPSERT}, "why"),
+                "an additional field in an edit", LaterCodec.plain("id", new Object[] {new Object[] {0, 0, "r", -1, new byte[] {'1'}, 9}}),
                 "another kind of resource", LaterCodec.plain("id", new Object[] {new Object[] {0, ResourceKind.values().length, "r", -1, new byte[] {'1'}}}),
                 "another kind of edit", LaterCodec.plain("id", new Object[] {new Object[] {2, 0, "r", -1, "to"}}),
-                "another kind of decision", LaterCodec.plain(1, new Object[] {7}),
-                "a field more in an epoch's beginning", LaterCodec.plain(0, LaterCodec.fields(Revision.none(1)), true),
+                "another kind of entry", LaterCodec.plain(1, new Object[] {7}),
+                "an additional field in an epoch start", LaterCodec.plain(0, LaterCodec.fields(Revision.empty(1)), true),
                 "keys", LaterCodec.bytes(1, 0, Map.of("id", "id", "edits", new Object[] {UPSERT}, "expires", 5)));
-        Store store = new Store(Table.empty(1), 1, NOBODY);
-        store.decided(1, "one", TestChanges.of("one", put("r", "0")));
+        Store store = new Store(Table.empty(1), 1, IGNORE_ACTIONS);
+        store.applyEntry(1, "one", TestChanges.of("one", put("r", "0")));
         long number = 1;
-        for (Map.Entry<String, byte[]> each : later.entrySet()) {
-            List<String> why = new ArrayList<>();
+        for (Map.Entry<String, byte[]> each : entries.entrySet()) {
+            List<String> problems = new ArrayList<>();
             Revision before = store.table().revision();
-            Command command = read(each.getValue(), why);
-            assertEquals(1, why.size(), each.getKey());
-            assertTrue(why.get(0).contains("expected") && why.get(0).contains("found"), why::toString);
-            ChangeOutcome outcome = store.decided(++number, "later-" + number, command);
-            assertEquals(new ChangeOutcome.Conflict("expected a change, found what this build can't read"), outcome, each.getKey());
+            Command command = decode(each.getValue(), problems);
+            assertEquals(1, problems.size(), each.getKey());
+            assertTrue(problems.get(0).contains("expected") && problems.get(0).contains("found"), problems::toString);
+            ChangeOutcome outcome = store.applyEntry(++number, "later-" + number, command);
+            assertEquals(new ChangeOutcome.Conflict("expected a change, found an entry that this build cannot read"), outcome, each.getKey());
             assertEquals(number, store.table().revision().number());
             assertTrue(store.table().revision().sameState(before), each.getKey());
         }
-        assertInstanceOf(ChangeOutcome.Applied.class, store.decided(++number, "known", MessageCodec.command(MessageCodec.bytes(TestChanges.of("known", put("r", "1"))))));
+        assertInstanceOf(ChangeOutcome.Applied.class, store.applyEntry(++number, "known", MessageCodec.command(MessageCodec.bytes(TestChanges.of("known", put("r", "1"))))));
     }
 
-    /** The other way round: a build that knows no beginning of an epoch refuses it as a change, counts it, and has the same table by the same number where it had the one that is named. */
+    /**
+     * The opposite direction: a build without {@link EpochStart} rejects it as a change, advances the number, and has
+     * the same table at the same number if it had the named one.
+     */
     @Test
-    void aBuildBeforeCountsTheBeginningOfAnEpoch() {
-        Table had = TestChanges.table(20);
-        byte[] bytes = MessageCodec.bytes(new EpochStart(had.revision()));
+    void aBuildWithoutEpochStartReachesTheSameTable() {
+        Table initial = TestChanges.table(20);
+        byte[] bytes = MessageCodec.bytes(new EpochStart(initial.revision()));
         assertTrue(assertThrows(IllegalArgumentException.class, () -> MessageCodec.change(bytes)).getMessage().startsWith("change.id: expected a text"));
-        assertEquals(new EpochStart(had.revision()), MessageCodec.command(bytes));
-        Store store = new Store(had, 2, NOBODY);
-        store.decided(1, "begin", MessageCodec.command(bytes));
-        Table before = had.begun(2).passed(1).table();  // as that build began by itself, and passed over what it couldn't read
-        assertEquals(before.revision(), store.table().revision());
+        assertEquals(new EpochStart(initial.revision()), MessageCodec.command(bytes));
+        Store store = new Store(initial, 2, IGNORE_ACTIONS);
+        store.applyEntry(1, "begin", MessageCodec.command(bytes));
+        // the behaviour of that build: it started the epoch implicitly and skipped the entry that it could not read
+        Table expected = initial.withEpoch(2).advanceTo(1).table();
+        assertEquals(expected.revision(), store.table().revision());
     }
 
-    /** What the build before wrote is read: bytes by its form, made here without its code. */
+    /** Data written by the previous build can be read; the bytes are made here without its code. */
     @Test
-    void whatABuildBeforeWroteIsRead() {
+    void dataOfThePreviousBuildIsRead() {
         Change change = TestChanges.of("id", put("r", "1"), new Edit.Delete(ResourceKind.HOST, "h", 7));
         byte[] bytes = LaterCodec.plain("id", new Object[] {UPSERT, new Object[] {1, ResourceKind.HOST.ordinal(), "h", 7}});
         Change read = (Change) MessageCodec.command(bytes);
@@ -96,41 +106,44 @@
         assertEquals(new ControlMessage.GetStatus(3), ControlCodec.message(LaterCodec.bytes(1, -1, new Object[] {2, 3})));
     }
 
-    /** An operator's tool of a later build: its questions are refused by name. */
+    /** Requests of an operator's tool of a later build are rejected with a reason. */
     @Test
-    void questionsOfALaterBuildAreRefusedByName() {
+    void requestsOfALaterBuildAreRejected() {
         for (byte[] each : List.of(LaterCodec.bytes(2, -1, new Object[] {2, 3}), LaterCodec.bytes(1, -1, new Object[] {10, 3}), LaterCodec.bytes(1, -1, new Object[] {2, 3, "zones"}),
                 LaterCodec.bytes(1, -1, Map.of("type", 2, "call", 3)))) {
-            String why = assertThrows(IllegalArgumentException.class, () -> ControlCodec.message(each)).getMessage();
-            assertTrue(why.contains("expected") && why.contains("found"), why);
+            String problem = assertThrows(IllegalArgumentException.class, () -> ControlCodec.message(each)).getMessage();
+            assertTrue(problem.contains("expected") && problem.contains("found"), problem);
         }
     }
 
-    /** Voters of two builds read one decision differently. Whoever follows one and then the other says that they are forked, and never has an earlier revision than before. */
+    /**
+     * Voters of two builds read one log entry differently. A subscriber that is served by one and then by the other
+     * reports a fork, and its revision never goes back.
+     */
     @Test
-    void tablesThatPartByABuildAreForkedLoudly() {
-        SimulatedNetwork lines = new SimulatedNetwork();
-        Table had = TestChanges.table(20);
-        lines.machine("a", had);
-        lines.machine("b", had);
-        Subscriber gateway = lines.gateway("g", had, "a", "b");
-        lines.run(3 * SimulatedNetwork.SECOND);
-        long number = had.revision().number() + 1;
-        String first = gateway.machine();
+    void tablesThatDifferBetweenBuildsAreReportedAsForked() {
+        SimulatedNetwork network = new SimulatedNetwork();
+        Table initial = TestChanges.table(20);
+        network.addMachine("a", initial);
+        network.addMachine("b", initial);
+        Subscriber gateway = network.addGateway("g", initial, "a", "b");
+        network.advance(3 * SimulatedNetwork.SECOND_MICROS);
+        long number = initial.revision().number() + 1;
+        String first = gateway.currentMachine();
         String other = first.equals("a") ? "b" : "a";
-        Outcome.Applied knows = TestChanges.applied(had.apply(number, TestChanges.of("later", put("r", "1"))));
-        Outcome.Applied passes = had.passed(number);
-        lines.machines.get(first).table(lines.now, passes.table(), List.of(passes.delta()));
-        lines.machines.get(other).table(lines.now, knows.table(), List.of(knows.delta()));
-        lines.run(2 * SimulatedNetwork.SECOND);
-        assertEquals(passes.table().revision(), gateway.table().revision());
-        assertTrue(lines.events.stream().noneMatch(each -> each.contains("config_forked")), lines.events::toString);
-        lines.kill(first);
+        Outcome.Applied appliedResult = TestChanges.requireApplied(initial.apply(number, TestChanges.of("later", put("r", "1"))));
+        Outcome.Applied skippedResult = initial.advanceTo(number);
+        network.machines.get(first).table(network.now, skippedResult.table(), List.of(skippedResult.delta()));
+        network.machines.get(other).table(network.now, appliedResult.table(), List.of(appliedResult.delta()));
+        network.advance(2 * SimulatedNetwork.SECOND_MICROS);
+        assertEquals(skippedResult.table().revision(), gateway.table().revision());
+        assertTrue(network.events.stream().noneMatch(each -> each.contains("config_forked")), network.events::toString);
+        network.stopMachine(first);
         for (int i = 0; i < 40; i++) {
-            lines.run(SimulatedNetwork.SECOND / 2);
-            assertEquals(number, gateway.table().revision().number(), "never back");
+            network.advance(SimulatedNetwork.SECOND_MICROS / 2);
+            assertEquals(number, gateway.table().revision().number(), "the revision never goes back");
         }
-        assertTrue(lines.events.stream().anyMatch(each -> each.startsWith("g config_forked")), lines.events::toString);
-        assertTrue(lines.events.stream().anyMatch(each -> each.startsWith(other + " config_forked")), lines.events::toString);
+        assertTrue(network.events.stream().anyMatch(each -> each.startsWith("g config_forked")), network.events::toString);
+        assertTrue(network.events.stream().anyMatch(each -> each.startsWith(other + " config_forked")), network.events::toString);
     }
 }
--- a/src/test/java/mastdrift/distribution/DistributionSimulation.java
+++ b/src/test/java/mastdrift/distribution/DistributionSimulation.java
@@ -15,95 +15,107 @@
 import java.util.stream.Stream;
 
 /**
- * Voters, control machines that pass on, and gateways, each the program's own deciders put together as the composition does, over a network and processes that fail. On a virtual clock: one seed is one run.
- *
- * <p>Checked all the while: what a process takes is what the agreed order gives by that number, and is never before what it had.
+ * Deterministic simulation of voters, relays and gateways, each made of the production classes combined as in the
+ * program, over a network and processes that fail. It uses a virtual clock: a seed determines the run.
+ * <p>Invariants checked throughout: a table taken by a process is the agreed one at that number, and is never earlier
+ * than its previous one.
  */
 final class DistributionSimulation {
 
-    static final long SECOND = 1_000_000;
-    static final long HOUR = 3_600 * SECOND;
-    private static final int KEPT = 40;  // decisions that the log keeps for those who follow
+    static final long SECOND_MICROS = 1_000_000;
+    static final long HOUR_MICROS = 3_600 * SECOND_MICROS;
+    private static final int RETAINED_LOG_ENTRIES = 40;  // entries that the log keeps for voters that lag
 
-    /** What goes wrong. */
-    enum FaultKind { LOSS, DELAY, DOUBLE, REORDER, CUT, ONE_WAY, FREEZE, KILL, KILL_EMPTY, KILL_OLDER, FORGE, LOG_LATE }
+    /** Kind of a fault. */
+    enum FaultKind { LOSS, DELAY, DUPLICATE, REORDER, PARTITION, ONE_WAY, FREEZE, KILL, KILL_AND_LOSE_TABLE, KILL_AND_RESTORE_OLD_TABLE, FORK, LOG_DELAY }
 
-    /** In a span of time, at a node (the first so many by number for a cut), by so much. */
-    record Fault(FaultKind kind, long from, long until, int one, int other, double amount) {
-        boolean at(long now) {
+    /**
+     * A fault in a span of time, at a node (a partition separates the nodes with smaller numbers from the others), of
+     * this magnitude.
+     */
+    record Fault(FaultKind kind, long from, long until, int node, int peer, double magnitude) {
+        boolean isActive(long now) {
             return now >= from && now < until;
         }
     }
 
-    /** What is played. {@code raised}: when all voters are stopped and the log begins anew in the next epoch; 0 for never. */
-    record Plan(int voters, int relays, int gateways, long last, List<Fault> faults, PublisherSettings publisher, SubscriberSettings subscriber, long every, long raised) {
+    /**
+     * Parameters of a simulation. {@code epochRaisedAt}: when all voters are stopped and the log is started anew in the
+     * next epoch; 0 for never.
+     */
+    record Plan(int voters, int relays, int gateways, long lastActivityAt, List<Fault> faults, PublisherSettings publisher, SubscriberSettings subscriber, long meanChangeIntervalMicros, long epochRaisedAt) {
 
-        /** Up to eight faults of the seed, over by {@code last}. */
-        static Plan drawn(long seed, boolean forged) {
+        /** Up to eight random faults, over by {@code lastActivityAt}. */
+        static Plan random(long seed, boolean allowForks) {
             Random random = new Random(seed * 31 + 7);
             int voters = random.nextBoolean() ? 3 : 5;
             int relays = random.nextInt(4);
             int gateways = 4 + random.nextInt(5);
-            long last = 40 * SECOND;
+            long lastActivityAt = 40 * SECOND_MICROS;
             List<Fault> faults = new ArrayList<>();
             for (int i = random.nextInt(8); i >= 0; i--) {
                 FaultKind kind = FaultKind.values()[random.nextInt(FaultKind.values().length)];
                 int nodes = voters + relays + gateways;
-                int one = random.nextInt(nodes);
-                if (kind == FaultKind.FORGE && (!forged || one < voters)) {
+                int node = random.nextInt(nodes);
+                if (kind == FaultKind.FORK && (!allowForks || node < voters)) {
                     continue;
                 }
-                if ((kind == FaultKind.KILL_EMPTY || kind == FaultKind.KILL_OLDER) && one >= voters / 2 && one < voters) {
-                    kind = FaultKind.KILL;  // a majority of the voters has its folders
+                if ((kind == FaultKind.KILL_AND_LOSE_TABLE || kind == FaultKind.KILL_AND_RESTORE_OLD_TABLE) && node >= voters / 2 && node < voters) {
+                    kind = FaultKind.KILL;  // a majority of the voters keeps its disk contents
                 }
-                long from = 4 * SECOND + (long) (random.nextDouble() * 30 * SECOND);
-                long length = kind == FaultKind.FREEZE ? 10 * SECOND : (long) (random.nextDouble() * 15 * SECOND);
-                double amount = kind == FaultKind.DELAY ? 3 * SECOND * random.nextDouble() : kind == FaultKind.LOG_LATE ? 8 * SECOND * random.nextDouble() : random.nextDouble() * 0.8;
-                faults.add(new Fault(kind, from, Math.min(last, from + length), one, random.nextInt(nodes), amount));
+                long from = 4 * SECOND_MICROS + (long) (random.nextDouble() * 30 * SECOND_MICROS);
+                long length = kind == FaultKind.FREEZE ? 10 * SECOND_MICROS : (long) (random.nextDouble() * 15 * SECOND_MICROS);
+                double amount = kind == FaultKind.DELAY ? 3 * SECOND_MICROS * random.nextDouble() : kind == FaultKind.LOG_DELAY ? 8 * SECOND_MICROS * random.nextDouble() : random.nextDouble() * 0.8;
+                faults.add(new Fault(kind, from, Math.min(lastActivityAt, from + length), node, random.nextInt(nodes), amount));
             }
-            PublisherSettings publisher = new PublisherSettings(200_000, 2 * SECOND, 1 + random.nextInt(4), 64, 8_000 + random.nextInt(20_000), 20 * SECOND, 30 * SECOND, 10 * SECOND, 200 + random.nextInt(2_000));
-            return new Plan(voters, relays, gateways, last, faults, publisher, SubscriberSettings.USUAL, 120_000 + random.nextInt(800_000), 0);
+            PublisherSettings publisher = new PublisherSettings(200_000, 2 * SECOND_MICROS, 1 + random.nextInt(4), 64, 8_000 + random.nextInt(20_000), 20 * SECOND_MICROS, 30 * SECOND_MICROS, 10 * SECOND_MICROS, 200 + random.nextInt(2_000));
+            return new Plan(voters, relays, gateways, lastActivityAt, faults, publisher, SubscriberSettings.DEFAULTS, 120_000 + random.nextInt(800_000), 0);
         }
 
-        /** At a day's rate, 15,000 changes, and for an hour some machines that pass on and some gateways hear nobody else. */
-        static Plan apart(long seed) {
+        /**
+         * At the daily rate of 15,000 changes, some relays and gateways are partitioned from the others for an hour.
+         */
+        static Plan longPartition(long seed) {
             Random random = new Random(seed * 13 + 5);
             int voters = 3;
             int relays = random.nextInt(3);
             int gateways = 3 + random.nextInt(2);
-            int first = voters + random.nextInt(relays + gateways);
-            Fault cut = new Fault(FaultKind.CUT, 10 * SECOND, 10 * SECOND + HOUR, first, 0, 0);
-            return new Plan(voters, relays, gateways, cut.until, List.of(cut), PublisherSettings.USUAL, SubscriberSettings.USUAL, 86_400 * SECOND / 15_000, 0);
-        }
-
-        /** Up to eight faults of the seed, and between them the epoch is raised. From then on voters keep their folders: that of the table which the epoch begins from may be the only one. */
-        static Plan raised(long seed) {
-            Plan drawn = drawn(seed, false);
-            long raised = 12 * SECOND + (long) (new Random(seed * 17 + 3).nextDouble() * 12 * SECOND);
+            int firstIsolated = voters + random.nextInt(relays + gateways);
+            Fault cut = new Fault(FaultKind.PARTITION, 10 * SECOND_MICROS, 10 * SECOND_MICROS + HOUR_MICROS, firstIsolated, 0, 0);
+            return new Plan(voters, relays, gateways, cut.until, List.of(cut), PublisherSettings.DEFAULTS, SubscriberSettings.DEFAULTS, 86_400 * SECOND_MICROS / 15_000, 0);
+        }
+
+        /**
+         * Up to eight random faults, and the epoch is raised among them. From then on voters keep their disk contents:
+         * one of them may hold the only copy of the table that the epoch starts from.
+         */
+        static Plan withRaisedEpoch(long seed) {
+            Plan base = random(seed, false);
+            long raisedAt = 12 * SECOND_MICROS + (long) (new Random(seed * 17 + 3).nextDouble() * 12 * SECOND_MICROS);
             List<Fault> faults = new ArrayList<>();
-            for (Fault each : drawn.faults) {
-                boolean loses = (each.kind == FaultKind.KILL_EMPTY || each.kind == FaultKind.KILL_OLDER) && each.one < drawn.voters && each.until > raised;
-                faults.add(loses ? new Fault(FaultKind.KILL, each.from, each.until, each.one, each.other, each.amount) : each);
+            for (Fault each : base.faults) {
+                boolean losesTable = (each.kind == FaultKind.KILL_AND_LOSE_TABLE || each.kind == FaultKind.KILL_AND_RESTORE_OLD_TABLE) && each.node < base.voters && each.until > raisedAt;
+                faults.add(losesTable ? new Fault(FaultKind.KILL, each.from, each.until, each.node, each.peer, each.magnitude) : each);
             }
-            return new Plan(drawn.voters, drawn.relays, drawn.gateways, drawn.last, faults, drawn.publisher, drawn.subscriber, drawn.every, raised);
+            return new Plan(base.voters, base.relays, base.gateways, base.lastActivityAt, faults, base.publisher, base.subscriber, base.meanChangeIntervalMicros, raisedAt);
         }
     }
 
-    private record Event(long at, long number, Runnable what) { }
+    private record Event(long time, long sequence, Runnable action) { }
 
-    /** A subscriber's connection to a machine. */
+    /** Connection of a subscriber to a machine. */
     private static final class Connection {
         private final long id;
         private final Node subscriber;
-        private final long life;
-        private long machineLife;
-        private long lastOut;
-        private long lastBack;
+        private final long subscriberIncarnation;
+        private long machineIncarnation;
+        private long lastDeliveryToMachine;
+        private long lastDeliveryToSubscriber;
 
         Connection(long id, Node subscriber) {
             this.id = id;
             this.subscriber = subscriber;
-            life = subscriber.life;
+            subscriberIncarnation = subscriber.incarnation;
         }
     }
 
@@ -115,17 +127,17 @@
         Subscriber subscriber;
         Publisher publisher;
         Store store;
-        boolean up;
-        long life;
-        long jumps;
-        private final List<Table> disk = new ArrayList<>();  // copies of its folder, the newest last
-        private final Queue<Runnable> then = new ArrayDeque<>();
-        private final Map<String, Connection> connections = new HashMap<>();  // as a subscriber
-        private final Map<String, Connection> accepted = new HashMap<>();  // as a machine, by subscriber
-        private long armed = Long.MAX_VALUE;
-        private long logAt;  // heard last
-        private long logNext = 1;
-        private Revision had;
+        boolean running;
+        long incarnation;
+        long snapshotCount;
+        private final List<Table> storedTables = new ArrayList<>();  // copies of the stored table, the newest last
+        private final Queue<Runnable> deferredActions = new ArrayDeque<>();
+        private final Map<String, Connection> outbound = new HashMap<>();  // outbound, as a subscriber
+        private final Map<String, Connection> inbound = new HashMap<>();  // inbound, as a machine, by subscriber
+        private long timerAt = Long.MAX_VALUE;
+        private long logContactAt;  // last contact with the log
+        private long nextLogOrdinal = 1;
+        private Revision lastRevision;
 
         Node(String name, int number) {
             this.name = name;
@@ -136,35 +148,35 @@
             return store != null ? store.table() : subscriber.table();
         }
 
-        private boolean voter() {
+        private boolean isVoter() {
             return number < plan.voters;
         }
 
-        private boolean relay() {
-            return !voter() && number < plan.voters + plan.relays;
+        private boolean isRelay() {
+            return !isVoter() && number < plan.voters + plan.relays;
         }
 
         private String zone() {
             return "r" + number % 2 + "-" + number % 3;
         }
 
-        void start(Table have) {
-            up = true;
-            life++;
+        void start(Table initial) {
+            running = true;
+            incarnation++;
             subscriber = null;
             publisher = null;
             store = null;
-            then.clear();
-            connections.clear();
-            accepted.clear();
-            had = have.revision();
-            logAt = now;
-            logNext = 1;
-            if (voter()) {
-                store = new Store(have, epoch, new Store.Actions() {
+            deferredActions.clear();
+            outbound.clear();
+            inbound.clear();
+            lastRevision = initial.revision();
+            logContactAt = now;
+            nextLogOrdinal = 1;
+            if (isVoter()) {
+                store = new Store(initial, epoch, new Store.Actions() {
                     @Override
                     public void table(Table next, List<Delta> deltas) {
-                        took(next, deltas);
+                        verifyAndStore(next, deltas);
                     }
 
                     @Override
@@ -173,20 +185,20 @@
                     }
                 });
             } else {
-                subscribe(have);
+                subscribe(initial);
             }
-            if (voter() || relay()) {
-                publisher = new Publisher(have, plan.publisher, new Publisher.Actions() {
+            if (isVoter() || isRelay()) {
+                publisher = new Publisher(initial, plan.publisher, new Publisher.Actions() {
                     @Override
                     public void send(String to, Message message) {
-                        back(Node.this, to, message);
+                        sendToSubscriber(Node.this, to, message);
                     }
 
                     @Override
                     public void drop(String of, String why) {
-                        Connection connection = accepted.remove(of);
+                        Connection connection = inbound.remove(of);
                         if (connection != null) {
-                            ended(Node.this, connection);
+                            notifySubscriberClosed(Node.this, connection);
                         }
                     }
 
@@ -196,29 +208,29 @@
                     }
                 });
             }
-            after();
+            runDeferred();
         }
 
-        private void subscribe(Table have) {
-            subscriber = new Subscriber(name, zone(), have, plan.subscriber, random.nextLong(), new Subscriber.Actions() {
+        private void subscribe(Table initial) {
+            subscriber = new Subscriber(name, zone(), initial, plan.subscriber, random.nextLong(), new Subscriber.Actions() {
                 @Override
                 public void send(String to, Message message) {
-                    out(Node.this, nodes.get(to), message);
+                    sendToMachine(Node.this, nodes.get(to), message);
                 }
 
                 @Override
-                public void leave(String machine) {
-                    close(connections.remove(machine), nodes.get(machine));
+                public void disconnect(String machine) {
+                    notifyMachineClosed(outbound.remove(machine), nodes.get(machine));
                 }
 
                 @Override
                 public void table(Table next, List<Delta> deltas) {
-                    if (voter()) {
+                    if (isVoter()) {
                         Subscriber of = subscriber;
-                        then.add(() -> store.take(next));
-                        then.add(() -> of.inForce(now, next.revision()));
+                        deferredActions.add(() -> store.installTable(next));
+                        deferredActions.add(() -> of.acknowledge(now, next.revision()));
                     } else {
-                        took(next, deltas);
+                        verifyAndStore(next, deltas);
                     }
                 }
 
@@ -227,66 +239,66 @@
                     events.add(event + " " + text);
                 }
             });
-            Stream<Node> machines = nodes.values().stream().filter(each -> each != this && (voter() || relay() || plan.relays == 0 ? each.voter() : each.relay()));
-            List<ControlMachine> named = machines.map(each -> new ControlMachine(each.name, each.zone())).toList();
-            Subscriber begun = subscriber;
-            then.add(() -> begun.machines(now, named));
+            Stream<Node> machines = nodes.values().stream().filter(each -> each != this && (isVoter() || isRelay() || plan.relays == 0 ? each.isVoter() : each.isRelay()));
+            List<ControlMachine> known = machines.map(each -> new ControlMachine(each.name, each.zone())).toList();
+            Subscriber started = subscriber;
+            deferredActions.add(() -> started.setMachines(now, known));
         }
 
-        private void took(Table next, List<Delta> deltas) {
+        private void verifyAndStore(Table next, List<Delta> deltas) {
             Revision revision = next.revision();
-            if (plan.faults.stream().noneMatch(each -> each.kind == FaultKind.FORGE)) {
-                assertTrue(revision.after(had), () -> name + " goes from " + had + " back to " + revision + ", seed " + seed + " " + plan);
-                Table agreed = truth.get((int) revision.epoch() - 1).get((int) revision.number());
+            if (plan.faults.stream().noneMatch(each -> each.kind == FaultKind.FORK)) {
+                assertTrue(revision.isAfter(lastRevision), () -> name + " went back from " + lastRevision + " to " + revision + ", seed " + seed + " " + plan);
+                Table agreed = agreedTables.get((int) revision.epoch() - 1).get((int) revision.number());
                 assertEquals(agreed == null ? null : agreed.revision(), revision, () -> name + " has a state that was never agreed on, seed " + seed + " " + plan);
             } else {
-                assertTrue(revision.after(had) || revision.forkedFrom(had), () -> name + " goes from " + had + " back to " + revision + ", seed " + seed + " " + plan);
+                assertTrue(revision.isAfter(lastRevision) || revision.isForkOf(lastRevision), () -> name + " went back from " + lastRevision + " to " + revision + ", seed " + seed + " " + plan);
             }
-            had = revision;
-            jumps += deltas.isEmpty() ? 1 : 0;
-            if (disk.isEmpty() || random.nextInt(10) < 7) {
-                disk.add(next);
-                if (disk.size() > 8) {
-                    disk.remove(random.nextInt(6));
+            lastRevision = revision;
+            snapshotCount += deltas.isEmpty() ? 1 : 0;
+            if (storedTables.isEmpty() || random.nextInt(10) < 7) {
+                storedTables.add(next);
+                if (storedTables.size() > 8) {
+                    storedTables.remove(random.nextInt(6));
                 }
             }
             if (publisher != null) {
-                then.add(() -> publisher.table(now, next, deltas));
+                deferredActions.add(() -> publisher.table(now, next, deltas));
             }
-            if (!voter()) {
+            if (!isVoter()) {
                 Subscriber of = subscriber;
-                then.add(() -> of.inForce(now, revision));
+                deferredActions.add(() -> of.acknowledge(now, revision));
             }
         }
 
-        /** What an event led to, and when it wants to be called again. */
-        private void after() {
-            for (Runnable next = then.poll(); next != null; next = then.poll()) {
+        /** Runs the deferred consequences of an event and schedules the next tick. */
+        private void runDeferred() {
+            for (Runnable next = deferredActions.poll(); next != null; next = deferredActions.poll()) {
                 next.run();
             }
-            if (store != null && store.missing() != 0 && subscriber == null) {
+            if (store != null && store.lastMissingOrdinal() != 0 && subscriber == null) {
                 subscribe(store.table());
-                after();
+                runDeferred();
                 return;
             }
-            if (store != null && store.missing() == 0 && subscriber != null) {
-                connections.forEach((machine, connection) -> close(connection, nodes.get(machine)));
-                connections.clear();
+            if (store != null && store.lastMissingOrdinal() == 0 && subscriber != null) {
+                outbound.forEach((machine, connection) -> notifyMachineClosed(connection, nodes.get(machine)));
+                outbound.clear();
                 subscriber = null;
             }
             if (publisher != null) {
-                boolean alone = voter() ? now - logAt > 6 * SECOND || !store.begun() || store.missing() != 0 : subscriber.aloneSince() != 0;
-                if (alone != publisher.status().alone()) {
-                    publisher.alone(now, alone);
+                boolean sourceUnreachable = isVoter() ? now - logContactAt > 6 * SECOND_MICROS || !store.isEpochStarted() || store.lastMissingOrdinal() != 0 : subscriber.disconnectedSince() != 0;
+                if (sourceUnreachable != publisher.status().sourceUnreachable()) {
+                    publisher.setSourceUnreachable(now, sourceUnreachable);
                 }
             }
-            long due = Math.min(subscriber == null ? Long.MAX_VALUE : subscriber.dueAt(), publisher == null ? Long.MAX_VALUE : publisher.dueAt());
-            if (due < armed) {
-                armed = due;
-                long token = due;
-                at(this, life, Math.max(now, due), () -> {
-                    if (armed == token) {
-                        armed = Long.MAX_VALUE;
+            long nextTickAt = Math.min(subscriber == null ? Long.MAX_VALUE : subscriber.dueAt(), publisher == null ? Long.MAX_VALUE : publisher.dueAt());
+            if (nextTickAt < timerAt) {
+                timerAt = nextTickAt;
+                long token = nextTickAt;
+                schedule(this, incarnation, Math.max(now, nextTickAt), () -> {
+                    if (timerAt == token) {
+                        timerAt = Long.MAX_VALUE;
                         if (subscriber != null && now >= subscriber.dueAt()) {
                             subscriber.tick(now);
                         }
@@ -299,12 +311,12 @@
         }
 
         private void kill() {
-            up = false;
-            armed = Long.MAX_VALUE;
-            connections.forEach((machine, connection) -> close(connection, nodes.get(machine)));
-            accepted.values().forEach(each -> ended(this, each));
-            connections.clear();
-            accepted.clear();
+            running = false;
+            timerAt = Long.MAX_VALUE;
+            outbound.forEach((machine, connection) -> notifyMachineClosed(connection, nodes.get(machine)));
+            inbound.values().forEach(each -> notifySubscriberClosed(this, each));
+            outbound.clear();
+            inbound.clear();
         }
     }
 
@@ -312,14 +324,15 @@
     private final Plan plan;
     private final long seed;
     private final Random random;
-    private final PriorityQueue<Event> queue = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
-    private final List<Command> log = new ArrayList<>();  // of this epoch
-    private final List<List<Table>> truth = new ArrayList<>();  // by epoch and number; null where an epoch has no state by that
+    private final PriorityQueue<Event> queue = new PriorityQueue<>((a, b) -> a.time != b.time ? Long.compare(a.time, b.time) : Long.compare(a.sequence, b.sequence));
+    private final List<Command> log = new ArrayList<>();  // of the current epoch
+    // by epoch and number; null where an epoch has no state at that number
+    private final List<List<Table>> agreedTables = new ArrayList<>();
     private long epoch = 1;
     private long now = 1;
-    private long numbers;
-    long messages;
-    int decided;  // in the last epoch
+    private long nextSequence;
+    long messageCount;
+    int logLength;  // in the last epoch
 
     private DistributionSimulation(Plan plan, long seed) {
         this.plan = plan;
@@ -327,254 +340,263 @@
         random = new Random(seed);
     }
 
-    /** Plays it until everybody had 12 s after the last fault and the last change, and looks whether all have it. */
-    static DistributionSimulation play(Plan plan, long seed) {
-        DistributionSimulation world = new DistributionSimulation(plan, seed);
-        world.run();
-        return world;
+    /** Runs until 12 s after the last fault and the last change, and asserts that every node has the last change. */
+    static DistributionSimulation simulate(Plan plan, long seed) {
+        DistributionSimulation simulation = new DistributionSimulation(plan, seed);
+        simulation.run();
+        return simulation;
     }
 
     private void run() {
-        truth.add(new ArrayList<>(List.of(Table.empty(1))));
+        agreedTables.add(new ArrayList<>(List.of(Table.empty(1))));
         List<Node> all = new ArrayList<>();
         for (int i = 0; i < plan.voters + plan.relays + plan.gateways; i++) {
             all.add(new Node("n" + i, i));
             nodes.put("n" + i, all.get(i));
         }
-        all.forEach(each -> at((long) (random.nextDouble() * 2 * SECOND), () -> {
-            if (!each.up && each.life == 0) {
-                each.start(nothing(each));
+        all.forEach(each -> schedule((long) (random.nextDouble() * 2 * SECOND_MICROS), () -> {
+            if (!each.running && each.incarnation == 0) {
+                each.start(initialTable(each));
             }
         }));
-        decide();
-        if (plan.raised > 0) {
-            at(plan.raised, this::raise);
+        appendChange();
+        if (plan.epochRaisedAt > 0) {
+            schedule(plan.epochRaisedAt, this::raiseEpoch);
         }
-        all.subList(0, plan.voters).forEach(this::follow);
+        all.subList(0, plan.voters).forEach(this::deliverLog);
         for (Fault fault : plan.faults) {
-            Node node = all.get(fault.one);
-            if (fault.kind == FaultKind.KILL || fault.kind == FaultKind.KILL_EMPTY || fault.kind == FaultKind.KILL_OLDER || fault.kind == FaultKind.FORGE) {
-                at(fault.from, () -> {
-                    if (node.up) {
+            Node node = all.get(fault.node);
+            if (fault.kind == FaultKind.KILL || fault.kind == FaultKind.KILL_AND_LOSE_TABLE || fault.kind == FaultKind.KILL_AND_RESTORE_OLD_TABLE || fault.kind == FaultKind.FORK) {
+                schedule(fault.from, () -> {
+                    if (node.running) {
                         node.kill();
                     }
                 });
-                at(fault.until, () -> {
-                    if (!node.up) {
-                        node.start(folder(node, fault.kind));
+                schedule(fault.until, () -> {
+                    if (!node.running) {
+                        node.start(restoredTable(node, fault.kind));
                     }
                 });
             }
         }
-        long end = plan.last + 12 * SECOND;
-        for (Event next = queue.poll(); next != null && next.at <= end; next = queue.poll()) {
-            now = next.at;
-            next.what.run();
+        long end = plan.lastActivityAt + 12 * SECOND_MICROS;
+        for (Event next = queue.poll(); next != null && next.time <= end; next = queue.poll()) {
+            now = next.time;
+            next.action.run();
         }
         now = end;
-        decided = log.size();
+        logLength = log.size();
         for (Node each : all) {
-            assertEquals(agreed().get(log.size()).revision(), each.table().revision(), () -> each.name + " at " + (each.subscriber == null ? "" : each.subscriber.machine()) + " with " + each.events
+            assertEquals(agreedTablesOfEpoch().get(log.size()).revision(), each.table().revision(), () -> each.name + " at " + (each.subscriber == null ? "" : each.subscriber.currentMachine()) + " with " + each.events
                     + " 12 s after the last of seed " + seed + " " + plan);
         }
     }
 
-    private Table folder(Node node, FaultKind kind) {
-        if (kind == FaultKind.FORGE) {
-            Table have = node.disk.isEmpty() ? nothing(node) : node.disk.get(node.disk.size() - 1);
-            return have.revision().number() == 0 ? have : TestChanges.applied(Table.empty(1).apply(have.revision().number(), TestChanges.of("forged", TestChanges.put("n1", "forged")))).table();
+    private Table restoredTable(Node node, FaultKind kind) {
+        if (kind == FaultKind.FORK) {
+            Table latest = node.storedTables.isEmpty() ? initialTable(node) : node.storedTables.get(node.storedTables.size() - 1);
+            return latest.revision().number() == 0 ? latest : TestChanges.requireApplied(Table.empty(1).apply(latest.revision().number(), TestChanges.of("forged", TestChanges.put("n1", "forged")))).table();
         }
-        if (kind == FaultKind.KILL_EMPTY || node.disk.isEmpty()) {
-            node.disk.clear();
-            return nothing(node);
+        if (kind == FaultKind.KILL_AND_LOSE_TABLE || node.storedTables.isEmpty()) {
+            node.storedTables.clear();
+            return initialTable(node);
         }
-        return kind == FaultKind.KILL ? node.disk.get(node.disk.size() - 1) : node.disk.get(random.nextInt(node.disk.size()));
+        return kind == FaultKind.KILL ? node.storedTables.get(node.storedTables.size() - 1) : node.storedTables.get(random.nextInt(node.storedTables.size()));
     }
 
-    /** What a process begins with that has no folder. */
-    private Table nothing(Node node) {
-        return node.voter() || node.relay() ? Store.nothing(epoch) : Table.empty(epoch);
+    /** Table of a process that has no stored one. */
+    private Table initialTable(Node node) {
+        return node.isVoter() || node.isRelay() ? Store.initialTable(epoch) : Table.empty(epoch);
     }
 
-    private List<Table> agreed() {
-        return truth.get((int) epoch - 1);
+    private List<Table> agreedTablesOfEpoch() {
+        return agreedTables.get((int) epoch - 1);
     }
 
     // ---- epochs
 
-    /** The log is lost. Voters are stopped one as late as the other, one of them has lost its folder too, and come again in a later epoch. */
-    private void raise() {
+    /**
+     * The log is lost. Voters are stopped at different revisions, in some runs one of them also loses its stored table,
+     * and they restart in a later epoch.
+     */
+    private void raiseEpoch() {
         epoch++;
         log.clear();
-        truth.add(new ArrayList<>());
-        truth.get(truth.size() - 1).add(null);
-        int without = random.nextInt(2) - 1;
+        agreedTables.add(new ArrayList<>());
+        agreedTables.get(agreedTables.size() - 1).add(null);
+        int voterWithoutDisk = random.nextInt(2) - 1;
         for (Node each : nodes.values()) {
-            if (each.voter()) {
-                if (each.up) {
+            if (each.isVoter()) {
+                if (each.running) {
                     each.kill();
                 }
-                int kept = each.number == without || each.disk.isEmpty() ? 0 : 1 + random.nextInt(each.disk.size());
-                each.disk.subList(kept, each.disk.size()).clear();
-                at(now + (long) (random.nextDouble() * 3 * SECOND), () -> {
-                    if (!each.up) {
-                        each.start(folder(each, FaultKind.KILL));
+                int keptCopies = each.number == voterWithoutDisk || each.storedTables.isEmpty() ? 0 : 1 + random.nextInt(each.storedTables.size());
+                each.storedTables.subList(keptCopies, each.storedTables.size()).clear();
+                schedule(now + (long) (random.nextDouble() * 3 * SECOND_MICROS), () -> {
+                    if (!each.running) {
+                        each.start(restoredTable(each, FaultKind.KILL));
                     }
                 });
             }
         }
     }
 
-    /** A voter asks that the epoch begins from its table; who is first is heeded. */
-    private void begin(Node voter) {
-        Revision from = voter.store.toBegin();
+    /** A voter proposes that the epoch starts from its table; the first proposal wins. */
+    private void proposeEpochStart(Node voter) {
+        Revision from = voter.store.epochStartCandidate();
         if (from != null && log.isEmpty()) {
             Table base = voter.store.table();
             log.add(new EpochStart(from));
-            agreed().add((base.revision().epoch() == epoch ? base : base.begun(epoch)).passed(1).table());
+            agreedTablesOfEpoch().add((base.revision().epoch() == epoch ? base : base.withEpoch(epoch)).advanceTo(1).table());
         }
     }
 
-    // ---- the agreed log
+    // ---- the replicated log
 
-    private void decide() {
-        Table before = agreed().get(log.size());
-        if (before != null) {
+    private void appendChange() {
+        Table previous = agreedTablesOfEpoch().get(log.size());
+        if (previous != null) {
             long number = log.size() + 1;
-            Change change = random.nextInt(30) == 0 ? null : TestChanges.drawn(random, "c" + number);
-            Outcome outcome = change == null ? new Outcome.Conflict("") : before.apply(number, change);
+            Change change = random.nextInt(30) == 0 ? null : TestChanges.randomChange(random, "c" + number);
+            Outcome outcome = change == null ? new Outcome.Conflict("") : previous.apply(number, change);
             log.add(change);
-            agreed().add(outcome instanceof Outcome.Applied applied ? applied.table() : before.passed(number).table());
+            agreedTablesOfEpoch().add(outcome instanceof Outcome.Applied applied ? applied.table() : previous.advanceTo(number).table());
         }
-        long next = now + (long) (-plan.every * Math.log(1 - random.nextDouble()));
-        if (next < plan.last) {
-            at(next, this::decide);
+        long next = now + (long) (-plan.meanChangeIntervalMicros * Math.log(1 - random.nextDouble()));
+        if (next < plan.lastActivityAt) {
+            schedule(next, this::appendChange);
         }
     }
 
-    /** The first decision that the log still has: some have gone, but none that isn't in the folder of one of the majority that keeps them, since that one follows what it decides on itself. */
-    private long kept() {
-        long safe = nodes.values().stream().filter(each -> each.voter() && each.number >= plan.voters / 2 && !each.disk.isEmpty())
-                .map(each -> each.disk.get(each.disk.size() - 1).revision()).filter(each -> each.epoch() == epoch).mapToLong(Revision::number).max().orElse(0);
-        return Math.max(1, Math.min(log.size() - KEPT, safe) + 1);
+    /**
+     * The first entry that the log still has. Entries are discarded only once they are in the stored table of one of
+     * the majority of voters that keeps it, since that voter follows its own log.
+     */
+    private long firstRetainedOrdinal() {
+        long storedNumber = nodes.values().stream().filter(each -> each.isVoter() && each.number >= plan.voters / 2 && !each.storedTables.isEmpty())
+                .map(each -> each.storedTables.get(each.storedTables.size() - 1).revision()).filter(each -> each.epoch() == epoch).mapToLong(Revision::number).max().orElse(0);
+        return Math.max(1, Math.min(log.size() - RETAINED_LOG_ENTRIES, storedNumber) + 1);
     }
 
-    /** A voter hears of the log each 0.1 s, each second in plays of hours; of one that is late later; a heartbeat with nothing new counts. */
-    private void follow(Node voter) {
-        long late = 0;
+    /**
+     * Delivers the log to a voter every 0.1 s, in simulations of hours every second, later for a delayed voter; a
+     * delivery without new entries counts as contact.
+     */
+    private void deliverLog(Node voter) {
+        long delay = 0;
         for (Fault each : plan.faults) {
-            late = each.kind == FaultKind.LOG_LATE && each.one == voter.number && each.at(now) ? Math.max(late, (long) each.amount) : late;
+            delay = each.kind == FaultKind.LOG_DELAY && each.node == voter.number && each.isActive(now) ? Math.max(delay, (long) each.magnitude) : delay;
         }
-        at(voter, voter.life, now + late + random.nextInt(20_000), () -> {
-            voter.logAt = now;
-            voter.logNext = Math.max(voter.logNext, kept());
-            for (; voter.logNext <= log.size(); voter.logNext++) {
-                voter.store.decided(voter.logNext, "c" + voter.logNext, log.get((int) voter.logNext - 1));
+        schedule(voter, voter.incarnation, now + delay + random.nextInt(20_000), () -> {
+            voter.logContactAt = now;
+            voter.nextLogOrdinal = Math.max(voter.nextLogOrdinal, firstRetainedOrdinal());
+            for (; voter.nextLogOrdinal <= log.size(); voter.nextLogOrdinal++) {
+                voter.store.applyEntry(voter.nextLogOrdinal, "c" + voter.nextLogOrdinal, log.get((int) voter.nextLogOrdinal - 1));
                 if (random.nextInt(4) == 0) {
-                    voter.logNext++;
+                    voter.nextLogOrdinal++;
                     break;
                 }
             }
             if (random.nextInt(4) == 0) {
-                begin(voter);
+                proposeEpochStart(voter);
             }
         });
-        at(now + (plan.last < HOUR ? 100_000 : SECOND) + late, () -> follow(voter));
+        schedule(now + (plan.lastActivityAt < HOUR_MICROS ? 100_000 : SECOND_MICROS) + delay, () -> deliverLog(voter));
     }
 
-    // ---- time and processes
+    // ---- scheduling and processes
 
-    private void at(long when, Runnable what) {
-        queue.add(new Event(when, numbers++, what));
+    private void schedule(long when, Runnable action) {
+        queue.add(new Event(when, nextSequence++, action));
     }
 
-    /** In a life of a process, once it runs. */
-    private void at(Node node, long life, long when, Runnable what) {
-        at(when, () -> {
-            if (!node.up || node.life != life) {
+    /** Runs an action in the given incarnation of a process, after a freeze if there is one. */
+    private void schedule(Node node, long incarnation, long when, Runnable action) {
+        schedule(when, () -> {
+            if (!node.running || node.incarnation != incarnation) {
                 return;
             }
             long until = now;
             for (Fault each : plan.faults) {
-                until = each.kind == FaultKind.FREEZE && each.one == node.number && each.at(now) ? Math.max(until, each.until) : until;
+                until = each.kind == FaultKind.FREEZE && each.node == node.number && each.isActive(now) ? Math.max(until, each.until) : until;
             }
             if (until > now) {
-                at(node, life, until, what);
+                schedule(node, incarnation, until, action);
             } else {
-                what.run();
-                node.after();
+                action.run();
+                node.runDeferred();
             }
         });
     }
 
     // ---- the network
 
-    /** When a message arrives; negative for never. */
-    private long arrives(int from, int to, long last) {
-        messages++;
+    /** Delivery time of a message; negative if it is lost. */
+    private long deliveryTime(int from, int to, long lastDelivery) {
+        messageCount++;
         long delay = (long) (-2_000 * Math.log(1 - random.nextDouble()));
         boolean inOrder = true;
         for (Fault fault : plan.faults) {
-            if (!fault.at(now)) {
+            if (!fault.isActive(now)) {
                 continue;
             }
             boolean lost = switch (fault.kind) {
-                case CUT -> from < fault.one != to < fault.one;
-                case ONE_WAY -> from == fault.one && (to == fault.other || fault.amount < 0.4);
-                case LOSS -> random.nextDouble() < fault.amount;
+                case PARTITION -> from < fault.node != to < fault.node;
+                case ONE_WAY -> from == fault.node && (to == fault.peer || fault.magnitude < 0.4);
+                case LOSS -> random.nextDouble() < fault.magnitude;
                 default -> false;
             };
             if (lost) {
                 return -1;
             }
-            delay += fault.kind == FaultKind.DELAY ? (long) (fault.amount * random.nextDouble()) : fault.kind == FaultKind.REORDER ? random.nextInt(500_000) : 0;
+            delay += fault.kind == FaultKind.DELAY ? (long) (fault.magnitude * random.nextDouble()) : fault.kind == FaultKind.REORDER ? random.nextInt(500_000) : 0;
             inOrder &= fault.kind != FaultKind.REORDER;
         }
-        return inOrder ? Math.max(last + 1, now + delay) : now + delay;
+        return inOrder ? Math.max(lastDelivery + 1, now + delay) : now + delay;
     }
 
-    private boolean doubled() {
-        boolean doubled = false;
+    private boolean isDuplicated() {
+        boolean duplicate = false;
         for (Fault each : plan.faults) {
-            doubled |= each.kind == FaultKind.DOUBLE && each.at(now) && random.nextDouble() < each.amount;
+            duplicate |= each.kind == FaultKind.DUPLICATE && each.isActive(now) && random.nextDouble() < each.magnitude;
         }
-        return doubled;
+        return duplicate;
     }
 
-    private void out(Node from, Node to, Message message) {
-        Connection connection = from.connections.computeIfAbsent(to.name, name -> new Connection(numbers++, from));
-        for (int times = doubled() ? 2 : 1; times > 0; times--) {
-            long when = arrives(from.number, to.number, connection.lastOut);
+    private void sendToMachine(Node from, Node to, Message message) {
+        Connection connection = from.outbound.computeIfAbsent(to.name, name -> new Connection(nextSequence++, from));
+        for (int copies = isDuplicated() ? 2 : 1; copies > 0; copies--) {
+            long when = deliveryTime(from.number, to.number, connection.lastDeliveryToMachine);
             if (when >= 0) {
-                connection.lastOut = when;
-                at(when, () -> reached(to, connection, message));
+                connection.lastDeliveryToMachine = when;
+                schedule(when, () -> deliverToMachine(to, connection, message));
             }
         }
     }
 
-    private void reached(Node to, Connection connection, Message message) {
-        if (!to.up || connection.machineLife != 0 && connection.machineLife != to.life || to.publisher == null) {
-            ended(to, connection);
+    private void deliverToMachine(Node to, Connection connection, Message message) {
+        if (!to.running || connection.machineIncarnation != 0 && connection.machineIncarnation != to.incarnation || to.publisher == null) {
+            notifySubscriberClosed(to, connection);
             return;
         }
-        connection.machineLife = to.life;
-        at(to, to.life, now, () -> {
-            Connection known = to.accepted.get(connection.subscriber.name);
+        connection.machineIncarnation = to.incarnation;
+        schedule(to, to.incarnation, now, () -> {
+            Connection known = to.inbound.get(connection.subscriber.name);
             if (known == null || known.id <= connection.id) {
-                to.accepted.put(connection.subscriber.name, connection);
+                to.inbound.put(connection.subscriber.name, connection);
                 to.publisher.received(now, connection.subscriber.name, message);
             }
         });
     }
 
-    private void back(Node from, String to, Message message) {
-        Connection connection = from.accepted.get(to);
-        for (int times = connection == null ? 0 : doubled() ? 2 : 1; times > 0; times--) {
-            long when = arrives(from.number, connection.subscriber.number, connection.lastBack);
+    private void sendToSubscriber(Node from, String to, Message message) {
+        Connection connection = from.inbound.get(to);
+        for (int copies = connection == null ? 0 : isDuplicated() ? 2 : 1; copies > 0; copies--) {
+            long when = deliveryTime(from.number, connection.subscriber.number, connection.lastDeliveryToSubscriber);
             if (when >= 0) {
-                connection.lastBack = when;
-                at(connection.subscriber, connection.life, when, () -> {
-                    if (connection.subscriber.connections.get(from.name) == connection) {
+                connection.lastDeliveryToSubscriber = when;
+                schedule(connection.subscriber, connection.subscriberIncarnation, when, () -> {
+                    if (connection.subscriber.outbound.get(from.name) == connection) {
                         connection.subscriber.subscriber.received(now, from.name, message);
                     }
                 });
@@ -582,23 +604,23 @@
         }
     }
 
-    /** A subscriber is told, if the network does, that its connection has ended. */
-    private void ended(Node machine, Connection connection) {
-        long when = arrives(machine.number, connection.subscriber.number, connection.lastBack);
+    /** Notifies a subscriber, unless the network loses it, that its connection was closed. */
+    private void notifySubscriberClosed(Node machine, Connection connection) {
+        long when = deliveryTime(machine.number, connection.subscriber.number, connection.lastDeliveryToSubscriber);
         if (when >= 0) {
-            at(connection.subscriber, connection.life, when, () -> {
-                if (connection.subscriber.connections.remove(machine.name, connection)) {
+            schedule(connection.subscriber, connection.subscriberIncarnation, when, () -> {
+                if (connection.subscriber.outbound.remove(machine.name, connection)) {
                     connection.subscriber.subscriber.outboundClosed(now, machine.name);
                 }
             });
         }
     }
 
-    private void close(Connection connection, Node machine) {
-        long when = connection == null ? -1 : arrives(connection.subscriber.number, machine.number, connection.lastOut);
+    private void notifyMachineClosed(Connection connection, Node machine) {
+        long when = connection == null ? -1 : deliveryTime(connection.subscriber.number, machine.number, connection.lastDeliveryToMachine);
         if (when >= 0) {
-            at(machine, machine.life, when, () -> {
-                if (machine.accepted.remove(connection.subscriber.name, connection)) {
+            schedule(machine, machine.incarnation, when, () -> {
+                if (machine.inbound.remove(connection.subscriber.name, connection)) {
                     machine.publisher.inboundClosed(now, connection.subscriber.name);
                 }
             });
--- a/src/test/java/mastdrift/distribution/HistoryTest.java
+++ b/src/test/java/mastdrift/distribution/HistoryTest.java
@@ -21,73 +21,76 @@
                 List.of(new Resource(ResourceKind.HOST, "h" + random.nextInt(9), number, new byte[random.nextInt(200)])), List.of());
     }
 
-    /** Against a list: the last ones within both bounds, from whichever revision, as many as fit; a revision that isn't known, or is of another state, has nothing behind it. */
+    /**
+     * Compared with a list: the history has the newest deltas within both bounds and returns those after any of its
+     * revisions, as many as fit; for an unknown or forked revision it returns null.
+     */
     @Property(tries = 200)
-    void whatIsKeptIsTheEndOfAllWithinItsBounds(@ForAll long seed) {
+    void theNewestDeltasWithinTheBoundsAreKept(@ForAll long seed) {
         Random random = new Random(seed);
-        int deltasMost = 1 + random.nextInt(200);
-        long bytesMost = 500 + random.nextInt(60_000);
+        int maxDeltas = 1 + random.nextInt(200);
+        long maxBytes = 500 + random.nextInt(60_000);
         Revision base = new Revision(2, random.nextInt(5), 1, 1);
-        History history = new History(base, deltasMost, bytesMost);
+        History history = new History(base, maxDeltas, maxBytes);
         List<Delta> all = new ArrayList<>();
         Revision last = base;
         for (int i = random.nextInt(600); i >= 0; i--) {
             all.add(delta(random, last));
             last = all.get(all.size() - 1).to();
             history.add(all.get(all.size() - 1));
-            assertTrue(history.size() <= deltasMost && history.bytes() <= bytesMost);
+            assertTrue(history.size() <= maxDeltas && history.sizeBytes() <= maxBytes);
         }
         int size = 0;
         long bytes = 0;
-        for (int i = all.size() - 1; i >= 0 && size < deltasMost && bytes + History.bytes(all.get(i)) <= bytesMost; i--) {
-            bytes += History.bytes(all.get(i));
+        for (int i = all.size() - 1; i >= 0 && size < maxDeltas && bytes + History.sizeBytes(all.get(i)) <= maxBytes; i--) {
+            bytes += History.sizeBytes(all.get(i));
             size++;
         }
         assertEquals(size, history.size());
-        assertEquals(bytes, history.bytes());
+        assertEquals(bytes, history.sizeBytes());
         assertEquals(last, history.latest());
-        int kept = all.size() - size;
+        int firstKept = all.size() - size;
         for (int i = 0; i <= all.size(); i++) {
-            Revision at = i == 0 ? base : all.get(i - 1).to();
-            Revision other = new Revision(2, at.number(), at.high() + 1, at.low());
-            assertNull(history.after(other, 1 << 30));
-            assertNull(history.after(new Revision(1, at.number(), at.high(), at.low()), 1 << 30));
-            assertEquals(i >= kept, history.forked(other));
-            assertFalse(history.forked(at));
-            assertEquals(i < kept ? null : all.subList(i, all.size()), history.after(at, 1 << 30));
-            if (i >= kept && i < all.size()) {
-                int most = random.nextInt(2_000);
-                List<Delta> part = history.after(at, most);
+            Revision revision = i == 0 ? base : all.get(i - 1).to();
+            Revision other = new Revision(2, revision.number(), revision.high() + 1, revision.low());
+            assertNull(history.deltasAfter(other, 1 << 30));
+            assertNull(history.deltasAfter(new Revision(1, revision.number(), revision.high(), revision.low()), 1 << 30));
+            assertEquals(i >= firstKept, history.isForked(other));
+            assertFalse(history.isForked(revision));
+            assertEquals(i < firstKept ? null : all.subList(i, all.size()), history.deltasAfter(revision, 1 << 30));
+            if (i >= firstKept && i < all.size()) {
+                int limitBytes = random.nextInt(2_000);
+                List<Delta> part = history.deltasAfter(revision, limitBytes);
                 assertEquals(all.subList(i, i + part.size()), part);
-                long sum = part.stream().mapToLong(History::bytes).sum();
-                assertTrue(part.size() == 1 || sum <= most);
-                assertTrue(i + part.size() == all.size() || sum + History.bytes(all.get(i + part.size())) > most);
-                assertEquals(all.subList(i, all.size()).stream().mapToLong(History::bytes).sum(), history.bytesAfter(at.number()));
+                long sum = part.stream().mapToLong(History::sizeBytes).sum();
+                assertTrue(part.size() == 1 || sum <= limitBytes);
+                assertTrue(i + part.size() == all.size() || sum + History.sizeBytes(all.get(i + part.size())) > limitBytes);
+                assertEquals(all.subList(i, all.size()).stream().mapToLong(History::sizeBytes).sum(), history.bytesAfter(revision.number()));
             }
         }
-        assertNull(history.after(new Revision(2, last.number() + 1, 0, 0), 1 << 30), "later than all");
+        assertNull(history.deltasAfter(new Revision(2, last.number() + 1, 0, 0), 1 << 30), "later than the latest");
     }
 
     @Test
-    void aDeltaThatDoesNotFollowIsRefused() {
+    void aDeltaThatDoesNotStartAtTheLatestRevisionIsRejected() {
         History history = new History(new Revision(1, 4, 0, 0));
         Delta one = new Delta(4, new Revision(1, 6, 1, 1), List.of(), List.of());
         history.add(one);
         assertThrows(IllegalArgumentException.class, () -> history.add(one));
         assertThrows(IllegalArgumentException.class, () -> history.add(new Delta(6, new Revision(2, 7, 1, 1), List.of(), List.of())));
-        assertEquals(List.of(one), history.after(new Revision(1, 4, 0, 0), 1));
+        assertEquals(List.of(one), history.deltasAfter(new Revision(1, 4, 0, 0), 1));
     }
 
     @Test
-    void aDayOfTheTargetIsKept() {
-        Revision at = Revision.none(1);
-        History history = new History(at);
+    void aDayOfChangesAtTheTargetLoadIsKept() {
+        Revision revision = Revision.empty(1);
+        History history = new History(revision);
         for (int i = 1; i <= 40_000; i++) {
-            Delta delta = new Delta(at.number(), new Revision(1, i, i, i), List.of(new Resource(ResourceKind.TENANT, "tenant-" + i, i, new byte[i % 20 == 0 ? 4_000 : 100])), List.of());
+            Delta delta = new Delta(revision.number(), new Revision(1, i, i, i), List.of(new Resource(ResourceKind.TENANT, "tenant-" + i, i, new byte[i % 20 == 0 ? 4_000 : 100])), List.of());
             history.add(delta);
-            at = delta.to();
+            revision = delta.to();
         }
         assertTrue(history.size() >= 15_000, history.size() + " deltas");
-        assertTrue(history.bytes() <= History.BYTES_MOST);
+        assertTrue(history.sizeBytes() <= History.MAX_BYTES);
     }
 }
--- a/src/test/java/mastdrift/distribution/PublisherTest.java
+++ b/src/test/java/mastdrift/distribution/PublisherTest.java
@@ -1,6 +1,6 @@
 package mastdrift.distribution;
 
-import static mastdrift.distribution.SimulatedNetwork.SECOND;
+import static mastdrift.distribution.SimulatedNetwork.SECOND_MICROS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,318 +17,337 @@
 
 class PublisherTest {
 
-    private static void subscribe(SimulatedNetwork lines, Publisher machine, String name) {
-        machine.received(lines.now, name, new Message.Subscribe(machine.table().revision(), "z-1"));
+    private static void subscribe(SimulatedNetwork network, Publisher machine, String name) {
+        machine.received(network.now, name, new Message.Subscribe(machine.table().revision(), "z-1"));
     }
 
-    /** A burst goes out in few messages, none later than 0.2 s, and all subscribers get the same objects. */
+    /** A burst is sent in few messages, none later than 0.2 s, and all subscribers get the same objects. */
     @Test
     void changesAreCoalescedAndEncodedOnce() {
-        SimulatedNetwork lines = new SimulatedNetwork();
-        Publisher machine = lines.machine("a", TestChanges.table(100));
-        List.of("x", "y", "z").forEach(each -> subscribe(lines, machine, each));
-        lines.run(SECOND);
-        Map<Long, Long> made = new HashMap<>();
+        SimulatedNetwork network = new SimulatedNetwork();
+        Publisher machine = network.addMachine("a", TestChanges.table(100));
+        List.of("x", "y", "z").forEach(each -> subscribe(network, machine, each));
+        network.advance(SECOND_MICROS);
+        Map<Long, Long> publishedAt = new HashMap<>();
         for (int i = 0; i < 100; i++) {
-            made.put(lines.change(machine, "r" + i, "v").to().number(), lines.now);
-            lines.run(10_000);
+            publishedAt.put(network.publishChange(machine, "r" + i, "v").to().number(), network.now);
+            network.advance(10_000);
         }
-        lines.run(SECOND);
-        List<Message.Deltas> to = lines.to("x", Message.Deltas.class);
-        assertTrue(to.size() <= 7, to.size() + " messages in a second");
-        for (int i = 0; i < to.size(); i++) {
-            assertSame(to.get(i), lines.to("y", Message.Deltas.class).get(i));
-            assertSame(to.get(i), lines.to("z", Message.Deltas.class).get(i));
+        network.advance(SECOND_MICROS);
+        List<Message.Deltas> messages = network.messagesTo("x", Message.Deltas.class);
+        assertTrue(messages.size() <= 7, messages.size() + " messages in a second");
+        for (int i = 0; i < messages.size(); i++) {
+            assertSame(messages.get(i), network.messagesTo("y", Message.Deltas.class).get(i));
+            assertSame(messages.get(i), network.messagesTo("z", Message.Deltas.class).get(i));
         }
-        long latest = lines.sent.stream().filter(each -> each.message() instanceof Message.Deltas)
-                .flatMap(each -> ((Message.Deltas) each.message()).deltas().stream().map(delta -> each.at() - made.get(delta.to().number()))).max(Long::compare).orElseThrow();
-        assertTrue(latest <= 205_000, latest + " us");
+        long maxDelay = network.sent.stream().filter(each -> each.message() instanceof Message.Deltas)
+                .flatMap(each -> ((Message.Deltas) each.message()).deltas().stream().map(delta -> each.sentAt() - publishedAt.get(delta.to().number()))).max(Long::compare).orElseThrow();
+        assertTrue(maxDelay <= 205_000, maxDelay + " us");
     }
 
-    /** One that never answers is told no more at the bound of bytes, and dropped at that of time; what the machine keeps does not grow with it. */
+    /**
+     * A subscriber that never acknowledges is sent no more once the bound of bytes is reached, and is dropped after the
+     * timeout; the memory of the machine does not grow with it.
+     */
     @Test
-    void aGatewayThatNeverAcknowledgesIsDroppedAndMemoryStaysLevel() {
-        SimulatedNetwork lines = new SimulatedNetwork();
-        Publisher machine = lines.machine("a", TestChanges.table(100));
-        subscribe(lines, machine, "mute");
-        Subscriber gateway = lines.gateway("g", machine.table(), "a");
+    void aGatewayThatNeverAcknowledgesIsDroppedAndMemoryStaysBounded() {
+        SimulatedNetwork network = new SimulatedNetwork();
+        Publisher machine = network.addMachine("a", TestChanges.table(100));
+        subscribe(network, machine, "mute");
+        Subscriber gateway = network.addGateway("g", machine.table(), "a");
         long bytes = 0;
         for (int i = 0; i < 190; i++) {
-            lines.change(machine, "r" + i % 10, "x".repeat(16_000));
-            lines.run(100_000);
-            bytes = lines.to("mute", Message.Deltas.class).stream().flatMap(each -> each.deltas().stream()).mapToLong(History::bytes).sum();
-            assertTrue(bytes <= PublisherSettings.USUAL.unackedBytes() + PublisherSettings.USUAL.messageBytes(), bytes + " bytes");
+            network.publishChange(machine, "r" + i % 10, "x".repeat(16_000));
+            network.advance(100_000);
+            bytes = network.messagesTo("mute", Message.Deltas.class).stream().flatMap(each -> each.deltas().stream()).mapToLong(History::sizeBytes).sum();
+            assertTrue(bytes <= PublisherSettings.DEFAULTS.maxUnackedBytes() + PublisherSettings.DEFAULTS.targetMessageBytes(), bytes + " bytes");
             if (i % 60 == 59) {
-                machine.received(lines.now, "mute", new Message.Ack(Revision.none(1)));  // it is there, and answers nothing
+                // keeps the connection alive but acknowledges nothing
+                machine.received(network.now, "mute", new Message.Ack(Revision.empty(1)));
             }
         }
-        assertTrue(bytes >= PublisherSettings.USUAL.unackedBytes() - 17_000, "as far as the bound");
+        assertTrue(bytes >= PublisherSettings.DEFAULTS.maxUnackedBytes() - 17_000, "sent up to the bound");
         assertEquals(2, machine.status().subscribers());
         for (int i = 0; i < 1_200; i++) {
-            lines.change(machine, "r" + i % 10, "x".repeat(16_000));
-            lines.run(5_000);
-            assertTrue(machine.status().deltaBytes() <= History.BYTES_MOST);
+            network.publishChange(machine, "r" + i % 10, "x".repeat(16_000));
+            network.advance(5_000);
+            assertTrue(machine.status().deltaBytes() <= History.MAX_BYTES);
         }
-        assertTrue(machine.status().deltaBytes() > History.BYTES_MOST - 20_000, "the bound was reached");
-        assertTrue(lines.events.contains("dropped mute: expected an acknowledgement within 20 s, found none"), lines.events.toString());
+        assertTrue(machine.status().deltaBytes() > History.MAX_BYTES - 20_000, "the bound was reached");
+        assertTrue(network.events.contains("dropped mute: expected an acknowledgement within 20 s, found none"), network.events.toString());
         assertEquals(1, machine.status().subscribers());
-        lines.run(2 * SECOND);
-        assertEquals(machine.table().revision(), gateway.table().revision(), "the others are as before");
+        network.advance(2 * SECOND_MICROS);
+        assertEquals(machine.table().revision(), gateway.table().revision(), "other subscribers are unaffected");
     }
 
-    /** One says nothing at all: dropped after half a minute, but for time in which this process did not run. */
+    /** A subscriber that sends nothing is dropped after 30 s, not counting time in which this process was paused. */
     @Test
-    void whoSaysNothingIsDropped() {
-        SimulatedNetwork lines = new SimulatedNetwork();
-        Publisher machine = lines.machine("a", TestChanges.table(10));
-        subscribe(lines, machine, "mute");
-        lines.run(10 * SECOND);
-        lines.frozen.add("a");
-        lines.run(40 * SECOND);
-        lines.frozen.clear();
-        lines.run(15 * SECOND);
+    void aSilentSubscriberIsDropped() {
+        SimulatedNetwork network = new SimulatedNetwork();
+        Publisher machine = network.addMachine("a", TestChanges.table(10));
+        subscribe(network, machine, "mute");
+        network.advance(10 * SECOND_MICROS);
+        network.frozen.add("a");
+        network.advance(40 * SECOND_MICROS);
+        network.frozen.clear();
+        network.advance(15 * SECOND_MICROS);
         assertEquals(1, machine.status().subscribers());
-        lines.run(10 * SECOND);
+        network.advance(10 * SECOND_MICROS);
         assertEquals(0, machine.status().subscribers());
     }
 
-    /** What a gateway can't take is told with its reason, the old stays in force, and the next ones still come. */
+    /**
+     * A gateway's rejection is reported with its reason, the previous revision stays active, and later ones are still
+     * received.
+     */
     @Test
-    void aChangeThatAGatewayCannotTakeIsToldAndTheNextOnesStillCome() {
-        SimulatedNetwork lines = new SimulatedNetwork();
-        Publisher machine = lines.machine("a", TestChanges.table(10));
-        Subscriber gateway = lines.gateway("g", machine.table(), "a");
-        subscribe(lines, machine, "h");
-        lines.run(SECOND);
-        Revision first = lines.change(machine, "r", "1").to();
-        lines.run(SECOND);
-        machine.received(lines.now, "h", new Message.Ack(first));
-        Revision second = lines.change(machine, "r", "bad").to();
-        machine.received(lines.now, "h", new Message.Nack(second, first, "edits: expected a pool, found none called x"));
-        assertTrue(lines.events.contains("a config_refused h refuses " + second.number() + ": edits: expected a pool, found none called x"), lines.events.toString());
+    void aNackIsReportedAndLaterChangesAreStillSent() {
+        SimulatedNetwork network = new SimulatedNetwork();
+        Publisher machine = network.addMachine("a", TestChanges.table(10));
+        Subscriber gateway = network.addGateway("g", machine.table(), "a");
+        subscribe(network, machine, "h");
+        network.advance(SECOND_MICROS);
+        Revision first = network.publishChange(machine, "r", "1").to();
+        network.advance(SECOND_MICROS);
+        machine.received(network.now, "h", new Message.Ack(first));
+        Revision second = network.publishChange(machine, "r", "bad").to();
+        machine.received(network.now, "h", new Message.Nack(second, first, "edits: expected a pool, found none called x"));
+        assertTrue(network.events.contains("a config_refused h refuses " + second.number() + ": edits: expected a pool, found none called x"), network.events.toString());
         ZoneSummary zone = machine.summary().get(0);
-        assertEquals(1, zone.refused());
+        assertEquals(1, zone.rejecting());
         assertEquals(first, zone.lowest());
         assertTrue(zone.lagging().contains("h"));
-        machine.received(lines.now, "h", new Message.Ack(first));
-        assertEquals(1, machine.summary().get(0).refused(), "told again that the old is in force: it refuses still");
-        Revision third = lines.change(machine, "r", "good").to();
-        lines.run(SECOND);
-        assertEquals(third, lines.to("h", Message.Deltas.class).get(lines.to("h", Message.Deltas.class).size() - 1).deltas().get(0).to());
-        machine.received(lines.now, "h", new Message.Ack(third));
-        assertEquals(0, machine.summary().get(0).refused());
-        gateway.refused(lines.now, third, "because " + "x".repeat(1_000));
-        lines.run(SECOND);
-        assertEquals(200, lines.to("a", Message.Nack.class).get(0).reason().length());
-        assertEquals(third, lines.to("a", Message.Nack.class).get(0).inForce(), "what it had put in force before");
+        machine.received(network.now, "h", new Message.Ack(first));
+        assertEquals(1, machine.summary().get(0).rejecting(), "acknowledging the previous revision again does not withdraw the rejection");
+        Revision third = network.publishChange(machine, "r", "good").to();
+        network.advance(SECOND_MICROS);
+        assertEquals(third, network.messagesTo("h", Message.Deltas.class).get(network.messagesTo("h", Message.Deltas.class).size() - 1).deltas().get(0).to());
+        machine.received(network.now, "h", new Message.Ack(third));
+        assertEquals(0, machine.summary().get(0).rejecting());
+        gateway.reject(network.now, third, "because " + "x".repeat(1_000));
+        network.advance(SECOND_MICROS);
+        assertEquals(200, network.messagesTo("a", Message.Nack.class).get(0).reason().length());
+        assertEquals(third, network.messagesTo("a", Message.Nack.class).get(0).activeRevision(), "the revision that was active before");
     }
 
-    /** 370 come back at once without their folders: eight snapshots at a time, the rest are told when to come, 3,700 others get each change as always, and all have all within a minute. */
+    /**
+     * 370 gateways reconnect at once without stored tables: eight snapshots are served at a time, the rest are told
+     * when to retry, 3,700 others get each change without delay, and all are up to date within a minute.
+     */
     @Test
-    void manyThatReturnWithoutFoldersKeepNobodyElseWaiting() {
-        SimulatedNetwork lines = new SimulatedNetwork(new PublisherSettings(200_000, 2 * SECOND, 8, 4_096, 1 << 20, 20 * SECOND, 30 * SECOND, 10 * SECOND, 8 << 10));
-        Publisher machine = lines.machine("a", TestChanges.table(2_000));
+    void manySnapshotRequestsDoNotDelayOtherSubscribers() {
+        SimulatedNetwork network = new SimulatedNetwork(new PublisherSettings(200_000, 2 * SECOND_MICROS, 8, 4_096, 1 << 20, 20 * SECOND_MICROS, 30 * SECOND_MICROS, 10 * SECOND_MICROS, 8 << 10));
+        Publisher machine = network.addMachine("a", TestChanges.table(2_000));
         for (int i = 0; i < 3_700; i++) {
-            subscribe(lines, machine, "well" + i);
+            subscribe(network, machine, "well" + i);
         }
-        lines.run(SECOND);
-        lines.sent.clear();
+        network.advance(SECOND_MICROS);
+        network.sent.clear();
         for (int i = 0; i < 370; i++) {
-            lines.gateway("g" + i, Table.empty(1), "a");
+            network.addGateway("g" + i, Table.empty(1), "a");
         }
-        int most = 0;
-        long done = 0;
-        for (int second = 0; second < 60 && done == 0; second++) {
-            Delta delta = lines.change(machine, "r", "v" + second);
-            long changed = lines.now;
+        int maxSnapshots = 0;
+        long doneAt = 0;
+        for (int second = 0; second < 60 && doneAt == 0; second++) {
+            Delta delta = network.publishChange(machine, "r", "v" + second);
+            long changedAt = network.now;
             for (int i = 0; i < 10; i++) {
-                lines.run(100_000);
-                most = Math.max(most, machine.status().snapshots());
+                network.advance(100_000);
+                maxSnapshots = Math.max(maxSnapshots, machine.status().snapshots());
             }
-            List<SimulatedNetwork.Sent> told = lines.sent.stream().filter(each -> each.to().startsWith("well") && each.message() instanceof Message.Deltas deltas && deltas.deltas().contains(delta)).toList();
-            assertEquals(3_700, told.size());
-            assertTrue(told.stream().allMatch(each -> each.at() - changed <= 205_000));
-            lines.sent.removeIf(each -> each.to().startsWith("well"));
+            List<SimulatedNetwork.Sent> received = network.sent.stream().filter(each -> each.to().startsWith("well") && each.message() instanceof Message.Deltas deltas && deltas.deltas().contains(delta)).toList();
+            assertEquals(3_700, received.size());
+            assertTrue(received.stream().allMatch(each -> each.sentAt() - changedAt <= 205_000));
+            network.sent.removeIf(each -> each.to().startsWith("well"));
             for (int i = 0; i < 3_700; i++) {
-                machine.received(lines.now, "well" + i, new Message.Ack(delta.to()));
+                machine.received(network.now, "well" + i, new Message.Ack(delta.to()));
             }
             Revision last = delta.to();
-            done = lines.subscribers.values().stream().allMatch(each -> each.table().revision().equals(last)) ? lines.now : 0;
+            doneAt = network.subscribers.values().stream().allMatch(each -> each.table().revision().equals(last)) ? network.now : 0;
         }
-        assertTrue(done != 0, "not all have all: " + machine.status());
-        assertTrue(most <= 8 && most >= 4, most + " snapshots at once");
-        List<Integer> retries = lines.sent.stream().filter(each -> each.message() instanceof Message.RetryAfter).map(each -> ((Message.RetryAfter) each.message()).millis()).toList();
-        assertTrue(retries.size() >= 362 && retries.size() < 370 * 6, retries.size() + " were told to come again");
+        assertTrue(doneAt != 0, "not all are up to date: " + machine.status());
+        assertTrue(maxSnapshots <= 8 && maxSnapshots >= 4, maxSnapshots + " snapshots at once");
+        List<Integer> retries = network.sent.stream().filter(each -> each.message() instanceof Message.RetryAfter).map(each -> ((Message.RetryAfter) each.message()).millis()).toList();
+        assertTrue(retries.size() >= 362 && retries.size() < 370 * 6, retries.size() + " retries");
         assertTrue(retries.stream().distinct().count() > 40, "at different times");
         assertEquals(0, machine.status().waiting());
-        assertTrue(lines.events.stream().noneMatch(each -> each.startsWith("dropped")));
+        assertTrue(network.events.stream().noneMatch(each -> each.startsWith("dropped")));
     }
 
-    /** A snapshot that nobody goes on with ends, and its place is free. */
+    /** A snapshot that gets no further credit is ended, and its slot is free again. */
     @Test
-    void aSnapshotWithoutCreditEnds() {
-        SimulatedNetwork lines = new SimulatedNetwork(new PublisherSettings(200_000, 2 * SECOND, 1, 4_096, 1 << 20, 20 * SECOND, 30 * SECOND, 10 * SECOND, 1 << 10));
-        Publisher machine = lines.machine("a", TestChanges.table(1_000));
-        machine.received(lines.now, "x", new Message.Subscribe(Revision.none(1), "z-1"));
-        machine.received(lines.now, "x", new Message.Fetch(new long[Table.SHARDS], 1_000));
-        assertEquals(64, lines.to("x", Message.SnapshotChunk.class).size(), "credit is bounded");
-        machine.received(lines.now, "y", new Message.Subscribe(Revision.none(1), "z-1"));
-        machine.received(lines.now, "y", new Message.Fetch(new long[Table.SHARDS], 4));
-        assertEquals(1, lines.to("y", Message.RetryAfter.class).size());
-        lines.run(11 * SECOND);
-        assertTrue(lines.events.contains("dropped x: expected credit for a snapshot within 10 s, found none"), lines.events.toString());
-        machine.received(lines.now, "y", new Message.Fetch(new long[Table.SHARDS], 4));
-        assertEquals(4, lines.to("y", Message.SnapshotChunk.class).size());
+    void aSnapshotWithoutCreditIsEnded() {
+        SimulatedNetwork network = new SimulatedNetwork(new PublisherSettings(200_000, 2 * SECOND_MICROS, 1, 4_096, 1 << 20, 20 * SECOND_MICROS, 30 * SECOND_MICROS, 10 * SECOND_MICROS, 1 << 10));
+        Publisher machine = network.addMachine("a", TestChanges.table(1_000));
+        machine.received(network.now, "x", new Message.Subscribe(Revision.empty(1), "z-1"));
+        machine.received(network.now, "x", new Message.Fetch(new long[Table.SHARDS], 1_000));
+        assertEquals(64, network.messagesTo("x", Message.SnapshotChunk.class).size(), "credit is bounded");
+        machine.received(network.now, "y", new Message.Subscribe(Revision.empty(1), "z-1"));
+        machine.received(network.now, "y", new Message.Fetch(new long[Table.SHARDS], 4));
+        assertEquals(1, network.messagesTo("y", Message.RetryAfter.class).size());
+        network.advance(11 * SECOND_MICROS);
+        assertTrue(network.events.contains("dropped x: expected credit for a snapshot within 10 s, found none"), network.events.toString());
+        machine.received(network.now, "y", new Message.Fetch(new long[Table.SHARDS], 4));
+        assertEquals(4, network.messagesTo("y", Message.SnapshotChunk.class).size());
     }
 
     @Test
-    void whatASubscriberMayNotSayIsRefused() {
-        SimulatedNetwork lines = new SimulatedNetwork(new PublisherSettings(200_000, 2 * SECOND, 8, 2, 1 << 20, 20 * SECOND, 30 * SECOND, 10 * SECOND, 8 << 10));
-        Publisher machine = lines.machine("a", TestChanges.table(10));
-        machine.received(lines.now, "x", new Message.Credit(1));
-        subscribe(lines, machine, "x");
-        subscribe(lines, machine, "y");
-        subscribe(lines, machine, "z");
-        machine.received(lines.now, "x", new Message.Fetch(new long[3], 1));
-        machine.received(lines.now, "y", new Message.RetryAfter(1));
+    void invalidMessagesOfSubscribersAreRejected() {
+        SimulatedNetwork network = new SimulatedNetwork(new PublisherSettings(200_000, 2 * SECOND_MICROS, 8, 2, 1 << 20, 20 * SECOND_MICROS, 30 * SECOND_MICROS, 10 * SECOND_MICROS, 8 << 10));
+        Publisher machine = network.addMachine("a", TestChanges.table(10));
+        machine.received(network.now, "x", new Message.Credit(1));
+        subscribe(network, machine, "x");
+        subscribe(network, machine, "y");
+        subscribe(network, machine, "z");
+        machine.received(network.now, "x", new Message.Fetch(new long[3], 1));
+        machine.received(network.now, "y", new Message.RetryAfter(1));
         assertEquals(List.of("dropped x: expected subscribe first, found Credit", "dropped z: expected at most 2 subscribers", "a config_subscriber_dropped x: expected 1024 digests, found 3",
                 "dropped x: expected 1024 digests, found 3", "a config_subscriber_dropped y: expected a subscriber's message, found RetryAfter",
-                "dropped y: expected a subscriber's message, found RetryAfter"), lines.events);
+                "dropped y: expected a subscriber's message, found RetryAfter"), network.events);
         assertEquals(0, machine.status().subscribers());
         assertEquals(4, machine.status().dropped());
     }
 
-    /** Who is ahead is told what there is, and goes on by deltas once the machine has caught up. */
+    /**
+     * A subscriber with a later revision than the machine keeps it, and continues by deltas once the machine has caught
+     * up.
+     */
     @Test
-    void aMachineThatIsBehindItsSubscriberTakesNothingBack() {
-        SimulatedNetwork lines = new SimulatedNetwork();
+    void aSubscriberAheadOfTheMachineDoesNotGoBack() {
+        SimulatedNetwork network = new SimulatedNetwork();
         Table table = TestChanges.table(100);
-        Publisher behind = lines.machine("a", table);
-        Outcome.Applied one = TestChanges.applied(table.apply(50, TestChanges.of("c", TestChanges.put("r", "1"))));
-        Outcome.Applied two = TestChanges.applied(one.table().apply(51, TestChanges.of("c", TestChanges.put("r", "2"))));
-        Subscriber gateway = lines.gateway("g", one.table(), "a");
-        lines.run(SECOND);
+        Publisher behind = network.addMachine("a", table);
+        Outcome.Applied one = TestChanges.requireApplied(table.apply(50, TestChanges.of("c", TestChanges.put("r", "1"))));
+        Outcome.Applied two = TestChanges.requireApplied(one.table().apply(51, TestChanges.of("c", TestChanges.put("r", "2"))));
+        Subscriber gateway = network.addGateway("g", one.table(), "a");
+        network.advance(SECOND_MICROS);
         assertEquals(one.table().revision(), gateway.table().revision());
-        behind.table(lines.now, two.table(), List.of(one.delta(), two.delta()));
-        lines.run(SECOND);
+        behind.table(network.now, two.table(), List.of(one.delta(), two.delta()));
+        network.advance(SECOND_MICROS);
         assertEquals(two.table().revision(), gateway.table().revision());
-        assertEquals(List.of(), lines.to("g", Message.SnapshotNeeded.class));
-        behind.table(lines.now, table, List.of());
+        assertEquals(List.of(), network.messagesTo("g", Message.SnapshotNeeded.class));
+        behind.table(network.now, table, List.of());
         assertSame(two.table(), behind.table(), "an older table is not taken");
     }
 
-    /** One that can't hear its own source serves what it has, and doesn't say that it is current. */
+    /**
+     * A machine that lost contact with its source serves what it has, but sends no heartbeats that would claim that it
+     * is current.
+     */
     @Test
-    void aMachineThatIsAloneDoesNotSayThatItIsCurrent() {
-        SimulatedNetwork lines = new SimulatedNetwork();
+    void aMachineWithoutItsSourceSendsNoHeartbeats() {
+        SimulatedNetwork network = new SimulatedNetwork();
         Table table = TestChanges.table(100);
-        lines.machine("a", table).alone(lines.now, true);
-        lines.machine("b", table).alone(lines.now, true);
-        Subscriber gateway = lines.gateway("g", table, "a", "b");
-        Subscriber empty = lines.gateway("h", Table.empty(1), "a", "b");
-        lines.run(5 * SECOND);
-        assertEquals(table.revision(), empty.table().revision(), "it serves what it has");
-        lines.run(30 * SECOND);
-        assertEquals(List.of(), lines.to("g", Message.Heartbeat.class));
+        network.addMachine("a", table).setSourceUnreachable(network.now, true);
+        network.addMachine("b", table).setSourceUnreachable(network.now, true);
+        Subscriber gateway = network.addGateway("g", table, "a", "b");
+        Subscriber emptyGateway = network.addGateway("h", Table.empty(1), "a", "b");
+        network.advance(5 * SECOND_MICROS);
+        assertEquals(table.revision(), emptyGateway.table().revision(), "it serves what it has");
+        network.advance(30 * SECOND_MICROS);
+        assertEquals(List.of(), network.messagesTo("g", Message.Heartbeat.class));
         for (String machine : List.of("a", "b")) {
-            assertTrue(lines.sent.stream().filter(each -> each.from().equals("g") && each.to().equals(machine) && each.message() instanceof Message.Subscribe).count() >= 4, "it looks elsewhere, and again");
+            assertTrue(network.sent.stream().filter(each -> each.from().equals("g") && each.to().equals(machine) && each.message() instanceof Message.Subscribe).count() >= 4, "it tries each machine repeatedly");
         }
-        assertEquals(1, lines.events.stream().filter(each -> each.startsWith("g config_")).count(), "told once, however long it lasts: " + lines.events);
-        assertTrue(gateway.aloneSince() != 0 && gateway.aloneSince() < 3 * SECOND);
-        lines.machines.get("b").alone(lines.now, false);
-        lines.run(9 * SECOND);
-        assertEquals("b", gateway.machine());
-        assertEquals(0, gateway.aloneSince());
-        assertTrue(lines.events.stream().anyMatch(each -> each.startsWith("g config_heard b: after 3")), lines.events.toString());
+        assertEquals(1, network.events.stream().filter(each -> each.startsWith("g config_")).count(), "reported once, however long it lasts: " + network.events);
+        assertTrue(gateway.disconnectedSince() != 0 && gateway.disconnectedSince() < 3 * SECOND_MICROS);
+        network.machines.get("b").setSourceUnreachable(network.now, false);
+        network.advance(9 * SECOND_MICROS);
+        assertEquals("b", gateway.currentMachine());
+        assertEquals(0, gateway.disconnectedSince());
+        assertTrue(network.events.stream().anyMatch(each -> each.startsWith("g config_heard b: after 3")), network.events.toString());
     }
 
-    /** What relays tell of theirs is added up, by zone, within bounds. */
+    /** Summaries reported by relays are aggregated by zone, within bounds. */
     @Test
-    void summariesAreAddedUpAndBounded() {
-        SimulatedNetwork lines = new SimulatedNetwork();
-        Publisher machine = lines.machine("a", TestChanges.table(1_500));
-        subscribe(lines, machine, "relay");
-        subscribe(lines, machine, "gateway");
+    void summariesAreAggregatedAndBounded() {
+        SimulatedNetwork network = new SimulatedNetwork();
+        Publisher machine = network.addMachine("a", TestChanges.table(1_500));
+        subscribe(network, machine, "relay");
+        subscribe(network, machine, "gateway");
         Revision low = new Revision(1, 3, 0, 0);
-        machine.received(lines.now, "relay", new Message.Summary(List.of(new ZoneSummary("z-1", 300, low, 2, List.of("p", "q")), new ZoneSummary("z-2", 10, null, 0, List.of()))));
-        machine.received(lines.now, "gateway", new Message.Ack(machine.table().revision()));
+        machine.received(network.now, "relay", new Message.Summary(List.of(new ZoneSummary("z-1", 300, low, 2, List.of("p", "q")), new ZoneSummary("z-2", 10, null, 0, List.of()))));
+        machine.received(network.now, "gateway", new Message.Ack(machine.table().revision()));
         assertEquals(List.of(new ZoneSummary("z-1", 301, low, 2, List.of("p", "q")), new ZoneSummary("z-2", 10, null, 0, List.of())), machine.summary());
-        machine.received(lines.now, "relay", new Message.Summary(List.of()));
-        assertEquals(1, machine.summary().get(0).subscribers(), "one that passes on to nobody is nobody's gateway itself");
-        Subscriber relay = lines.gateway("other", machine.table(), "a");
-        relay.summary(List.of());
-        lines.run(SECOND);
-        assertEquals(new Message.Summary(List.of()), lines.to("a", Message.Summary.class).get(0));
+        machine.received(network.now, "relay", new Message.Summary(List.of()));
+        assertEquals(1, machine.summary().get(0).subscribers(), "a relay without subscribers is not counted as a gateway");
+        Subscriber relay = network.addGateway("other", machine.table(), "a");
+        relay.sendSummary(List.of());
+        network.advance(SECOND_MICROS);
+        assertEquals(new Message.Summary(List.of()), network.messagesTo("a", Message.Summary.class).get(0));
         assertEquals(1, machine.summary().get(0).subscribers());
-        machine.inboundClosed(lines.now, "relay");
+        machine.inboundClosed(network.now, "relay");
         assertEquals(List.of(new ZoneSummary("z-1", 1, machine.table().revision(), 0, List.of())), machine.summary());
         ZoneSummaries all = new ZoneSummaries();
         IntStream.range(0, 1_000).forEach(i -> all.add(new ZoneSummary("zone-" + i, 1, new Revision(1, i, 0, 0), 1, IntStream.range(0, 20).mapToObj(n -> i + "-" + n).toList())));
-        assertEquals(ZoneSummaries.ZONES_MOST, all.zones().size());
+        assertEquals(ZoneSummaries.MAX_ZONES, all.zones().size());
         assertEquals(1_000, all.zones().stream().mapToInt(ZoneSummary::subscribers).sum());
-        assertTrue(all.zones().stream().allMatch(each -> each.lagging().size() <= ZoneSummary.LAGGING_MOST));
-        assertEquals(63, all.zones().stream().filter(each -> each.zone().equals(ZoneSummaries.OTHERS)).findFirst().orElseThrow().lowest().number());
+        assertTrue(all.zones().stream().allMatch(each -> each.lagging().size() <= ZoneSummary.MAX_LAGGING_NAMES));
+        assertEquals(63, all.zones().stream().filter(each -> each.zone().equals(ZoneSummaries.OTHER_ZONES)).findFirst().orElseThrow().lowest().number());
     }
 
-    private static List<Change> tenants(int count, int valueBytes, String to) {
+    private static List<Change> tenantChanges(int count, int valueBytes, String prefix) {
         List<Change> changes = new ArrayList<>();
         List<Edit> edits = new ArrayList<>();
-        int each = Math.min(Change.EDITS_MOST, (Change.BYTES_MOST - 200) / (valueBytes + 48));
+        int editsPerChange = Math.min(Change.MAX_EDITS, (Change.MAX_BYTES - 200) / (valueBytes + 48));
         byte[] value = new byte[valueBytes];
         Arrays.fill(value, (byte) 'x');
-        System.arraycopy(to.getBytes(StandardCharsets.UTF_8), 0, value, 0, to.length());
+        System.arraycopy(prefix.getBytes(StandardCharsets.UTF_8), 0, value, 0, prefix.length());
         for (int i = 0; i < count; i++) {
-            edits.add(new Edit.Upsert(ResourceKind.TENANT, "tenant-" + i, value, Edit.ANY));
-            if (edits.size() == each || i == count - 1) {
-                changes.add(new Change(to + changes.size(), edits));
+            edits.add(new Edit.Upsert(ResourceKind.TENANT, "tenant-" + i, value, Edit.ANY_VERSION));
+            if (edits.size() == editsPerChange || i == count - 1) {
+                changes.add(new Change(prefix + changes.size(), edits));
                 edits.clear();
             }
         }
         return changes;
     }
 
-    /** A tenth of the target's tenants, of more bytes than are kept of changes, is replaced at once by changes that are as large as may be: all have it and what another writer changed in the middle within 12 s, also one
-        that was stopped meanwhile and one that is new, and what is kept stays within its bound. */
+    /**
+     * A tenth of the target's tenants, more bytes of changes than the history holds, is replaced at once by changes of
+     * the maximum size: within 12 s all have them and the change that another writer made in between, including a
+     * gateway that was paused meanwhile and a new one, and the history stays within its bound.
+     */
     @Test
-    void allTenantsReplacedAtOnceAreInForceAndHoldUpNobody() {
-        SimulatedNetwork lines = new SimulatedNetwork();
-        Table had = Table.empty(1);
-        for (Change each : tenants(17_000, 1_200, "before")) {
-            had = TestChanges.applied(had.apply(had.revision().number() + 1, each)).table();
+    void replacingManyTenantsAtOnceReachesAllWithoutDelayingOtherChanges() {
+        SimulatedNetwork network = new SimulatedNetwork();
+        Table initial = Table.empty(1);
+        for (Change each : tenantChanges(17_000, 1_200, "before")) {
+            initial = TestChanges.requireApplied(initial.apply(initial.revision().number() + 1, each)).table();
         }
-        Publisher machine = lines.machine("m", had);
+        Publisher machine = network.addMachine("m", initial);
         for (int i = 0; i < 4; i++) {
-            lines.gateway("g" + i, had, "m");
+            network.addGateway("g" + i, initial, "m");
         }
-        lines.run(2 * SimulatedNetwork.SECOND);
-        lines.frozen.add("g3");
-        List<Change> replaced = tenants(17_000, 1_200, "after");
-        assertTrue(replaced.size() > 300, replaced.size() + " changes");
-        long other = 0;
-        for (int i = 0; i < replaced.size(); i++) {
-            if (i == replaced.size() / 2) {
-                other = lines.change(machine, "route-of-another", "v").to().number();
+        network.advance(2 * SimulatedNetwork.SECOND_MICROS);
+        network.frozen.add("g3");
+        List<Change> replacements = tenantChanges(17_000, 1_200, "after");
+        assertTrue(replacements.size() > 300, replacements.size() + " changes");
+        long otherVersion = 0;
+        for (int i = 0; i < replacements.size(); i++) {
+            if (i == replacements.size() / 2) {
+                otherVersion = network.publishChange(machine, "route-of-another", "v").to().number();
             }
-            Outcome.Applied applied = TestChanges.applied(machine.table().apply(machine.table().revision().number() + 1, replaced.get(i)));
-            machine.table(lines.now, applied.table(), List.of(applied.delta()));
-            assertTrue(machine.status().deltaBytes() <= History.BYTES_MOST);
+            Outcome.Applied applied = TestChanges.requireApplied(machine.table().apply(machine.table().revision().number() + 1, replacements.get(i)));
+            machine.table(network.now, applied.table(), List.of(applied.delta()));
+            assertTrue(machine.status().deltaBytes() <= History.MAX_BYTES);
         }
-        lines.gateway("new", Table.empty(1), "m");
-        long began = lines.now;
-        while (!lines.subscribers.values().stream().allMatch(each -> each == lines.subscribers.get("g3") || each.table().revision().equals(machine.table().revision()))) {
-            lines.run(SimulatedNetwork.SECOND / 10);
-            assertTrue(lines.now - began < 12 * SimulatedNetwork.SECOND, () -> "after 12 s: " + lines.events);
+        network.addGateway("new", Table.empty(1), "m");
+        long startedAt = network.now;
+        while (!network.subscribers.values().stream().allMatch(each -> each == network.subscribers.get("g3") || each.table().revision().equals(machine.table().revision()))) {
+            network.advance(SimulatedNetwork.SECOND_MICROS / 10);
+            assertTrue(network.now - startedAt < 12 * SimulatedNetwork.SECOND_MICROS, () -> "after 12 s: " + network.events);
         }
-        lines.frozen.clear();
-        long woken = lines.now;
-        while (!lines.subscribers.get("g3").table().revision().equals(machine.table().revision())) {
-            lines.run(SimulatedNetwork.SECOND / 10);
-            assertTrue(lines.now - woken < 12 * SimulatedNetwork.SECOND, () -> "after 12 s: " + lines.events);
+        network.frozen.clear();
+        long resumedAt = network.now;
+        while (!network.subscribers.get("g3").table().revision().equals(machine.table().revision())) {
+            network.advance(SimulatedNetwork.SECOND_MICROS / 10);
+            assertTrue(network.now - resumedAt < 12 * SimulatedNetwork.SECOND_MICROS, () -> "after 12 s: " + network.events);
         }
-        for (Subscriber each : lines.subscribers.values()) {
-            assertEquals(other, each.table().get(ResourceKind.ROUTE, "route-of-another").version());
+        for (Subscriber each : network.subscribers.values()) {
+            assertEquals(otherVersion, each.table().get(ResourceKind.ROUTE, "route-of-another").version());
             assertEquals(17_000, each.table().size(ResourceKind.TENANT));
         }
-        assertTrue(machine.status().deltaBytes() > History.BYTES_MOST / 2 && machine.status().deltas() < replaced.size(), () -> machine.status() + ": the first are not kept");
+        assertTrue(machine.status().deltaBytes() > History.MAX_BYTES / 2 && machine.status().deltas() < replacements.size(), () -> machine.status() + ": the first deltas are evicted");
     }
 }
--- a/src/test/java/mastdrift/distribution/SimulatedNetwork.java
+++ b/src/test/java/mastdrift/distribution/SimulatedNetwork.java
@@ -6,43 +6,46 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** Publishers and subscribers with a network between them that takes 5 ms and does what a test says; on a clock of its own, in steps of 5 ms. */
+/**
+ * Publishers and subscribers with a simulated network of 5 ms latency, whose losses a test controls; it has its own
+ * clock that advances in steps of 5 ms.
+ */
 final class SimulatedNetwork {
 
-    static final long SECOND = 1_000_000;
-    static final long STEP = 5_000;
+    static final long SECOND_MICROS = 1_000_000;
+    static final long STEP_MICROS = 5_000;
 
-    /** What becomes of a message: false for lost. */
+    /** Decides whether a message is delivered; false if it is lost. */
     interface DeliveryRule {
-        boolean arrives(String from, String to, Message message);
+        boolean isDelivered(String from, String to, Message message);
     }
 
-    /** A message as it was sent. */
-    record Sent(long at, String from, String to, Message message) { }
+    /** A message that was sent. */
+    record Sent(long sentAt, String from, String to, Message message) { }
 
-    private record Event(long at, long number, Runnable what) { }
+    private record Event(long time, long sequence, Runnable action) { }
 
     final Map<String, Publisher> machines = new LinkedHashMap<>();
     final Map<String, Subscriber> subscribers = new LinkedHashMap<>();
     final List<Sent> sent = new ArrayList<>();
     final List<String> events = new ArrayList<>();
     final List<String> frozen = new ArrayList<>();
-    private final PriorityQueue<Event> queue = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
+    private final PriorityQueue<Event> queue = new PriorityQueue<>((a, b) -> a.time != b.time ? Long.compare(a.time, b.time) : Long.compare(a.sequence, b.sequence));
     private final PublisherSettings settings;
-    DeliveryRule fate = (from, to, message) -> true;
-    int times = 1;  // that each message arrives
-    long now = SECOND;
-    private long numbers;
+    DeliveryRule deliveryRule = (from, to, message) -> true;
+    int copies = 1;  // how often each message is delivered
+    long now = SECOND_MICROS;
+    private long nextSequence;
 
     SimulatedNetwork(PublisherSettings settings) {
         this.settings = settings;
     }
 
     SimulatedNetwork() {
-        this(PublisherSettings.USUAL);
+        this(PublisherSettings.DEFAULTS);
     }
 
-    Publisher machine(String name, Table table) {
+    Publisher addMachine(String name, Table table) {
         Publisher machine = new Publisher(table, settings, new Publisher.Actions() {
             @Override
             public void send(String to, Message message) {
@@ -57,7 +60,7 @@
             @Override
             public void drop(String subscriber, String why) {
                 events.add("dropped " + subscriber + ": " + why);
-                later(STEP, () -> {
+                schedule(STEP_MICROS, () -> {
                     if (subscribers.containsKey(subscriber)) {
                         subscribers.get(subscriber).outboundClosed(now, name);
                     }
@@ -73,9 +76,9 @@
         return machine;
     }
 
-    /** A gateway that puts in force whatever comes, at once. */
-    Subscriber gateway(String name, Table have, String... of) {
-        Subscriber gateway = new Subscriber(name, "z-1", have, SubscriberSettings.USUAL, name.hashCode(), new Subscriber.Actions() {
+    /** A gateway that activates every table at once. */
+    Subscriber addGateway(String name, Table initial, String... machineNames) {
+        Subscriber gateway = new Subscriber(name, "z-1", initial, SubscriberSettings.DEFAULTS, name.hashCode(), new Subscriber.Actions() {
             @Override
             public void send(String to, Message message) {
                 sent.add(new Sent(now, name, to, message));
@@ -83,15 +86,15 @@
                     if (machines.containsKey(to)) {
                         machines.get(to).received(now, name, message);
                     } else {
-                        later(STEP, () -> subscribers.get(name).outboundClosed(now, to));
+                        schedule(STEP_MICROS, () -> subscribers.get(name).outboundClosed(now, to));
                     }
                 });
             }
 
             @Override
-            public void leave(String machine) {
-                later(STEP, () -> {
-                    if (machines.containsKey(machine) && !machine.equals(subscribers.get(name).machine())) {
+            public void disconnect(String machine) {
+                schedule(STEP_MICROS, () -> {
+                    if (machines.containsKey(machine) && !machine.equals(subscribers.get(name).currentMachine())) {
                         machines.get(machine).inboundClosed(now, name);
                     }
                 });
@@ -100,7 +103,7 @@
             @Override
             public void table(Table next, List<Delta> deltas) {
                 events.add(name + " takes " + next.revision().number() + (deltas.isEmpty() ? " by a snapshot" : ""));
-                later(0, () -> subscribers.get(name).inForce(now, next.revision()));
+                schedule(0, () -> subscribers.get(name).acknowledge(now, next.revision()));
             }
 
             @Override
@@ -109,44 +112,44 @@
             }
         });
         subscribers.put(name, gateway);
-        gateway.machines(now, List.of(of).stream().map(machine -> new ControlMachine(machine, "z-1")).toList());
+        gateway.setMachines(now, List.of(machineNames).stream().map(machine -> new ControlMachine(machine, "z-1")).toList());
         return gateway;
     }
 
-    private void deliver(String from, String to, Message message, Runnable what) {
-        for (int i = 0; i < times; i++) {
-            if (fate.arrives(from, to, message)) {
-                arrives(to, what);
+    private void deliver(String from, String to, Message message, Runnable action) {
+        for (int i = 0; i < copies; i++) {
+            if (deliveryRule.isDelivered(from, to, message)) {
+                deliverNextStep(to, action);
             }
         }
     }
 
-    private void arrives(String to, Runnable what) {
-        later(STEP, () -> {
+    private void deliverNextStep(String to, Runnable action) {
+        schedule(STEP_MICROS, () -> {
             if (frozen.contains(to)) {
-                arrives(to, what);
+                deliverNextStep(to, action);
             } else {
-                what.run();
+                action.run();
             }
         });
     }
 
-    void later(long in, Runnable what) {
-        queue.add(new Event(now + in, numbers++, what));
+    void schedule(long delayMicros, Runnable action) {
+        queue.add(new Event(now + delayMicros, nextSequence++, action));
     }
 
-    /** A machine that ends: those who are there are told. */
-    void kill(String machine) {
+    /** Stops a machine; its subscribers are notified. */
+    void stopMachine(String machine) {
         machines.remove(machine);
         subscribers.values().forEach(each -> each.outboundClosed(now, machine));
     }
 
-    /** Lets time pass. */
-    void run(long micros) {
+    /** Advances the clock. */
+    void advance(long micros) {
         for (long until = now + micros; now < until; ) {
-            now += STEP;
-            for (Event next = queue.peek(); next != null && next.at <= now; next = queue.peek()) {
-                queue.poll().what.run();
+            now += STEP_MICROS;
+            for (Event next = queue.peek(); next != null && next.time <= now; next = queue.peek()) {
+                queue.poll().action.run();
             }
             machines.forEach((name, each) -> {
                 if (now >= each.dueAt() && !frozen.contains(name)) {
@@ -161,15 +164,15 @@
         }
     }
 
-    /** A change at a machine: a route of that name and value; the delta. */
-    Delta change(Publisher machine, String name, String value) {
-        Outcome.Applied applied = TestChanges.applied(machine.table().apply(machine.table().revision().number() + 1, TestChanges.of("c", TestChanges.put(name, value))));
+    /** Publishes a change of one route on a machine; returns the delta. */
+    Delta publishChange(Publisher machine, String name, String value) {
+        Outcome.Applied applied = TestChanges.requireApplied(machine.table().apply(machine.table().revision().number() + 1, TestChanges.of("c", TestChanges.put(name, value))));
         machine.table(now, applied.table(), List.of(applied.delta()));
         return applied.delta();
     }
 
-    /** How many messages of a kind were sent to somebody. */
-    <T extends Message> List<T> to(String to, Class<T> kind) {
+    /** Messages of a type that were sent to a recipient. */
+    <T extends Message> List<T> messagesTo(String to, Class<T> kind) {
         return sent.stream().filter(each -> each.to.equals(to) && kind.isInstance(each.message)).map(each -> kind.cast(each.message)).toList();
     }
 }
--- a/src/test/java/mastdrift/distribution/StoreTest.java
+++ b/src/test/java/mastdrift/distribution/StoreTest.java
@@ -24,25 +24,25 @@
 
 class StoreTest {
 
-    /** Notes what a store wants, and that its tables only go forward, each by what was told. */
+    /** Records callbacks and asserts that tables only advance, each by the reported deltas. */
     private static final class RecordingActions implements Store.Actions {
         private final List<String> events = new ArrayList<>();
         private Table table;
-        private int jumps;
+        private int tablesWithoutDeltas;
 
         @Override
         public void table(Table next, List<Delta> deltas) {
             if (table != null) {
-                assertTrue(next.revision().after(table.revision()));
+                assertTrue(next.revision().isAfter(table.revision()));
                 if (!deltas.isEmpty()) {
-                    Table by = table;
+                    Table rebuilt = table;
                     for (Delta each : deltas) {
-                        by = by.with(each);
+                        rebuilt = rebuilt.applyDelta(each);
                     }
-                    assertEquals(next.revision(), by.revision());
+                    assertEquals(next.revision(), rebuilt.revision());
                 }
             }
-            jumps += deltas.isEmpty() ? 1 : 0;
+            tablesWithoutDeltas += deltas.isEmpty() ? 1 : 0;
             table = next;
         }
 
@@ -52,201 +52,221 @@
         }
     }
 
-    /** The writer doesn't know what became of it and asks again: the log has it in once, and so has the table. */
+    /**
+     * A writer that does not know the outcome retries: the log contains the change once, and the table applies it once.
+     */
     @Test
-    void aChangeAskedTwiceUnderOneIdIsInOnce() {
+    void aChangeRetriedUnderOneIdIsAppliedOnce() {
         Decisions log = new Decisions();
         Store store = new Store(Table.empty(1), 1, new RecordingActions());
-        Map<String, Change> asked = Map.of("one", TestChanges.of("one", new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("1"), Edit.NONE)), "two", TestChanges.of("two", put("s", "1")));
+        Map<String, Change> requested = Map.of("one", TestChanges.of("one", new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("1"), Edit.NOT_PRESENT)), "two", TestChanges.of("two", put("s", "1")));
         long index = 0;
         for (String id : List.of("one", "two", "one", "one", "two")) {
             long before = log.count();
             assertInstanceOf(AgreedLog.AppendOutcome.Committed.class, log.apply(++index, Decisions.append(id, bytes(id))));
             if (log.count() > before) {
-                assertInstanceOf(ChangeOutcome.Applied.class, store.decided(log.count(), id, asked.get(id)));
+                assertInstanceOf(ChangeOutcome.Applied.class, store.applyEntry(log.count(), id, requested.get(id)));
             }
         }
         assertEquals(2, store.table().revision().number());
         assertEquals(1, store.table().get(ResourceKind.ROUTE, "r").version());
-        assertEquals(new ChangeOutcome.Applied(store.table().revision()), store.outcome("two"), "told to who asks again");
-        assertEquals(store.outcome("one"), store.decided(1, "one", asked.get("one")), "read once more");
+        assertEquals(new ChangeOutcome.Applied(store.table().revision()), store.outcome("two"), "outcome for a retry");
+        assertEquals(store.outcome("one"), store.applyEntry(1, "one", requested.get("one")), "duplicate entry");
         assertEquals(2, store.table().size());
     }
 
-    /** Writers in two regions that were apart both believe the resource to be as it was: the first in the agreed order is in, the other is told what there is. */
+    /**
+     * Writers in two partitioned regions both expect the same version of a resource: the first in the agreed order is
+     * applied, the other gets a conflict that names the actual version.
+     */
     @Test
-    void ofTwoChangesToOneResourceOfRegionsThatWereApartOneConflictIsTold() {
+    void theSecondOfTwoConcurrentChangesToAResourceConflicts() {
         Store store = new Store(Table.empty(1), 1, new RecordingActions());
-        store.decided(1, "before", TestChanges.of("before", put("r", "0")));
-        ChangeOutcome first = store.decided(2, "east", TestChanges.of("east", new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("east"), 1)));
-        ChangeOutcome second = store.decided(3, "west", TestChanges.of("west", put("also", "1"), new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("west"), 1)));
+        store.applyEntry(1, "before", TestChanges.of("before", put("r", "0")));
+        ChangeOutcome first = store.applyEntry(2, "east", TestChanges.of("east", new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("east"), 1)));
+        ChangeOutcome second = store.applyEntry(3, "west", TestChanges.of("west", put("also", "1"), new Edit.Upsert(ResourceKind.ROUTE, "r", bytes("west"), 1)));
         assertInstanceOf(ChangeOutcome.Applied.class, first);
         assertEquals(new ChangeOutcome.Conflict("edits[1] (route r): expected version 1, found version 2"), second);
         assertEquals("east", new String(store.table().get(ResourceKind.ROUTE, "r").value(), StandardCharsets.UTF_8));
-        assertNull(store.table().get(ResourceKind.ROUTE, "also"), "nothing of it");
-        assertEquals(3, store.table().revision().number(), "the place of what was decided");
-        assertEquals(new ChangeOutcome.Conflict("expected a change, found what this build can't read"), store.decided(4, "newer", null));
+        assertNull(store.table().get(ResourceKind.ROUTE, "also"), "the change is atomic");
+        assertEquals(3, store.table().revision().number(), "the number of the log entry");
+        assertEquals(new ChangeOutcome.Conflict("expected a change, found an entry that this build cannot read"), store.applyEntry(4, "newer", null));
         assertEquals(4, store.table().revision().number());
     }
 
-    /** Whoever hears the log late, twice, with gaps, from an older table or by another's: the same state at the same number, and never back. */
+    /**
+     * A store that sees the log late, repeated, with gaps, from an older table or via another voter's table has the
+     * same state at the same number, and never goes back.
+     */
     @Property(tries = 150)
-    void allWhoHearTheLogHaveTheSameHoweverTheyHeardIt(@ForAll long seed) {
+    void theSameNumberMeansTheSameStateWithGapsAndDuplicates(@ForAll long seed) {
         Random random = new Random(seed);
-        Store whole = new Store(Table.empty(1), 1, new RecordingActions());
-        List<Table> tables = new ArrayList<>(List.of(whole.table()));
+        Store reference = new Store(Table.empty(1), 1, new RecordingActions());
+        List<Table> tables = new ArrayList<>(List.of(reference.table()));
         List<Change> log = new ArrayList<>();
         for (int i = 1; i <= 80; i++) {
-            Change change = random.nextInt(15) == 0 ? null : TestChanges.drawn(random, "c" + i);
+            Change change = random.nextInt(15) == 0 ? null : TestChanges.randomChange(random, "c" + i);
             log.add(change);
-            whole.decided(i, "c" + i, change);
-            tables.add(whole.table());
+            reference.applyEntry(i, "c" + i, change);
+            tables.add(reference.table());
         }
-        RecordingActions noted = new RecordingActions();
-        Store store = new Store(tables.get(random.nextInt(20)), 1, noted);
+        RecordingActions recorded = new RecordingActions();
+        Store store = new Store(tables.get(random.nextInt(20)), 1, recorded);
         Map<String, ChangeOutcome> outcomes = new HashMap<>();
-        for (int at = 1; at <= 80; at++) {
+        for (int ordinal = 1; ordinal <= 80; ordinal++) {
             if (random.nextInt(12) == 0) {
-                at = Math.min(80, at + random.nextInt(10));  // a gap
+                ordinal = Math.min(80, ordinal + random.nextInt(10));  // a gap
             }
             if (random.nextInt(10) == 0) {
-                at = Math.max(1, at - random.nextInt(10));  // again
+                ordinal = Math.max(1, ordinal - random.nextInt(10));  // duplicates
             }
-            ChangeOutcome outcome = store.decided(at, "c" + at, log.get(at - 1));
+            ChangeOutcome outcome = store.applyEntry(ordinal, "c" + ordinal, log.get(ordinal - 1));
             if (outcome != null && !(outcome instanceof ChangeOutcome.Pending)) {
-                outcomes.put("c" + at, outcome);
+                outcomes.put("c" + ordinal, outcome);
             }
-            if (store.missing() != 0 && random.nextInt(4) == 0) {
-                store.take(tables.get(Math.min(80, random.nextInt(at + 20))));
+            if (store.lastMissingOrdinal() != 0 && random.nextInt(4) == 0) {
+                store.installTable(tables.get(Math.min(80, random.nextInt(ordinal + 20))));
             }
             assertEquals(tables.get((int) store.table().revision().number()).revision(), store.table().revision());
         }
-        while (store.missing() != 0) {
-            assertTrue(store.take(tables.get((int) store.missing())), "one that has all that is missing");
+        while (store.lastMissingOrdinal() != 0) {
+            assertTrue(store.installTable(tables.get((int) store.lastMissingOrdinal())), "a table that closes the gap");
         }
-        store.decided(80, "c80", log.get(79));
+        store.applyEntry(80, "c80", log.get(79));
         assertEquals(tables.get(80).revision(), store.table().revision());
-        outcomes.forEach((id, outcome) -> assertEquals(whole.outcome(id), outcome));
-        assertFalse(store.take(tables.get(79)), "never back");
+        outcomes.forEach((id, outcome) -> assertEquals(reference.outcome(id), outcome));
+        assertFalse(store.installTable(tables.get(79)), "an earlier table is not installed");
     }
 
     @Test
-    void whatWaitsAndWhatIsRememberedIsBounded() {
-        RecordingActions noted = new RecordingActions();
-        Store store = new Store(Table.empty(1), 1, noted);
+    void pendingEntriesAndOutcomesAreBounded() {
+        RecordingActions recorded = new RecordingActions();
+        Store store = new Store(Table.empty(1), 1, recorded);
         Store other = new Store(Table.empty(1), 1, new RecordingActions());
         for (int i = 1; i <= 9_000; i++) {
             Change change = TestChanges.of("c" + i, put("r", "" + i));
-            other.decided(i, "c" + i, change);
+            other.applyEntry(i, "c" + i, change);
             if (i > 10) {
-                assertInstanceOf(ChangeOutcome.Pending.class, store.decided(i, "c" + i, change));
+                assertInstanceOf(ChangeOutcome.Pending.class, store.applyEntry(i, "c" + i, change));
             }
         }
-        assertEquals(Store.PENDING_MOST, store.pending());
-        assertEquals(9_000 - Store.PENDING_MOST, store.missing());
-        assertEquals(List.of("config_gap expected decision 1, found 11: waits for another voter's table"), noted.events);
-        assertTrue(store.take(other.table()));
-        assertEquals(0, store.missing());
+        assertEquals(Store.MAX_PENDING, store.pending());
+        assertEquals(9_000 - Store.MAX_PENDING, store.lastMissingOrdinal());
+        assertEquals(List.of("config_gap expected log entry 1, found 11: waiting for another voter's table"), recorded.events);
+        assertTrue(store.installTable(other.table()));
+        assertEquals(0, store.lastMissingOrdinal());
         assertEquals(0, store.pending());
-        assertEquals(1, noted.jumps);
-        assertNull(other.outcome("c" + (9_000 - Store.OUTCOMES_MOST)));
-        assertInstanceOf(ChangeOutcome.Applied.class, other.outcome("c" + (9_001 - Store.OUTCOMES_MOST)));
-        Store large = new Store(Table.empty(1), 1, noted);
+        assertEquals(1, recorded.tablesWithoutDeltas);
+        assertNull(other.outcome("c" + (9_000 - Store.MAX_OUTCOMES)));
+        assertInstanceOf(ChangeOutcome.Applied.class, other.outcome("c" + (9_001 - Store.MAX_OUTCOMES)));
+        Store large = new Store(Table.empty(1), 1, recorded);
         for (int i = 2; i < 1_000; i++) {
-            large.decided(i, "c" + i, TestChanges.of("c" + i, new Edit.Upsert(ResourceKind.POOL, "p", new byte[60_000], Edit.ANY)));
+            large.applyEntry(i, "c" + i, TestChanges.of("c" + i, new Edit.Upsert(ResourceKind.POOL, "p", new byte[60_000], Edit.ANY_VERSION)));
         }
-        assertTrue(large.pending() < 290 && large.pending() > 250, large.pending() + " of 60 kB wait");
+        assertTrue(large.pending() < 290 && large.pending() > 250, large.pending() + " entries of 60 kB are queued");
     }
 
-    private static Table after(int changes) {
+    private static Table tableAfter(int changes) {
         Table table = Table.empty(1);
         for (int i = 1; i <= changes; i++) {
-            table = TestChanges.applied(table.apply(i, TestChanges.of("c" + i, put("r" + i, "" + i)))).table();
+            table = TestChanges.requireApplied(table.apply(i, TestChanges.of("c" + i, put("r" + i, "" + i)))).table();
         }
         return table;
     }
 
-    /** Who has the state that the first decision names goes on from it, whatever the number; until then its table is still of the epoch before, and it has not begun. */
+    /**
+     * A voter that has the state that the first entry names continues from it, whatever its number; until then its
+     * table is still of the previous epoch, and the epoch has not started there.
+     */
     @Test
-    void anEpochBeginsFromTheRevisionThatItsFirstDecisionNames() {
-        RecordingActions noted = new RecordingActions();
-        Table had = after(7);
-        Store store = new Store(had, 2, noted);
-        assertFalse(store.begun());
-        assertEquals(had.revision(), store.toBegin());
-        assertEquals(had.revision(), store.table().revision(), "nothing new is shown before it is agreed on");
-        ChangeOutcome outcome = store.decided(1, "begin", new EpochStart(had.revision()));
-        assertEquals(new ChangeOutcome.Applied(new Revision(2, 1, had.revision().high(), had.revision().low())), outcome);
-        assertTrue(store.begun());
-        assertNull(store.toBegin());
-        assertInstanceOf(ChangeOutcome.Applied.class, store.decided(2, "next", TestChanges.of("next", put("r1", "new"))));
-        Store passed = new Store(had.passed(9).table(), 2, new RecordingActions());
-        passed.decided(1, "begin", new EpochStart(had.revision()));
-        passed.decided(2, "next", TestChanges.of("next", put("r1", "new")));
-        assertEquals(store.table().revision(), passed.table().revision(), "the same resources at another number");
-        assertEquals(new ChangeOutcome.Conflict("expected a change, found an epoch's beginning behind its first decision"), store.decided(3, "late", new EpochStart(had.revision())));
+    void anEpochStartsFromTheRevisionThatItsFirstEntryNames() {
+        RecordingActions recorded = new RecordingActions();
+        Table initial = tableAfter(7);
+        Store store = new Store(initial, 2, recorded);
+        assertFalse(store.isEpochStarted());
+        assertEquals(initial.revision(), store.epochStartCandidate());
+        assertEquals(initial.revision(), store.table().revision(), "the table does not change before the epoch start is agreed on");
+        ChangeOutcome outcome = store.applyEntry(1, "begin", new EpochStart(initial.revision()));
+        assertEquals(new ChangeOutcome.Applied(new Revision(2, 1, initial.revision().high(), initial.revision().low())), outcome);
+        assertTrue(store.isEpochStarted());
+        assertNull(store.epochStartCandidate());
+        assertInstanceOf(ChangeOutcome.Applied.class, store.applyEntry(2, "next", TestChanges.of("next", put("r1", "new"))));
+        Store advanced = new Store(initial.advanceTo(9).table(), 2, new RecordingActions());
+        advanced.applyEntry(1, "begin", new EpochStart(initial.revision()));
+        advanced.applyEntry(2, "next", TestChanges.of("next", put("r1", "new")));
+        assertEquals(store.table().revision(), advanced.table().revision(), "the same resources at another number");
+        assertEquals(new ChangeOutcome.Conflict("expected a change, found an epoch start after the first entry"), store.applyEntry(3, "late", new EpochStart(initial.revision())));
         assertEquals(3, store.table().revision().number());
     }
 
-    /** Voters that were stopped at different revisions and one without a folder: they wait, hold back what follows, and take the table of one that has it. */
+    /**
+     * Voters at other revisions and one without a stored table wait, queue the following entries, and install the table
+     * of a voter that has it.
+     */
     @Test
-    void aVoterWithAnotherTableThanTheEpochBeginsFromWaitsForOne() {
-        Table had = after(7);
-        Store right = new Store(had, 2, new RecordingActions());
-        right.decided(1, "begin", new EpochStart(had.revision()));
-        Table begun = right.table();
+    void aVoterWithAnotherTableWaitsForTheTableOfTheEpoch() {
+        Table initial = tableAfter(7);
+        Store upToDate = new Store(initial, 2, new RecordingActions());
+        upToDate.applyEntry(1, "begin", new EpochStart(initial.revision()));
+        Table firstOfEpoch = upToDate.table();
         Change next = TestChanges.of("next", put("r1", "new"));
-        right.decided(2, "next", next);
-        for (Table other : List.of(after(5), after(9), Store.nothing(2))) {
-            RecordingActions noted = new RecordingActions();
-            Store store = new Store(other, 2, noted);
-            assertEquals(new ChangeOutcome.Pending(1), store.decided(1, "begin", new EpochStart(had.revision())));
-            assertEquals(new ChangeOutcome.Pending(1), store.decided(2, "next", next));
-            assertEquals(new ChangeOutcome.Pending(1), store.decided(1, "begin", new EpochStart(had.revision())), "heard again");
-            assertFalse(store.begun());
-            assertEquals(1, store.missing());
-            assertNull(store.toBegin(), "it was told what it begins from");
+        upToDate.applyEntry(2, "next", next);
+        for (Table other : List.of(tableAfter(5), tableAfter(9), Store.initialTable(2))) {
+            RecordingActions recorded = new RecordingActions();
+            Store store = new Store(other, 2, recorded);
+            assertEquals(new ChangeOutcome.Pending(1), store.applyEntry(1, "begin", new EpochStart(initial.revision())));
+            assertEquals(new ChangeOutcome.Pending(1), store.applyEntry(2, "next", next));
+            assertEquals(new ChangeOutcome.Pending(1), store.applyEntry(1, "begin", new EpochStart(initial.revision())), "duplicate entry");
+            assertFalse(store.isEpochStarted());
+            assertEquals(1, store.lastMissingOrdinal());
+            assertNull(store.epochStartCandidate(), "the epoch start is already known");
             assertEquals(other.revision(), store.table().revision());
-            assertFalse(store.take(after(11)), "of the epoch before");
-            assertFalse(store.take(had.begun(2)), "of an epoch before it began");
-            assertFalse(store.take(had.begun(3)), "of a later epoch");
-            assertTrue(store.take(begun));
-            assertEquals(right.table().revision(), store.table().revision());
-            assertEquals(0, store.missing());
-            assertTrue(store.begun());
-            assertEquals(1, noted.events.stream().filter(each -> each.startsWith("config_gap epoch 2 begins from")).count(), noted.events::toString);
-            assertEquals(other.revision().number() == 9, noted.events.stream().anyMatch(each -> each.startsWith("config_epoch_lost")), "loud where this one had more");
+            assertFalse(store.installTable(tableAfter(11)), "of the previous epoch");
+            assertFalse(store.installTable(initial.withEpoch(2)), "of this epoch before its start");
+            assertFalse(store.installTable(initial.withEpoch(3)), "of a later epoch");
+            assertTrue(store.installTable(firstOfEpoch));
+            assertEquals(upToDate.table().revision(), store.table().revision());
+            assertEquals(0, store.lastMissingOrdinal());
+            assertTrue(store.isEpochStarted());
+            assertEquals(1, recorded.events.stream().filter(each -> each.startsWith("config_gap epoch 2 begins from")).count(), recorded.events::toString);
+            assertEquals(other.revision().number() == 9, recorded.events.stream().anyMatch(each -> each.startsWith("config_epoch_lost")), "lost changes are reported");
         }
     }
 
-    /** A voter that knows nothing names nothing, or all would take its empty table. Its own is earlier than whatever others had. */
+    /**
+     * A voter without a table proposes no epoch start, or all would adopt its empty table. Its own revision is earlier
+     * than that of any other.
+     */
     @Test
-    void aVoterWithoutAFolderAsksForNoBeginning() {
-        assertNull(new Store(Store.nothing(2), 2, new RecordingActions()).toBegin());
-        assertTrue(after(1).revision().after(Store.nothing(2).revision()));
-        Store first = new Store(Store.nothing(1), 1, new RecordingActions());
-        assertTrue(first.begun(), "a first epoch begins with an empty table");
-        assertInstanceOf(ChangeOutcome.Applied.class, first.decided(1, "one", TestChanges.of("one", put("r", "1"))));
+    void aVoterWithoutATableProposesNoEpochStart() {
+        assertNull(new Store(Store.initialTable(2), 2, new RecordingActions()).epochStartCandidate());
+        assertTrue(tableAfter(1).revision().isAfter(Store.initialTable(2).revision()));
+        Store first = new Store(Store.initialTable(1), 1, new RecordingActions());
+        assertTrue(first.isEpochStarted(), "a first epoch begins with an empty table");
+        assertInstanceOf(ChangeOutcome.Applied.class, first.applyEntry(1, "one", TestChanges.of("one", put("r", "1"))));
     }
 
-    /** Folders and logs of builds that knew no such decision: a copy that is of the epoch already, at number 0, and a log that begins with a change. */
+    /**
+     * Stored tables and logs of builds without {@link EpochStart}: a table that is already of the epoch, at number 0,
+     * and a log that starts with a change.
+     */
     @Test
-    void foldersAndLogsOfBuildsBeforeAreReadAsTheyWere() {
-        Table had = after(7).begun(2);
-        Store store = new Store(had, 2, new RecordingActions());
-        assertEquals(had.revision(), store.toBegin());
+    void tablesAndLogsOfBuildsWithoutEpochStartAreAccepted() {
+        Table initial = tableAfter(7).withEpoch(2);
+        Store store = new Store(initial, 2, new RecordingActions());
+        assertEquals(initial.revision(), store.epochStartCandidate());
         Change change = TestChanges.of("one", put("r", "1"));
-        assertInstanceOf(ChangeOutcome.Applied.class, store.decided(1, "one", change));
-        assertEquals(TestChanges.applied(had.apply(1, change)).table().revision(), store.table().revision());
-        Store named = new Store(had, 2, new RecordingActions());
-        named.decided(1, "begin", new EpochStart(after(7).revision()));
-        assertEquals(had.passed(1).table().revision(), named.table().revision());
-        Store without = new Store(Store.nothing(2), 2, new RecordingActions());
-        assertEquals(new ChangeOutcome.Pending(1), without.decided(1, "one", change), "nobody says what it began from");
-        assertEquals(new ChangeOutcome.Pending(1), new Store(after(7), 2, new RecordingActions()).decided(1, "later", null), "a later build's beginning may be any");
-        Store on = new Store(TestChanges.applied(had.apply(1, change)).table(), 2, new RecordingActions());
-        assertTrue(on.begun());
-        assertInstanceOf(ChangeOutcome.Applied.class, on.decided(2, "two", TestChanges.of("two", put("r", "2"))));
-        assertThrows(IllegalArgumentException.class, () -> new Store(had, 1, new RecordingActions()));
+        assertInstanceOf(ChangeOutcome.Applied.class, store.applyEntry(1, "one", change));
+        assertEquals(TestChanges.requireApplied(initial.apply(1, change)).table().revision(), store.table().revision());
+        Store named = new Store(initial, 2, new RecordingActions());
+        named.applyEntry(1, "begin", new EpochStart(tableAfter(7).revision()));
+        assertEquals(initial.advanceTo(1).table().revision(), named.table().revision());
+        Store withoutTable = new Store(Store.initialTable(2), 2, new RecordingActions());
+        assertEquals(new ChangeOutcome.Pending(1), withoutTable.applyEntry(1, "one", change), "the table that the epoch started from is unknown");
+        assertEquals(new ChangeOutcome.Pending(1), new Store(tableAfter(7), 2, new RecordingActions()).applyEntry(1, "later", null), "an epoch start of a later build may name any table");
+        Store started = new Store(TestChanges.requireApplied(initial.apply(1, change)).table(), 2, new RecordingActions());
+        assertTrue(started.isEpochStarted());
+        assertInstanceOf(ChangeOutcome.Applied.class, started.applyEntry(2, "two", TestChanges.of("two", put("r", "2"))));
+        assertThrows(IllegalArgumentException.class, () -> new Store(initial, 1, new RecordingActions()));
     }
 }
--- a/src/test/java/mastdrift/distribution/edge/ControlCodecTest.java
+++ b/src/test/java/mastdrift/distribution/edge/ControlCodecTest.java
@@ -27,7 +27,7 @@
 
     private static List<ControlMessage> all() {
         List<ZoneSummary> zones = IntStream.range(0, 64).mapToObj(i -> new ZoneSummary("zone-" + i, i, i == 0 ? null : REVISION, 1, List.of("gateway-1", "gateway-2"))).toList();
-        return List.of(new ControlMessage.Apply(1, new Change("id", List.of(new Edit.Delete(ResourceKind.ROUTE, "a", Edit.ANY)))), new ControlMessage.Get(2, ResourceKind.HOST, "h"),
+        return List.of(new ControlMessage.Apply(1, new Change("id", List.of(new Edit.Delete(ResourceKind.ROUTE, "a", Edit.ANY_VERSION)))), new ControlMessage.Get(2, ResourceKind.HOST, "h"),
                 new ControlMessage.GetStatus(3), new ControlMessage.Applied(4, REVISION), new ControlMessage.Applied(5, null), new ControlMessage.Conflicted(6, "why"),
                 new ControlMessage.Refused(7, List.of("one", "two")), new ControlMessage.Unknown(8, ""), new ControlMessage.AskVoter(9, "a voter"), new ControlMessage.Found(10, REVISION, null),
                 new ControlMessage.Found(11, REVISION, new Resource(ResourceKind.TENANT, "t", 5, "{}".getBytes(StandardCharsets.UTF_8))),
@@ -53,8 +53,8 @@
             many.add("x".repeat(5_000));
         }
         ControlMessage.Refused read = (ControlMessage.Refused) ControlCodec.message(ControlCodec.bytes(new ControlMessage.Refused(1, many)));
-        assertEquals(ControlMessage.PROBLEMS_MOST, read.problems().size());
-        assertEquals(ControlMessage.TEXT_MOST, read.problems().get(0).length());
+        assertEquals(ControlMessage.MAX_PROBLEMS, read.problems().size());
+        assertEquals(ControlMessage.MAX_TEXT_CHARS, read.problems().get(0).length());
     }
 
     @Test
--- a/src/test/java/mastdrift/distribution/edge/Drawn.java
+++ b/src/test/java/mastdrift/distribution/edge/Drawn.java
@@ -46,13 +46,13 @@
     }
 
     private byte[] value() {
-        byte[] value = new byte[random.nextInt(random.nextInt(20) == 0 ? Resource.VALUE_MOST + 1 : 100)];
+        byte[] value = new byte[random.nextInt(random.nextInt(20) == 0 ? Resource.MAX_VALUE_BYTES + 1 : 100)];
         random.nextBytes(value);
         return random.nextBoolean() ? value : Arrays.copyOf(text(1, 100).repeat(10).getBytes(StandardCharsets.UTF_8), value.length);
     }
 
     Resource resource() {
-        return new Resource(KINDS[random.nextInt(KINDS.length)], text(1, Resource.NAME_MOST), number(), value());
+        return new Resource(KINDS[random.nextInt(KINDS.length)], text(1, Resource.MAX_NAME_CHARS), number(), value());
     }
 
     private List<Resource> resources(int most) {
@@ -66,7 +66,7 @@
     Delta delta() {
         List<Delta.Deletion> gone = new ArrayList<>();
         for (int i = random.nextInt(4); i > 0; i--) {
-            gone.add(new Delta.Deletion(KINDS[random.nextInt(KINDS.length)], text(1, Resource.NAME_MOST)));
+            gone.add(new Delta.Deletion(KINDS[random.nextInt(KINDS.length)], text(1, Resource.MAX_NAME_CHARS)));
         }
         return new Delta(number(), revision(), resources(5), gone);
     }
@@ -75,12 +75,12 @@
         List<Edit> edits = new ArrayList<>();
         for (int i = random.nextInt(20); i > 0; i--) {
             ResourceKind kind = KINDS[random.nextInt(KINDS.length)];
-            long expected = random.nextInt(3) == 0 ? Edit.ANY : number();
+            long expected = random.nextInt(3) == 0 ? Edit.ANY_VERSION : number();
             byte[] value = new byte[random.nextInt(500)];
             random.nextBytes(value);
-            edits.add(random.nextBoolean() ? new Edit.Upsert(kind, text(1, Resource.NAME_MOST), value, expected) : new Edit.Delete(kind, text(1, Resource.NAME_MOST), expected));
+            edits.add(random.nextBoolean() ? new Edit.Upsert(kind, text(1, Resource.MAX_NAME_CHARS), value, expected) : new Edit.Delete(kind, text(1, Resource.MAX_NAME_CHARS), expected));
         }
-        return new Change(text(1, Change.ID_MOST), edits);
+        return new Change(text(1, Change.MAX_ID_CHARS), edits);
     }
 
     Message message() {
@@ -94,7 +94,7 @@
                 List<Message.ZoneSummary> zones = new ArrayList<>();
                 for (int i = random.nextInt(MessageCodec.ZONES_MOST + 1); i > 0; i--) {
                     List<String> lagging = new ArrayList<>();
-                    for (int j = random.nextInt(Message.ZoneSummary.LAGGING_MOST + 1); j > 0; j--) {
+                    for (int j = random.nextInt(Message.ZoneSummary.MAX_LAGGING_NAMES + 1); j > 0; j--) {
                         lagging.add(text(0, 64));
                     }
                     zones.add(new Message.ZoneSummary(text(0, 64), count(), random.nextInt(4) == 0 ? null : revision(), count(), lagging));
--- a/src/test/java/mastdrift/distribution/edge/Growing.java
+++ b/src/test/java/mastdrift/distribution/edge/Growing.java
@@ -56,10 +56,10 @@
         List<Edit> edits = new ArrayList<>();
         int first = random.nextInt(400);
         for (int i = 0; i <= random.nextInt(2); i++) {
-            edits.add(new Edit.Upsert(ResourceKind.ROUTE, "r" + (first + i), value(bytes), Edit.ANY));
+            edits.add(new Edit.Upsert(ResourceKind.ROUTE, "r" + (first + i), value(bytes), Edit.ANY_VERSION));
         }
-        edits.add(new Edit.Delete(ResourceKind.TENANT, "t" + random.nextInt(50), Edit.ANY));
-        edits.add(new Edit.Upsert(ResourceKind.HOST, "h" + random.nextInt(50), value(20), Edit.ANY));
+        edits.add(new Edit.Delete(ResourceKind.TENANT, "t" + random.nextInt(50), Edit.ANY_VERSION));
+        edits.add(new Edit.Upsert(ResourceKind.HOST, "h" + random.nextInt(50), value(20), Edit.ANY_VERSION));
         Outcome.Applied applied = (Outcome.Applied) table.apply(table.revision().number() + 1, new Change("c" + random.nextLong(), edits));
         table = applied.table();
         all.put(table.revision().number(), table);
--- a/src/test/java/mastdrift/distribution/edge/MessageCodecTest.java
+++ b/src/test/java/mastdrift/distribution/edge/MessageCodecTest.java
@@ -177,14 +177,14 @@
         Random random = new Random(1);
         List<Resource> resources = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            byte[] value = new byte[Resource.VALUE_MOST];
+            byte[] value = new byte[Resource.MAX_VALUE_BYTES];
             random.nextBytes(value);
             resources.add(new Resource(ResourceKind.HOST, "h" + i, 1, value));
         }
         assertTrue(unwritten(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, resources)), true)).startsWith("a message: expected at most 524288 bytes, found 65"));
         byte[] fits = MessageCodec.bytes(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, resources.subList(0, 31))), true));
         assertTrue(fits.length <= PeerLinks.MESSAGE_MOST);
-        List<Resource> alike = Collections.nCopies(200, resource("n", Resource.VALUE_MOST));
+        List<Resource> alike = Collections.nCopies(200, resource("n", Resource.MAX_VALUE_BYTES));
         assertTrue(unwritten(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(0, alike)), true)).startsWith("a message: expected at most 2097152 bytes before they are deflated"));
         assertTrue(unwritten(new Message.SnapshotChunk(REVISION, List.of(new Message.Shard(1_024, List.of())), true)).startsWith("shard: expected at most 1023, found 1024"));
         assertTrue(unwritten(new Message.Fetch(new long[1_025], 1)).startsWith("digests: expected at most 1024"));
@@ -193,12 +193,12 @@
         assertTrue(unwritten(new Message.RetryAfter(-1)).startsWith("millis: expected at least 0, found -1"));
         List<Edit> edits = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            edits.add(new Edit.Upsert(ResourceKind.HOST, "h" + i, resources.get(i).value(), Edit.ANY));
+            edits.add(new Edit.Upsert(ResourceKind.HOST, "h" + i, resources.get(i).value(), Edit.ANY_VERSION));
         }
         assertTrue(assertThrows(IllegalArgumentException.class, () -> MessageCodec.bytes(new Change("id", edits))).getMessage().startsWith("a change: expected at most 65536 bytes"));
-        Change most = new Change("id", Collections.nCopies(Change.EDITS_MOST, new Edit.Delete(ResourceKind.HOST, "h", Edit.NONE)));
+        Change most = new Change("id", Collections.nCopies(Change.MAX_EDITS, new Edit.Delete(ResourceKind.HOST, "h", Edit.NOT_PRESENT)));
         assertEquals(most, MessageCodec.change(MessageCodec.bytes(most)));
-        Change more = new Change("id", Collections.nCopies(Change.EDITS_MOST + 1, new Edit.Delete(ResourceKind.HOST, "h", Edit.NONE)));
+        Change more = new Change("id", Collections.nCopies(Change.MAX_EDITS + 1, new Edit.Delete(ResourceKind.HOST, "h", Edit.NOT_PRESENT)));
         assertThrows(IllegalArgumentException.class, () -> MessageCodec.bytes(more));
     }
 
--- a/src/test/java/mastdrift/distribution/edge/PublicationTest.java
+++ b/src/test/java/mastdrift/distribution/edge/PublicationTest.java
@@ -178,7 +178,7 @@
             subscription.machines(List.of(new ControlMachine("m1", "z"), new ControlMachine("m2", "z")));
             return null;
         });
-        String first = subscription.subscriber().machine();
+        String first = subscription.subscriber().currentMachine();
         String other = first.equals("m1") ? "m2" : "m1";
         // Within a millisecond it also tells what it has in force, and nothing more for a minute.
         long tells = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
@@ -187,8 +187,8 @@
         }
         List<byte[]> asked = on(() -> List.copyOf(transport.out.get(first)));
         assertEquals(2, asked.size());
-        assertArrayEquals(MessageCodec.bytes(new Message.Subscribe(Revision.none(1), "z")), asked.get(0));
-        assertArrayEquals(MessageCodec.bytes(new Message.Ack(Revision.none(1))), asked.get(1));
+        assertArrayEquals(MessageCodec.bytes(new Message.Subscribe(Revision.empty(1), "z")), asked.get(0));
+        assertArrayEquals(MessageCodec.bytes(new Message.Ack(Revision.empty(1))), asked.get(1));
         on(() -> {
             for (int i = 0; i < 5; i++) {
                 subscription.received(first, new byte[] {1, 0, 7});
--- a/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
+++ b/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
@@ -98,7 +98,7 @@
         }
 
         private void taken(Table next, List<Delta> deltas) {
-            if (!next.revision().after(table.revision())) {
+            if (!next.revision().isAfter(table.revision())) {
                 events.add("went back");
             }
             table = next;
@@ -254,7 +254,7 @@
         }));
         assertTrue(gateways.stream().allMatch(each -> each.jumps.get() == 0), "by deltas alone");
         Node stopped = one.on(() -> one.publication.publisher().status().subscribers()) > 0 ? one : two;
-        List<Node> its = gateways.stream().filter(each -> stopped.name.equals(each.on(() -> each.subscription.subscriber().machine()))).toList();
+        List<Node> its = gateways.stream().filter(each -> stopped.name.equals(each.on(() -> each.subscription.subscriber().currentMachine()))).toList();
         assertTrue(!its.isEmpty());
         stopped.stop();
         for (int i = 0; i < 20; i++) {
@@ -264,7 +264,7 @@
         assertTrue(gateways.stream().allMatch(each -> each.jumps.get() == 0), "still by deltas alone");
         voter.stop();
         Node left = stopped == one ? two : one;
-        until("alone, and said since when", () -> left.on(() -> left.subscription.subscriber().aloneSince() != 0));
+        until("alone, and said since when", () -> left.on(() -> left.subscription.subscriber().disconnectedSince() != 0));
         assertEquals(tables.table().revision(), left.table.revision());
     }
 
--- a/src/test/java/mastdrift/serve/ControlMachineTest.java
+++ b/src/test/java/mastdrift/serve/ControlMachineTest.java
@@ -86,7 +86,7 @@
         for (int i = 0; i < 8; i++) {
             String pools = IntStream.range(0, 60).mapToObj(pool -> "{\"pool\":\"" + letters(random, 60) + "\",\"weight\":1}").collect(Collectors.joining(","));
             String value = "{\"order\":1,\"path\":\"/" + letters(random, 1_000) + "\",\"pools\":[" + pools + "]}";
-            edits.add(new Edit.Upsert(ResourceKind.ROUTE, "r-" + number % 5 + "-" + i, value.getBytes(StandardCharsets.UTF_8), Edit.ANY));
+            edits.add(new Edit.Upsert(ResourceKind.ROUTE, "r-" + number % 5 + "-" + i, value.getBytes(StandardCharsets.UTF_8), Edit.ANY_VERSION));
         }
         return new Change("id-" + number, edits);
     }
@@ -198,7 +198,7 @@
                 if (answer instanceof ControlMessage.Status status && status.revision().epoch() == 2) {
                     Revision before = shown.putIfAbsent(status.revision().number(), status.revision());
                     assertTrue(before == null || before.equals(status.revision()), () -> before + " and " + status.revision() + " " + said);
-                    there += status.revision().number() == number && status.aloneMillis() == 0 ? 1 : 0;
+                    there += status.revision().number() == number && status.disconnectedMillis() == 0 ? 1 : 0;
                 }
             }
             if (there == 3) {
--- a/src/test/java/mastdrift/serve/DistributionServiceTest.java
+++ b/src/test/java/mastdrift/serve/DistributionServiceTest.java
@@ -91,7 +91,7 @@
     @AfterEach
     void close() throws Exception {
         rig.close();
-        in("clean", new Edit.Delete(ResourceKind.ROUTE, "all", Edit.ANY), new Edit.Delete(ResourceKind.ROUTE, "reads", Edit.ANY), new Edit.Delete(ResourceKind.ROUTE, "a-first", Edit.ANY));
+        in("clean", new Edit.Delete(ResourceKind.ROUTE, "all", Edit.ANY_VERSION), new Edit.Delete(ResourceKind.ROUTE, "reads", Edit.ANY_VERSION), new Edit.Delete(ResourceKind.ROUTE, "a-first", Edit.ANY_VERSION));
     }
 
     @AfterAll
@@ -104,7 +104,7 @@
     }
 
     private static Edit route(String name, String pool, String more) {
-        return new Edit.Upsert(ResourceKind.ROUTE, name, ("{\"order\":1,\"pools\":[{\"pool\":\"" + pool + "\",\"weight\":1}]" + more + "}").getBytes(StandardCharsets.UTF_8), Edit.ANY);
+        return new Edit.Upsert(ResourceKind.ROUTE, name, ("{\"order\":1,\"pools\":[{\"pool\":\"" + pool + "\",\"weight\":1}]" + more + "}").getBytes(StandardCharsets.UTF_8), Edit.ANY_VERSION);
     }
 
     private ControlMessage apply(String id, Edit... edits) throws InterruptedException {
@@ -149,7 +149,7 @@
             inForce(in("three", route("all", "spare", "")));
             assertEquals("a", who(client, "k3"), "its repeat meets the window of the pool that it is out at");
             assertEquals("a", out.get(Rig.WAIT_SECONDS, TimeUnit.SECONDS));
-            inForce(in("four", new Edit.Delete(ResourceKind.ROUTE, "all", Edit.ANY)));
+            inForce(in("four", new Edit.Delete(ResourceKind.ROUTE, "all", Edit.ANY_VERSION)));
             assertEquals("a", who(client, null), "the file's again");
         }
     }
@@ -174,7 +174,7 @@
 
     private static int refusing(ControlClient client) {
         try {
-            return client.status(List.of("control-1")).get("control-1") instanceof ControlMessage.Status status && status.zones().size() == 1 ? status.zones().get(0).refused() : -1;
+            return client.status(List.of("control-1")).get("control-1") instanceof ControlMessage.Status status && status.zones().size() == 1 ? status.zones().get(0).rejecting() : -1;
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
@@ -232,7 +232,7 @@
     void changesAreInOnceAndWrongOnesAreNamed() throws Exception {
         long number = in("one", route("all", "spare", ""));
         assertEquals(number, in("one", route("all", "main", "")), "asked again under the same id: what it did the first time");
-        ControlMessage refused = apply("two", new Edit.Upsert(ResourceKind.ROUTE, "bad", "{\"order\":-1}".getBytes(StandardCharsets.UTF_8), Edit.ANY));
+        ControlMessage refused = apply("two", new Edit.Upsert(ResourceKind.ROUTE, "bad", "{\"order\":-1}".getBytes(StandardCharsets.UTF_8), Edit.ANY_VERSION));
         assertTrue(refused.toString().contains("edits[0] (route bad): value: order: expected a whole number from 0 to 1000000000, found -1"), refused.toString());
         ControlMessage conflict = apply("three", new Edit.Upsert(ResourceKind.ROUTE, "all", "{\"order\":1,\"pools\":[{\"pool\":\"main\",\"weight\":1}]}".getBytes(StandardCharsets.UTF_8), 99));
         assertTrue(conflict instanceof ControlMessage.Conflicted of && of.reason().contains("expected version 99, found version " + number), conflict.toString());
