--- a/src/main/java/mastdrift/cli/ConfigRequests.java
+++ b/src/main/java/mastdrift/cli/ConfigRequests.java
@@ -16,7 +16,7 @@
 import mastdrift.distribution.Resource;
 import mastdrift.distribution.ResourceKind;
 import mastdrift.distribution.Revision;
-import mastdrift.distribution.Summaries;
+import mastdrift.distribution.ZoneSummaries;
 import mastdrift.files.FileContents;
 import mastdrift.serve.ControlClient;
 
@@ -85,15 +85,15 @@
             refused.problems().forEach(problem -> err.println("change " + id + ": refused: " + problem));
             return EXIT_REFUSED;
         }
-        err.println("change " + id + ": not known whether it was committed (" + (response instanceof ControlMessage.Unknown unknown ? unknown.why() : response instanceof ControlMessage.AskVoter askVoter ? askVoter.why()
+        err.println("change " + id + ": not known whether it was committed (" + (response instanceof ControlMessage.Unknown unknown ? unknown.reason() : response instanceof ControlMessage.AskVoter askVoter ? askVoter.reason()
                 : "unexpected response") + "); retry with --id " + id);
         return EXIT_NO_RESULT;
     }
 
     int get(Path config, String kind, String name) throws InterruptedException {
         ResourceKind resourceKind = ChangeReader.kind(kind);
-        if (resourceKind == null || name.isEmpty() || name.length() > Resource.NAME_MOST) {
-            err.println(resourceKind == null ? "KIND: expected route, pool, tenant or host, found \"" + kind + '"' : "NAME: expected 1 to " + Resource.NAME_MOST + " characters, found " + name.length());
+        if (resourceKind == null || name.isEmpty() || name.length() > Resource.MAX_NAME_CHARS) {
+            err.println(resourceKind == null ? "KIND: expected route, pool, tenant or host, found \"" + kind + '"' : "NAME: expected 1 to " + Resource.MAX_NAME_CHARS + " characters, found " + name.length());
             return EXIT_USAGE;
         }
         return withClient(config, client -> {
@@ -120,16 +120,16 @@
         List<String> machines = new ArrayList<>(client.machines(Role.VOTER));
         machines.addAll(client.machines(Role.RELAY));
         boolean votersOnly = !client.machines(Role.VOTER).isEmpty();
-        Summaries zones = new Summaries();
+        ZoneSummaries zones = new ZoneSummaries();
         Revision newest = null;
         int responses = 0;
         for (Map.Entry<String, ControlMessage> machine : client.status(machines).entrySet()) {
             String name = machine.getKey();
             if (machine.getValue() instanceof ControlMessage.Status status) {
                 responses++;
-                newest = newest == null || status.revision().after(newest) ? status.revision() : newest;
+                newest = newest == null || status.revision().isAfter(newest) ? status.revision() : newest;
                 out.println(String.format(Locale.ROOT, "%-20s %-6s %s, %d subscribers%s%s", name, status.role(), describe(status.revision()), status.subscribers(),
-                        status.leader().isEmpty() ? "" : ", leader " + status.leader(), status.aloneMillis() == 0 ? "" : ", isolated for " + status.aloneMillis() / 1_000 + " s"));
+                        status.leader().isEmpty() ? "" : ", leader " + status.leader(), status.disconnectedMillis() == 0 ? "" : ", isolated for " + status.disconnectedMillis() / 1_000 + " s"));
                 if (!votersOnly || status.role().equals("voter")) {
                     status.zones().forEach(zones::add);
                 }
@@ -138,7 +138,7 @@
             }
         }
         for (ZoneSummary zone : zones.zones()) {
-            out.println("zone " + zone.zone() + ": " + zone.subscribers() + " subscribers, lowest in force " + describe(zone.lowest()) + ", " + zone.refused() + " hold something back"
+            out.println("zone " + zone.zone() + ": " + zone.subscribers() + " subscribers, lowest in force " + describe(zone.lowest()) + ", " + zone.rejecting() + " hold something back"
                     + (zone.lagging().isEmpty() ? "" : ", behind: " + String.join(" ", zone.lagging())));
         }
         if (responses == 0) {
--- a/src/main/java/mastdrift/config/ChangeReader.java
+++ b/src/main/java/mastdrift/config/ChangeReader.java
@@ -35,12 +35,12 @@
 
     private static Change readChange(Section root, String defaultId) {
         String id = root.text("id", defaultId);
-        if (id.length() > Change.ID_MOST) {
-            root.addProblem("id", "expected 1 to " + Change.ID_MOST + " characters, found " + id.length());
+        if (id.length() > Change.MAX_ID_CHARS) {
+            root.addProblem("id", "expected 1 to " + Change.MAX_ID_CHARS + " characters, found " + id.length());
         }
         List<Edit> edits = new ArrayList<>();
         Set<String> seen = Section.newSeenSet();
-        for (Section each : root.sections("upsert", Change.EDITS_MOST)) {
+        for (Section each : root.sections("upsert", Change.MAX_EDITS)) {
             ResourceKind kind = kind(each);
             String name = readName(each, kind, seen);
             byte[] value = each.jsonBytes("value");
@@ -54,7 +54,7 @@
             edits.add(new Edit.Upsert(kind, name, value, readExpectedVersion(each)));
             each.rejectUnknownKeys();
         }
-        for (Section each : root.sections("delete", Change.EDITS_MOST)) {
+        for (Section each : root.sections("delete", Change.MAX_EDITS)) {
             ResourceKind kind = kind(each);
             edits.add(new Edit.Delete(kind, readName(each, kind, seen), readExpectedVersion(each)));
             each.rejectUnknownKeys();
@@ -63,8 +63,8 @@
         if (edits.isEmpty()) {
             root.addProblem("upsert", "expected at least one [[upsert]] or [[delete]], found none");
         }
-        if (edits.size() > Change.EDITS_MOST) {
-            root.addProblem("upsert", "expected at most " + Change.EDITS_MOST + " edits, found " + edits.size());
+        if (edits.size() > Change.MAX_EDITS) {
+            root.addProblem("upsert", "expected at most " + Change.MAX_EDITS + " edits, found " + edits.size());
         }
         return new Change(id, edits);
     }
@@ -85,7 +85,7 @@
 
     /** The version that the resource must have for the edit to apply; any version when the key is absent. */
     private static long readExpectedVersion(Section section) {
-        return section.integer("expected", Edit.ANY, Edit.NONE, Long.MAX_VALUE);
+        return section.integer("expected", Edit.ANY_VERSION, Edit.NOT_PRESENT, Long.MAX_VALUE);
     }
 
     /** The resource kind with this lower-case name; null if there is none. */
--- a/src/main/java/mastdrift/distribution/edge/ControlCodec.java
+++ b/src/main/java/mastdrift/distribution/edge/ControlCodec.java
@@ -79,16 +79,16 @@
         } else if (message instanceof ControlMessage.Refused refused) {
             writeHeader(REFUSED, message, generator);
             generator.writeStartArray();
-            for (String problem : refused.problems().subList(0, Math.min(refused.problems().size(), ControlMessage.PROBLEMS_MOST))) {
+            for (String problem : refused.problems().subList(0, Math.min(refused.problems().size(), ControlMessage.MAX_PROBLEMS))) {
                 text(problem, generator);
             }
             generator.writeEndArray();
         } else if (message instanceof ControlMessage.Unknown unknown) {
             writeHeader(UNKNOWN, message, generator);
-            text(unknown.why(), generator);
+            text(unknown.reason(), generator);
         } else if (message instanceof ControlMessage.AskVoter ask) {
             writeHeader(ASK_VOTER, message, generator);
-            text(ask.why(), generator);
+            text(ask.reason(), generator);
         } else if (message instanceof ControlMessage.Found found) {
             writeHeader(FOUND, message, generator);
             write(found.revision(), generator);
@@ -105,7 +105,7 @@
             text(status.role(), generator);
             text(status.leader(), generator);
             generator.writeNumber(status.subscribers());
-            generator.writeNumber(status.aloneMillis());
+            generator.writeNumber(status.disconnectedMillis());
             generator.writeBinary(MessageCodec.encode(new Message.Summary(status.zones())));
         }
     }
@@ -116,7 +116,7 @@
     }
 
     private static void text(String text, JsonGenerator generator) throws IOException {
-        generator.writeString(text.substring(0, Math.min(text.length(), ControlMessage.TEXT_MOST)));
+        generator.writeString(text.substring(0, Math.min(text.length(), ControlMessage.MAX_TEXT_CHARS)));
     }
 
     private static void write(Revision revision, JsonGenerator generator) throws IOException {
@@ -145,8 +145,8 @@
         int type = (int) reader.readLong("type", APPLY, STATUS);
         long requestId = reader.readLong("call", 0, Long.MAX_VALUE);
         ControlMessage message = switch (type) {
-            case APPLY -> new ControlMessage.Apply(requestId, MessageCodec.decodeChange(reader.readBytes("change", Change.BYTES_MOST)));
-            case GET -> new ControlMessage.Get(requestId, readKind(reader), reader.readString("name", 1, Resource.NAME_MOST));
+            case APPLY -> new ControlMessage.Apply(requestId, MessageCodec.decodeChange(reader.readBytes("change", Change.MAX_BYTES)));
+            case GET -> new ControlMessage.Get(requestId, readKind(reader), reader.readString("name", 1, Resource.MAX_NAME_CHARS));
             case GET_STATUS -> new ControlMessage.GetStatus(requestId);
             case APPLIED -> new ControlMessage.Applied(requestId, readRevision(reader));
             case CONFLICTED -> new ControlMessage.Conflicted(requestId, text(reader, "reason"));
@@ -167,7 +167,7 @@
     }
 
     private static String text(CborReader reader, String field) {
-        return reader.readString(field, 0, ControlMessage.TEXT_MOST);
+        return reader.readString(field, 0, ControlMessage.MAX_TEXT_CHARS);
     }
 
     private static Revision readRevision(CborReader reader) {
@@ -184,14 +184,14 @@
     private static List<String> readProblems(CborReader reader) {
         List<String> problems = new ArrayList<>();
         reader.enterList("problems");
-        while (reader.nextItem(ControlMessage.PROBLEMS_MOST)) {
+        while (reader.nextItem(ControlMessage.MAX_PROBLEMS)) {
             problems.add(text(reader, "problem"));
         }
         return problems;
     }
 
     private static Resource readResource(CborReader reader) {
-        return new Resource(readKind(reader), reader.readString("name", 1, Resource.NAME_MOST), reader.readLong("version", 0, Long.MAX_VALUE), reader.readBytes("value", Resource.VALUE_MOST));
+        return new Resource(readKind(reader), reader.readString("name", 1, Resource.MAX_NAME_CHARS), reader.readLong("version", 0, Long.MAX_VALUE), reader.readBytes("value", Resource.MAX_VALUE_BYTES));
     }
 
     private static List<Message.ZoneSummary> readZones(CborReader reader) {
--- a/src/main/java/mastdrift/distribution/edge/MessageCodec.java
+++ b/src/main/java/mastdrift/distribution/edge/MessageCodec.java
@@ -20,7 +20,7 @@
 import mastdrift.distribution.Resource;
 import mastdrift.distribution.ResourceKind;
 import mastdrift.distribution.Revision;
-import mastdrift.distribution.Summaries;
+import mastdrift.distribution.ZoneSummaries;
 import mastdrift.distribution.Table;
 
 /**
@@ -46,7 +46,7 @@
     /** Maximum length of a reason. */
     public static final int MAX_REASON_CHARS = 1_024;
     /** Maximum number of zones in a summary. */
-    public static final int MAX_ZONES = Summaries.ZONES_MOST;
+    public static final int MAX_ZONES = ZoneSummaries.MAX_ZONES;
     private static final int MIN_DEFLATE_BYTES = 1_024;
     private static final int HEADER_BYTES = 2;
     private static final byte FORM_PLAIN = 0;
@@ -108,19 +108,19 @@
      * exceeded.
      */
     public static byte[] encode(Change change) {
-        return encodeBody("a change", Change.BYTES_MOST, generator -> {
+        return encodeBody("a change", Change.MAX_BYTES, generator -> {
             generator.writeStartArray(null, 2);
-            writeString(generator, "id", change.id(), 1, Change.ID_MOST);
-            generator.writeStartArray(null, checkMax("edits", change.edits().size(), Change.EDITS_MOST));
+            writeString(generator, "id", change.id(), 1, Change.MAX_ID_CHARS);
+            generator.writeStartArray(null, checkMax("edits", change.edits().size(), Change.MAX_EDITS));
             for (Edit edit : change.edits()) {
                 boolean upsert = edit instanceof Edit.Upsert;
                 generator.writeStartArray(null, upsert ? 5 : 4);
                 generator.writeNumber(upsert ? UPSERT : DELETE);
                 generator.writeNumber(edit.kind().ordinal());
-                writeString(generator, "name", edit.name(), 1, Resource.NAME_MOST);
-                writeNumber(generator, "expected", edit.expectedVersion(), Edit.ANY);
+                writeString(generator, "name", edit.name(), 1, Resource.MAX_NAME_CHARS);
+                writeNumber(generator, "expected", edit.expectedVersion(), Edit.ANY_VERSION);
                 if (edit instanceof Edit.Upsert upsertEdit) {
-                    checkMax("value", upsertEdit.value().length, Resource.VALUE_MOST);
+                    checkMax("value", upsertEdit.value().length, Resource.MAX_VALUE_BYTES);
                     generator.writeBinary(upsertEdit.value());
                 }
                 generator.writeEndArray();
@@ -132,7 +132,7 @@
 
     /** Encodes the start of an epoch. */
     public static byte[] encode(EpochStart start) {
-        return encodeBody("an epoch start", Change.BYTES_MOST, generator -> {
+        return encodeBody("an epoch start", Change.MAX_BYTES, generator -> {
             generator.writeStartArray(null, 2);
             generator.writeNumber(EPOCH_START);
             write(start.from(), generator);
@@ -184,7 +184,7 @@
         generator.writeStartArray();
         if (message instanceof Message.Subscribe subscribe) {
             generator.writeNumber(SUBSCRIBE);
-            write(subscribe.have(), generator);
+            write(subscribe.revision(), generator);
             writeString(generator, "zone", subscribe.zone(), 0, MAX_NAME_CHARS);
         } else if (message instanceof Message.Fetch fetch) {
             generator.writeNumber(FETCH);
@@ -197,11 +197,11 @@
             writeNumber(generator, "pieces", credit.chunks(), 0);
         } else if (message instanceof Message.Ack ack) {
             generator.writeNumber(ACK);
-            write(ack.inForce(), generator);
+            write(ack.activeRevision(), generator);
         } else if (message instanceof Message.Nack nack) {
             generator.writeNumber(NACK);
-            write(nack.refused(), generator);
-            write(nack.inForce(), generator);
+            write(nack.rejectedRevision(), generator);
+            write(nack.activeRevision(), generator);
             writeString(generator, "reason", nack.reason(), 0, MAX_REASON_CHARS);
         } else if (message instanceof Message.Summary summary) {
             generator.writeNumber(SUMMARY);
@@ -252,8 +252,8 @@
         } else {
             write(zone.lowest(), generator);
         }
-        writeNumber(generator, "refused", zone.refused(), 0);
-        generator.writeStartArray(null, checkMax("lagging", zone.lagging().size(), Message.ZoneSummary.LAGGING_MOST));
+        writeNumber(generator, "refused", zone.rejecting(), 0);
+        generator.writeStartArray(null, checkMax("lagging", zone.lagging().size(), Message.ZoneSummary.MAX_LAGGING_NAMES));
         for (String name : zone.lagging()) {
             writeString(generator, "name", name, 0, MAX_NAME_CHARS);
         }
@@ -266,11 +266,11 @@
         writeNumber(generator, "from", delta.from(), 0);
         write(delta.to(), generator);
         write(delta.upserts(), generator);
-        generator.writeStartArray(null, checkMax("deletes", delta.deletes().size(), Change.EDITS_MOST));
+        generator.writeStartArray(null, checkMax("deletes", delta.deletes().size(), Change.MAX_EDITS));
         for (Delta.Deletion deletion : delta.deletes()) {
             generator.writeStartArray(null, 2);
             generator.writeNumber(deletion.kind().ordinal());
-            writeString(generator, "name", deletion.name(), 1, Resource.NAME_MOST);
+            writeString(generator, "name", deletion.name(), 1, Resource.MAX_NAME_CHARS);
             generator.writeEndArray();
         }
         generator.writeEndArray();
@@ -356,7 +356,7 @@
      * Decodes a command that the voters have agreed on. Throws IllegalArgumentException if this build can't read it.
      */
     public static Command decodeCommand(byte[] bytes) {
-        CborReader reader = openReader(bytes, Change.BYTES_MOST);
+        CborReader reader = openReader(bytes, Change.MAX_BYTES);
         reader.enterArray("change");
         if (!reader.isIntegerNext("id")) {
             return decodeChange(reader);
@@ -370,22 +370,22 @@
 
     /** Decodes a change. Throws IllegalArgumentException if the bytes are not a valid change. */
     public static Change decodeChange(byte[] bytes) {
-        CborReader reader = openReader(bytes, Change.BYTES_MOST);
+        CborReader reader = openReader(bytes, Change.MAX_BYTES);
         reader.enterArray("change");
         return decodeChange(reader);
     }
 
     private static Change decodeChange(CborReader reader) {
-        String id = reader.readString("id", 1, Change.ID_MOST);
+        String id = reader.readString("id", 1, Change.MAX_ID_CHARS);
         List<Edit> edits = new ArrayList<>();
         reader.enterList("edits");
-        while (reader.nextItem(Change.EDITS_MOST)) {
+        while (reader.nextItem(Change.MAX_EDITS)) {
             reader.enterArray("edit");
             boolean upsert = reader.readLong("type", UPSERT, DELETE) == UPSERT;
             ResourceKind kind = readKind(reader);
-            String name = reader.readString("name", 1, Resource.NAME_MOST);
-            long expectedVersion = reader.readLong("expected", Edit.ANY, Long.MAX_VALUE);
-            edits.add(upsert ? new Edit.Upsert(kind, name, reader.readBytes("value", Resource.VALUE_MOST), expectedVersion) : new Edit.Delete(kind, name, expectedVersion));
+            String name = reader.readString("name", 1, Resource.MAX_NAME_CHARS);
+            long expectedVersion = reader.readLong("expected", Edit.ANY_VERSION, Long.MAX_VALUE);
+            edits.add(upsert ? new Edit.Upsert(kind, name, reader.readBytes("value", Resource.MAX_VALUE_BYTES), expectedVersion) : new Edit.Delete(kind, name, expectedVersion));
             reader.exitArray();
         }
         reader.exitArray();
@@ -470,7 +470,7 @@
             int refused = readCount(reader, "refused");
             List<String> lagging = new ArrayList<>();
             reader.enterList("lagging");
-            while (reader.nextItem(Message.ZoneSummary.LAGGING_MOST)) {
+            while (reader.nextItem(Message.ZoneSummary.MAX_LAGGING_NAMES)) {
                 lagging.add(reader.readString("name", 0, MAX_NAME_CHARS));
             }
             reader.exitArray();
@@ -495,9 +495,9 @@
         List<Resource> upserts = readResources(reader, "upserts");
         List<Delta.Deletion> deletes = new ArrayList<>();
         reader.enterList("deletes");
-        while (reader.nextItem(Change.EDITS_MOST)) {
+        while (reader.nextItem(Change.MAX_EDITS)) {
             reader.enterArray("gone");
-            deletes.add(new Delta.Deletion(readKind(reader), reader.readString("name", 1, Resource.NAME_MOST)));
+            deletes.add(new Delta.Deletion(readKind(reader), reader.readString("name", 1, Resource.MAX_NAME_CHARS)));
             reader.exitArray();
         }
         reader.exitArray();
@@ -520,8 +520,8 @@
         reader.enterList(field);
         while (reader.nextItem(MAX_ITEMS)) {
             reader.enterArray("resource");
-            resources.add(new Resource(readKind(reader), reader.readString("name", 1, Resource.NAME_MOST), reader.readLong("version", 0, Long.MAX_VALUE),
-                    reader.readBytes("value", Resource.VALUE_MOST)));
+            resources.add(new Resource(readKind(reader), reader.readString("name", 1, Resource.MAX_NAME_CHARS), reader.readLong("version", 0, Long.MAX_VALUE),
+                    reader.readBytes("value", Resource.MAX_VALUE_BYTES)));
             reader.exitArray();
         }
         return resources;
--- a/src/main/java/mastdrift/distribution/edge/Publication.java
+++ b/src/main/java/mastdrift/distribution/edge/Publication.java
@@ -72,7 +72,7 @@
 
     /** Sets whether the source of its table is unreachable. */
     public void setSourceUnreachable(boolean unreachable) {
-        publisher.alone(DeadlineTimer.nowMicros(), unreachable);
+        publisher.setSourceUnreachable(DeadlineTimer.nowMicros(), unreachable);
         scheduleTick();
     }
 
--- a/src/main/java/mastdrift/distribution/edge/Subscription.java
+++ b/src/main/java/mastdrift/distribution/edge/Subscription.java
@@ -5,7 +5,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.LongConsumer;
 import mastdrift.distribution.Delta;
-import mastdrift.distribution.Machine;
+import mastdrift.distribution.ControlMachine;
 import mastdrift.distribution.Message;
 import mastdrift.distribution.Revision;
 import mastdrift.distribution.Subscriber;
@@ -52,8 +52,8 @@
     }
 
     /** Replaces the list of control machines. The first call starts the subscription. */
-    public void setMachines(List<Machine> machines) {
-        processEvent(now -> subscriber.machines(now, machines));
+    public void setMachines(List<ControlMachine> machines) {
+        processEvent(now -> subscriber.setMachines(now, machines));
     }
 
     /** Handles a reply of a control machine, on the connection that was opened to it. */
@@ -78,12 +78,12 @@
 
     /** Reports that a table has been applied here, or passed on to the subscribers of this process. */
     public void tableApplied(Revision revision) {
-        processEvent(now -> subscriber.inForce(now, revision));
+        processEvent(now -> subscriber.acknowledge(now, revision));
     }
 
     /** Reports that a table can't be applied; the previous one stays in effect. */
     public void tableRefused(Revision revision, String reason) {
-        processEvent(now -> subscriber.refused(now, revision, reason));
+        processEvent(now -> subscriber.reject(now, revision, reason));
     }
 
     /**
@@ -91,7 +91,7 @@
      * tables.
      */
     public void reportZones(List<Message.ZoneSummary> zones) {
-        processEvent(now -> subscriber.summary(zones));
+        processEvent(now -> subscriber.sendSummary(zones));
     }
 
     /**
@@ -117,8 +117,8 @@
     public void close() {
         closed = true;
         timer.cancel();
-        if (subscriber.machine() != null) {
-            transport.closeOutbound(subscriber.machine());
+        if (subscriber.currentMachine() != null) {
+            transport.closeOutbound(subscriber.currentMachine());
         }
     }
 
@@ -141,7 +141,7 @@
         }
 
         @Override
-        public void leave(String machine) {
+        public void disconnect(String machine) {
             transport.closeOutbound(machine);
         }
 
--- a/src/main/java/mastdrift/distribution/edge/TableFolder.java
+++ b/src/main/java/mastdrift/distribution/edge/TableFolder.java
@@ -39,7 +39,7 @@
     /** A journal of more bytes is always compacted. */
     public static final int COMPACTION_MAX_BYTES = 16 << 20;
     /** Maximum size of a file that is read: twice the largest table. */
-    public static final long MAX_FILE_BYTES = 2 * (Table.VALUE_BYTES_MOST + (long) Table.RESOURCES_MOST * (Resource.NAME_MOST + Table.RESOURCE_BYTES));
+    public static final long MAX_FILE_BYTES = 2 * (Table.MAX_VALUE_BYTES + (long) Table.MAX_RESOURCES * (Resource.MAX_NAME_CHARS + Table.RESOURCE_OVERHEAD_BYTES));
     static final String SNAPSHOT = "snapshot";
     static final String SNAPSHOT_TEMP = "snapshot.new";
     static final String JOURNAL = "journal";
@@ -110,7 +110,7 @@
         }
         try (RecordReader records = new RecordReader(SNAPSHOT, length)) {
             long writtenAtMillis = header(records.nextRecord());
-            Table.Assembly assembly = Table.empty(0).assembly();
+            Table.Assembly assembly = Table.empty(0).newAssembly();
             boolean last = false;
             while (!last) {
                 byte[] record = records.nextRecord();
@@ -147,8 +147,8 @@
                             throw new IOException("expected a timestamp and a delta, found " + record.length + " bytes");
                         }
                         Delta delta = MessageCodec.decodeDelta(Arrays.copyOfRange(record, Long.BYTES, record.length));
-                        if (delta.to().after(table.revision())) {  // otherwise the snapshot contains it already
-                            table = table.with(delta);
+                        if (delta.to().isAfter(table.revision())) {  // otherwise the snapshot contains it already
+                            table = table.applyDelta(delta);
                             writtenAtMillis = ByteBuffer.wrap(record).getLong();
                         }
                         journalBytes = records.offset;
@@ -276,7 +276,7 @@
     private static long sizeBytes(List<Resource> shard) {
         long bytes = 0;
         for (Resource each : shard) {
-            bytes += Table.RESOURCE_BYTES + each.name().length() + each.value().length;
+            bytes += Table.RESOURCE_OVERHEAD_BYTES + each.name().length() + each.value().length;
         }
         return bytes;
     }
--- a/src/main/java/mastdrift/distribution/edge/TableWriter.java
+++ b/src/main/java/mastdrift/distribution/edge/TableWriter.java
@@ -76,8 +76,8 @@
         }
         if (pendingDeltas != null) {
             pendingDeltas.addAll(newDeltas);
-            newDeltas.forEach(each -> pendingDeltaBytes += History.bytes(each));
-            if (pendingDeltas.size() > History.DELTAS_MOST || pendingDeltaBytes > History.BYTES_MOST) {
+            newDeltas.forEach(each -> pendingDeltaBytes += History.sizeBytes(each));
+            if (pendingDeltas.size() > History.MAX_DELTAS || pendingDeltaBytes > History.MAX_BYTES) {
                 pendingDeltas = null;
             }
         }
--- a/src/main/java/mastdrift/serve/ControlLinks.java
+++ b/src/main/java/mastdrift/serve/ControlLinks.java
@@ -12,7 +12,7 @@
 import java.util.function.Function;
 import mastdrift.config.DistributionSettings;
 import mastdrift.config.SecretRef;
-import mastdrift.distribution.Machine;
+import mastdrift.distribution.ControlMachine;
 import mastdrift.distribution.edge.ControlTransport;
 import mastdrift.events.Events;
 import mastdrift.events.Events.Level;
@@ -149,8 +149,8 @@
     }
 
     /** The machines in the form that a subscription takes. */
-    static List<Machine> subscriptionMachines(List<DistributionSettings.Machine> machines) {
-        return machines.stream().map(each -> new Machine(each.name(), each.zone())).toList();
+    static List<ControlMachine> subscriptionMachines(List<DistributionSettings.Machine> machines) {
+        return machines.stream().map(each -> new ControlMachine(each.name(), each.zone())).toList();
     }
 
     /** Closes all connections and stops the event loop. */
--- a/src/main/java/mastdrift/serve/ControlMachine.java
+++ b/src/main/java/mastdrift/serve/ControlMachine.java
@@ -139,13 +139,13 @@
         boolean isVoter = settings.role() == Role.VOTER;
         Path folder = file.toAbsolutePath().resolveSibling(settings.folder());
         copy = new ConfigCopy(folder.resolve("table"), settings.epoch(), events);
-        Table initial = copy.exists() ? copy.initialTable() : Store.nothing(settings.epoch());
+        Table initial = copy.exists() ? copy.initialTable() : Store.initialTable(settings.epoch());
         if (isVoter && initial.revision().epoch() > settings.epoch()) {
             throw new IllegalArgumentException("distribution.epoch: expected " + initial.revision().epoch() + " or a later one, as its folder has, found " + settings.epoch());
         }
         links = new ControlLinks("control-links", settings, settings.name(), secrets::get, new LinkListener(), events);
-        publication = new Publication(links.loop(), links.transport(), initial, PublisherSettings.USUAL, events);
-        subscription = new Subscription(links.loop(), links.transport(), settings.name(), settings.zone(), initial, SubscriberSettings.USUAL, System.nanoTime(), events, this::onSubscribedTable);
+        publication = new Publication(links.loop(), links.transport(), initial, PublisherSettings.DEFAULTS, events);
+        subscription = new Subscription(links.loop(), links.transport(), settings.name(), settings.zone(), initial, SubscriberSettings.DEFAULTS, System.nanoTime(), events, this::onSubscribedTable);
         store = isVoter ? new Store(initial, settings.epoch(), new StoreActions()) : null;
         log = isVoter ? openLog(folder) : null;
         if (!isVoter) {
@@ -229,7 +229,7 @@
             publication.publishTable(next, deltas);
         }
         links.loop().execute(() -> {  // not within the callback of the subscriber
-            if (store != null && store.take(next)) {
+            if (store != null && store.installTable(next)) {
                 completeApplied();
                 updateCatchUp();
             }
@@ -242,12 +242,12 @@
      * that includes them.
      */
     private void updateCatchUp() {
-        boolean missing = store.missing() != 0;
+        boolean missing = store.lastMissingOrdinal() != 0;
         if (missing != catchingUp) {
             catchingUp = missing;
             List<Machine> others = settings.machines(Role.VOTER).stream().filter(each -> !each.name().equals(settings.name())).toList();
             subscription.setMachines(missing ? ControlLinks.subscriptionMachines(others) : List.of());
-            events.event(missing ? Level.WARN : Level.INFO, missing ? "config_catches_up" : "config_caught_up", missing ? "decisions up to " + store.missing()
+            events.event(missing ? Level.WARN : Level.INFO, missing ? "config_catches_up" : "config_caught_up", missing ? "decisions up to " + store.lastMissingOrdinal()
                     + " are missing: fetching the table of another voter" : "no decision is missing any longer, at revision " + store.table().revision().number());
         }
     }
@@ -291,8 +291,8 @@
         } catch (IllegalArgumentException e) {
             events.event(Level.WARN, "config_unreadable", "decision " + decision.ordinal() + " can't be decoded by this build and has no effect: " + e.getMessage());
         }
-        boolean isNew = decision.ordinal() > store.number();
-        Store.ChangeOutcome outcome = store.decided(decision.ordinal(), decision.id(), command);
+        boolean isNew = decision.ordinal() > store.appliedOrdinal();
+        Store.ChangeOutcome outcome = store.applyEntry(decision.ordinal(), decision.id(), command);
         lastDecidedIndex = decision.index();
         if (isNew && command instanceof Change && outcome instanceof Store.ChangeOutcome.Applied applied) {
             events.event(Level.INFO, "config_decided", "change " + decision.id() + " is applied, revision " + applied.revision().number(), "id", decision.id(), "number", applied.revision().number());
@@ -310,7 +310,7 @@
             reply(from, new ControlMessage.Refused(apply.requestId(), problems));
         } else if (store.outcome(change.id()) != null && respond(from, apply.requestId(), store.outcome(change.id()))) {
             return;  // a repeated request
-        } else if (!store.begun()) {
+        } else if (!store.isEpochStarted()) {
             reply(from, new ControlMessage.Unknown(apply.requestId(), "epoch " + settings.epoch() + " has not begun at " + settings.name() + ", ask again; a first installation begins with epoch 1"));
         } else if (pendingCount >= MAX_PENDING_CHANGES) {
             reply(from, new ControlMessage.Unknown(apply.requestId(), "expected at most " + MAX_PENDING_CHANGES + " pending changes, ask again"));
@@ -331,7 +331,7 @@
      * so only the first of these entries takes effect.
      */
     private void requestEpochStart() {
-        Revision epochBase = joinedLog && !epochStartPending ? store.toBegin() : null;
+        Revision epochBase = joinedLog && !epochStartPending ? store.epochStartCandidate() : null;
         if (epochBase != null) {
             epochStartPending = true;
             String id = "epoch-" + settings.epoch() + "-begins";
@@ -365,7 +365,7 @@
                 complete(id, requestId -> new ControlMessage.Applied(requestId, applied.revision()));
             } else if (outcome instanceof Store.ChangeOutcome.Conflict conflict) {
                 complete(id, requestId -> new ControlMessage.Conflicted(requestId, conflict.reason()));
-            } else if (store.missing() == 0 && committedIndices.getOrDefault(id, Long.MAX_VALUE) <= lastDecidedIndex) {
+            } else if (store.lastMissingOrdinal() == 0 && committedIndices.getOrDefault(id, Long.MAX_VALUE) <= lastDecidedIndex) {
                 // decided earlier than the outcomes that are still remembered here
                 complete(id, requestId -> new ControlMessage.Applied(requestId, null));
             }
@@ -428,9 +428,9 @@
     /** Whether the source of the table can't be reached: this machine then no longer reports itself as current. */
     private boolean isIsolated() {
         if (store != null) {
-            return !joinedLog || !store.begun() || store.missing() != 0 || System.nanoTime() - leaderSeenAtNanos > TimeUnit.MILLISECONDS.toNanos(IsolationTracker.REPORT_AFTER_MILLIS);
+            return !joinedLog || !store.isEpochStarted() || store.lastMissingOrdinal() != 0 || System.nanoTime() - leaderSeenAtNanos > TimeUnit.MILLISECONDS.toNanos(IsolationTracker.REPORT_AFTER_MILLIS);
         }
-        return !subscription.subscriber().ready() || subscription.subscriber().aloneSince() != 0;
+        return !subscription.subscriber().ready() || subscription.subscriber().disconnectedSince() != 0;
     }
 
     private void poll() {
--- a/src/main/java/mastdrift/serve/DistributionService.java
+++ b/src/main/java/mastdrift/serve/DistributionService.java
@@ -86,7 +86,7 @@
             distributedRoutes = tableOf(routes);
         }
         links = new ControlLinks("distribution", settings, settings.name(), secrets, new LinkListener(), events);
-        subscription = new Subscription(links.loop(), links.transport(), settings.name(), settings.zone(), initial, SubscriberSettings.USUAL, seed, events, this::applyTable);
+        subscription = new Subscription(links.loop(), links.transport(), settings.name(), settings.zone(), initial, SubscriberSettings.DEFAULTS, seed, events, this::applyTable);
         links.loop().execute(() -> {
             if (copy.exists()) {
                 acknowledge(initial.revision(), routes.problem());
@@ -222,13 +222,13 @@
             // a control machine reports that there is no resource yet: serve with the routes of the file
             acknowledge(subscription.subscriber().table().revision(), null);
         }
-        if (isolation.update(subscription.subscriber().aloneSince() != 0)) {
+        if (isolation.update(subscription.subscriber().disconnectedSince() != 0)) {
             isolatedSince = isolation.isolatedMillis() == 0 ? null
                     : Instant.now().minusMillis(isolation.isolatedMillis());
             if (isolatedSince != null) {
                 events.event(Level.WARN, "config_alone", "no control machine is heard since " + isolatedSince + ": continuing with the routes in force");
             } else {
-                events.event(Level.INFO, "config_alone_over", "a control machine is heard again: " + subscription.subscriber().machine());
+                events.event(Level.INFO, "config_alone_over", "a control machine is heard again: " + subscription.subscriber().currentMachine());
             }
         }
         if (statusFile != null && !statusWriter.isShutdown()) {
@@ -252,7 +252,7 @@
         fields.put("held_back", reportedProblem);
         fields.put("routes", routes.routes().size());
         fields.put("copy", copy.writtenRevision());
-        fields.put("machine", subscription.subscriber().machine());
+        fields.put("machine", subscription.subscriber().currentMachine());
         fields.put("alone_since", isolatedSince == null ? null : isolatedSince.toString());
         return fields;
     }
--- a/src/test/java/mastdrift/distribution/edge/PublicationTest.java
+++ b/src/test/java/mastdrift/distribution/edge/PublicationTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import mastdrift.distribution.Delta;
-import mastdrift.distribution.Machine;
+import mastdrift.distribution.ControlMachine;
 import mastdrift.distribution.Message;
 import mastdrift.distribution.PublisherSettings;
 import mastdrift.distribution.Revision;
@@ -182,10 +182,10 @@
         Subscription subscription = new Subscription(loop, transport, "g", "z", Table.empty(1), new SubscriberSettings(60_000_000, 60_000_000, 1_000, 60_000_000, 1, 60_000_000, 4,
                 600_000_000), 1, (level, name, text, fields) -> events.add(level + " " + name), (table, deltas) -> receivedTables.add(table));
         runOnLoop(() -> {
-            subscription.setMachines(List.of(new Machine("m1", "z"), new Machine("m2", "z")));
+            subscription.setMachines(List.of(new ControlMachine("m1", "z"), new ControlMachine("m2", "z")));
             return null;
         });
-        String first = subscription.subscriber().machine();
+        String first = subscription.subscriber().currentMachine();
         String other = first.equals("m1") ? "m2" : "m1";
         // Within a millisecond it also acknowledges the table that it has applied, and sends nothing more for a minute.
         long ackDeadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
@@ -194,8 +194,8 @@
         }
         List<byte[]> sentToFirst = runOnLoop(() -> List.copyOf(transport.sent.get(first)));
         assertEquals(2, sentToFirst.size());
-        assertArrayEquals(MessageCodec.encode(new Message.Subscribe(Revision.none(1), "z")), sentToFirst.get(0));
-        assertArrayEquals(MessageCodec.encode(new Message.Ack(Revision.none(1))), sentToFirst.get(1));
+        assertArrayEquals(MessageCodec.encode(new Message.Subscribe(Revision.empty(1), "z")), sentToFirst.get(0));
+        assertArrayEquals(MessageCodec.encode(new Message.Ack(Revision.empty(1))), sentToFirst.get(1));
         runOnLoop(() -> {
             for (int i = 0; i < 5; i++) {
                 subscription.received(first, new byte[] {1, 0, 7});
@@ -280,7 +280,7 @@
         Subscription subscription = new Subscription(loop, transport, "g", "z", Table.empty(1), new SubscriberSettings(60_000_000, 60_000_000, 1_000, 60_000_000, 1, 60_000_000, 4,
                 600_000_000), 1, (level, name, text, fields) -> events.add(level + " " + name), (table, deltas) -> receivedTables.add(table));
         runOnLoop(() -> {
-            subscription.setMachines(List.of(new Machine("m", "z")));
+            subscription.setMachines(List.of(new ControlMachine("m", "z")));
             subscription.received("m", MessageCodec.encode(new Message.Deltas(List.of(one))));
             for (byte[] each : later) {
                 subscription.received("m", each);
--- a/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
+++ b/src/test/java/mastdrift/distribution/edge/PublishAndSubscribeTest.java
@@ -23,7 +23,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.IntConsumer;
 import mastdrift.distribution.Delta;
-import mastdrift.distribution.Machine;
+import mastdrift.distribution.ControlMachine;
 import mastdrift.distribution.Message;
 import mastdrift.distribution.PublisherSettings;
 import mastdrift.distribution.Revision;
@@ -94,14 +94,14 @@
             runOnLoop(() -> {
                 links.setAddresses(addresses);
                 subscription = new Subscription(loop, this, name, "z", initialTable, SUBSCRIBER, name.hashCode(), (level, what, text, fields) -> events.add(what), this::tableReceived);
-                subscription.setMachines(addresses.keySet().stream().map(machine -> new Machine(machine, "z")).toList());
+                subscription.setMachines(addresses.keySet().stream().map(machine -> new ControlMachine(machine, "z")).toList());
                 return null;
             });
             return this;
         }
 
         private void tableReceived(Table next, List<Delta> deltas) {
-            if (!next.revision().after(table.revision())) {
+            if (!next.revision().isAfter(table.revision())) {
                 events.add("went back");
             }
             table = next;
@@ -257,7 +257,7 @@
         }));
         assertTrue(gateways.stream().allMatch(each -> each.fullTableUpdates.get() == 0), "by deltas alone");
         Node stopped = one.runOnLoop(() -> one.publication.publisher().status().subscribers()) > 0 ? one : two;
-        List<Node> gatewaysOfStopped = gateways.stream().filter(each -> stopped.name.equals(each.runOnLoop(() -> each.subscription.subscriber().machine()))).toList();
+        List<Node> gatewaysOfStopped = gateways.stream().filter(each -> stopped.name.equals(each.runOnLoop(() -> each.subscription.subscriber().currentMachine()))).toList();
         assertTrue(!gatewaysOfStopped.isEmpty());
         stopped.stop();
         for (int i = 0; i < 20; i++) {
@@ -267,7 +267,7 @@
         assertTrue(gateways.stream().allMatch(each -> each.fullTableUpdates.get() == 0), "still by deltas alone");
         voter.stop();
         Node remaining = stopped == one ? two : one;
-        awaitTrue("reports since when it has heard no machine", () -> remaining.runOnLoop(() -> remaining.subscription.subscriber().aloneSince() != 0));
+        awaitTrue("reports since when it has heard no machine", () -> remaining.runOnLoop(() -> remaining.subscription.subscriber().disconnectedSince() != 0));
         assertEquals(tables.table().revision(), remaining.table.revision());
     }
 
