--- a/src/main/java/mastdrift/distribution/Publisher.java
+++ b/src/main/java/mastdrift/distribution/Publisher.java
@@ -143,7 +143,7 @@
     }
 
     /**
-     * Publishes another table; {@code deltasAfter} lead to it from the previous one, empty if they are not known (a snapshot
+     * Publishes another table; {@code deltas} lead to it from the previous one, empty if they are not known (a snapshot
      * was taken). Ignored if it is neither later nor forked.
      */
     public void table(long now, Table next, List<Delta> deltas) {
--- a/src/main/java/mastdrift/distribution/Store.java
+++ b/src/main/java/mastdrift/distribution/Store.java
@@ -42,7 +42,7 @@
         /** It changed nothing, for this reason. */
         record Conflict(String reason) implements ChangeOutcome { }
 
-        /** It is queued because entries up to {@code lastMissingOrdinal} have not been seen. */
+        /** It is queued because entries up to {@code missing} have not been seen. */
         record Pending(long missing) implements ChangeOutcome { }
     }
 
--- a/src/main/java/mastdrift/distribution/Subscriber.java
+++ b/src/main/java/mastdrift/distribution/Subscriber.java
@@ -44,7 +44,7 @@
         void disconnect(String machine);
 
         /**
-         * The table was replaced by {@code next}; {@code handleDeltas} lead to it from the previous one, empty if it was
+         * The table was replaced by {@code next}; {@code deltas} lead to it from the previous one, empty if it was
          * taken from a snapshot.
          */
         void table(Table next, List<Delta> deltas);
